--- a/crates/control/src/broadcast/allowance.rs
+++ b/crates/control/src/broadcast/allowance.rs
@@ -44,7 +44,10 @@
     }
 
     fn lacking(&self) -> u64 {
-        self.reported.made.saturating_add(self.reported.waiting).saturating_sub(self.permitted)
+        self.reported
+            .made
+            .saturating_add(self.reported.waiting)
+            .saturating_sub(self.permitted)
     }
 }
 
@@ -60,7 +63,10 @@
 impl AllowancePool {
     /// Of a process that has just started.
     pub fn new(instance: u64) -> AllowancePool {
-        AllowancePool { instance, ..AllowancePool::default() }
+        AllowancePool {
+            instance,
+            ..AllowancePool::default()
+        }
     }
 
     /// The owner has said how much it allows. What is left of the allowance before lapses: nothing is saved up here.
@@ -74,8 +80,13 @@
     pub fn divide(&mut self, relays: &mut [&mut RelayMoves]) -> Vec<usize> {
         let mut raised = Vec::new();
         for _ in 0..(self.allowed - self.used).min(AT_ONCE) {
-            let most = relays.iter_mut().enumerate().max_by_key(|(_, relay)| relay.lacking());
-            let Some((place, relay)) = most.filter(|(_, relay)| relay.lacking() > 0) else { break };
+            let most = relays
+                .iter_mut()
+                .enumerate()
+                .max_by_key(|(_, relay)| relay.lacking());
+            let Some((place, relay)) = most.filter(|(_, relay)| relay.lacking() > 0) else {
+                break;
+            };
             relay.permitted += 1;
             self.used += 1;
             raised.push(place);
--- a/crates/control/src/broadcast/broadcaster.rs
+++ b/crates/control/src/broadcast/broadcaster.rs
@@ -49,7 +49,10 @@
 impl Broadcaster {
     /// Of a process that bears this number, which no process of this voter before had.
     pub fn new(instance: u64) -> Broadcaster {
-        Broadcaster { pool: AllowancePool::new(instance), ..Broadcaster::default() }
+        Broadcaster {
+            pool: AllowancePool::new(instance),
+            ..Broadcaster::default()
+        }
     }
 
     /// One with a fault in it: for tests of the checkers.
@@ -62,13 +65,23 @@
     /// One that acts as builds did that knew no deliveries: for tests of fleets of two builds.
     #[cfg(feature = "injected-bugs")]
     pub fn of_older_build(self) -> Broadcaster {
-        Broadcaster { is_older: true, ..self }
+        Broadcaster {
+            is_older: true,
+            ..self
+        }
     }
 
     /// A relay follows. It is told what it does not have; an owner of an older build is told what others report to its
     /// jobs.
-    pub fn subscribe(&mut self, now: Micros, from: From, mut follow: Subscribe, jobs: &Jobs) -> Vec<Message> {
-        self.subscriptions.retain(|_, subscription| !subscription.is_silent(now));
+    pub fn subscribe(
+        &mut self,
+        now: Micros,
+        from: From,
+        mut follow: Subscribe,
+        jobs: &Jobs,
+    ) -> Vec<Message> {
+        self.subscriptions
+            .retain(|_, subscription| !subscription.is_silent(now));
         if !self.subscriptions.contains_key(&from) && self.subscriptions.len() >= SUBSCRIBERS {
             return Vec::new();
         }
@@ -77,14 +90,20 @@
         }
         if follow.asks_only && follow.version >= VERSION {
             // An owner wants to know this voter's clock, and follows another.
-            return vec![Message::Updates(Subscription::new(now, follow, None).answer(now))];
+            return vec![Message::Updates(
+                Subscription::new(now, follow, None).answer(now),
+            )];
         }
         let mut subscription = Subscription::new(now, follow, self.subscriptions.get(&from));
         let mut answer = subscription.answer(now);
         let mut out = Vec::new();
         if subscription.compact.is_some() {
             out.push(Message::Updates(answer));
-            out.extend(self.feed.deliver(now, &mut subscription, jobs, Why::Answer).map(Message::Delivery));
+            out.extend(
+                self.feed
+                    .deliver(now, &mut subscription, jobs, Why::Answer)
+                    .map(Message::Delivery),
+            );
         } else {
             answer.reports = self.reports_for(now, &subscription, jobs);
             answer.updates = self.feed.whole_updates(now, &subscription, None);
@@ -102,10 +121,19 @@
         jobs: &Jobs,
     ) -> Vec<(Relay, Micros, Vec<Report>)> {
         let own = |job: &Job| job.owner.as_ref() == Some(&owner.relay);
-        let kinds: BTreeSet<&str> =
-            jobs.of.iter().filter(|(_, job)| own(job)).map(|(name, _)| kind_of(name)).collect();
+        let kinds: BTreeSet<&str> = jobs
+            .of
+            .iter()
+            .filter(|(_, job)| own(job))
+            .map(|(name, _)| kind_of(name))
+            .collect();
         let mut all = Vec::new();
-        for other in self.subscriptions.values().chain([owner]).filter(|_| !kinds.is_empty()) {
+        for other in self
+            .subscriptions
+            .values()
+            .chain([owner])
+            .filter(|_| !kinds.is_empty())
+        {
             let to_it = |report: &&Report| kinds.contains(report.kind.as_str());
             let reports: Vec<Report> = other.reports.iter().filter(to_it).cloned().collect();
             if !reports.is_empty() {
@@ -124,28 +152,59 @@
     }
 
     fn polled(&mut self, now: Micros, from: From, poll: Poll, jobs: &Jobs) -> Delivery {
-        let Poll { start, number, stream, highest, before, reports } = poll;
-        let unknown = Delivery { start, number, stream, unknown: true, ..Delivery::default() };
-        let Some(subscription) = self.subscriptions.get_mut(&from) else { return unknown };
+        let Poll {
+            start,
+            number,
+            stream,
+            highest,
+            before,
+            reports,
+        } = poll;
+        let unknown = Delivery {
+            start,
+            number,
+            stream,
+            unknown: true,
+            ..Delivery::default()
+        };
+        let Some(subscription) = self.subscriptions.get_mut(&from) else {
+            return unknown;
+        };
         if subscription.relay.start != start || subscription.is_silent(now) {
             return unknown;
         }
-        let Some(compact) = subscription.compact.as_mut().filter(|of| of.stream.number == stream) else {
+        let Some(compact) = subscription
+            .compact
+            .as_mut()
+            .filter(|of| of.stream.number == stream)
+        else {
             return unknown;
         };
-        compact.stream.acknowledged(now, Received { stream, highest, before });
+        compact.stream.acknowledged(
+            now,
+            Received {
+                stream,
+                highest,
+                before,
+            },
+        );
         // One that is overtaken by a later one says nothing new.
         if number >= subscription.number {
             (subscription.number, subscription.heard) = (number, now);
         }
-        if let Some(Reports { version, of }) = reports.filter(|of| of.version > subscription.reports_version)
+        if let Some(Reports { version, of }) =
+            reports.filter(|of| of.version > subscription.reports_version)
         {
-            let report =
-                |(kind, body): (String, serde_bytes::ByteBuf)| Report { kind, body: body.into_vec() };
+            let report = |(kind, body): (String, serde_bytes::ByteBuf)| Report {
+                kind,
+                body: body.into_vec(),
+            };
             subscription.take_reports(of.into_iter().map(report).collect());
             subscription.reports_version = version;
         }
-        self.feed.deliver(now, subscription, jobs, Why::Answer).unwrap_or(unknown)
+        self.feed
+            .deliver(now, subscription, jobs, Why::Answer)
+            .unwrap_or(unknown)
     }
 
     /// An owner of an older build has an update for all. What comes of it goes to whoever it is for.
@@ -156,11 +215,16 @@
         publish: Publish,
         jobs: &Jobs,
     ) -> Vec<(From, Message)> {
-        let Publish { update, stamp, since } = publish;
+        let Publish {
+            update,
+            stamp,
+            since,
+        } = publish;
         if let Some(refused) = self.refuse(from, &update.job, update.token, jobs) {
             return refused;
         }
-        let Some(sent) = sent_at(now, stamp, since).filter(|_| update.body.len() <= MOST_BODY) else {
+        let Some(sent) = sent_at(now, stamp, since).filter(|_| update.body.len() <= MOST_BODY)
+        else {
             return Vec::new();
         };
         let name = update.job.clone();
@@ -168,7 +232,10 @@
             let permits = Permits::decode(&update.body).unwrap_or_default();
             self.feed.moves = self.feed.moves.max((update.token, update.number));
             for (relay, upto) in permits.of {
-                let of = self.subscriptions.values_mut().filter(|subscription| subscription.relay == relay);
+                let of = self
+                    .subscriptions
+                    .values_mut()
+                    .filter(|subscription| subscription.relay == relay);
                 of.filter_map(|subscription| subscription.moves.as_mut())
                     .for_each(|moves| moves.permit(upto));
             }
@@ -193,7 +260,16 @@
         if self.is_older {
             return Vec::new();
         }
-        let Submission { start, number, job, token, stamp, since, changes, allowance } = submission;
+        let Submission {
+            start,
+            number,
+            job,
+            token,
+            stamp,
+            since,
+            changes,
+            allowance,
+        } = submission;
         if let Some(refused) = self.refuse(from, &job, token, jobs) {
             return refused;
         }
@@ -205,13 +281,28 @@
                 out = self.spread(now, &job, jobs);
             }
         }
-        let mut receipt = Receipt { start, number, job, stamp: now, ..Receipt::default() };
-        receipt.version = self.feed.channels.get(&receipt.job).map_or(0, |channel| channel.version(token));
+        let mut receipt = Receipt {
+            start,
+            number,
+            job,
+            stamp: now,
+            ..Receipt::default()
+        };
+        receipt.version = self
+            .feed
+            .channels
+            .get(&receipt.job)
+            .map_or(0, |channel| channel.version(token));
         if receipt.job == moves::KIND {
             self.feed.moves = self.feed.moves.max((token, number));
-            allowance.iter().for_each(|allowance| self.pool.allow(*allowance));
+            allowance
+                .iter()
+                .for_each(|allowance| self.pool.allow(*allowance));
             out.extend(self.permit(now, jobs));
-            let live = self.subscriptions.values().filter(|subscription| !subscription.is_silent(now));
+            let live = self
+                .subscriptions
+                .values()
+                .filter(|subscription| !subscription.is_silent(now));
             receipt.moves = Some(self.pool.summary(live.filter_map(|of| of.moves.as_ref())));
         }
         out.push((from, Message::Receipt(receipt)));
@@ -219,11 +310,23 @@
     }
 
     /// What an owner is told whose token is not the newest, or whose job there is not.
-    fn refuse(&self, from: From, job: &str, token: Token, jobs: &Jobs) -> Option<Vec<(From, Message)>> {
-        let Some(known) = jobs.of.get(job) else { return Some(Vec::new()) };
+    fn refuse(
+        &self,
+        from: From,
+        job: &str,
+        token: Token,
+        jobs: &Jobs,
+    ) -> Option<Vec<(From, Message)>> {
+        let Some(known) = jobs.of.get(job) else {
+            return Some(Vec::new());
+        };
         // What the log here says may lag behind, so a higher token is one that this voter has yet to hear of.
         let seen = self.feed.channels.get(job).map_or(0, Channel::token);
-        let seen = if job == moves::KIND { seen.max(self.feed.moves.0) } else { seen };
+        let seen = if job == moves::KIND {
+            seen.max(self.feed.moves.0)
+        } else {
+            seen
+        };
         let highest = seen.max(known.token);
         let stale = token < highest && !self.feed.injected.is(InjectedBug::NoFence);
         stale.then(|| vec![(from, Message::Stale(job.into(), highest))])
@@ -233,7 +336,11 @@
     fn spread(&mut self, now: Micros, job: &str, jobs: &Jobs) -> Vec<(From, Message)> {
         self.feed.retain(now, jobs);
         let mut out = Vec::new();
-        for (from, subscription) in self.subscriptions.iter_mut().filter(|(_, of)| !of.is_silent(now)) {
+        for (from, subscription) in self
+            .subscriptions
+            .iter_mut()
+            .filter(|(_, of)| !of.is_silent(now))
+        {
             let message = self.feed.tell(now, subscription, jobs, job);
             out.extend(message.map(|message| (*from, message)));
         }
@@ -242,13 +349,19 @@
 
     /// Divides the allowance; who is permitted more is told.
     fn permit(&mut self, now: Micros, jobs: &Jobs) -> Vec<(From, Message)> {
-        let live = self.subscriptions.iter_mut().filter(|(_, subscription)| !subscription.is_silent(now));
-        let (of, mut moves): (Vec<From>, Vec<&mut RelayMoves>) =
-            live.filter_map(|(from, subscription)| Some((*from, subscription.moves.as_mut()?))).unzip();
+        let live = self
+            .subscriptions
+            .iter_mut()
+            .filter(|(_, subscription)| !subscription.is_silent(now));
+        let (of, mut moves): (Vec<From>, Vec<&mut RelayMoves>) = live
+            .filter_map(|(from, subscription)| Some((*from, subscription.moves.as_mut()?)))
+            .unzip();
         let raised = self.pool.divide(&mut moves);
         let mut out = Vec::new();
         for from in raised.into_iter().filter_map(|place| of.get(place)) {
-            let Some(subscription) = self.subscriptions.get_mut(from) else { continue };
+            let Some(subscription) = self.subscriptions.get_mut(from) else {
+                continue;
+            };
             let message = self.feed.tell(now, subscription, jobs, moves::KIND);
             out.extend(message.map(|message| (*from, message)));
         }
--- a/crates/control/src/broadcast/channel.rs
+++ b/crates/control/src/broadcast/channel.rs
@@ -77,7 +77,9 @@
             }
             return taken;
         }
-        let Content::Table(table, whole) = &mut self.content else { return false };
+        let Content::Table(table, whole) = &mut self.content else {
+            return false;
+        };
         let taken = table.apply(sent, changes).is_ok();
         if taken {
             (*whole, self.at) = (None, sent);
@@ -89,7 +91,12 @@
     pub fn delivered(&mut self, now: Micros, job: &str, has: Have) -> (Delivered, usize) {
         let (token, number) = self.have();
         let age = now.saturating_sub(self.at).div_ceil(1_000);
-        let mut delivered = Delivered { job: job.into(), token, age, ..Delivered::default() };
+        let mut delivered = Delivered {
+            job: job.into(),
+            token,
+            age,
+            ..Delivered::default()
+        };
         let bytes = match &mut self.content {
             Content::Nothing => Vec::new(),
             Content::Whole(update) => {
@@ -117,10 +124,16 @@
         let body = match &mut self.content {
             Content::Nothing => Vec::new(),
             Content::Whole(update) => update.body.clone(),
-            Content::Table(table, whole) => {
-                whole.get_or_insert_with(|| Loads::of_table(table).encode()).clone()
-            }
+            Content::Table(table, whole) => whole
+                .get_or_insert_with(|| Loads::of_table(table).encode())
+                .clone(),
         };
-        Update { job: job.into(), token, number, age, body }
+        Update {
+            job: job.into(),
+            token,
+            number,
+            age,
+            body,
+        }
     }
 }
--- a/crates/control/src/broadcast/feed.rs
+++ b/crates/control/src/broadcast/feed.rs
@@ -44,7 +44,8 @@
 impl Feed {
     /// Forgets updates of jobs that there are no more, and those that nobody can use.
     pub fn retain(&mut self, now: Micros, jobs: &Jobs) {
-        self.channels.retain(|name, channel| jobs.of.contains_key(name) && !channel.is_old(now));
+        self.channels
+            .retain(|name, channel| jobs.of.contains_key(name) && !channel.is_old(now));
     }
 
     /// What a relay is told now of a job, or of all that it lacks.
@@ -56,11 +57,22 @@
         job: &str,
     ) -> Option<Message> {
         if subscription.compact.is_some() {
-            let why = if job == moves::KIND { Why::Permits } else { Why::Spread };
-            return self.deliver(now, subscription, jobs, why).map(Message::Delivery);
+            let why = if job == moves::KIND {
+                Why::Permits
+            } else {
+                Why::Spread
+            };
+            return self
+                .deliver(now, subscription, jobs, why)
+                .map(Message::Delivery);
         }
         let updates = self.whole_updates(now, subscription, Some(job));
-        (!updates.is_empty()).then(|| Message::Updates(Updates { updates, ..subscription.answer(now) }))
+        (!updates.is_empty()).then(|| {
+            Message::Updates(Updates {
+                updates,
+                ..subscription.answer(now)
+            })
+        })
     }
 
     /// What a relay is told now: what it needs most, then what it has waited for longest, as far as its bucket goes. An
@@ -82,13 +94,22 @@
         let is_due = why != Why::Spread || !updates.is_empty();
         if let Some(permitted) = permitted.filter(|_| self.moves.0 > 0 && is_due) {
             let (job, (token, _)) = (moves::KIND.to_string(), self.moves);
-            updates.push(Delivered { job, token, permitted, ..Delivered::default() });
+            updates.push(Delivered {
+                job,
+                token,
+                permitted,
+                ..Delivered::default()
+            });
         }
         if updates.is_empty() && why != Why::Answer {
             return None;
         }
         compact.bucket.take(MESSAGE_BYTES, rate);
-        let sequence = if versions.is_empty() { 0 } else { compact.stream.send(now, versions) };
+        let sequence = if versions.is_empty() {
+            0
+        } else {
+            compact.stream.send(now, versions)
+        };
         Some(Delivery {
             start: subscription.relay.start,
             number: subscription.number,
@@ -103,11 +124,20 @@
 
     /// The jobs whose newest update a relay was not sent, in the order in which it is to be, and whether it owns one that
     /// has updates.
-    fn lacking(&self, now: Micros, subscription: &Subscription, jobs: &Jobs) -> (Vec<Lacking>, bool) {
-        let owns_moves =
-            jobs.of.get(moves::KIND).is_some_and(|job| job.owner.as_ref() == Some(&subscription.relay));
+    fn lacking(
+        &self,
+        now: Micros,
+        subscription: &Subscription,
+        jobs: &Jobs,
+    ) -> (Vec<Lacking>, bool) {
+        let owns_moves = jobs
+            .of
+            .get(moves::KIND)
+            .is_some_and(|job| job.owner.as_ref() == Some(&subscription.relay));
         let (mut lacking, mut owns_any) = (Vec::new(), owns_moves);
-        let Some(Compact { stream, zone, .. }) = &subscription.compact else { return (lacking, false) };
+        let Some(Compact { stream, zone, .. }) = &subscription.compact else {
+            return (lacking, false);
+        };
         for (name, channel) in &self.channels {
             let owner = jobs.of.get(name).and_then(|job| job.owner.as_ref());
             let owns = owner == Some(&subscription.relay);
@@ -134,7 +164,9 @@
             if far && !compact.bucket.has_any() {
                 break;
             }
-            let Some(channel) = self.channels.get_mut(&name) else { continue };
+            let Some(channel) = self.channels.get_mut(&name) else {
+                continue;
+            };
             let (delivered, bytes) = channel.delivered(now, &name, compact.stream.sent(&name));
             compact.bucket.take(bytes + UPDATE_BYTES, rate);
             updates.push(delivered);
@@ -153,7 +185,10 @@
         let injected = self.injected;
         let lacks = |name: &str, have: Have| {
             let wanted = job.is_none_or(|job| job == name);
-            let knows = subscription.knows.get(name).is_some_and(|knows| *knows >= have);
+            let knows = subscription
+                .knows
+                .get(name)
+                .is_some_and(|knows| *knows >= have);
             wanted && (!knows || injected.is(InjectedBug::NoFence))
         };
         let mut updates = Vec::new();
@@ -164,9 +199,18 @@
         }
         let permitted = subscription.moves.and_then(|moves| moves.to_be_told());
         if let Some(permitted) = permitted.filter(|_| lacks(moves::KIND, self.moves)) {
-            let body = Permits { of: vec![(subscription.relay.clone(), permitted)] }.encode();
+            let body = Permits {
+                of: vec![(subscription.relay.clone(), permitted)],
+            }
+            .encode();
             let (job, (token, number)) = (moves::KIND.to_string(), self.moves);
-            updates.push(Update { job, token, number, age: 0, body });
+            updates.push(Update {
+                job,
+                token,
+                number,
+                age: 0,
+                body,
+            });
         }
         updates
     }
--- a/crates/control/src/broadcast/stream.rs
+++ b/crates/control/src/broadcast/stream.rs
@@ -45,7 +45,11 @@
         if sequence > self.highest {
             let by = sequence - self.highest;
             let shifted = if by < 32 { self.before << by } else { 0 };
-            let last = if self.highest > 0 && by <= 32 { 1 << (by - 1) } else { 0 };
+            let last = if self.highest > 0 && by <= 32 {
+                1 << (by - 1)
+            } else {
+                0
+            };
             (self.highest, self.before) = (sequence, shifted | last);
         } else if sequence < self.highest && self.highest - sequence <= 32 {
             self.before |= 1 << (self.highest - sequence - 1);
@@ -54,7 +58,8 @@
 
     fn has(&self, sequence: u64) -> bool {
         let behind = self.highest.wrapping_sub(sequence);
-        behind == 0 || (sequence < self.highest && behind <= 32 && self.before & 1 << (behind - 1) != 0)
+        behind == 0
+            || (sequence < self.highest && behind <= 32 && self.before & 1 << (behind - 1) != 0)
     }
 }
 
@@ -120,8 +125,22 @@
 impl Stream {
     /// A relay follows, and has these.
     pub fn new(number: u64, has: impl IntoIterator<Item = (String, Have)>) -> Stream {
-        let state = |(job, have)| (job, JobState { acknowledged: have, sent: have, sent_at: 0 });
-        Stream { number, sequence: 0, jobs: has.into_iter().map(state).collect(), in_flight: VecDeque::new() }
+        let state = |(job, have)| {
+            (
+                job,
+                JobState {
+                    acknowledged: have,
+                    sent: have,
+                    sent_at: 0,
+                },
+            )
+        };
+        Stream {
+            number,
+            sequence: 0,
+            jobs: has.into_iter().map(state).collect(),
+            in_flight: VecDeque::new(),
+        }
     }
 
     /// A poll says what was received.
@@ -180,7 +199,11 @@
                 }
             }
         }
-        self.in_flight.push_back(Sent { sequence: self.sequence, at: now, of });
+        self.in_flight.push_back(Sent {
+            sequence: self.sequence,
+            at: now,
+            of,
+        });
         self.sequence
     }
 
--- a/crates/control/src/broadcast/subscriber.rs
+++ b/crates/control/src/broadcast/subscriber.rs
@@ -98,7 +98,10 @@
     }
 
     fn asked_at(&self, number: u64) -> Option<Micros> {
-        self.asked.iter().find(|(asked, _)| *asked == number).map(|(_, at)| *at)
+        self.asked
+            .iter()
+            .find(|(asked, _)| *asked == number)
+            .map(|(_, at)| *at)
     }
 }
 
@@ -159,12 +162,18 @@
 
     /// One that takes and publishes each update whole, as builds did that knew no deliveries.
     pub fn with_whole_updates(self) -> Subscriber {
-        Subscriber { is_older: true, ..self }
+        Subscriber {
+            is_older: true,
+            ..self
+        }
     }
 
     /// It stands in that zone, and needs the updates of its jobs most.
     pub fn in_zone(self, zone: &str) -> Subscriber {
-        Subscriber { zone: zone.into(), ..self }
+        Subscriber {
+            zone: zone.into(),
+            ..self
+        }
     }
 
     /// The same with a fault in it: for tests of the checkers.
@@ -172,7 +181,10 @@
     pub fn with_injected(mut self, injected: InjectedBugs) -> Subscriber {
         use crate::InjectedBug::{LostChange, VersionBack};
         self.fence = Fence::with_injected(injected);
-        self.checks = Checks { old: !injected.is(VersionBack), gap: !injected.is(LostChange) };
+        self.checks = Checks {
+            old: !injected.is(VersionBack),
+            gap: !injected.is(LostChange),
+        };
         self
     }
 
@@ -191,7 +203,11 @@
         self.next = now + PACE;
         if now >= self.since + SILENT {
             // The first time it is the one that its name chose.
-            self.at = if self.since == 0 { self.at } else { self.at.wrapping_add(1) };
+            self.at = if self.since == 0 {
+                self.at
+            } else {
+                self.at.wrapping_add(1)
+            };
             (self.since, self.streams_from) = (now, None);
         }
         self.voters.retain(|voter, _| voters.contains(voter));
@@ -200,11 +216,17 @@
         let own = voters[self.at % voters.len()];
         let mut out = Vec::new();
         for voter in voters {
-            let is_compact = self.voters.get(voter).is_some_and(|known| known.is_compact(now));
+            let is_compact = self
+                .voters
+                .get(voter)
+                .is_some_and(|known| known.is_compact(now));
             let message = if *voter == own {
                 self.ask_own(own, is_compact)
             } else if owns && !is_compact {
-                Message::Subscribe(Subscribe { asks_only: !self.is_older, ..self.subscription() })
+                Message::Subscribe(Subscribe {
+                    asks_only: !self.is_older,
+                    ..self.subscription()
+                })
             } else {
                 continue;
             };
@@ -223,17 +245,36 @@
     fn ask_own(&mut self, own: u64, is_compact: bool) -> Message {
         if self.streams_from != Some(own) || !is_compact {
             self.streams_from = None;
-            self.received = Received { stream: self.number, ..Received::default() };
+            self.received = Received {
+                stream: self.number,
+                ..Received::default()
+            };
             self.reports_subscribed = self.reports_version;
             return Message::Subscribe(self.subscription());
         }
-        let Received { stream, highest, before } = self.received;
-        let report = |report: &Report| (report.kind.clone(), serde_bytes::ByteBuf::from(report.body.clone()));
+        let Received {
+            stream,
+            highest,
+            before,
+        } = self.received;
+        let report = |report: &Report| {
+            (
+                report.kind.clone(),
+                serde_bytes::ByteBuf::from(report.body.clone()),
+            )
+        };
         let reports = (self.reports_known < self.reports_version).then(|| Reports {
             version: self.reports_version,
             of: self.reports.iter().map(report).collect(),
         });
-        Message::Poll(Poll { start: self.relay.start, number: self.number, stream, highest, before, reports })
+        Message::Poll(Poll {
+            start: self.relay.start,
+            number: self.number,
+            stream,
+            highest,
+            before,
+            reports,
+        })
     }
 
     fn subscription(&self) -> Subscribe {
@@ -246,7 +287,13 @@
         if self.is_older {
             let (relay, knows) = (self.relay.clone(), knows.into_iter().map(list).collect());
             let (number, reports) = (self.number, self.reports.clone());
-            return Subscribe { relay, number, knows, reports, ..Subscribe::default() };
+            return Subscribe {
+                relay,
+                number,
+                knows,
+                reports,
+                ..Subscribe::default()
+            };
         }
         let table = |(job, table): (&String, &Table)| (job.clone(), table.token(), table.version());
         Subscribe {
@@ -294,7 +341,9 @@
     ) -> Heard {
         let mut heard = Heard::default();
         let answers = (updates.start, updates.number);
-        let Some(sent) = self.answered(now, voter, voters, answers, updates.since) else { return heard };
+        let Some(sent) = self.answered(now, voter, voters, answers, updates.since) else {
+            return heard;
+        };
         let known = self.voters.entry(voter).or_default();
         known.stamp = Some((updates.stamp, now));
         known.compact = (updates.version >= VERSION && !self.is_older).then_some(now);
@@ -331,9 +380,20 @@
         if self.is_older {
             return heard;
         }
-        let Delivery { start, number, since, stream, sequence, reports, unknown, updates } = delivery;
+        let Delivery {
+            start,
+            number,
+            since,
+            stream,
+            sequence,
+            reports,
+            unknown,
+            updates,
+        } = delivery;
         let since = since.saturating_mul(1_000);
-        let Some(sent) = self.answered(now, voter, voters, (start, number), since) else { return heard };
+        let Some(sent) = self.answered(now, voter, voters, (start, number), since) else {
+            return heard;
+        };
         self.voters.entry(voter).or_default().compact = Some(now);
         let is_own = self.streams_from == Some(voter) && stream == self.received.stream;
         if unknown && is_own {
@@ -371,13 +431,33 @@
     }
 
     fn take(&mut self, sent: Micros, delivered: Delivered) -> Result<Option<Order>, Refused> {
-        let Delivered { job, token, number, age, changes, whole, permitted } = delivered;
+        let Delivered {
+            job,
+            token,
+            number,
+            age,
+            changes,
+            whole,
+            permitted,
+        } = delivered;
         let age = age.saturating_mul(1_000);
         if let Some(body) = whole {
-            return Ok(self.obey(sent, Update { job, token, number, age, body: body.into_vec() }));
+            return Ok(self.obey(
+                sent,
+                Update {
+                    job,
+                    token,
+                    number,
+                    age,
+                    body: body.into_vec(),
+                },
+            ));
         }
         let at = sent.saturating_sub(at_most(age));
-        let first = self.known.get(&job).is_none_or(|(known, _)| *known != token);
+        let first = self
+            .known
+            .get(&job)
+            .is_none_or(|(known, _)| *known != token);
         let body = match changes {
             Some(changes) => {
                 self.take_changes(at, &job, token, &changes)?;
@@ -387,14 +467,34 @@
             // Of a later build.
             None => return Ok(None),
         };
-        let number = self.tables.get(&job).filter(|of| of.token() == token).map_or(0, Table::version);
+        let number = self
+            .tables
+            .get(&job)
+            .filter(|of| of.token() == token)
+            .map_or(0, Table::version);
         let known = self.known.entry(job.clone()).or_default();
         *known = (*known).max((token, number));
-        Ok(Some(Order { job, token, at, body, first }))
+        Ok(Some(Order {
+            job,
+            token,
+            at,
+            body,
+            first,
+        }))
     }
 
-    fn take_changes(&mut self, at: Micros, job: &str, token: Token, changes: &[u8]) -> Result<(), Refused> {
-        if let Some(table) = self.tables.get_mut(job).filter(|table| table.token() == token) {
+    fn take_changes(
+        &mut self,
+        at: Micros,
+        job: &str,
+        token: Token,
+        changes: &[u8],
+    ) -> Result<(), Refused> {
+        if let Some(table) = self
+            .tables
+            .get_mut(job)
+            .filter(|table| table.token() == token)
+        {
             return table.apply_checked(at, changes, self.checks);
         }
         let mut table = Table::new(token);
@@ -410,10 +510,17 @@
         {
             return None;
         }
-        self.known.insert(update.job.clone(), (update.token, update.number));
+        self.known
+            .insert(update.job.clone(), (update.token, update.number));
         let first = before.is_none_or(|(token, _)| token != update.token);
         let at = sent.saturating_sub(at_most(update.age));
-        Some(Order { job: update.job, token: update.token, at, body: Body::Whole(update.body), first })
+        Some(Order {
+            job: update.job,
+            token: update.token,
+            at,
+            body: Body::Whole(update.body),
+            first,
+        })
     }
 
     /// The token that a job has now, as the leader says.
@@ -426,7 +533,9 @@
         if receipt.start != self.relay.start {
             return false;
         }
-        let Some(known) = self.voters.get_mut(&voter) else { return false };
+        let Some(known) = self.voters.get_mut(&voter) else {
+            return false;
+        };
         (known.stamp, known.compact) = (Some((receipt.stamp, now)), Some(now));
         true
     }
@@ -456,9 +565,19 @@
         mut fill: impl FnMut(u64, &mut Submission),
     ) -> Vec<(u64, Message)> {
         let mut out = Vec::new();
-        for (voter, known) in self.voters.iter().filter(|(_, known)| known.is_compact(now)) {
+        for (voter, known) in self
+            .voters
+            .iter()
+            .filter(|(_, known)| known.is_compact(now))
+        {
             let (start, job) = (self.relay.start, job.to_string());
-            let mut submission = Submission { start, number, job, token, ..Submission::default() };
+            let mut submission = Submission {
+                start,
+                number,
+                job,
+                token,
+                ..Submission::default()
+            };
             fill(*voter, &mut submission);
             match known.stamp.filter(|(_, at)| now < at + STAMP_LASTS) {
                 Some((stamp, at)) => (submission.stamp, submission.since) = (stamp, now - at),
@@ -471,7 +590,9 @@
 
     /// Whether there are voters of older builds, as far as this owner knows.
     pub fn has_older_voters(&self, now: Micros) -> bool {
-        self.voters.values().any(|known| known.stamp.is_some() && !known.is_compact(now))
+        self.voters
+            .values()
+            .any(|known| known.stamp.is_some() && !known.is_compact(now))
     }
 
     /// What an owner says to all, true now: handed to each voter of an older build whose clock it has been told.
@@ -481,10 +602,20 @@
         (job, token, number): (&str, Token, u64),
         body: &[u8],
     ) -> Vec<(u64, Message)> {
-        let update = Update { job: job.into(), token, number, age: 0, body: body.to_vec() };
+        let update = Update {
+            job: job.into(),
+            token,
+            number,
+            age: 0,
+            body: body.to_vec(),
+        };
         let to = |(voter, known): (&u64, &Voter)| {
             let (stamp, at) = known.stamp.filter(|_| !known.is_compact(now))?;
-            let publish = Publish { update: update.clone(), stamp, since: now - at };
+            let publish = Publish {
+                update: update.clone(),
+                stamp,
+                since: now - at,
+            };
             Some((*voter, Message::Publish(publish)))
         };
         self.voters.iter().filter_map(to).collect()
--- a/crates/control/src/broadcast/subscription.rs
+++ b/crates/control/src/broadcast/subscription.rs
@@ -42,8 +42,10 @@
     /// The subscription that a relay asks for. What it was permitted before it keeps, where it is the same process.
     pub fn new(now: Micros, follow: Subscribe, before: Option<&Subscription>) -> Subscription {
         let before = before.filter(|before| before.relay == follow.relay);
-        let of =
-            |of: Vec<(String, Token, u64)>| of.into_iter().map(|(job, token, number)| (job, (token, number)));
+        let of = |of: Vec<(String, Token, u64)>| {
+            of.into_iter()
+                .map(|(job, token, number)| (job, (token, number)))
+        };
         let compact = (follow.version >= VERSION).then(|| Compact {
             stream: Stream::new(follow.number, of(follow.tables)),
             bucket: before
@@ -73,9 +75,13 @@
     /// It reports anew.
     pub fn take_reports(&mut self, reports: Vec<Report>) {
         self.reports = reports;
-        self.reports.retain(|report| report.body.len() <= MOST_REPORT);
+        self.reports
+            .retain(|report| report.body.len() <= MOST_REPORT);
         self.reports.truncate(MOST_REPORTS);
-        let of_moves = self.reports.iter().find(|report| report.kind == moves::KIND);
+        let of_moves = self
+            .reports
+            .iter()
+            .find(|report| report.kind == moves::KIND);
         match of_moves.and_then(|report| Moving::decode(&report.body)) {
             Some(moving) => self.moves.get_or_insert_default().report(moving),
             None => self.moves = None,
--- a/crates/control/src/broadcast/table.rs
+++ b/crates/control/src/broadcast/table.rs
@@ -60,7 +60,16 @@
 impl Row {
     fn new(backend: u64, levels: Vec<Level>, seen: Micros, version: Version) -> Row {
         let (added, changed, confirmed, renewed) = (version, version, version, version);
-        Row { backend, levels, seen, added, changed, confirmed, renewed, odd: false }
+        Row {
+            backend,
+            levels,
+            seen,
+            added,
+            changed,
+            confirmed,
+            renewed,
+            odd: false,
+        }
     }
 
     /// The loads that its levels stand for. A new report of the same levels differs by a millionth part.
@@ -129,13 +138,21 @@
 impl Table {
     /// A table that nothing is known of.
     pub fn new(token: Token) -> Table {
-        Table { token, ..Table::default() }
+        Table {
+            token,
+            ..Table::default()
+        }
     }
 
     /// A new table of an owner that may have told others under this token, up to this version: it had the job before, and
     /// its lease ran out meanwhile.
     pub fn after(token: Token, version: Version) -> Table {
-        Table { token, version, base: version + 1, ..Table::default() }
+        Table {
+            token,
+            version,
+            base: version + 1,
+            ..Table::default()
+        }
     }
 
     /// The token of its owner.
@@ -170,8 +187,11 @@
 
     /// A number that tells tables of different content apart, whatever their times: for the checkers.
     pub fn digest(&self) -> u64 {
-        let content: Vec<(u64, &[Level])> =
-            self.rows.iter().map(|row| (row.backend, row.levels.as_slice())).collect();
+        let content: Vec<(u64, &[Level])> = self
+            .rows
+            .iter()
+            .map(|row| (row.backend, row.levels.as_slice()))
+            .collect();
         xxhash_rust::xxh3::xxh3_64(&crate::wire::encode(&(&self.columns, content)))
     }
 
@@ -185,8 +205,13 @@
         }
         for (backend, age, report) in reports {
             let levels: Option<Vec<Level>> = report.iter().map(|load| level(*load)).collect();
-            let Some(levels) = levels.filter(|levels| levels.len() == self.columns.len()) else { continue };
-            let renewed = self.reports.insert(*backend, report.clone()).is_none_or(|old| old != *report);
+            let Some(levels) = levels.filter(|levels| levels.len() == self.columns.len()) else {
+                continue;
+            };
+            let renewed = self
+                .reports
+                .insert(*backend, report.clone())
+                .is_none_or(|old| old != *report);
             self.set(*backend, levels, now.saturating_sub(*age), renewed);
         }
     }
@@ -201,7 +226,13 @@
             self.rows.push(Row::new(backend, levels, seen, version));
             return;
         }
-        let Some(row) = self.places.get(&backend).and_then(|place| self.rows.get_mut(*place)) else { return };
+        let Some(row) = self
+            .places
+            .get(&backend)
+            .and_then(|place| self.rows.get_mut(*place))
+        else {
+            return;
+        };
         if row.levels != levels {
             (row.levels, row.changed) = (levels, version);
         }
@@ -212,7 +243,11 @@
     }
 
     fn has_many_lost(&self, now: Micros) -> bool {
-        let lost = self.rows.iter().filter(|row| now >= row.seen + LOST).count();
+        let lost = self
+            .rows
+            .iter()
+            .filter(|row| now >= row.seen + LOST)
+            .count();
         lost > 0 && (lost * 4 >= self.rows.len() || self.rows.len() >= MOST_ROWS)
     }
 
@@ -223,9 +258,15 @@
             self.rows.clear();
         }
         self.rows.retain(|row| now < row.seen + LOST);
-        self.places = self.rows.iter().enumerate().map(|(place, row)| (row.backend, place)).collect();
+        self.places = self
+            .rows
+            .iter()
+            .enumerate()
+            .map(|(place, row)| (row.backend, place))
+            .collect();
         let places = &self.places;
-        self.reports.retain(|backend, _| places.contains_key(backend));
+        self.reports
+            .retain(|backend, _| places.contains_key(backend));
     }
 
     /// Changes from a version that a receiver has; the whole table for one that has none, or too old a one. The same bytes
@@ -235,7 +276,10 @@
         let from = if known { from } else { 0 };
         // Where receivers have many versions, some are sent more than they lack.
         let kept = if self.encoded.len() >= ENCODED {
-            self.encoded.range(..=from).next_back().map_or(0, |(kept, _)| *kept)
+            self.encoded
+                .range(..=from)
+                .next_back()
+                .map_or(0, |(kept, _)| *kept)
         } else {
             from
         };
@@ -248,13 +292,26 @@
 
     fn encode(&self, from: Version) -> Vec<u8> {
         let whole = from == 0;
-        let mut changes = Changes { from, to: self.version, ..Changes::default() };
+        let mut changes = Changes {
+            from,
+            to: self.version,
+            ..Changes::default()
+        };
         if whole {
             changes.columns = self.columns.clone();
         }
-        let known = if whole { 0 } else { self.rows.partition_point(|row| row.added <= from) };
+        let known = if whole {
+            0
+        } else {
+            self.rows.partition_point(|row| row.added <= from)
+        };
         changes.first = known as u32;
-        changes.added = self.rows.iter().skip(known).map(|row| row.backend).collect();
+        changes.added = self
+            .rows
+            .iter()
+            .skip(known)
+            .map(|row| row.backend)
+            .collect();
         let mut next = 0;
         let mut oldest = self.at;
         for (place, row) in self.rows.iter().enumerate() {
@@ -323,16 +380,26 @@
     /// Whether changes can be those of this table.
     fn fits(&self, changes: &Changes, places: &[usize]) -> Result<(), Refused> {
         let whole = changes.from == 0;
-        let (rows, columns) =
-            if whole { (0, changes.columns.len()) } else { (self.rows.len(), self.columns.len()) };
+        let (rows, columns) = if whole {
+            (0, changes.columns.len())
+        } else {
+            (self.rows.len(), self.columns.len())
+        };
         let first = changes.first as usize;
         let all = rows.max(first + changes.added.len());
-        let known = self.rows.iter().skip(first).take(if whole { 0 } else { rows });
-        let same = known.zip(&changes.added).all(|(row, backend)| row.backend == *backend);
+        let known = self
+            .rows
+            .iter()
+            .skip(first)
+            .take(if whole { 0 } else { rows });
+        let same = known
+            .zip(&changes.added)
+            .all(|(row, backend)| row.backend == *backend);
         let has_levels =
             changes.levels.len() == places.len() * columns && changes.offsets.len() == places.len();
         let new_have_levels = places.iter().filter(|place| **place >= rows).count() == all - rows;
-        let in_range = first <= rows && all <= MOST_ROWS && places.last().is_none_or(|last| *last < all);
+        let in_range =
+            first <= rows && all <= MOST_ROWS && places.last().is_none_or(|last| *last < all);
         let fits = same && has_levels && new_have_levels && in_range && columns <= MOST_COLUMNS;
         fits.then_some(()).ok_or(Refused::Damaged)
     }
@@ -359,7 +426,9 @@
     fn change(&mut self, changes: &Changes, places: &[usize]) {
         let columns = self.columns.len();
         for (n, place) in places.iter().enumerate() {
-            let Some(row) = self.rows.get_mut(*place) else { continue };
+            let Some(row) = self.rows.get_mut(*place) else {
+                continue;
+            };
             row.levels = changes.levels[n * columns..(n + 1) * columns].to_vec();
             (row.changed, row.renewed, row.odd) = (changes.to, changes.to, false);
             row.seen = seen(self.at, changes.offsets[n]);
@@ -378,7 +447,10 @@
 
 impl Checks {
     /// All of them.
-    pub const ALL: Checks = Checks { old: true, gap: true };
+    pub const ALL: Checks = Checks {
+        old: true,
+        gap: true,
+    };
 }
 
 impl Changes {
@@ -416,5 +488,6 @@
 }
 
 fn has_bit(bits: &[u8], place: usize) -> bool {
-    bits.get(place / 8).is_some_and(|byte| byte & 1 << (place % 8) != 0)
+    bits.get(place / 8)
+        .is_some_and(|byte| byte & 1 << (place % 8) != 0)
 }
--- a/crates/control/src/jobs/load_watch.rs
+++ b/crates/control/src/jobs/load_watch.rs
@@ -47,18 +47,39 @@
 
     /// A table as owners of older builds tell it: the rows that its version has seen.
     pub fn of_table(table: &Table) -> Loads {
-        let row = |row: &Row| (row.backend, table.at().saturating_sub(row.seen), row.loads().collect());
-        Loads { columns: table.columns().to_vec(), of: table.confirmed().map(row).collect() }
+        let row = |row: &Row| {
+            (
+                row.backend,
+                table.at().saturating_sub(row.seen),
+                row.loads().collect(),
+            )
+        };
+        Loads {
+            columns: table.columns().to_vec(),
+            of: table.confirmed().map(row).collect(),
+        }
     }
 
     /// What is said in these columns: each backend's age and values. Nothing where a column is missing, or a row is not as
     /// long as the head: the sender's settings are others.
-    pub fn rows<'a>(&'a self, columns: &[String]) -> impl Iterator<Item = (u64, Micros, Vec<f32>)> + 'a {
+    pub fn rows<'a>(
+        &'a self,
+        columns: &[String],
+    ) -> impl Iterator<Item = (u64, Micros, Vec<f32>)> + 'a {
         let at = |column: &String| self.columns.iter().position(|c| c == column);
         let places: Option<Vec<usize>> = columns.iter().map(at).collect();
         let row = move |(server, age, row): &'a (u64, Micros, Vec<f32>)| {
-            let places = places.as_ref().filter(|_| row.len() == self.columns.len())?;
-            Some((*server, *age, places.iter().filter_map(|at| row.get(*at).copied()).collect()))
+            let places = places
+                .as_ref()
+                .filter(|_| row.len() == self.columns.len())?;
+            Some((
+                *server,
+                *age,
+                places
+                    .iter()
+                    .filter_map(|at| row.get(*at).copied())
+                    .collect(),
+            ))
         };
         self.of.iter().filter_map(row)
     }
@@ -97,7 +118,9 @@
 
     /// A probe has ended, with what the backend said.
     pub fn found(&mut self, now: Micros, server: u64, report: Option<Vec<f32>>) {
-        let Some(at) = self.out.iter().position(|out| *out == server) else { return };
+        let Some(at) = self.out.iter().position(|out| *out == server) else {
+            return;
+        };
         self.out.remove(at);
         match report.filter(|report| !report.is_empty()) {
             Some(report) => {
@@ -120,17 +143,31 @@
         if self.found.is_empty() {
             return None;
         }
-        let row = |(server, (at, report)): (&u64, &(Micros, Vec<f32>))| (*server, now - at, report.clone());
-        Some(Loads { columns: columns.to_vec(), of: self.found.iter().map(row).collect() })
+        let row = |(server, (at, report)): (&u64, &(Micros, Vec<f32>))| {
+            (*server, now - at, report.clone())
+        };
+        Some(Loads {
+            columns: columns.to_vec(),
+            of: self.found.iter().map(row).collect(),
+        })
     }
 
     /// Why it is of no use to the fleet, by its own measure.
     pub fn useless(&self, now: Micros) -> Option<&'static str> {
-        self.vain.filter(|since| now >= since + USELESS).map(|_| "it reaches no backend of the zone")
+        self.vain
+            .filter(|since| now >= since + USELESS)
+            .map(|_| "it reaches no backend of the zone")
     }
 
     /// When it has something to do next though nothing comes.
     pub fn due(&self) -> Micros {
-        self.began.map_or(0, |began| began + if self.told { ROUND } else { ROUND_END.min(ROUND) })
+        self.began.map_or(0, |began| {
+            began
+                + if self.told {
+                    ROUND
+                } else {
+                    ROUND_END.min(ROUND)
+                }
+        })
     }
 }
--- a/crates/control/src/jobs/moves.rs
+++ b/crates/control/src/jobs/moves.rs
@@ -74,7 +74,10 @@
 
     /// What this process may have made.
     pub fn for_relay(&self, relay: &Relay) -> Option<u64> {
-        self.of.iter().find(|(of, _)| of == relay).map(|(_, upto)| *upto)
+        self.of
+            .iter()
+            .find(|(of, _)| of == relay)
+            .map(|(_, upto)| *upto)
     }
 }
 
@@ -104,8 +107,13 @@
     /// Connections that wait and that nothing was permitted for.
     fn lacking(&self) -> u64 {
         match &self.said {
-            Said::Relay(said) => said.made.saturating_add(said.waiting).saturating_sub(self.upto),
-            Said::Voter(said) => said.lacking.saturating_sub(self.upto.saturating_sub(said.used)),
+            Said::Relay(said) => said
+                .made
+                .saturating_add(said.waiting)
+                .saturating_sub(self.upto),
+            Said::Voter(said) => said
+                .lacking
+                .saturating_sub(self.upto.saturating_sub(said.used)),
         }
     }
 }
@@ -123,7 +131,10 @@
 impl Mover {
     /// One that goes on where the last checkpoint says.
     pub fn resume(checkpoint: &[u8]) -> Mover {
-        Mover { given: checkpoint.try_into().map_or(0, u64::from_be_bytes), ..Mover::default() }
+        Mover {
+            given: checkpoint.try_into().map_or(0, u64::from_be_bytes),
+            ..Mover::default()
+        }
     }
 
     /// How far it is, for the log.
@@ -143,10 +154,21 @@
 
     /// A relay has said how its moves are. What it said before that comes later changes nothing.
     pub fn heard(&mut self, at: Micros, relay: Relay, said: &[u8]) {
-        let Some(said) = Moving::decode(said) else { return };
-        let new = || Known { said: Said::Relay(said), at, upto: said.permitted };
-        let known = self.claims.entry(Claimant::Relay(relay)).or_insert_with(new);
-        let Said::Relay(before) = known.said else { return };
+        let Some(said) = Moving::decode(said) else {
+            return;
+        };
+        let new = || Known {
+            said: Said::Relay(said),
+            at,
+            upto: said.permitted,
+        };
+        let known = self
+            .claims
+            .entry(Claimant::Relay(relay))
+            .or_insert_with(new);
+        let Said::Relay(before) = known.said else {
+            return;
+        };
         if said.made >= before.made && at >= known.at {
             (known.said, known.at) = (Said::Relay(said), at);
             known.upto = known.upto.max(said.permitted);
@@ -155,10 +177,16 @@
 
     /// A voter has said how the moves of the relays are that follow it. It goes on from the allowance that it has.
     pub fn summarised(&mut self, now: Micros, voter: u64, said: MovesSummary) {
-        let new = || Known { said: Said::Voter(said), at: now, upto: said.allowed };
+        let new = || Known {
+            said: Said::Voter(said),
+            at: now,
+            upto: said.allowed,
+        };
         let claimant = Claimant::Voter(voter, said.instance);
         let known = self.claims.entry(claimant).or_insert_with(new);
-        let Said::Voter(before) = &known.said else { return };
+        let Said::Voter(before) = &known.said else {
+            return;
+        };
         if said.used >= before.used {
             (known.said, known.at) = (Said::Voter(said), now);
             known.upto = known.upto.max(said.allowed);
@@ -169,8 +197,13 @@
     pub fn allowance(&self, voter: u64) -> Option<Allowance> {
         let of = Claimant::Voter(voter, 0)..=Claimant::Voter(voter, u64::MAX);
         let (claimant, known) = self.claims.range(of).max_by_key(|(_, known)| known.at)?;
-        let Claimant::Voter(_, instance) = claimant else { return None };
-        Some(Allowance { instance: *instance, upto: known.upto })
+        let Claimant::Voter(_, instance) = claimant else {
+            return None;
+        };
+        Some(Allowance {
+            instance: *instance,
+            upto: known.upto,
+        })
     }
 
     /// Time has passed: what is permitted now, at so many moves a second for the whole fleet. Those that wait with most go
@@ -181,12 +214,15 @@
             return None;
         }
         let second = 1_000_000;
-        self.credit = (self.credit + (now - last).min(SAVED) * per_second).min(per_second.max(1) * SAVED);
+        self.credit =
+            (self.credit + (now - last).min(SAVED) * per_second).min(per_second.max(1) * SAVED);
         self.last = Some(now);
         self.claims.retain(|_, known| now < known.at + SILENT);
         let mut gave = false;
         while self.credit >= second {
-            let Some(known) = self.claims.values_mut().max_by_key(|known| known.lacking()) else { break };
+            let Some(known) = self.claims.values_mut().max_by_key(|known| known.lacking()) else {
+                break;
+            };
             if known.lacking() == 0 {
                 break;
             }
@@ -196,7 +232,9 @@
         let mut of = Vec::new();
         let mut waits = false;
         for (claimant, known) in &self.claims {
-            let (Claimant::Relay(relay), Said::Relay(said)) = (claimant, &known.said) else { continue };
+            let (Claimant::Relay(relay), Said::Relay(said)) = (claimant, &known.said) else {
+                continue;
+            };
             waits |= said.permitted < known.upto;
             if known.upto > 0 {
                 of.push((relay.clone(), known.upto));
--- a/crates/control/src/jobs/worker.rs
+++ b/crates/control/src/jobs/worker.rs
@@ -93,13 +93,22 @@
 impl Worker {
     /// Of a process that has just started.
     pub fn new(subscriber: Subscriber) -> Worker {
-        Worker { subscriber, jobs: BTreeMap::new(), doubts: BTreeMap::new(), refused: 0, obeyed: 0 }
+        Worker {
+            subscriber,
+            jobs: BTreeMap::new(),
+            doubts: BTreeMap::new(),
+            refused: 0,
+            obeyed: 0,
+        }
     }
 
     /// The same with a fault in it: for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(self, injected: InjectedBugs) -> Worker {
-        Worker { subscriber: self.subscriber.with_injected(injected), ..self }
+        Worker {
+            subscriber: self.subscriber.with_injected(injected),
+            ..self
+        }
     }
 
     /// Time has passed.
@@ -113,9 +122,14 @@
         self.take_over(now, lease_client, &mut commands);
         for (name, (token, job)) in &mut self.jobs {
             let token = *token;
-            let Some(owner) = lease_client.owner_mut() else { break };
+            let Some(owner) = lease_client.owner_mut() else {
+                break;
+            };
             // Right before each order, and with it in one call.
-            if owner.may_act(now, name).is_none_or(|own| own.token != token) {
+            if owner
+                .may_act(now, name)
+                .is_none_or(|own| own.token != token)
+            {
                 continue;
             }
             let said = match job {
@@ -130,7 +144,9 @@
                         )));
                         continue;
                     }
-                    let Some(loads) = watch.tell(now, context.columns) else { continue };
+                    let Some(loads) = watch.tell(now, context.columns) else {
+                        continue;
+                    };
                     commands.extend(shared.update(now, &loads, context.columns));
                     shared.tell(now, name, token, &loads, &mut self.subscriber)
                 }
@@ -138,7 +154,9 @@
                     if now < moves.mover.due() {
                         continue;
                     }
-                    let Some((_, rate)) = (context.moves)() else { continue };
+                    let Some((_, rate)) = (context.moves)() else {
+                        continue;
+                    };
                     let said = moves.tell(now, name, token, rate, &mut self.subscriber);
                     if moves.mover.given() > 0
                         && now >= moves.saved + CHECKPOINT
@@ -150,33 +168,55 @@
                 }
                 Job::Idle => continue,
             };
-            commands.extend(said.into_iter().map(|(voter, message)| WorkerCommand::Act(voter, message)));
+            commands.extend(
+                said.into_iter()
+                    .map(|(voter, message)| WorkerCommand::Act(voter, message)),
+            );
         }
         self.follow(now, lease_client, context, &mut commands);
         commands
     }
 
     /// Jobs that have come and gone.
-    fn take_over(&mut self, now: Micros, lease_client: &LeaseClient, commands: &mut Vec<WorkerCommand>) {
-        let Some(owner) = lease_client.owner() else { return };
+    fn take_over(
+        &mut self,
+        now: Micros,
+        lease_client: &LeaseClient,
+        commands: &mut Vec<WorkerCommand>,
+    ) {
+        let Some(owner) = lease_client.owner() else {
+            return;
+        };
         let own = |name: &str| owner.may_act(now, name);
         self.jobs.retain(|name, (token, _)| {
             let stays = own(name).is_some_and(|own| own.token == *token);
             if !stays {
-                commands.push(WorkerCommand::Log(format!("fleet: acts on {name} no more, token {token}")));
+                commands.push(WorkerCommand::Log(format!(
+                    "fleet: acts on {name} no more, token {token}"
+                )));
             }
             stays
         });
         for name in owner.names() {
-            let Some(own) = own(name).filter(|_| !self.jobs.contains_key(name)) else { continue };
+            let Some(own) = own(name).filter(|_| !self.jobs.contains_key(name)) else {
+                continue;
+            };
             let job = match kind_of(name) {
                 load_watch::KIND => {
                     let table = Table::after(own.token, self.subscriber.last_number());
-                    Job::LoadWatch(Box::default(), SharedTable { table, acknowledged: BTreeMap::new() })
-                }
-                moves::KIND => {
-                    Job::Mover(PacedMoves { mover: Mover::resume(&own.checkpoint), saved: now, submitted: 0 })
+                    Job::LoadWatch(
+                        Box::default(),
+                        SharedTable {
+                            table,
+                            acknowledged: BTreeMap::new(),
+                        },
+                    )
                 }
+                moves::KIND => Job::Mover(PacedMoves {
+                    mover: Mover::resume(&own.checkpoint),
+                    saved: now,
+                    submitted: 0,
+                }),
                 _ => Job::Idle,
             };
             self.jobs.insert(name.into(), (own.token, job));
@@ -195,15 +235,29 @@
         commands: &mut Vec<WorkerCommand>,
     ) {
         let (voters, leader) = lease_client.voters();
-        let report = |moving: Moving| Report { kind: moves::KIND.into(), body: moving.encode() };
-        let reports = || (context.moves)().map(|(moving, _)| report(moving)).into_iter().collect();
+        let report = |moving: Moving| Report {
+            kind: moves::KIND.into(),
+            body: moving.encode(),
+        };
+        let reports = || {
+            (context.moves)()
+                .map(|(moving, _)| report(moving))
+                .into_iter()
+                .collect()
+        };
         let owns = self.jobs.values().any(|(_, job)| !matches!(job, Job::Idle));
         let said = self.subscriber.tick(now, voters, owns, reports);
-        commands.extend(said.into_iter().map(|(voter, message)| WorkerCommand::Send(voter, message)));
+        commands.extend(
+            said.into_iter()
+                .map(|(voter, message)| WorkerCommand::Send(voter, message)),
+        );
         let Some(leader) = leader else { return };
         for (name, next) in self.doubts.iter_mut().filter(|(_, next)| now >= **next) {
             *next = now + crate::broadcast::subscriber::PACE;
-            commands.push(WorkerCommand::Send(leader, Message::Ask(TOKEN, Ask::Token(name.clone()))));
+            commands.push(WorkerCommand::Send(
+                leader,
+                Message::Ask(TOKEN, Ask::Token(name.clone())),
+            ));
         }
     }
 
@@ -216,8 +270,13 @@
         context: WorkContext,
         updates: Updates,
     ) -> Vec<WorkerCommand> {
-        let heard =
-            self.subscriber.heard(now, voter, lease_client.voters().0, lease_client.tokens(), updates);
+        let heard = self.subscriber.heard(
+            now,
+            voter,
+            lease_client.voters().0,
+            lease_client.tokens(),
+            updates,
+        );
         self.act_on(lease_client, context, heard)
     }
 
@@ -231,7 +290,9 @@
         delivery: Delivery,
     ) -> Vec<WorkerCommand> {
         let (voters, last) = (lease_client.voters().0, lease_client.tokens());
-        let heard = self.subscriber.delivered(now, voter, voters, last, delivery);
+        let heard = self
+            .subscriber
+            .delivered(now, voter, voters, last, delivery);
         self.act_on(lease_client, context, heard)
     }
 
@@ -245,7 +306,10 @@
                 shared.acknowledged.insert(voter, receipt.version);
             }
             Some((_, Job::Mover(moves))) => {
-                receipt.moves.into_iter().for_each(|said| moves.mover.summarised(now, voter, said));
+                receipt
+                    .moves
+                    .into_iter()
+                    .for_each(|said| moves.mover.summarised(now, voter, said));
             }
             _ => {}
         }
@@ -258,7 +322,10 @@
         heard: Heard,
     ) -> Vec<WorkerCommand> {
         self.refused += heard.refused as u64;
-        heard.ask.into_iter().for_each(|job| _ = self.doubts.entry(job).or_insert(0));
+        heard
+            .ask
+            .into_iter()
+            .for_each(|job| _ = self.doubts.entry(job).or_insert(0));
         for (relay, at, reports) in heard.reports {
             for report in reports {
                 if let Some((_, Job::Mover(moves))) = self.jobs.get_mut(&report.kind) {
@@ -266,15 +333,26 @@
                 }
             }
         }
-        heard.orders.into_iter().flat_map(|order| self.obey(lease_client, context, order)).collect()
+        heard
+            .orders
+            .into_iter()
+            .flat_map(|order| self.obey(lease_client, context, order))
+            .collect()
     }
 
-    fn obey(&mut self, lease_client: &LeaseClient, context: WorkContext, order: Order) -> Vec<WorkerCommand> {
+    fn obey(
+        &mut self,
+        lease_client: &LeaseClient,
+        context: WorkContext,
+        order: Order,
+    ) -> Vec<WorkerCommand> {
         self.obeyed += 1;
         let mut commands = Vec::new();
         if order.first {
-            commands
-                .push(WorkerCommand::Log(format!("fleet: obeys {} under token {}", order.job, order.token)));
+            commands.push(WorkerCommand::Log(format!(
+                "fleet: obeys {} under token {}",
+                order.job, order.token
+            )));
         }
         match (kind_of(&order.job), &order.body) {
             (load_watch::KIND, Body::Table) => {
@@ -288,7 +366,11 @@
             (moves::KIND, Body::Permitted(upto)) => commands.push(WorkerCommand::Permit(*upto)),
             (moves::KIND, Body::Whole(body)) => {
                 let permits = Permits::decode(body).unwrap_or_default();
-                commands.extend(permits.for_relay(lease_client.relay()).map(WorkerCommand::Permit));
+                commands.extend(
+                    permits
+                        .for_relay(lease_client.relay())
+                        .map(WorkerCommand::Permit),
+                );
             }
             _ => {}
         }
@@ -312,7 +394,9 @@
 
     /// A voter knows a newer token of a job than the one that this relay acts under.
     pub fn stale(&mut self, now: Micros, lease_client: &mut LeaseClient, job: &str, token: Token) {
-        let Some(owner) = lease_client.owner_mut() else { return };
+        let Some(owner) = lease_client.owner_mut() else {
+            return;
+        };
         if owner.may_act(now, job).is_some_and(|own| own.token < token) {
             owner.give_up(job, "a voter knows a newer token");
         }
@@ -321,7 +405,9 @@
 
     /// The jobs that it acts on, with their tokens.
     pub fn acts_on(&self) -> impl Iterator<Item = (&str, Token)> {
-        self.jobs.iter().map(|(name, (token, _))| (name.as_str(), *token))
+        self.jobs
+            .iter()
+            .map(|(name, (token, _))| (name.as_str(), *token))
     }
 
     /// When it has something to do next though nothing comes.
@@ -331,7 +417,12 @@
             Job::Mover(moves) => moves.mover.due(),
             Job::Idle => Micros::MAX,
         };
-        let jobs = self.jobs.values().map(|(_, of)| job(of)).min().unwrap_or(Micros::MAX);
+        let jobs = self
+            .jobs
+            .values()
+            .map(|(_, of)| job(of))
+            .min()
+            .unwrap_or(Micros::MAX);
         jobs.min(self.subscriber.due())
     }
 }
@@ -395,9 +486,11 @@
         let mut out = Vec::new();
         if now >= self.submitted + SUBMIT {
             self.submitted = now;
-            out.extend(subscriber.submit(now, (job, token, number), |voter, submission| {
-                submission.allowance = self.mover.allowance(voter);
-            }));
+            out.extend(
+                subscriber.submit(now, (job, token, number), |voter, submission| {
+                    submission.allowance = self.mover.allowance(voter);
+                }),
+            );
         }
         if let Some(permits) = permits {
             out.extend(subscriber.publish(now, (job, token, number), &permits.encode()));
@@ -408,12 +501,17 @@
 
 /// What a table says of backends, in these columns.
 fn loads_of(table: &Table, columns: &[String]) -> Option<WorkerCommand> {
-    let places: Option<Vec<usize>> =
-        columns.iter().map(|column| table.columns().iter().position(|of| of == column)).collect();
+    let places: Option<Vec<usize>> = columns
+        .iter()
+        .map(|column| table.columns().iter().position(|of| of == column))
+        .collect();
     let places = places?;
     let row = |row: &Row| {
         let loads: Vec<f32> = row.loads().collect();
-        let wanted = places.iter().filter_map(|place| loads.get(*place).copied()).collect();
+        let wanted = places
+            .iter()
+            .filter_map(|place| loads.get(*place).copied())
+            .collect();
         (row.backend, row.seen, wanted)
     };
     let rows: Vec<_> = table.rows().iter().map(row).collect();
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -46,7 +46,13 @@
 impl Default for Times {
     fn default() -> Times {
         // Four renewals a lease: three in a row may be lost.
-        Times { tick: 50_000, lease: 2_000_000, drift: DRIFT, renew: 500_000, patience: 10_000_000 }
+        Times {
+            tick: 50_000,
+            lease: 2_000_000,
+            drift: DRIFT,
+            renew: 500_000,
+            patience: 10_000_000,
+        }
     }
 }
 
@@ -120,7 +126,10 @@
 
     /// The fault of that name.
     pub fn named(name: &str) -> Option<InjectedBug> {
-        InjectedBug::ALL.iter().find(|(n, _)| *n == name).map(|(_, bug)| *bug)
+        InjectedBug::ALL
+            .iter()
+            .find(|(n, _)| *n == name)
+            .map(|(_, bug)| *bug)
     }
 }
 
--- a/crates/control/src/log/storage.rs
+++ b/crates/control/src/log/storage.rs
@@ -67,7 +67,10 @@
         // The library takes an index of 0 for a voter that knows nothing yet.
         (meta.index, meta.term) = (1, 1);
         meta.set_conf_state(ConfState::from((voters.to_vec(), Vec::new())));
-        let state = State { membership: Membership::found(voters), ..State::default() };
+        let state = State {
+            membership: Membership::found(voters),
+            ..State::default()
+        };
         log.snapshot.data = wire::encode(&state).into();
         (log.vote.term, log.vote.commit) = (1, 1);
         log
@@ -102,7 +105,9 @@
             return Err(Damaged("there is no snapshot"));
         }
         if log.vote.commit > log.end() {
-            return Err(Damaged("entries that were answered for are missing at the end of the log"));
+            return Err(Damaged(
+                "entries that were answered for are missing at the end of the log",
+            ));
         }
         log.vote.commit = log.vote.commit.max(log.base());
         Ok(log)
@@ -111,7 +116,11 @@
     /// Lets a founder's first snapshot say who the others are.
     pub(crate) fn met(&mut self, state: Vec<u8>) -> Stored {
         self.snapshot.data = state.into();
-        Stored { snapshot: Some(bytes(&self.snapshot)), compact: Some(self.base()), ..Stored::default() }
+        Stored {
+            snapshot: Some(bytes(&self.snapshot)),
+            compact: Some(self.base()),
+            ..Stored::default()
+        }
     }
 
     /// All of it, as the first thing that is stored.
@@ -168,19 +177,28 @@
 
     /// Lets the state at an entry that is applied stand for all up to it.
     pub(crate) fn compact(&mut self, index: u64, conf: &ConfState, state: Vec<u8>) -> Stored {
-        let Ok(term) = self.term(index) else { return Stored::default() };
+        let Ok(term) = self.term(index) else {
+            return Stored::default();
+        };
         let meta = self.snapshot.mut_metadata();
         (meta.index, meta.term) = (index, term);
         meta.set_conf_state(conf.clone());
         self.snapshot.data = state.into();
         self.entries.retain(|e| e.index > index);
-        Stored { snapshot: Some(bytes(&self.snapshot)), compact: Some(index), ..Stored::default() }
+        Stored {
+            snapshot: Some(bytes(&self.snapshot)),
+            compact: Some(index),
+            ..Stored::default()
+        }
     }
 }
 
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        Ok(RaftState::new(self.vote.clone(), self.snapshot.get_metadata().get_conf_state().clone()))
+        Ok(RaftState::new(
+            self.vote.clone(),
+            self.snapshot.get_metadata().get_conf_state().clone(),
+        ))
     }
 
     fn entries(
--- a/crates/control/src/log/voter.rs
+++ b/crates/control/src/log/voter.rs
@@ -140,7 +140,13 @@
 
 impl Voter {
     /// The voter of that number, with a disk of that incarnation and what it has stored. The others are in the log.
-    pub fn new(id: u64, incarnation: u64, kept: &Kept, times: Times, now: Micros) -> Result<Voter, Damaged> {
+    pub fn new(
+        id: u64,
+        incarnation: u64,
+        kept: &Kept,
+        times: Times,
+        now: Micros,
+    ) -> Result<Voter, Damaged> {
         let log = Log::read(kept)?;
         let applied = raft::Storage::first_index(&log).map_or(0, |first| first - 1);
         let state = match log.state() {
@@ -162,8 +168,8 @@
             ..Config::default()
         };
         let quiet = slog::Logger::root(slog::Discard, slog::o!());
-        let raw =
-            RawNode::new(&config, log, &quiet).map_err(|_| Damaged("the log does not fit its voters"))?;
+        let raw = RawNode::new(&config, log, &quiet)
+            .map_err(|_| Damaged("the log does not fit its voters"))?;
         let founding = state.membership.founding();
         let founding = founding.then(|| Founding::new(id, incarnation, now));
         let (tick, injected) = (now, InjectedBugs::default());
@@ -224,8 +230,11 @@
 
     /// Why it must not vote any more, where the log says so: to be asked before anything that it has to do is done.
     pub fn ended(&self) -> Option<Damaged> {
-        let gone = self.founding.is_none() && self.state.membership.gone(self.id(), self.incarnation);
-        self.fault.clone().or(gone.then_some(Damaged("this voter was removed")))
+        let gone =
+            self.founding.is_none() && self.state.membership.gone(self.id(), self.incarnation);
+        self.fault
+            .clone()
+            .or(gone.then_some(Damaged("this voter was removed")))
     }
 
     /// What it has applied.
@@ -254,16 +263,25 @@
 
     /// A message of another voter's log. An error is final: this voter's disk has lost what it had answered for, and it
     /// must not vote any more. Who is no voter is told so where the message came from.
-    pub fn step(&mut self, now: Micros, from: From, incarnation: u64, bytes: &[u8]) -> Result<(), Damaged> {
+    pub fn step(
+        &mut self,
+        now: Micros,
+        from: From,
+        incarnation: u64,
+        bytes: &[u8],
+    ) -> Result<(), Damaged> {
         self.now = now;
-        let Ok(message) = raft::eraftpb::Message::parse_from_bytes(bytes) else { return Ok(()) };
+        let Ok(message) = raft::eraftpb::Message::parse_from_bytes(bytes) else {
+            return Ok(());
+        };
         if self.founding.is_some() {
             return Ok(());
         }
         if self.state.membership.gone(message.from, incarnation)
             && !self.injected.is(InjectedBug::TrustReborn)
         {
-            self.answers.push((from, Message::Gone(message.from, incarnation)));
+            self.answers
+                .push((from, Message::Gone(message.from, incarnation)));
             return Ok(());
         }
         let current = message.term >= self.raw.raft.term;
@@ -271,7 +289,9 @@
         if current && message.get_msg_type() == MessageType::MsgHeartbeat {
             let end = raft::Storage::last_index(self.raw.store()).unwrap_or(0);
             if message.commit > end {
-                return Err(Damaged("entries that were answered for are not there any more"));
+                return Err(Damaged(
+                    "entries that were answered for are not there any more",
+                ));
             }
         }
         // What is of an earlier term, or for another, the library leaves aside by itself.
@@ -313,15 +333,27 @@
                 // With who votes: the leader may be one that the relay's operator file does not name.
                 let newer = renew.membership < self.state.membership.version;
                 let membership = newer.then(|| self.state.membership.clone());
-                let reply = Reply { elsewhere: Some(elsewhere), membership, ..Reply::to(&renew) };
+                let reply = Reply {
+                    elsewhere: Some(elsewhere),
+                    membership,
+                    ..Reply::to(&renew)
+                };
                 (from, Message::Reply(reply))
             }
             Waiting::Ask(from, number, _) => {
                 let member = |number: u64| {
-                    let address = self.state.membership.of.get(&number).map(|member| member.address.clone());
+                    let address = self
+                        .state
+                        .membership
+                        .of
+                        .get(&number)
+                        .map(|member| member.address.clone());
                     (number, address.unwrap_or_default())
                 };
-                (from, Message::Answer(number, Answer::Elsewhere(elsewhere.map(member))))
+                (
+                    from,
+                    Message::Answer(number, Answer::Elsewhere(elsewhere.map(member))),
+                )
             }
         });
     }
@@ -334,7 +366,9 @@
         // A leader that has nothing of its own term in the log yet cannot be confirmed.
         if self.leads().is_none() || !self.raw.raft.commit_to_current_term() {
             if self.leads().is_none() {
-                std::mem::take(&mut self.next).into_iter().for_each(|waiting| self.turn_away(waiting));
+                std::mem::take(&mut self.next)
+                    .into_iter()
+                    .for_each(|waiting| self.turn_away(waiting));
             }
             return;
         }
@@ -373,7 +407,11 @@
     fn grant(&mut self, renew: Renew) -> Reply {
         let (now, term) = (self.now, self.raw.raft.term);
         let mut reply = Reply::to(&renew);
-        let Some(leadership) = self.leadership.as_mut().filter(|leadership| leadership.term == term) else {
+        let Some(leadership) = self
+            .leadership
+            .as_mut()
+            .filter(|leadership| leadership.term == term)
+        else {
             reply.elsewhere = Some(None);
             return reply;
         };
@@ -387,7 +425,9 @@
         // One that is not reached by answers holds no lease, however often it asks: it once kept its jobs for as long as
         // it was deaf, and a change waited for it. From here on it is granted nothing until it has heard that.
         known.unheard = known.unheard.filter(|(number, _)| *number > renew.heard);
-        let deaf = known.unheard.is_some_and(|(_, since)| now >= since + self.times.lease);
+        let deaf = known
+            .unheard
+            .is_some_and(|(_, since)| now >= since + self.times.lease);
         known.unheard.get_or_insert((renew.number, now));
         let current = renew.epoch == self.state.policy.epoch;
         if !current {
@@ -398,8 +438,10 @@
             false => jobs::renewed(&self.state.jobs, known, &renew, &mut reply, now),
         };
         self.tire(&assignments);
-        let Some(known) =
-            self.leadership.as_mut().and_then(|leadership| leadership.relays.get_mut(&renew.relay))
+        let Some(known) = self
+            .leadership
+            .as_mut()
+            .and_then(|leadership| leadership.relays.get_mut(&renew.relay))
         else {
             return reply;
         };
@@ -408,7 +450,9 @@
         }
         let mut refusal = None;
         match &self.state.phase {
-            Phase::Sealed(p) if !self.injected.is(InjectedBug::GrantClosed) => reply.close = Some(p.id),
+            Phase::Sealed(p) if !self.injected.is(InjectedBug::GrantClosed) => {
+                reply.close = Some(p.id)
+            }
             Phase::Preparing(p) if renew.refused.as_ref().is_some_and(|(id, _)| *id == p.id) => {
                 let why = renew.refused.map_or(String::new(), |(_, why)| why);
                 refusal = Some(Command::Refuse(p.id, renew.relay.name, why));
@@ -426,7 +470,10 @@
             known.granted = Some(now);
         }
         let assignments = assignments.into_iter().map(Command::Assignment);
-        refusal.into_iter().chain(assignments).for_each(|command| self.propose(&command));
+        refusal
+            .into_iter()
+            .chain(assignments)
+            .for_each(|command| self.propose(&command));
         reply
     }
 
@@ -434,12 +481,27 @@
         let id = match ask {
             Ask::Status => {
                 let (leader, term, state) = (self.id(), self.raw.raft.term, self.state.clone());
-                let runs =
-                    |known: &Known| known.granted.is_some_and(|at| self.now < self.times.lapsed_by(at));
-                let relays = self.leadership.iter().flat_map(|leadership| &leadership.relays);
-                let relays = relays.map(|(relay, known)| (relay.clone(), runs(known), known.epoch)).collect();
+                let runs = |known: &Known| {
+                    known
+                        .granted
+                        .is_some_and(|at| self.now < self.times.lapsed_by(at))
+                };
+                let relays = self
+                    .leadership
+                    .iter()
+                    .flat_map(|leadership| &leadership.relays);
+                let relays = relays
+                    .map(|(relay, known)| (relay.clone(), runs(known), known.epoch))
+                    .collect();
                 let (membership, idle) = (self.membership(), self.idle());
-                return Answer::Status(Box::new(Status { leader, term, state, relays, membership, idle }));
+                return Answer::Status(Box::new(Status {
+                    leader,
+                    term,
+                    state,
+                    relays,
+                    membership,
+                    idle,
+                }));
             }
             Ask::Token(name) => {
                 let token = self.state.jobs.of.get(&name).map_or(0, |job| job.token);
@@ -451,8 +513,8 @@
             Ask::Outcome(id) => id,
             Ask::Propose(proposal) => {
                 let id = proposal.id;
-                let known =
-                    self.state.outcome(id).is_some() || self.state.under_way().is_some_and(|p| p.id == id);
+                let known = self.state.outcome(id).is_some()
+                    || self.state.under_way().is_some_and(|p| p.id == id);
                 if !known {
                     self.propose(&Command::Propose(proposal));
                     return Answer::UnderWay("handed to the log".into(), Vec::new());
@@ -482,14 +544,21 @@
             return;
         }
         let waits = |progress: &raft::Progress| progress.state == raft::ProgressState::Snapshot;
-        let waiting: Vec<u64> =
-            self.raw.raft.prs().iter().filter(|(_, p)| waits(p)).map(|(number, _)| *number).collect();
+        let waiting: Vec<u64> = self
+            .raw
+            .raft
+            .prs()
+            .iter()
+            .filter(|(_, p)| waits(p))
+            .map(|(number, _)| *number)
+            .collect();
         let now = self.now;
         self.snapshots.retain(|number, _| waiting.contains(number));
         for number in waiting {
             if now >= *self.snapshots.entry(number).or_insert(now) + AGAIN {
                 self.snapshots.remove(&number);
-                self.raw.report_snapshot(number, raft::SnapshotStatus::Failure);
+                self.raw
+                    .report_snapshot(number, raft::SnapshotStatus::Failure);
             }
         }
     }
@@ -500,19 +569,29 @@
 
     /// Whether all that ran before this leader came into leadership has run out.
     fn settled(&self, leadership: &Leadership) -> bool {
-        self.injected.is(InjectedBug::ForgetPredecessor) || self.now >= self.times.lapsed_by(leadership.since)
+        self.injected.is(InjectedBug::ForgetPredecessor)
+            || self.now >= self.times.lapsed_by(leadership.since)
     }
 
     /// Relays that may still hold a lease and have not done what the proposal wants of them.
     fn waited_for(&self) -> Vec<String> {
-        let Some(leadership) = &self.leadership else { return Vec::new() };
-        let runs = |known: &Known| known.granted.is_some_and(|at| self.now < self.times.lapsed_by(at));
+        let Some(leadership) = &self.leadership else {
+            return Vec::new();
+        };
+        let runs = |known: &Known| {
+            known
+                .granted
+                .is_some_and(|at| self.now < self.times.lapsed_by(at))
+        };
         let done = |known: &Known| match &self.state.phase {
             Phase::Rest => true,
             Phase::Preparing(p) => known.prepared == Some(p.id),
             Phase::Sealed(p) => known.revoked == Some(p.id),
         };
-        let late = leadership.relays.iter().filter(|(_, known)| runs(known) && !done(known));
+        let late = leadership
+            .relays
+            .iter()
+            .filter(|(_, known)| runs(known) && !done(known));
         let mut names: Vec<String> = late.map(|(relay, _)| relay.name.clone()).collect();
         if !self.settled(leadership) {
             names.push("leases that the leader before may have given".into());
@@ -522,14 +601,25 @@
 
     /// Carries the proposal under way a step further, where it leads and nothing is waited for.
     fn govern(&mut self) {
-        let Some(term) = self.leads().filter(|_| self.raw.raft.commit_to_current_term()) else {
+        let Some(term) = self
+            .leads()
+            .filter(|_| self.raw.raft.commit_to_current_term())
+        else {
             self.leadership = None;
             return;
         };
         let now = self.now;
-        if self.leadership.as_ref().is_none_or(|leadership| leadership.term != term) {
+        if self
+            .leadership
+            .as_ref()
+            .is_none_or(|leadership| leadership.term != term)
+        {
             // Not since it was elected but since it knows that it was: later, and so on the safe side.
-            self.leadership = Some(Leadership { term, since: now, ..Leadership::default() });
+            self.leadership = Some(Leadership {
+                term,
+                since: now,
+                ..Leadership::default()
+            });
         }
         self.promote();
         self.assignment();
@@ -540,15 +630,22 @@
         };
         let waited_for = self.waited_for();
         let (times, skip) = (self.times, self.injected.is(InjectedBug::SkipWait));
-        let Some(leadership) = &mut self.leadership else { return };
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
         // Relays that are long gone are forgotten: their leases have run out.
         let patience = times.patience + times.lapsed_by(0);
-        leadership.relays.retain(|_, known| now < known.seen + patience);
+        leadership
+            .relays
+            .retain(|_, known| now < known.seen + patience);
         let Some((id, closing)) = at else {
             (leadership.step, leadership.asked) = (None, None);
             return;
         };
-        if leadership.step.is_none_or(|(of, closed, _)| (of, closed) != (id, closing)) {
+        if leadership
+            .step
+            .is_none_or(|(of, closed, _)| (of, closed) != (id, closing))
+        {
             (leadership.step, leadership.asked) = (Some((id, closing, now)), None);
         }
         let since = leadership.step.map_or(now, |(_, _, since)| since);
@@ -613,10 +710,21 @@
         }
         let mut confirmed = Vec::new();
         for read in ready.take_read_states() {
-            let Ok(number) = read.request_ctx.as_slice().try_into().map(u64::from_be_bytes) else { continue };
+            let Ok(number) = read
+                .request_ctx
+                .as_slice()
+                .try_into()
+                .map(u64::from_be_bytes)
+            else {
+                continue;
+            };
             // A later confirmation stands for the earlier ones, too; what was lost on its way does not wait for good.
             let later = self.under_way.split_off(&(number + 1));
-            confirmed.extend(std::mem::replace(&mut self.under_way, later).into_values().flatten());
+            confirmed.extend(
+                std::mem::replace(&mut self.under_way, later)
+                    .into_values()
+                    .flatten(),
+            );
         }
         messages.extend(ready.take_persisted_messages());
         let mut light = self.raw.advance(ready);
@@ -631,9 +739,14 @@
         self.apply(light.take_committed_entries());
         self.raw.advance_apply();
         // Only now: an answer may propose something, and the library wants to hear of nothing while it is advanced.
-        confirmed.into_iter().for_each(|waiting| self.answer(waiting));
+        confirmed
+            .into_iter()
+            .for_each(|waiting| self.answer(waiting));
         if self.leads().is_none() {
-            let lost: Vec<Waiting> = std::mem::take(&mut self.under_way).into_values().flatten().collect();
+            let lost: Vec<Waiting> = std::mem::take(&mut self.under_way)
+                .into_values()
+                .flatten()
+                .collect();
             lost.into_iter().for_each(|waiting| self.turn_away(waiting));
         }
         if self.fault.is_none()
@@ -642,7 +755,10 @@
         {
             self.compact(work);
         }
-        work.to_voters = messages.iter().map(|m| (m.to, Message::Log(self.incarnation, bytes(m)))).collect();
+        work.to_voters = messages
+            .iter()
+            .map(|m| (m.to, Message::Log(self.incarnation, bytes(m))))
+            .collect();
     }
 
     fn apply(&mut self, entries: Vec<Entry>) {
@@ -666,7 +782,10 @@
     fn compact(&mut self, work: &mut Work) {
         let applied = self.raw.raft.raft_log.applied;
         let conf = self.raw.raft.prs().conf().to_conf_state();
-        let stored = self.raw.mut_store().compact(applied, &conf, wire::encode(&self.state));
+        let stored = self
+            .raw
+            .mut_store()
+            .compact(applied, &conf, wire::encode(&self.state));
         (work.store.snapshot, work.store.compact) = (stored.snapshot, stored.compact);
         self.membership_changed = false;
     }
--- a/crates/control/src/log/voter/jobs.rs
+++ b/crates/control/src/log/voter/jobs.rs
@@ -5,7 +5,8 @@
 use crate::jobs::owner::STOPS;
 use crate::log::state::Command;
 use crate::wire::message::{
-    kind_of, Answer, Message, OwnJobs, Poll, Publish, Relay, Renew, Reply, Skills, Submission, Subscribe,
+    kind_of, Answer, Message, OwnJobs, Poll, Publish, Relay, Renew, Reply, Skills, Submission,
+    Subscribe,
 };
 use crate::{InjectedBug, Micros};
 
@@ -29,7 +30,11 @@
 
 impl Resting {
     fn again(&mut self, now: Micros) {
-        self.times = if now < self.last + WITHIN { self.times + 1 } else { 1 };
+        self.times = if now < self.last + WITHIN {
+            self.times + 1
+        } else {
+            1
+        };
         self.last = now;
     }
 
@@ -56,19 +61,35 @@
                 let job = jobs.of.get(&name).cloned().unwrap_or_default();
                 (name, token, job.step, job.checkpoint)
             };
-            let of = jobs.of_relay(&renew.relay).into_iter().map(checkpoint).collect();
-            reply.jobs = Some(OwnJobs { version: jobs.version, of });
+            let of = jobs
+                .of_relay(&renew.relay)
+                .into_iter()
+                .map(checkpoint)
+                .collect();
+            reply.jobs = Some(OwnJobs {
+                version: jobs.version,
+                of,
+            });
         }
         let new = |(name, token, _): &(String, u64, String)| {
-            jobs.of.get(name).is_some_and(|job| job.token == *token && job.revoked_at.is_none())
+            jobs.of
+                .get(name)
+                .is_some_and(|job| job.token == *token && job.revoked_at.is_none())
         };
-        let gives_up: Vec<_> = renew.gives_up.iter().filter(|gone| new(gone)).cloned().collect();
+        let gives_up: Vec<_> = renew
+            .gives_up
+            .iter()
+            .filter(|gone| new(gone))
+            .cloned()
+            .collect();
         if !gives_up.is_empty() {
             assignments.push(Assignment::Revoke(gives_up));
         }
         let opens = &renew.skills.opens;
         // One that can never be opened would be handed to the log with each question.
-        let new = opens.iter().filter(|name| may_be_named(name) && !jobs.of.contains_key(*name));
+        let new = opens
+            .iter()
+            .filter(|name| may_be_named(name) && !jobs.of.contains_key(*name));
         let new: Vec<String> = new.cloned().collect();
         if !new.is_empty() && jobs.of.len() + new.len() <= MOST_JOBS {
             assignments.push(Assignment::Open(new));
@@ -77,7 +98,12 @@
         for (name, token, step, bytes) in &renew.checkpoints {
             let at = jobs.of.get(name).map_or(0, |job| job.step);
             if at + 1 == *step {
-                assignments.push(Assignment::Checkpoint(name.clone(), *token, *step, bytes.clone()));
+                assignments.push(Assignment::Checkpoint(
+                    name.clone(),
+                    *token,
+                    *step,
+                    bytes.clone(),
+                ));
             }
             reply.steps.push((name.clone(), at));
         }
@@ -89,35 +115,45 @@
 fn workers(leadership: &Leadership, may_act: impl Fn(&Relay) -> bool) -> Vec<(Relay, Skills)> {
     let works = |(relay, known): &(&Relay, &Known)| known.jobs.is_some() && may_act(relay);
     let relays = leadership.relays.iter().filter(works);
-    relays.map(|(relay, known)| (relay.clone(), known.skills.clone())).collect()
+    relays
+        .map(|(relay, known)| (relay.clone(), known.skills.clone()))
+        .collect()
 }
 
 impl Voter {
     /// A relay follows this voter's updates.
     pub fn subscribe(&mut self, now: Micros, from: From, follow: Subscribe) {
         self.now = now;
-        let told = self.broadcaster.subscribe(now, from, follow, &self.state.jobs);
-        self.answers.extend(told.into_iter().map(|message| (from, message)));
+        let told = self
+            .broadcaster
+            .subscribe(now, from, follow, &self.state.jobs);
+        self.answers
+            .extend(told.into_iter().map(|message| (from, message)));
     }
 
     /// A relay that follows asks what is new.
     pub fn poll(&mut self, now: Micros, from: From, poll: Poll) {
         self.now = now;
         let delivery = self.broadcaster.poll(now, from, poll, &self.state.jobs);
-        self.answers.extend(delivery.map(|delivery| (from, Message::Delivery(delivery))));
+        self.answers
+            .extend(delivery.map(|delivery| (from, Message::Delivery(delivery))));
     }
 
     /// An owner of an older build has an update for all relays.
     pub fn publish(&mut self, now: Micros, from: From, publish: Publish) {
         self.now = now;
-        let told: Vec<(From, Message)> = self.broadcaster.publish(now, from, publish, &self.state.jobs);
+        let told: Vec<(From, Message)> =
+            self.broadcaster
+                .publish(now, from, publish, &self.state.jobs);
         self.answers.extend(told);
     }
 
     /// An owner has an update for all relays.
     pub fn submit(&mut self, now: Micros, from: From, submission: Submission) {
         self.now = now;
-        let told: Vec<(From, Message)> = self.broadcaster.submit(now, from, submission, &self.state.jobs);
+        let told: Vec<(From, Message)> =
+            self.broadcaster
+                .submit(now, from, submission, &self.state.jobs);
         self.answers.extend(told);
     }
 
@@ -128,18 +164,28 @@
 
     /// Owners have given these up by their own measure.
     pub(super) fn tire(&mut self, assignments: &[Assignment]) {
-        let (now, Some(leadership)) = (self.now, &mut self.leadership) else { return };
+        let (now, Some(leadership)) = (self.now, &mut self.leadership) else {
+            return;
+        };
         for assignment in assignments {
-            let Assignment::Revoke(names) = assignment else { continue };
+            let Assignment::Revoke(names) = assignment else {
+                continue;
+            };
             for (name, _, _) in names.iter().filter(|(.., why)| why != STOPS) {
-                leadership.resting.entry(name.clone()).or_default().again(now);
+                leadership
+                    .resting
+                    .entry(name.clone())
+                    .or_default()
+                    .again(now);
             }
         }
     }
 
     /// Jobs that nobody may act on just now, and why.
     pub(super) fn idle(&self) -> Vec<(String, String)> {
-        let (now, Some(leadership)) = (self.now, &self.leadership) else { return Vec::new() };
+        let (now, Some(leadership)) = (self.now, &self.leadership) else {
+            return Vec::new();
+        };
         let settled = self.settled(leadership);
         let leased = |relay: &Relay| {
             let leased = leadership.relays.get(relay).and_then(|known| known.leased);
@@ -148,20 +194,41 @@
         let workers = workers(leadership, leased);
         let mut idle = Vec::new();
         for (name, job) in &self.state.jobs.of {
-            let gave_up = || job.gave_up.as_ref().map_or(String::new(), |(by, why)| format!("; {by}: {why}"));
+            let gave_up = || {
+                job.gave_up
+                    .as_ref()
+                    .map_or(String::new(), |(by, why)| format!("; {by}: {why}"))
+            };
             let why = match &job.owner {
                 Some(owner) if leased(owner) && job.revoked_at.is_none() => continue,
                 Some(owner) if job.revoked_at.is_some() => {
-                    format!("it is taken back from {}, whose lease may still run{}", owner.name, gave_up())
+                    format!(
+                        "it is taken back from {}, whose lease may still run{}",
+                        owner.name,
+                        gave_up()
+                    )
                 }
-                Some(owner) => format!("nothing is heard of {}, whose lease may still run", owner.name),
+                Some(owner) => format!(
+                    "nothing is heard of {}, whose lease may still run",
+                    owner.name
+                ),
                 None if job.held => "it is held: 'fleet release' gives it free".into(),
                 None if !settled => "the leader is new and waits for leases of before".into(),
                 None if !workers.iter().any(|(_, skills)| skills.can(name)) => {
-                    format!("no relay that answers does jobs of kind '{}'", kind_of(name))
+                    format!(
+                        "no relay that answers does jobs of kind '{}'",
+                        kind_of(name)
+                    )
                 }
-                None if leadership.resting.get(name).is_some_and(|resting| resting.rests(now)) => {
-                    format!("it rests, since it was given up again and again{}", gave_up())
+                None if leadership
+                    .resting
+                    .get(name)
+                    .is_some_and(|resting| resting.rests(now)) =>
+                {
+                    format!(
+                        "it rests, since it was given up again and again{}",
+                        gave_up()
+                    )
                 }
                 None => format!("it is about to be given{}", gave_up()),
             };
@@ -181,8 +248,9 @@
                 None => return Answer::Job(Err(format!("there is no job '{name}'"))),
             },
             Assignment::Revoke(names) => names.iter().all(|(name, token, _)| {
-                of.get(name)
-                    .is_none_or(|job| job.token != *token || job.revoked_at.is_some() || job.owner.is_none())
+                of.get(name).is_none_or(|job| {
+                    job.token != *token || job.revoked_at.is_some() || job.owner.is_none()
+                })
             }),
             _ => return Answer::Job(Err("a leader decides that, or an owner".into())),
         };
@@ -198,8 +266,12 @@
     pub(super) fn assignment(&mut self) {
         let (now, times, jobs) = (self.now, self.times, &self.state.jobs);
         let early = self.injected.is(InjectedBug::GiveEarly);
-        let Some(leadership) = &self.leadership else { return };
-        let due = leadership.assigned.is_none_or(|(version, at)| version != jobs.version || now >= at + DEAL);
+        let Some(leadership) = &self.leadership else {
+            return;
+        };
+        let due = leadership
+            .assigned
+            .is_none_or(|(version, at)| version != jobs.version || now >= at + DEAL);
         if jobs.of.is_empty() || !due {
             return;
         }
@@ -216,15 +288,21 @@
             let Some(owner) = &job.owner else { continue };
             let known = leadership.relays.get(owner);
             // Whoever has heard of that version has said so after it stopped.
-            let stopped = job
-                .revoked_at
-                .is_some_and(|at| known.and_then(|known| known.jobs).is_some_and(|version| version >= at));
+            let stopped = job.revoked_at.is_some_and(|at| {
+                known
+                    .and_then(|known| known.jobs)
+                    .is_some_and(|version| version >= at)
+            });
             let silent = early && known.is_none_or(|known| now >= known.seen + times.renew);
             let lapsed = silent || !may_act(owner);
             if job.revoked_at.is_some() && (stopped || lapsed) {
                 free.push((name.clone(), job.token));
             } else if job.revoked_at.is_none() && (lapsed || job.held) {
-                let why = if lapsed { "nothing is heard of it" } else { "it is held" };
+                let why = if lapsed {
+                    "nothing is heard of it"
+                } else {
+                    "it is held"
+                };
                 back.push((name.clone(), job.token, why.to_string()));
             }
             if free.len().max(back.len()) == BATCH {
@@ -239,7 +317,10 @@
         // All relays that serve have been heard of by then: the first to ask does not get everything.
         let give = if settled {
             jobs.assignments(&workers, |name| {
-                leadership.resting.get(name).is_some_and(|resting| resting.rests(now))
+                leadership
+                    .resting
+                    .get(name)
+                    .is_some_and(|resting| resting.rests(now))
             })
         } else {
             Vec::new()
--- a/crates/control/src/log/voter/members.rs
+++ b/crates/control/src/log/voter/members.rs
@@ -22,7 +22,10 @@
 
 impl Founding {
     pub(super) fn new(number: u64, incarnation: u64, now: Micros) -> Founding {
-        Founding { heard: BTreeMap::from([(number, incarnation)]), next: now }
+        Founding {
+            heard: BTreeMap::from([(number, incarnation)]),
+            next: now,
+        }
     }
 }
 
@@ -44,7 +47,9 @@
     fn answer_founder(&mut self, from: From, number: u64, incarnation: u64) {
         let trusts = self.injected.is(InjectedBug::TrustReborn);
         if self.state.membership.gone(number, incarnation) && !trusts {
-            return self.answers.push((from, Message::Gone(number, incarnation)));
+            return self
+                .answers
+                .push((from, Message::Gone(number, incarnation)));
         }
         let now = self.now;
         self.introduced.retain(|_, at| now < *at + INTRODUCE / 2);
@@ -52,13 +57,22 @@
             return;
         }
         self.introduced.insert(number, now);
-        self.answers.push((from, Message::Founding(self.id(), self.incarnation)));
+        self.answers
+            .push((from, Message::Founding(self.id(), self.incarnation)));
     }
 
     /// Once all founders have been heard, what each knows of the others is the same, and it votes.
     pub(super) fn meet(&mut self) {
-        let Some(founding) = &self.founding else { return };
-        if self.state.membership.of.keys().any(|number| !founding.heard.contains_key(number)) {
+        let Some(founding) = &self.founding else {
+            return;
+        };
+        if self
+            .state
+            .membership
+            .of
+            .keys()
+            .any(|number| !founding.heard.contains_key(number))
+        {
             return;
         }
         self.state.membership.met(&founding.heard);
@@ -68,19 +82,35 @@
 
     /// Founders that have not been heard yet.
     pub fn missing(&self) -> Vec<u64> {
-        let Some(founding) = &self.founding else { return Vec::new() };
-        let missing = self.state.membership.of.keys().filter(|number| !founding.heard.contains_key(number));
+        let Some(founding) = &self.founding else {
+            return Vec::new();
+        };
+        let missing = self
+            .state
+            .membership
+            .of
+            .keys()
+            .filter(|number| !founding.heard.contains_key(number));
         missing.copied().collect()
     }
 
     /// Says to the other founders who it is.
     pub(super) fn introduce(&mut self) -> Vec<(u64, Message)> {
         let (now, own) = (self.now, Message::Founding(self.id(), self.incarnation));
-        let Some(founding) = self.founding.as_mut().filter(|founding| now >= founding.next) else {
+        let Some(founding) = self
+            .founding
+            .as_mut()
+            .filter(|founding| now >= founding.next)
+        else {
             return Vec::new();
         };
         founding.next = now + INTRODUCE;
-        let others = self.state.membership.of.keys().filter(|number| **number != self.raw.raft.id);
+        let others = self
+            .state
+            .membership
+            .of
+            .keys()
+            .filter(|number| **number != self.raw.raft.id);
         others.map(|number| (*number, own.clone())).collect()
     }
 
@@ -91,10 +121,16 @@
         if !self.raw.raft.commit_to_current_term() {
             return false;
         }
-        let Some(leadership) = self.leadership.as_mut().filter(|leadership| leadership.term == term) else {
+        let Some(leadership) = self
+            .leadership
+            .as_mut()
+            .filter(|leadership| leadership.term == term)
+        else {
             return false;
         };
-        let due = leadership.learn_membership.is_none_or(|at| now >= at + self.times.tick);
+        let due = leadership
+            .learn_membership
+            .is_none_or(|at| now >= at + self.times.tick);
         if due {
             leadership.learn_membership = Some(now);
         }
@@ -106,15 +142,23 @@
         let end = self.raw.raft.raft_log.last_index();
         let member = |(number, progress): (&u64, &raft::Progress)| {
             let own = *number == self.id();
-            (*number, own || progress.recent_active, end.saturating_sub(progress.matched))
+            (
+                *number,
+                own || progress.recent_active,
+                end.saturating_sub(progress.matched),
+            )
         };
         self.raw.raft.prs().iter().map(member).collect()
     }
 
     /// Changes who votes, where that can be.
     pub(super) fn reseat(&mut self, change: &Change) -> Answer {
-        let active: Vec<u64> =
-            self.membership().iter().filter(|(_, active, _)| *active).map(|(number, ..)| *number).collect();
+        let active: Vec<u64> = self
+            .membership()
+            .iter()
+            .filter(|(_, active, _)| *active)
+            .map(|(number, ..)| *number)
+            .collect();
         match self.state.membership.judge(change, &active) {
             Verdict::Done => Answer::Member(Ok(())),
             Verdict::Refused(why) => Answer::Member(Err(why)),
@@ -151,15 +195,23 @@
             Change::Promote(number) => (ConfChangeType::AddNode, *number),
             Change::Remove(number) => (ConfChangeType::RemoveNode, *number),
         };
-        let mut conf = ConfChange { node_id: number, ..ConfChange::default() };
+        let mut conf = ConfChange {
+            node_id: number,
+            ..ConfChange::default()
+        };
         conf.set_change_type(kind);
         let _ = self.raw.propose_conf_change(wire::encode(change), conf);
     }
 
     /// A newcomer that has caught up gets its vote.
     pub(super) fn promote(&mut self) {
-        let learner =
-            self.state.membership.of.iter().find(|(_, member)| !member.votes).map(|(number, _)| *number);
+        let learner = self
+            .state
+            .membership
+            .of
+            .iter()
+            .find(|(_, member)| !member.votes)
+            .map(|(number, _)| *number);
         let Some(number) = learner else { return };
         let caught_up = self.raw.raft.prs().get(number).is_some_and(|progress| {
             progress.recent_active && progress.matched + BEHIND >= self.raw.raft.raft_log.committed
@@ -170,7 +222,9 @@
     }
 
     pub(super) fn apply_seat(&mut self, entry: &Entry) {
-        let Ok(conf) = ConfChange::parse_from_bytes(&entry.data) else { return };
+        let Ok(conf) = ConfChange::parse_from_bytes(&entry.data) else {
+            return;
+        };
         let Some(change) = wire::decode::<Change>(&entry.context) else {
             self.fault = Some(LATER);
             return;
--- a/crates/control/src/wire/mac.rs
+++ b/crates/control/src/wire/mac.rs
@@ -43,7 +43,10 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Fault::Magic => write!(f, "does not speak the fleet's protocol"),
-            Fault::Format(n) => write!(f, "speaks format {n}, this build {FORMAT}: upgrade the older one"),
+            Fault::Format(n) => write!(
+                f,
+                "speaks format {n}, this build {FORMAT}: upgrade the older one"
+            ),
             Fault::Fleet => write!(f, "is of another fleet: compare fleet.id"),
             Fault::Key => {
                 write!(f, "has none of this relay's keys, or sends what is not its own: compare fleet.keys")
@@ -71,8 +74,18 @@
     /// The side that dials, or the one that is dialled. The first key seals, each opens; `number` must be random.
     pub fn new(dials: bool, keys: Vec<Vec<u8>>, fleet: u64, number: [u8; NUMBER]) -> Session {
         let (inbox, out) = (Vec::new(), Vec::new());
-        let mut session =
-            Session { keys, key: 0, fleet, dials, mine: number, theirs: None, sent: 0, got: 0, inbox, out };
+        let mut session = Session {
+            keys,
+            key: 0,
+            fleet,
+            dials,
+            mine: number,
+            theirs: None,
+            sent: 0,
+            got: 0,
+            inbox,
+            out,
+        };
         if dials {
             session.hello();
         }
@@ -151,9 +164,13 @@
         if self.theirs.is_none() || body.len() + TAG > MOST {
             return false;
         }
-        let tag = self.tag(self.dials, self.sent, body).finalize().into_bytes();
+        let tag = self
+            .tag(self.dials, self.sent, body)
+            .finalize()
+            .into_bytes();
         self.sent += 1;
-        self.out.extend_from_slice(&((body.len() + TAG) as u32).to_be_bytes());
+        self.out
+            .extend_from_slice(&((body.len() + TAG) as u32).to_be_bytes());
         self.out.extend_from_slice(body);
         self.out.extend_from_slice(&tag);
         true
@@ -176,15 +193,22 @@
         }
         loop {
             let rest = &self.inbox[at..];
-            let Some(length) = rest.first_chunk::<LENGTH>().map(|b| u32::from_be_bytes(*b) as usize) else {
+            let Some(length) = rest
+                .first_chunk::<LENGTH>()
+                .map(|b| u32::from_be_bytes(*b) as usize)
+            else {
                 break;
             };
             if !(TAG..=MOST).contains(&length) {
                 return Err(Fault::Length);
             }
-            let Some(frame) = rest.get(LENGTH..LENGTH + length) else { break };
+            let Some(frame) = rest.get(LENGTH..LENGTH + length) else {
+                break;
+            };
             let (body, tag) = frame.split_at(length - TAG);
-            self.tag(!self.dials, self.got, body).verify_slice(tag).map_err(|_| Fault::Key)?;
+            self.tag(!self.dials, self.got, body)
+                .verify_slice(tag)
+                .map_err(|_| Fault::Key)?;
             self.got += 1;
             messages.push(body.to_vec());
             at += LENGTH + length;
@@ -203,7 +227,10 @@
     }
 
     fn pair(dials: &[&str], answers: &[&str]) -> (Session, Session) {
-        (Session::new(true, keys(dials), 7, [1; 16]), Session::new(false, keys(answers), 7, [2; 16]))
+        (
+            Session::new(true, keys(dials), 7, [1; 16]),
+            Session::new(false, keys(answers), 7, [2; 16]),
+        )
     }
 
     fn pass(from: &mut Session, to: &mut Session) -> Result<Vec<Vec<u8>>, Fault> {
@@ -218,9 +245,11 @@
 
     #[test]
     fn messages_go_both_ways_in_pieces_and_a_change_of_keys_breaks_nothing() {
-        for (dials, answers) in
-            [(&["a"][..], &["a"][..]), (&["new", "old"], &["old", "new"]), (&["old"], &["new", "old"])]
-        {
+        for (dials, answers) in [
+            (&["a"][..], &["a"][..]),
+            (&["new", "old"], &["old", "new"]),
+            (&["old"], &["new", "old"]),
+        ] {
             let (mut a, mut b) = pair(dials, answers);
             assert!(!a.send(b"too early"));
             greet(&mut a, &mut b).unwrap();
--- a/crates/control/src/wire/message.rs
+++ b/crates/control/src/wire/message.rs
@@ -200,7 +200,11 @@
 impl Reply {
     /// One that says nothing yet.
     pub fn to(renew: &Renew) -> Reply {
-        Reply { start: renew.relay.start, number: renew.number, ..Reply::default() }
+        Reply {
+            start: renew.relay.start,
+            number: renew.number,
+            ..Reply::default()
+        }
     }
 }
 
--- a/crates/control/src/wire/relay.rs
+++ b/crates/control/src/wire/relay.rs
@@ -36,7 +36,8 @@
 
     /// Whether a job of that name is of its own zone.
     pub fn near(&self, name: &str) -> bool {
-        name.split_once('/').is_some_and(|(_, zone)| zone == self.zone)
+        name.split_once('/')
+            .is_some_and(|(_, zone)| zone == self.zone)
     }
 }
 
