--- a/crates/lab/src/certs.rs
+++ b/crates/lab/src/certs.rs
@@ -40,12 +40,17 @@
     pub fn new(dir: &Path) -> Result<Authority, Box<dyn Error>> {
         std::fs::create_dir_all(dir)?;
         let mut params = CertificateParams::new(Vec::new())?;
-        params.distinguished_name.push(DnType::CommonName, "jaspermoor lab authority");
+        params
+            .distinguished_name
+            .push(DnType::CommonName, "jaspermoor lab authority");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
         let issuer = CertifiedIssuer::self_signed(params, KeyPair::generate()?)?;
         std::fs::write(dir.join("ca.pem"), issuer.pem())?;
-        Ok(Authority { issuer, dir: dir.to_path_buf() })
+        Ok(Authority {
+            issuer,
+            dir: dir.to_path_buf(),
+        })
     }
 
     /// The file of its certificate.
@@ -58,7 +63,8 @@
         let mut params = CertificateParams::new(vec![domain.to_string()])?;
         params.distinguished_name.push(DnType::CommonName, domain);
         if valid == Valid::Expired {
-            (params.not_before, params.not_after) = (date_time_ymd(2020, 1, 1), date_time_ymd(2021, 1, 1));
+            (params.not_before, params.not_after) =
+                (date_time_ymd(2020, 1, 1), date_time_ymd(2021, 1, 1));
         }
         let key = KeyPair::generate()?;
         let leaf = params.signed_by(&key, &self.issuer)?;
@@ -78,19 +84,21 @@
     for root in CertificateDer::pem_file_iter(ca)? {
         roots.add(root?)?;
     }
-    let config = ClientConfig::builder_with_provider(Arc::new(rustls::crypto::ring::default_provider()))
-        .with_safe_default_protocol_versions()?
-        .with_root_certificates(roots)
-        .with_no_client_auth();
+    let config =
+        ClientConfig::builder_with_provider(Arc::new(rustls::crypto::ring::default_provider()))
+            .with_safe_default_protocol_versions()?
+            .with_root_certificates(roots)
+            .with_no_client_auth();
     Ok(Arc::new(config))
 }
 
 /// TLS of a server with this pair.
 pub fn server(certificate: &Path, key: &Path) -> Result<Arc<ServerConfig>, Box<dyn Error>> {
     let chain = CertificateDer::pem_file_iter(certificate)?.collect::<Result<Vec<_>, _>>()?;
-    let config = ServerConfig::builder_with_provider(Arc::new(rustls::crypto::ring::default_provider()))
-        .with_safe_default_protocol_versions()?
-        .with_no_client_auth()
-        .with_single_cert(chain, PrivateKeyDer::from_pem_file(key)?)?;
+    let config =
+        ServerConfig::builder_with_provider(Arc::new(rustls::crypto::ring::default_provider()))
+            .with_safe_default_protocol_versions()?
+            .with_no_client_auth()
+            .with_single_cert(chain, PrivateKeyDer::from_pem_file(key)?)?;
     Ok(Arc::new(config))
 }
--- a/crates/lab/src/faults/figures.rs
+++ b/crates/lab/src/faults/figures.rs
@@ -49,7 +49,11 @@
     /// Bytes a second, sent and received together, in the worst [`WINDOW`] seconds that begin at or after that second.
     pub fn worst_window(&self, from: usize) -> f64 {
         let seconds = self.seconds.get(from..).unwrap_or_default();
-        let worst = seconds.windows(WINDOW).map(|window| window.iter().sum::<u64>()).max().unwrap_or(0);
+        let worst = seconds
+            .windows(WINDOW)
+            .map(|window| window.iter().sum::<u64>())
+            .max()
+            .unwrap_or(0);
         worst as f64 / WINDOW as f64
     }
 }
