--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -20,12 +20,20 @@
 impl Verdicts {
     /// Adds a rule that holds where a count is 0.
     pub fn none(&mut self, rule: &'static str, count: usize, of: impl fmt::Display) {
-        self.0.push(Verdict { rule, seen: format!("{count} of {of}"), held: count == 0 });
+        self.0.push(Verdict {
+            rule,
+            seen: format!("{count} of {of}"),
+            held: count == 0,
+        });
     }
 
     /// Adds a rule.
     pub fn add(&mut self, rule: &'static str, seen: impl fmt::Display, held: bool) {
-        self.0.push(Verdict { rule, seen: seen.to_string(), held });
+        self.0.push(Verdict {
+            rule,
+            seen: seen.to_string(),
+            held,
+        });
     }
 
     /// Whether all held.
--- a/crates/lab/src/scale/admissions.rs
+++ b/crates/lab/src/scale/admissions.rs
@@ -49,20 +49,36 @@
 impl AdmissionLog {
     /// A client was admitted under the policy of that epoch, between these moments.
     pub fn admitted(&mut self, epoch: u64, asked: Moment, answered: Moment) {
-        let span = self.spans.entry(epoch).or_insert(Span { first_answered: answered, last_asked: asked });
+        let span = self.spans.entry(epoch).or_insert(Span {
+            first_answered: answered,
+            last_asked: asked,
+        });
         span.last_asked = asked;
         if let Some(last) = self.last.filter(|last| answered > last + LEAST_GAP) {
-            self.gaps.push(Gap { from: last, until: answered });
+            self.gaps.push(Gap {
+                from: last,
+                until: answered,
+            });
         }
         self.last = Some(answered);
     }
 
     /// The first admission at or after a moment.
     pub fn first_since(&self, moment: Moment) -> Option<Moment> {
-        let after_gap = self.gaps.iter().map(|gap| gap.until).find(|until| *until >= moment);
-        let first =
-            self.spans.values().map(|span| span.first_answered).min().filter(|first| *first >= moment);
-        first.or(after_gap).or(self.last.filter(|last| *last >= moment).map(|_| moment))
+        let after_gap = self
+            .gaps
+            .iter()
+            .map(|gap| gap.until)
+            .find(|until| *until >= moment);
+        let first = self
+            .spans
+            .values()
+            .map(|span| span.first_answered)
+            .min()
+            .filter(|first| *first >= moment);
+        first
+            .or(after_gap)
+            .or(self.last.filter(|last| *last >= moment).map(|_| moment))
     }
 
     /// The time without admission, in milliseconds, before the first admission under an epoch; none where nothing was
@@ -75,14 +91,23 @@
 
     /// The longest time without admission that touches this span of time, in milliseconds.
     pub fn longest_gap(&self, from: Moment, until: Moment) -> f64 {
-        let touching = self.gaps.iter().filter(|gap| gap.until > from && gap.from < until);
+        let touching = self
+            .gaps
+            .iter()
+            .filter(|gap| gap.until > from && gap.from < until);
         touching.map(Gap::ms).fold(0.0, f64::max)
     }
 
     /// The same with other numbers in place of its epochs; admissions under one that has none are left out.
     pub fn renumbered(&self, epochs: &BTreeMap<u64, u64>) -> AdmissionLog {
-        let spans = self.spans.iter().filter_map(|(of, span)| Some((*epochs.get(of)?, *span)));
-        AdmissionLog { spans: spans.collect(), ..self.clone() }
+        let spans = self
+            .spans
+            .iter()
+            .filter_map(|(of, span)| Some((*epochs.get(of)?, *span)));
+        AdmissionLog {
+            spans: spans.collect(),
+            ..self.clone()
+        }
     }
 }
 
@@ -116,7 +141,11 @@
     /// When it was under the policy of that epoch: as it was seen directly, else as its log said.
     pub fn under(&self, epoch: u64) -> Option<Moment> {
         match self.is_direct {
-            true => self.admissions.spans.get(&epoch).map(|span| span.first_answered),
+            true => self
+                .admissions
+                .spans
+                .get(&epoch)
+                .map(|span| span.first_answered),
             false => self.logged.get(&epoch).copied(),
         }
     }
@@ -135,9 +164,13 @@
     let mut last: BTreeMap<u64, (Moment, &str)> = BTreeMap::new();
     for history in histories {
         for (epoch, span) in &history.admissions.spans {
-            let earliest = first.entry(*epoch).or_insert((span.first_answered, &history.name));
+            let earliest = first
+                .entry(*epoch)
+                .or_insert((span.first_answered, &history.name));
             *earliest = (*earliest).min((span.first_answered, &history.name));
-            let latest = last.entry(*epoch).or_insert((span.last_asked, &history.name));
+            let latest = last
+                .entry(*epoch)
+                .or_insert((span.last_asked, &history.name));
             *latest = (*latest).max((span.last_asked, &history.name));
         }
     }
@@ -165,14 +198,18 @@
             let tokens = begun.entry(job).or_default();
             let (own_from, own_name) = tokens.entry(*token).or_insert((*from, &history.name));
             if *own_name != history.name {
-                broken.push(format!("{own_name} and {} both act on {job} under token {token}", history.name));
+                broken.push(format!(
+                    "{own_name} and {} both act on {job} under token {token}",
+                    history.name
+                ));
             }
             *own_from = (*own_from).min(*from);
         }
     }
     for (job, tokens) in &begun {
         for (older, newer) in tokens.iter().zip(tokens.iter().skip(1)) {
-            let ((old_token, (old_from, old_name)), (new_token, (new_from, new_name))) = (older, newer);
+            let ((old_token, (old_from, old_name)), (new_token, (new_from, new_name))) =
+                (older, newer);
             if old_from > new_from {
                 broken.push(format!(
                     "{old_name} began to act on {job} under token {old_token} after {new_name} had under {new_token}"
--- a/crates/lab/src/scale/error.rs
+++ b/crates/lab/src/scale/error.rs
@@ -39,10 +39,18 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ScaleError::Option { option, what } => write!(f, "{option}: {what}"),
-            ScaleError::File { file, line: Some(line), what } => {
+            ScaleError::File {
+                file,
+                line: Some(line),
+                what,
+            } => {
                 write!(f, "{}:{line}: {what}", file.display())
             }
-            ScaleError::File { file, line: None, what } => write!(f, "{}: {what}", file.display()),
+            ScaleError::File {
+                file,
+                line: None,
+                what,
+            } => write!(f, "{}: {what}", file.display()),
             ScaleError::Run(what) => write!(f, "the run has failed: {what}"),
             ScaleError::Interrupted => write!(f, "interrupted; all that was started has ended"),
         }
--- a/crates/lab/src/scale/fit/line.rs
+++ b/crates/lab/src/scale/fit/line.rs
@@ -19,8 +19,14 @@
             return None;
         }
         let (slope, fixed): (f64, f64) = linreg::linear_regression_of(points).ok()?;
-        let mut line = Line { fixed, slope, worst_residual: 0.0 };
-        let residuals = points.iter().map(|(driver, value)| relative_error(line.at(*driver), *value).abs());
+        let mut line = Line {
+            fixed,
+            slope,
+            worst_residual: 0.0,
+        };
+        let residuals = points
+            .iter()
+            .map(|(driver, value)| relative_error(line.at(*driver), *value).abs());
         line.worst_residual = residuals.fold(0.0, f64::max);
         Some(line)
     }
--- a/crates/lab/src/scale/fit/mod.rs
+++ b/crates/lab/src/scale/fit/mod.rs
@@ -47,7 +47,11 @@
     for file in files {
         let read = read(file)?;
         if read.is_empty() {
-            return Err(ScaleError::File { file: file.clone(), line: None, what: "has no results".into() });
+            return Err(ScaleError::File {
+                file: file.clone(),
+                line: None,
+                what: "has no results".into(),
+            });
         }
         records.extend(read);
     }
--- a/crates/lab/src/scale/fit/page.rs
+++ b/crates/lab/src/scale/fit/page.rs
@@ -19,8 +19,13 @@
 impl<'a> Page<'a> {
     /// Reads a page, which must have the two markers once each.
     pub fn read(file: &'a Path) -> Result<Page<'a>, ScaleError> {
-        let error = |what: String| ScaleError::File { file: file.into(), line: None, what };
-        let text = std::fs::read_to_string(file).map_err(|e| error(format!("cannot be read: {e}")))?;
+        let error = |what: String| ScaleError::File {
+            file: file.into(),
+            line: None,
+            what,
+        };
+        let text =
+            std::fs::read_to_string(file).map_err(|e| error(format!("cannot be read: {e}")))?;
         let find = |marker: &str| {
             let mut places = text.match_indices(marker).map(|(at, _)| at);
             match (places.next(), places.next()) {
@@ -33,7 +38,12 @@
         if end < begin {
             return Err(error(format!("has '{END}' before '{BEGIN}'")));
         }
-        Ok(Page { file, text, begin, end })
+        Ok(Page {
+            file,
+            text,
+            begin,
+            end,
+        })
     }
 
     /// Whether the part is this text.
@@ -43,7 +53,12 @@
 
     /// Puts this text in place of the part.
     pub fn replace(&self, part: &str) -> Result<(), ScaleError> {
-        let text = [&self.text[..self.begin], &framed(part), &self.text[self.end..]].concat();
+        let text = [
+            &self.text[..self.begin],
+            &framed(part),
+            &self.text[self.end..],
+        ]
+        .concat();
         std::fs::write(self.file, text).map_err(|e| ScaleError::File {
             file: self.file.into(),
             line: None,
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -21,7 +21,10 @@
 /// What a result says of where and when it was measured.
 pub fn origin(label: &str, ledgers: &str) -> io::Result<Origin> {
     Ok(Origin {
-        unix_seconds: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs(),
+        unix_seconds: SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_secs(),
         label: label.into(),
         processors: std::thread::available_parallelism()?.get(),
         memory_bytes: process::machine_memory()?,
--- a/crates/lab/src/scale/run/clients.rs
+++ b/crates/lab/src/scale/run/clients.rs
@@ -38,12 +38,20 @@
     /// Starts it, at this relay.
     pub fn start(number: usize, addr: SocketAddr) -> Client {
         let door = Arc::new(Mutex::new(Some(addr)));
-        let (seen, shared) = (Arc::<Mutex<AdmissionLog>>::default(), Arc::<Shared>::default());
+        let (seen, shared) = (
+            Arc::<Mutex<AdmissionLog>>::default(),
+            Arc::<Shared>::default(),
+        );
         let (own_door, own_seen, own) = (door.clone(), seen.clone(), shared.clone());
         shared.pause_ms.store(EAGER, Relaxed);
         shared.noted_from.store(Moment::MAX, Relaxed);
         let thread = thread::spawn(move || ask_again_and_again(number, &own_door, &own_seen, &own));
-        Client { door, seen, shared, thread: Some(thread) }
+        Client {
+            door,
+            seen,
+            shared,
+            thread: Some(thread),
+        }
     }
 
     /// What it is answered from now on is noted: no relay admits without a policy any more.
@@ -58,7 +66,9 @@
 
     /// Whether it asks as often as it can.
     pub fn eager(&self, eager: bool) {
-        self.shared.pause_ms.store(if eager { EAGER } else { CALM }, Relaxed);
+        self.shared
+            .pause_ms
+            .store(if eager { EAGER } else { CALM }, Relaxed);
     }
 
     /// What it has seen, by the cell that admitted it.
@@ -108,7 +118,10 @@
     let mut socket = TcpStream::connect_timeout(&addr, ANSWER)?;
     socket.set_nodelay(true)?;
     socket.set_read_timeout(Some(ANSWER))?;
-    write!(socket, "OPEN {number:04x}{request:08x} {request:x} c=chat,d=1000,g=1\r\n")?;
+    write!(
+        socket,
+        "OPEN {number:04x}{request:08x} {request:x} c=chat,d=1000,g=1\r\n"
+    )?;
     let mut answer = String::new();
     BufReader::new(&socket).read_line(&mut answer)?;
     Ok(cell_of(&answer))
--- a/crates/lab/src/scale/run/policy.rs
+++ b/crates/lab/src/scale/run/policy.rs
@@ -10,7 +10,10 @@
 pub fn pinned(cells: usize, cell: usize) -> String {
     let mut text = format!("# change {cell}\n[cells]\nmoves_per_second = 100\n");
     for n in 0..cells {
-        text += &format!("[[cells.cell]]\nname = \"c{n}\"\nservers = [\"{}\"]\n", backend(n));
+        text += &format!(
+            "[[cells.cell]]\nname = \"c{n}\"\nservers = [\"{}\"]\n",
+            backend(n)
+        );
     }
     text + &format!("[[cells.site]]\nkey = \"1\"\ncell = \"c{cell}\"\n")
 }
--- a/crates/lab/src/scale_cli.rs
+++ b/crates/lab/src/scale_cli.rs
@@ -151,7 +151,13 @@
 }
 
 fn run_fit(fit: &Fit) -> Result<bool, Failure> {
-    let refuse = |option, what: &str| Err(ScaleError::Option { option, what: what.into() }.into());
+    let refuse = |option, what: &str| {
+        Err(ScaleError::Option {
+            option,
+            what: what.into(),
+        }
+        .into())
+    };
     if fit.files.is_empty() {
         return refuse("FILE", "at least one file with results is wanted");
     }
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -24,8 +24,13 @@
 }
 
 /// The bounds of a stand-in, wider than those of any relay.
-const BOUNDS: Bounds =
-    Bounds { header: 64 << 10, stanza: 32 << 20, depth: 512, attributes: 512, token: 1 << 20 };
+const BOUNDS: Bounds = Bounds {
+    header: 64 << 10,
+    stanza: 32 << 20,
+    depth: 512,
+    attributes: 512,
+    token: 1 << 20,
+};
 
 fn other(e: impl std::fmt::Display) -> io::Error {
     io::Error::other(e.to_string())
@@ -36,7 +41,13 @@
     pub fn new(socket: TcpStream) -> Stream {
         let _ = socket.set_nodelay(true);
         let framer = Framer::new(BOUNDS, true);
-        Stream { inner: Some(Inner::Plain(socket)), framer, held: Vec::new(), framed: 0, began: 0 }
+        Stream {
+            inner: Some(Inner::Plain(socket)),
+            framer,
+            held: Vec::new(),
+            framed: 0,
+            began: 0,
+        }
     }
 
     /// The socket below.
@@ -112,7 +123,10 @@
         let mut piece = [0; 16 * 1024];
         loop {
             while self.framed < self.held.len() {
-                let (n, unit) = self.framer.feed(&self.held[self.framed..]).map_err(|c| other(c.name()))?;
+                let (n, unit) = self
+                    .framer
+                    .feed(&self.held[self.framed..])
+                    .map_err(|c| other(c.name()))?;
                 self.framed += n;
                 let Some(unit) = unit else { break };
                 let bytes = self.held[self.began..self.framed].to_vec();
