--- a/src/bin/jaspermoor-simhost.rs
+++ b/src/bin/jaspermoor-simhost.rs
@@ -63,7 +63,9 @@
             }
             Err(panic) => {
                 let text = panic.downcast_ref::<String>().map(String::as_str);
-                let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("no text");
+                let text = text
+                    .or(panic.downcast_ref::<&str>().copied())
+                    .unwrap_or("no text");
                 self.instances.remove(&id);
                 reply.give_in(id, &format!("the decision module panicked: {text}"));
             }
@@ -105,9 +107,11 @@
         // Grows with what arrives, never with what a header claims.
         let got = input.by_ref().take(rest as u64).read_to_end(&mut frame)?;
         if got < rest {
-            return Err(
-                format!("malformed frame at byte {}: the input ends, {rest} expected", got + 8).into()
-            );
+            return Err(format!(
+                "malformed frame at byte {}: the input ends, {rest} expected",
+                got + 8
+            )
+            .into());
         }
         output.write_all(&host.batch(&frame)?)?;
         output.flush()?;
@@ -116,7 +120,9 @@
 
 fn main() -> ExitCode {
     // The text of a panic goes out as the instance's own report.
-    std::panic::set_hook(Box::new(|info| eprintln!("{}", info.to_string().replace('\n', ": "))));
+    std::panic::set_hook(Box::new(|info| {
+        eprintln!("{}", info.to_string().replace('\n', ": "))
+    }));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -31,14 +31,20 @@
 impl Default for Cells {
     /// One cell.
     fn default() -> Self {
-        Cells { map: Arc::default(), retry_after: SECOND, move_pause: SECOND / 5 }
+        Cells {
+            map: Arc::default(),
+            retry_after: SECOND,
+            move_pause: SECOND / 5,
+        }
     }
 }
 
 impl Cells {
     /// What `[cells]` sets, checked; one cell where the file does not have it.
     pub fn of(file: &OperatorFile) -> Result<Cells, OperatorError> {
-        let Some(c) = &file.operator.cells else { return Ok(Cells::default()) };
+        let Some(c) = &file.operator.cells else {
+            return Ok(Cells::default());
+        };
         let map = Arc::new(CellMap::of(file, c)?);
         if !(1..=FASTEST).contains(&c.moves_per_second) {
             let what = format!("is {}, outside 1 to {FASTEST}", c.moves_per_second);
@@ -48,7 +54,14 @@
             let what = format!("is {}, more than {LONGEST_WAIT}", c.retry_after_ms);
             return Err(file.error("cells.retry_after_ms", what));
         }
-        let (retry_after, move_pause) = (c.retry_after_ms * 1_000, SECOND / Micros::from(c.moves_per_second));
-        Ok(Cells { map, retry_after, move_pause })
+        let (retry_after, move_pause) = (
+            c.retry_after_ms * 1_000,
+            SECOND / Micros::from(c.moves_per_second),
+        );
+        Ok(Cells {
+            map,
+            retry_after,
+            move_pause,
+        })
     }
 }
--- a/src/cli/cells.rs
+++ b/src/cli/cells.rs
@@ -63,8 +63,11 @@
         ("BALANCER_CONFIG", Some(path)) => Some(path.clone()),
         _ => env(key),
     })?;
-    let members: Vec<(String, Member)> =
-        config.known.iter().map(|(endpoint, member)| (endpoint.name.clone(), member.clone())).collect();
+    let members: Vec<(String, Member)> = config
+        .known
+        .iter()
+        .map(|(endpoint, member)| (endpoint.name.clone(), member.clone()))
+        .collect();
     let map = cells(&asked.operator)?.map;
     let lines = match asked.what {
         What::Show(_) => map.show(&members),
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -36,20 +36,33 @@
         config.known.len(),
         config.classes.names().len()
     );
-    let Some(path) = check.operator else { return Ok(()) };
+    let Some(path) = check.operator else {
+        return Ok(());
+    };
     let file = OperatorFile::load(&path)?;
     let map = Cells::of(&file)?.map;
     if !map.is_empty() {
         println!("{}: {} cells", path.display(), map.len());
     }
     match Xmpp::of(&file, &config)? {
-        Some(xmpp) => println!("{}: XMPP for {}", path.display(), xmpp.terms.domains.join(", ")),
+        Some(xmpp) => println!(
+            "{}: XMPP for {}",
+            path.display(),
+            xmpp.terms.domains.join(", ")
+        ),
         None => println!("{}: opens no XMPP", path.display()),
     }
     policy::tuning(&file)?;
     if let Some(setup) = Setup::of(&file)? {
-        let vote = setup.fleet.voter.map_or("without a vote".into(), |n| format!("as voter {n}"));
-        println!("{}: in the fleet '{}' {vote}", path.display(), setup.fleet.id);
+        let vote = setup
+            .fleet
+            .voter
+            .map_or("without a vote".into(), |n| format!("as voter {n}"));
+        println!(
+            "{}: in the fleet '{}' {vote}",
+            path.display(),
+            setup.fleet.id
+        );
     }
     Ok(())
 }
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -104,15 +104,23 @@
 /// Runs it.
 pub fn run(asked: FleetOf) -> Result<(), Failure> {
     let file = OperatorFile::load(&asked.operator)?;
-    let Some(setup) = Setup::of(&file)? else { return Err(file.error("fleet", "is missing").into()) };
+    let Some(setup) = Setup::of(&file)? else {
+        return Err(file.error("fleet", "is missing").into());
+    };
     let voter = || {
         setup.fleet.voter.ok_or_else(|| {
-            file.error("fleet.voter", "is missing: a relay without a vote needs no ledger made")
+            file.error(
+                "fleet.voter",
+                "is missing: a relay without a vote needs no ledger made",
+            )
         })
     };
     let made = |voter: u64| {
         let place = setup.directory.display();
-        println!("voter {voter} of the fleet '{}' has its ledger in {place}", setup.fleet.id);
+        println!(
+            "voter {voter} of the fleet '{}' has its ledger in {place}",
+            setup.fleet.id
+        );
     };
     let mut incarnation = [0; 8];
     incarnation.copy_from_slice(&random_number()[..8]);
@@ -122,7 +130,12 @@
     match asked.what {
         What::Init(_) => {
             let voter = voter()?;
-            Ledger::found(&setup.directory, &setup.owner(), &setup.numbers(), incarnation)?;
+            Ledger::found(
+                &setup.directory,
+                &setup.owner(),
+                &setup.numbers(),
+                incarnation,
+            )?;
             made(voter);
         }
         What::Join(_) => {
@@ -140,7 +153,11 @@
         What::Release(release) => release.run(&mut voters, asked.json)?,
         What::Voters(_) => list(&mut voters, asked.json)?,
         What::Add(add) => change(&mut voters, add_of(add.number, add.address), asked.json)?,
-        What::Remove(remove) => change(&mut voters, |_| Ok(Change::Remove(remove.number)), asked.json)?,
+        What::Remove(remove) => change(
+            &mut voters,
+            |_| Ok(Change::Remove(remove.number)),
+            asked.json,
+        )?,
         What::Replace(replace) => {
             change(&mut voters, add_of(replace.by, replace.address), asked.json)?;
             change(&mut voters, |_| Ok(Change::Remove(replace.old)), asked.json)?;
@@ -198,14 +215,18 @@
         }
         if Instant::now() >= voters.until {
             let remedy = "the same call goes on with it, 'fleet voters' shows how far it is";
-            return Err(
-                format!("voter {number}: the time to wait is up, and at last {said}; {remedy}").into()
-            );
+            return Err(format!(
+                "voter {number}: the time to wait is up, and at last {said}; {remedy}"
+            )
+            .into());
         }
         std::thread::sleep(LOOK);
     }
     if json {
-        println!("{}", json_object(&[("voter", number.to_string()), ("state", what.into())]));
+        println!(
+            "{}",
+            json_object(&[("voter", number.to_string()), ("state", what.into())])
+        );
     } else {
         println!("voter {number} {what}");
     }
@@ -215,14 +236,24 @@
 fn list(voters: &mut Voters, json: bool) -> Result<(), Failure> {
     let status = voters.status()?;
     for (number, active, behind) in &status.membership {
-        let seat = status.state.membership.of.get(number).cloned().unwrap_or_default();
+        let seat = status
+            .state
+            .membership
+            .of
+            .get(number)
+            .cloned()
+            .unwrap_or_default();
         let state = match (*number == status.leader, seat.votes, active) {
             (true, ..) => "leads",
             (_, _, false) => "does not answer",
             (_, true, true) => "votes",
             (_, false, true) => "learns the log",
         };
-        let address = if seat.address.is_empty() { "as in the operator file" } else { &seat.address };
+        let address = if seat.address.is_empty() {
+            "as in the operator file"
+        } else {
+            &seat.address
+        };
         if json {
             let fields = [
                 ("voter", number.to_string()),
@@ -236,7 +267,10 @@
         }
     }
     if !json {
-        println!("the next number to give is {}", status.state.membership.highest + 1);
+        println!(
+            "the next number to give is {}",
+            status.state.membership.highest + 1
+        );
     }
     Ok(())
 }
--- a/src/cli/jobs.rs
+++ b/src/cli/jobs.rs
@@ -58,7 +58,12 @@
     /// Runs it.
     pub fn run(self, voters: &mut Voters, json: bool) -> Result<(), Failure> {
         let status = voters.status()?;
-        status.state.jobs.of.iter().for_each(|(name, job)| show(name, job, &status, json));
+        status
+            .state
+            .jobs
+            .of
+            .iter()
+            .for_each(|(name, job)| show(name, job, &status, json));
         if status.state.jobs.of.is_empty() && !json {
             println!(
                 "the fleet has no jobs: [fleet.jobs] in the relays' operator files says which there are"
@@ -82,14 +87,24 @@
     pub fn run(self, voters: &mut Voters, json: bool) -> Result<(), Failure> {
         let status = voters.status()?;
         let job = known(&status, &self.name)?;
-        let (token, had) = (job.token, job.owner.as_ref().map(|owner| owner.name.clone()));
+        let (token, had) = (
+            job.token,
+            job.owner.as_ref().map(|owner| owner.name.clone()),
+        );
         if job.held {
-            return Err(format!("{} is held: 'fleet release {}' first", self.name, self.name).into());
+            return Err(
+                format!("{} is held: 'fleet release {}' first", self.name, self.name).into(),
+            );
         }
         if had.is_some() {
-            deal(voters, Assignment::Revoke(vec![(self.name.clone(), token, BY_HAND.into())]))?;
+            deal(
+                voters,
+                Assignment::Revoke(vec![(self.name.clone(), token, BY_HAND.into())]),
+            )?;
         }
-        await_job(voters, &self.name, json, |job| job.token > token && job.owner.is_some())
+        await_job(voters, &self.name, json, |job| {
+            job.token > token && job.owner.is_some()
+        })
     }
 }
 
@@ -98,7 +113,9 @@
     pub fn run(self, voters: &mut Voters, json: bool) -> Result<(), Failure> {
         known(&voters.status()?, &self.name)?;
         deal(voters, Assignment::Hold(self.name.clone(), true))?;
-        await_job(voters, &self.name, json, |job| job.held && job.owner.is_none())
+        await_job(voters, &self.name, json, |job| {
+            job.held && job.owner.is_none()
+        })
     }
 }
 
@@ -107,7 +124,9 @@
     pub fn run(self, voters: &mut Voters, json: bool) -> Result<(), Failure> {
         known(&voters.status()?, &self.name)?;
         deal(voters, Assignment::Hold(self.name.clone(), false))?;
-        await_job(voters, &self.name, json, |job| !job.held && job.owner.is_some())
+        await_job(voters, &self.name, json, |job| {
+            !job.held && job.owner.is_some()
+        })
     }
 }
 
@@ -115,13 +134,21 @@
     let jobs = &status.state.jobs.of;
     jobs.get(name).ok_or_else(|| {
         let names: Vec<&str> = jobs.keys().map(String::as_str).collect();
-        let there = if names.is_empty() { "there is none".into() } else { names.join(", ") };
+        let there = if names.is_empty() {
+            "there is none".into()
+        } else {
+            names.join(", ")
+        };
         format!("there is no job '{name}'; the fleet's jobs: {there}").into()
     })
 }
 
 fn why(name: &str, status: &Status) -> Option<String> {
-    status.idle.iter().find(|(of, _)| of == name).map(|(_, why)| why.clone())
+    status
+        .idle
+        .iter()
+        .find(|(of, _)| of == name)
+        .map(|(_, why)| why.clone())
 }
 
 fn show(name: &str, job: &Job, status: &Status, json: bool) {
@@ -139,8 +166,15 @@
         return println!("{}", json_object(&fields));
     }
     let owner = if owner.is_empty() { "nobody" } else { owner };
-    let why = if why.is_empty() { why } else { format!("  {why}") };
-    println!("{name:<24} {owner:<20} token {:<6} step {:<6}{why}", job.token, job.step);
+    let why = if why.is_empty() {
+        why
+    } else {
+        format!("  {why}")
+    };
+    println!(
+        "{name:<24} {owner:<20} token {:<6} step {:<6}{why}",
+        job.token, job.step
+    );
 }
 
 /// Hands it to the log, and asks until it is there.
--- a/src/cli/policy.rs
+++ b/src/cli/policy.rs
@@ -123,7 +123,9 @@
             format!("unknown whether it takes hold: {why}; {remedy}").into()
         };
         if Instant::now() >= voters.until {
-            return Err(unknown(&format!("the time to wait is up, and at last {said}")));
+            return Err(unknown(&format!(
+                "the time to wait is up, and at last {said}"
+            )));
         }
         match voters.ask(&ask).map_err(|e| unknown(&e.to_string()))? {
             Answer::Outcome(outcome) => return report(id, &outcome, json),
@@ -159,10 +161,20 @@
     let (word, text) = match outcome {
         Outcome::InForce(epoch) => ("in-force", format!("in force, epoch {epoch}")),
         Outcome::Refused(by, why) => ("refused", format!("refused by {by}: {why}")),
-        Outcome::GivenUp(relays) => ("given-up", format!("given up; no answer of {}", relays.join(", "))),
+        Outcome::GivenUp(relays) => (
+            "given-up",
+            format!("given up; no answer of {}", relays.join(", ")),
+        ),
     };
     if json {
-        println!("{}", json_object(&[("id", name(id)), ("outcome", word.into()), ("text", text.clone())]));
+        println!(
+            "{}",
+            json_object(&[
+                ("id", name(id)),
+                ("outcome", word.into()),
+                ("text", text.clone())
+            ])
+        );
     } else if word == "in-force" {
         println!("{}: {text}", name(id));
     }
@@ -175,19 +187,24 @@
 
 pub(super) fn json_object(fields: &[(&str, String)]) -> String {
     let quoted = |text: &str| simd_json::to_string(&text).unwrap_or_default();
-    let fields: Vec<String> =
-        fields.iter().map(|(key, value)| format!("{}:{}", quoted(key), quoted(value))).collect();
+    let fields: Vec<String> = fields
+        .iter()
+        .map(|(key, value)| format!("{}:{}", quoted(key), quoted(value)))
+        .collect();
     format!("{{{}}}", fields.join(","))
 }
 
 fn line(policy: &Policy) -> String {
     let digest = policy::digest(&policy.text);
-    format!("epoch {:<4} {digest}  {:<12} {}", policy.epoch, policy.who, policy.why)
+    format!(
+        "epoch {:<4} {digest}  {:<12} {}",
+        policy.epoch, policy.who, policy.why
+    )
 }
 
 fn load(file: &PathBuf) -> Result<String, Failure> {
-    let text =
-        std::fs::read_to_string(file).map_err(|e| format!("{}: cannot be read: {e}", file.display()))?;
+    let text = std::fs::read_to_string(file)
+        .map_err(|e| format!("{}: cannot be read: {e}", file.display()))?;
     policy::read(file, &text)?;
     Ok(text)
 }
@@ -196,23 +213,40 @@
 pub fn run(asked: PolicyOf) -> Result<(), Failure> {
     if let What::Check(check) = &asked.what {
         load(&check.file)?;
-        println!("{}: a policy that this build understands", check.file.display());
+        println!(
+            "{}: a policy that this build understands",
+            check.file.display()
+        );
         return Ok(());
     }
     let file = OperatorFile::load(&asked.operator)?;
     let Some(setup) = Setup::of(&file)? else {
-        return Err(file.error("fleet", "is missing: this relay is in no fleet").into());
+        return Err(file
+            .error("fleet", "is missing: this relay is in no fleet")
+            .into());
     };
     let mut voters = Voters::new(setup, Duration::from_secs(asked.wait));
-    let made =
-        |text: String, who: Option<String>, why: String, base: u64, id: Option<&str>| -> Result<_, Failure> {
-            let id = match id {
-                Some(id) => read_name(id)?,
-                None => ProposalId::from_be_bytes(random_number()),
-            };
-            let who = who.or_else(|| super::env("USER")).unwrap_or_else(|| "unknown".into());
-            Ok(Proposal { id, base, text, who, why })
+    let made = |text: String,
+                who: Option<String>,
+                why: String,
+                base: u64,
+                id: Option<&str>|
+     -> Result<_, Failure> {
+        let id = match id {
+            Some(id) => read_name(id)?,
+            None => ProposalId::from_be_bytes(random_number()),
         };
+        let who = who
+            .or_else(|| super::env("USER"))
+            .unwrap_or_else(|| "unknown".into());
+        Ok(Proposal {
+            id,
+            base,
+            text,
+            who,
+            why,
+        })
+    };
     match asked.what {
         What::Check(_) => Ok(()),
         What::Diff(diff) => {
@@ -229,8 +263,12 @@
         What::Rollback(r) => {
             let state = voters.status()?.state;
             let old = state.history.iter().find(|policy| policy.epoch == r.epoch);
-            let old =
-                old.ok_or_else(|| format!("epoch {} is not in the history; see 'policy history'", r.epoch))?;
+            let old = old.ok_or_else(|| {
+                format!(
+                    "epoch {} is not in the history; see 'policy history'",
+                    r.epoch
+                )
+            })?;
             let why = format!("back to epoch {}: {}", r.epoch, r.why);
             let proposal = made(old.text.clone(), None, why, state.policy.epoch, None)?;
             propose(&mut voters, proposal, asked.json)
@@ -240,7 +278,11 @@
             match voters.ask(&Ask::Outcome(id))? {
                 Answer::Outcome(outcome) => report(id, &outcome, asked.json),
                 Answer::UnderWay(step, relays) => {
-                    println!("{}: under way, {step}; waited for: {}", name(id), relays.join(", "));
+                    println!(
+                        "{}: under way, {step}; waited for: {}",
+                        name(id),
+                        relays.join(", ")
+                    );
                     Ok(())
                 }
                 _ => Err(format!(
@@ -252,7 +294,11 @@
         }
         What::History(_) => {
             let state = voters.status()?.state;
-            state.history.iter().chain([&state.policy]).for_each(|policy| println!("{}", line(policy)));
+            state
+                .history
+                .iter()
+                .chain([&state.policy])
+                .for_each(|policy| println!("{}", line(policy)));
             Ok(())
         }
         What::Status(_) => {
@@ -277,10 +323,18 @@
             match &status.state.phase {
                 Phase::Rest => println!("no change under way"),
                 Phase::Preparing(p) => {
-                    println!("under way: {} by {}: each relay checks and stores it", name(p.id), p.who)
+                    println!(
+                        "under way: {} by {}: each relay checks and stores it",
+                        name(p.id),
+                        p.who
+                    )
                 }
                 Phase::Sealed(p) => {
-                    println!("under way: {} by {}: waits until no lease runs", name(p.id), p.who)
+                    println!(
+                        "under way: {} by {}: waits until no lease runs",
+                        name(p.id),
+                        p.who
+                    )
                 }
             }
             println!("voter {} leads in term {}", status.leader, status.term);
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -56,21 +56,32 @@
     // Before all else: a signal that comes during the start must neither end the program nor be missed.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let mut config = Config::load(&env)?;
-    let operator = serve.operator.as_deref().map(OperatorFile::load).transpose()?;
+    let operator = serve
+        .operator
+        .as_deref()
+        .map(OperatorFile::load)
+        .transpose()?;
     let xmpp = match &operator {
         Some(file) => Xmpp::of(file, &config)?,
         None => None,
     };
-    let cells = operator.as_ref().map(Cells::of).transpose()?.unwrap_or_default();
+    let cells = operator
+        .as_ref()
+        .map(Cells::of)
+        .transpose()?
+        .unwrap_or_default();
     let listener = match config.accept_fd {
-        Some(fd) => {
-            Listener::inherit(fd).map_err(|e| format!("BALANCER_ACCEPT_FD: cannot listen on {fd}: {e}"))?
-        }
+        Some(fd) => Listener::inherit(fd)
+            .map_err(|e| format!("BALANCER_ACCEPT_FD: cannot listen on {fd}: {e}"))?,
         None => Listener::open(config.listen)
             .map_err(|e| format!("listen: cannot listen on {}: {e}", config.listen))?,
     };
     let (address, listener) = (listener.addr()?, Arc::new(listener));
-    let upkeep = if config.settings.list_on_request { Upkeep::Asked } else { Upkeep::Standing };
+    let upkeep = if config.settings.list_on_request {
+        Upkeep::Asked
+    } else {
+        Upkeep::Standing
+    };
     let source = Source::new(config.discovery, upkeep);
     let orders = source.clone();
     let watch = Box::new(move |on| orders.order(on));
@@ -80,20 +91,41 @@
     for problem in &config.known_problems {
         log(&format!("known: an entry was left out: {problem}"));
     }
-    let cached: Vec<Member> = config.known.iter().map(|(_, member)| member.clone()).collect();
-    let decisions = Decisions::new(config.settings.clone(), config.seed, cached, Orders { watch, probe });
+    let cached: Vec<Member> = config
+        .known
+        .iter()
+        .map(|(_, member)| member.clone())
+        .collect();
+    let decisions = Decisions::new(
+        config.settings.clone(),
+        config.seed,
+        cached,
+        Orders { watch, probe },
+    );
     // Before the first request: no site is placed by another map.
-    let tuning = operator.as_ref().map(policy::tuning).transpose()?.unwrap_or_default();
+    let tuning = operator
+        .as_ref()
+        .map(policy::tuning)
+        .transpose()?
+        .unwrap_or_default();
     decisions.policy(cells.clone(), tuning);
     let mut fleet = match operator.as_ref().map(Setup::of).transpose()?.flatten() {
         // Before the first client: until it has a lease nobody is admitted.
-        Some(setup) => Some(Fleet::open(setup, &config.name, Rules { cells, tuning }, decisions.clone())?),
+        Some(setup) => Some(Fleet::open(
+            setup,
+            &config.name,
+            Rules { cells, tuning },
+            decisions.clone(),
+        )?),
         None => None,
     };
     let core = Core::new(&config, decisions, directory);
     core.adopt_xmpp(xmpp);
     let mut engine = Engine::new(core.clone(), config.names.clone(), probe_orders)?;
-    let jobs = operator.as_ref().and_then(|file| file.operator.fleet.as_ref()).map(|fleet| fleet.jobs);
+    let jobs = operator
+        .as_ref()
+        .and_then(|file| file.operator.fleet.as_ref())
+        .map(|fleet| fleet.jobs);
     if let (Some(fleet), Some(jobs)) = (&mut fleet, jobs) {
         let book = Arc::new(LoadBook::default());
         if jobs.load_watch {
@@ -112,18 +144,32 @@
     engine.open(listener.clone(), Speaks::Line)?;
     if let (true, Some(dir)) = (listener.held, &config.shared) {
         if let Err(e) = engine.share(dir.clone()) {
-            log(&format!("takeover: connections of an older process cannot be taken over: {e}"));
+            log(&format!(
+                "takeover: connections of an older process cannot be taken over: {e}"
+            ));
         }
     }
-    if let Some(x) = operator.as_ref().and_then(|file| file.operator.xmpp.as_ref()) {
-        for (key, addr, speaks) in
-            [("listen", x.listen, Speaks::Xmpp), ("listen_tls", x.listen_tls, Speaks::XmppTls)]
-        {
+    if let Some(x) = operator
+        .as_ref()
+        .and_then(|file| file.operator.xmpp.as_ref())
+    {
+        for (key, addr, speaks) in [
+            ("listen", x.listen, Speaks::Xmpp),
+            ("listen_tls", x.listen_tls, Speaks::XmppTls),
+        ] {
             let Some(addr) = addr else { continue };
             let listener = Listener::open_beside(addr)
                 .map_err(|e| format!("xmpp.{key}: cannot listen on {addr}: {e}"))?;
-            let under = if speaks == Speaks::Xmpp { "STARTTLS" } else { "TLS" };
-            log(&format!("{}: speaks XMPP under {under} on {}", config.name, listener.addr()?));
+            let under = if speaks == Speaks::Xmpp {
+                "STARTTLS"
+            } else {
+                "TLS"
+            };
+            log(&format!(
+                "{}: speaks XMPP under {under} on {}",
+                config.name,
+                listener.addr()?
+            ));
             engine.open(Arc::new(listener), speaks)?;
         }
     }
@@ -154,7 +200,11 @@
         };
         let admin = Admin::open(addr, staffed, Bans::new(config.shared.clone()))
             .map_err(|e| format!("admin: cannot listen on {addr}: {e}"))?;
-        log(&format!("{}: answers staff on {}", config.name, admin.addr()?));
+        log(&format!(
+            "{}: answers staff on {}",
+            config.name,
+            admin.addr()?
+        ));
         // Staff are answered within a second whatever the clients do, and bans are files.
         spawn("admin", STACK, move || admin.run())?;
     }
@@ -183,7 +233,10 @@
             // Its jobs first: others have them before it has gone.
             fleet_handle.iter().for_each(|fleet| fleet.stop());
             control.stop();
-            log(&format!("{}: signal {signal}, moving the standing connections", config.name));
+            log(&format!(
+                "{}: signal {signal}, moving the standing connections",
+                config.name
+            ));
         }
     }
     if !stopping {
@@ -213,11 +266,15 @@
 fn reload(config: &mut Config, source: &Source, core: &Core, operator: Option<&OperatorFile>) {
     let read = || -> Result<_, Failure> {
         let (new, mut fixed) = config.reload(&env)?;
-        let Some(old) = operator else { return Ok((new, fixed, core.xmpp(), Rules::default())) };
+        let Some(old) = operator else {
+            return Ok((new, fixed, core.xmpp(), Rules::default()));
+        };
         let file = OperatorFile::load(old.path())?;
         let (was, now) = (&old.operator.xmpp, &file.operator.xmpp);
         let places = |x: &Option<jaspermoor::config::operator::Xmpp>| {
-            x.as_ref().map(|x| (x.listen, x.listen_tls)).unwrap_or_default()
+            x.as_ref()
+                .map(|x| (x.listen, x.listen_tls))
+                .unwrap_or_default()
         };
         if places(was) != places(now) {
             let what = "other addresses need a restart";
@@ -227,7 +284,10 @@
         if old.operator.fleet != file.operator.fleet {
             fixed.push("fleet");
         }
-        let rules = Rules { cells: Cells::of(&file)?, tuning: policy::tuning(&file)? };
+        let rules = Rules {
+            cells: Cells::of(&file)?,
+            tuning: policy::tuning(&file)?,
+        };
         Ok((new, fixed, xmpp, rules))
     };
     let (new, fixed, xmpp, Rules { cells, tuning }) = match read() {
@@ -238,7 +298,10 @@
         }
     };
     for key in fixed {
-        log(&format!("{}: reload: {key}: a new value needs a restart", config.name));
+        log(&format!(
+            "{}: reload: {key}: a new value needs a restart",
+            config.name
+        ));
     }
     core.adopt_settings(&new);
     core.adopt_xmpp(xmpp);
@@ -252,7 +315,13 @@
         core.decisions.members(ListKind::Moved, Vec::new());
     }
     core.metrics.loads.fetch_add(1, Relaxed);
-    let (name, at, classes) = (&config.name, config.discovery, config.classes.names().join(" "));
+    let (name, at, classes) = (
+        &config.name,
+        config.discovery,
+        config.classes.names().join(" "),
+    );
     let news = if moved { "now" } else { "still" };
-    log(&format!("{name}: reload: discovery is {news} at {at}, classes {classes}"));
+    log(&format!(
+        "{name}: reload: discovery is {news} at {at}, classes {classes}"
+    ));
 }
--- a/src/cli/voters.rs
+++ b/src/cli/voters.rs
@@ -27,8 +27,18 @@
 impl Voters {
     /// Those of the operator file, waited for so long in all.
     pub fn new(setup: Setup, wait: Duration) -> Voters {
-        let known = setup.fleet.voters.iter().map(|voter| (voter.number, voter.address)).collect();
-        Voters { setup, until: Instant::now() + wait, known, at: 0 }
+        let known = setup
+            .fleet
+            .voters
+            .iter()
+            .map(|voter| (voter.number, voter.address))
+            .collect();
+        Voters {
+            setup,
+            until: Instant::now() + wait,
+            known,
+            at: 0,
+        }
     }
 
     /// What the leader answers.
@@ -43,7 +53,8 @@
                         self.at = self.place(leader, &address).unwrap_or(self.at + 1);
                     }
                     Ok(Answer::Elsewhere(None)) => {
-                        last = "no voter leads: a majority of them must be up and reach each other".into();
+                        last = "no voter leads: a majority of them must be up and reach each other"
+                            .into();
                         self.at += 1;
                     }
                     Ok(answer) => return Ok(answer),
@@ -72,7 +83,12 @@
         let mut socket = TcpStream::connect_timeout(&addr, ANSWER)?;
         socket.set_read_timeout(Some(ANSWER))?;
         socket.set_write_timeout(Some(ANSWER))?;
-        let mut session = Session::new(true, self.setup.keys.clone(), self.setup.id(), random_number());
+        let mut session = Session::new(
+            true,
+            self.setup.keys.clone(),
+            self.setup.id(),
+            random_number(),
+        );
         socket.write_all(session.out())?;
         session.out().clear();
         let (mut piece, mut asked, end) = (vec![0; 64 * 1024], false, Instant::now() + ANSWER);
@@ -81,7 +97,9 @@
             if n == 0 || Instant::now() > end {
                 return Err("it ended the connection: compare fleet.id and fleet.keys".into());
             }
-            let messages = session.feed(&piece[..n]).map_err(|fault| fault.to_string())?;
+            let messages = session
+                .feed(&piece[..n])
+                .map_err(|fault| fault.to_string())?;
             for message in messages {
                 if let Some(Message::Answer(1, answer)) = Message::decode(&message) {
                     return Ok(answer);
--- a/src/config/policy.rs
+++ b/src/config/policy.rs
@@ -26,7 +26,10 @@
         let key = format!("parameters.{name}");
         if !Tuning::NAMES.contains(&name.as_str()) || of_a_later_build(name) {
             let known = Tuning::NAMES.join(", ");
-            return Err(file.error(&key, format!("no parameter has this name; there are {known}")));
+            return Err(file.error(
+                &key,
+                format!("no parameter has this name; there are {known}"),
+            ));
         }
         if !tuning.set(name, *value) {
             return Err(file.error(&key, format!("cannot be {value}")));
@@ -49,12 +52,21 @@
 /// Reads a policy's text; `path` is what errors call it.
 pub fn read(path: &Path, text: &str) -> Result<Rules, OperatorError> {
     let file = OperatorFile::parse(path, text.to_string())?;
-    for (key, there) in [("xmpp", file.operator.xmpp.is_some()), ("fleet", file.operator.fleet.is_some())] {
+    for (key, there) in [
+        ("xmpp", file.operator.xmpp.is_some()),
+        ("fleet", file.operator.fleet.is_some()),
+    ] {
         if there {
-            return Err(file.error(key, "is each relay's own: a policy has [cells] and [parameters] only"));
+            return Err(file.error(
+                key,
+                "is each relay's own: a policy has [cells] and [parameters] only",
+            ));
         }
     }
-    Ok(Rules { cells: Cells::of(&file)?, tuning: tuning(&file)? })
+    Ok(Rules {
+        cells: Cells::of(&file)?,
+        tuning: tuning(&file)?,
+    })
 }
 
 /// A short name of a text, to compare by eye.
@@ -67,9 +79,19 @@
     let (old, new): (Vec<&str>, Vec<&str>) = (old.lines().collect(), new.lines().collect());
     let same = old.iter().zip(&new).take_while(|(a, b)| a == b).count();
     let most = old.len().min(new.len()) - same;
-    let tail = old.iter().rev().zip(new.iter().rev()).take(most).take_while(|(a, b)| a == b).count();
-    let gone = old[same..old.len() - tail].iter().map(|line| format!("- {line}"));
-    let come = new[same..new.len() - tail].iter().map(|line| format!("+ {line}"));
+    let tail = old
+        .iter()
+        .rev()
+        .zip(new.iter().rev())
+        .take(most)
+        .take_while(|(a, b)| a == b)
+        .count();
+    let gone = old[same..old.len() - tail]
+        .iter()
+        .map(|line| format!("- {line}"));
+    let come = new[same..new.len() - tail]
+        .iter()
+        .map(|line| format!("+ {line}"));
     gone.chain(come).collect()
 }
 
@@ -83,9 +105,18 @@
         let rules = read("[parameters]\nepsilon = 1.5\n[[cells.cell]]\nname = 'a'\n").unwrap();
         assert_eq!((rules.tuning.epsilon, rules.cells.map.len()), (1.5, 1));
         for (text, says) in [
-            ("[parameters]\nepsilom = 1", "p.toml:2: parameters.epsilom: no parameter"),
-            ("[parameters]\njumps = -1", "p.toml:2: parameters.jumps: cannot be -1"),
-            ("[fleet]\nid='f'\ndirectory='d'\nkeys='k'\nvoters=[]", "p.toml:1: fleet: is each relay's own"),
+            (
+                "[parameters]\nepsilom = 1",
+                "p.toml:2: parameters.epsilom: no parameter",
+            ),
+            (
+                "[parameters]\njumps = -1",
+                "p.toml:2: parameters.jumps: cannot be -1",
+            ),
+            (
+                "[fleet]\nid='f'\ndirectory='d'\nkeys='k'\nvoters=[]",
+                "p.toml:1: fleet: is each relay's own",
+            ),
             ("[of_a_later_build]", "unknown field `of_a_later_build`"),
         ] {
             let e = read(text).unwrap_err().to_string();
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -3,8 +3,8 @@
 //! protocol today) sees neither events nor actions, and nothing here knows what that is.
 
 use crate::api::{
-    Action, Event, ListKind, Member, MemberState, Micros, Outcome, Request, RequestId, ServerId, Settings,
-    SECOND,
+    Action, Event, ListKind, Member, MemberState, Micros, Outcome, Request, RequestId, ServerId,
+    Settings, SECOND,
 };
 use crate::cells::{Cells, Placed};
 use crate::logic::{Balancer, Tuning};
@@ -166,10 +166,16 @@
 impl Decisions {
     /// Decisions with these settings; `cached` is the list as last known.
     pub fn new(settings: Settings, seed: u64, cached: Vec<Member>, orders: Orders) -> Arc<Self> {
-        let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let epoch = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let decisions = Arc::new(Decisions {
             inner: Mutex::new(Inner {
-                parts: vec![Part::new(Cells::default().map.name(0), settings.clone(), seed)],
+                parts: vec![Part::new(
+                    Cells::default().map.name(0),
+                    settings.clone(),
+                    seed,
+                )],
                 by_cell: vec![0],
                 cells: Cells::default(),
                 seed,
@@ -230,7 +236,10 @@
     pub fn policy(&self, cells: Cells, tuning: Tuning) {
         self.act(self.lock(), |inner, now, calls| {
             inner.tuning = tuning;
-            inner.parts.iter_mut().for_each(|part| part.balancer.tune(tuning));
+            inner
+                .parts
+                .iter_mut()
+                .for_each(|part| part.balancer.tune(tuning));
             inner.adopt_cells(cells, now, calls);
         });
     }
@@ -241,11 +250,17 @@
 
     /// Feeds one event to a cell's balancer and carries out what it brings.
     fn feed(&self, inner: MutexGuard<'_, Inner>, at: usize, event: Event) {
-        self.act(inner, |inner, now, calls| inner.handle(at, now, event, calls));
+        self.act(inner, |inner, now, calls| {
+            inner.handle(at, now, event, calls)
+        });
     }
 
     /// Does something under the lock; calls to flows are made after it is free.
-    fn act(&self, mut inner: MutexGuard<'_, Inner>, what: impl FnOnce(&mut Inner, Micros, &mut Vec<Call>)) {
+    fn act(
+        &self,
+        mut inner: MutexGuard<'_, Inner>,
+        what: impl FnOnce(&mut Inner, Micros, &mut Vec<Call>),
+    ) {
         let mut calls = Vec::new();
         let now = self.now().max(inner.last);
         inner.last = now;
@@ -257,7 +272,11 @@
             self.sooner.notify_one();
         }
         drop(inner);
-        self.wake.get().filter(|_| sooner).iter().for_each(|wake| wake());
+        self.wake
+            .get()
+            .filter(|_| sooner)
+            .iter()
+            .for_each(|wake| wake());
         for call in calls {
             match call {
                 Call::Verdict(flow) => flow.verdict(),
@@ -270,16 +289,31 @@
 
     /// Takes a request (its id is given here) and blocks until it is known what to do with it. The
     /// id is handed to `taken` before the wait, so that the request can be called off meanwhile.
-    pub fn pick(&self, request: Request, flow: Arc<dyn Flow>, taken: impl FnOnce(RequestId)) -> Pick {
+    pub fn pick(
+        &self,
+        request: Request,
+        flow: Arc<dyn Flow>,
+        taken: impl FnOnce(RequestId),
+    ) -> Pick {
         let mut inner = self.lock();
-        let placed = if self.admits() { Some(inner.place(request.group)) } else { None };
+        let placed = if self.admits() {
+            Some(inner.place(request.group))
+        } else {
+            None
+        };
         let (at, borrowed) = match placed {
             Some(Placed::At(cell)) => (Some(inner.by_cell[cell]), false),
             Some(Placed::Borrowed(cell)) => (Some(inner.by_cell[cell]), true),
             Some(Placed::Refused) | None => (None, false),
         };
         let home = inner.by_cell[inner.cells.map.home(request.group).0];
-        let (id, verdicts) = inner.admit(flow, ServerId::default(), false, at.unwrap_or(home), &request);
+        let (id, verdicts) = inner.admit(
+            flow,
+            ServerId::default(),
+            false,
+            at.unwrap_or(home),
+            &request,
+        );
         taken(id);
         match at {
             Some(at) => {
@@ -291,7 +325,11 @@
             }
             // No balancer hears of it: its cell has nobody, or no lease runs.
             None => self.act(inner, |inner, _, calls| {
-                let wait = if placed.is_some() { inner.cells.retry_after } else { NO_LEASE_WAIT };
+                let wait = if placed.is_some() {
+                    inner.cells.retry_after
+                } else {
+                    NO_LEASE_WAIT
+                };
                 inner.finish(id, Verdict::Refuse(wait), calls);
             }),
         }
@@ -303,13 +341,19 @@
         let mut inner = self.lock();
         let at = inner.part_of(server);
         let (id, _) = inner.admit(flow, server, true, at, &request);
-        if inner.by_cell[inner.cells.map.home(request.group).0] != at && !inner.cells.map.is_empty() {
+        if inner.by_cell[inner.cells.map.home(request.group).0] != at && !inner.cells.map.is_empty()
+        {
             // Its site was being moved when another process had it: this one goes on with that.
             inner.moves.push_back(id);
         }
         self.act(inner, |inner, now, calls| {
             inner.next_move(now);
-            inner.handle(at, now, Event::Open(Request { id, ..request }, server), calls);
+            inner.handle(
+                at,
+                now,
+                Event::Open(Request { id, ..request }, server),
+                calls,
+            );
         });
         id
     }
@@ -318,7 +362,9 @@
     /// attempt must then be dropped.
     pub fn up(&self, id: RequestId, took: Micros) -> bool {
         let mut inner = self.lock();
-        let Some(entry) = inner.entries.get_mut(&id).filter(|e| !e.answered) else { return false };
+        let Some(entry) = inner.entries.get_mut(&id).filter(|e| !e.answered) else {
+            return false;
+        };
         entry.answered = true;
         let (server, at) = (entry.server, entry.at);
         inner.parts[at].figures.up += 1;
@@ -329,23 +375,49 @@
     /// Reports how an attempt ended that did not come up; its verdict follows on the pick.
     pub fn report(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
         let inner = self.lock();
-        let Some(entry) = inner.entries.get(&id) else { return };
+        let Some(entry) = inner.entries.get(&id) else {
+            return;
+        };
         let (server, last, at) = (entry.server, entry.answered, entry.at);
-        self.feed(inner, at, Event::Outcome { id, server, outcome, last, report });
+        self.feed(
+            inner,
+            at,
+            Event::Outcome {
+                id,
+                server,
+                outcome,
+                last,
+                report,
+            },
+        );
     }
 
     /// Reports the end of a connection that was up; nothing more follows.
     pub fn end(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
         let mut inner = self.lock();
-        let Some(entry) = inner.dismiss(id) else { return };
-        self.feed(inner, entry.at, Event::Outcome { id, server: entry.server, outcome, last: true, report });
+        let Some(entry) = inner.dismiss(id) else {
+            return;
+        };
+        self.feed(
+            inner,
+            entry.at,
+            Event::Outcome {
+                id,
+                server: entry.server,
+                outcome,
+                last: true,
+                report,
+            },
+        );
     }
 
     /// The client has left before its answer. Nothing more is owed; an attempt still out must be
     /// reported all the same.
     pub fn vanish(&self, id: RequestId) {
         let mut inner = self.lock();
-        let Some(entry) = inner.entries.get_mut(&id).filter(|e| !e.answered) else { return };
+        let Some(entry) = inner.entries.get_mut(&id).filter(|e| !e.answered) else {
+            return;
+        };
         entry.answered = true;
         let _ = entry.verdicts.try_send(Verdict::Gone);
         let (at, flow) = (entry.at, entry.flow.clone());
@@ -363,14 +435,20 @@
     /// A request's answer is owed by then, where it was owed later: this process stops.
     pub fn hurry(&self, id: RequestId, by: Micros) {
         let inner = self.lock();
-        let Some(at) = inner.entries.get(&id).filter(|e| !e.answered).map(|e| e.at) else { return };
+        let Some(at) = inner.entries.get(&id).filter(|e| !e.answered).map(|e| e.at) else {
+            return;
+        };
         self.feed(inner, at, Event::Hurry(id, by));
     }
 
     /// How many listed servers are avoided now.
     pub fn avoided(&self) -> usize {
         let now = self.now();
-        self.lock().parts.iter().map(|part| part.balancer.avoided(now)).sum()
+        self.lock()
+            .parts
+            .iter()
+            .map(|part| part.balancer.avoided(now))
+            .sum()
     }
 
     /// Forgets a request that has had its final verdict.
@@ -381,7 +459,9 @@
     /// Passes on news of an open connection.
     pub fn note(&self, id: RequestId, note: Note) {
         let inner = self.lock();
-        let Some(entry) = inner.entries.get(&id) else { return };
+        let Some(entry) = inner.entries.get(&id) else {
+            return;
+        };
         let at = entry.at;
         let event = match note {
             Note::Load(load) => Event::LoadNote(id, entry.server, load),
@@ -394,12 +474,22 @@
     pub fn probed(&self, server: ServerId, outcome: Outcome, report: Vec<f32>) {
         let inner = self.lock();
         let at = inner.part_of(server);
-        self.feed(inner, at, Event::Probed { server, outcome, report });
+        self.feed(
+            inner,
+            at,
+            Event::Probed {
+                server,
+                outcome,
+                report,
+            },
+        );
     }
 
     /// Passes on news of the fleet: to each cell those of its own servers.
     pub fn members(&self, kind: ListKind, members: Vec<Member>) {
-        self.act(self.lock(), |inner, now, calls| inner.list(kind, members, now, calls));
+        self.act(self.lock(), |inner, now, calls| {
+            inner.list(kind, members, now, calls)
+        });
     }
 
     /// New settings hold from now on.
@@ -428,7 +518,9 @@
     /// Other cells hold from now on. Servers that change theirs drain in the old one; connections whose site has
     /// another are moved little by little, each once.
     pub fn cells(&self, cells: Cells) {
-        self.act(self.lock(), |inner, now, calls| inner.adopt_cells(cells, now, calls));
+        self.act(self.lock(), |inner, now, calls| {
+            inner.adopt_cells(cells, now, calls)
+        });
     }
 
     /// From now on a connection is moved to its site's new cell only where the fleet has permitted one more.
@@ -449,21 +541,29 @@
     pub fn moving(&self) -> Option<(u64, u64, u64, u64)> {
         let inner = self.lock();
         let rate = SECOND / inner.cells.move_pause.max(1);
-        inner.permitted.map(|permitted| (inner.moves.len() as u64, inner.made, permitted, rate))
+        inner
+            .permitted
+            .map(|permitted| (inner.moves.len() as u64, inner.made, permitted, rate))
     }
 
     /// What is counted of each cell, and how many connections still wait to be moved to another one.
     pub fn cell_figures(&self) -> (Vec<CellFigures>, usize) {
         let mut inner = self.lock();
         inner.count_servers();
-        let figures = inner.by_cell.iter().map(|at| inner.parts[*at].figures.clone()).collect();
+        let figures = inner
+            .by_cell
+            .iter()
+            .map(|at| inner.parts[*at].figures.clone())
+            .collect();
         (figures, inner.moves.len())
     }
 
     /// Fires the timers that are due and sleeps until the next one, or until an earlier one is set.
     pub fn tick(&self) {
         let (inner, due) = self.fired();
-        let wait = due.map_or(IDLE, |at| Duration::from_micros(at.saturating_sub(self.now())).min(IDLE));
+        let wait = due.map_or(IDLE, |at| {
+            Duration::from_micros(at.saturating_sub(self.now())).min(IDLE)
+        });
         drop(self.sooner.wait_timeout(inner, wait));
     }
 
@@ -513,8 +613,15 @@
 
 impl Part {
     fn new(name: &str, settings: Settings, seed: u64) -> Part {
-        let figures = CellFigures { name: name.into(), ..CellFigures::default() };
-        Part { name: name.into(), balancer: Balancer::new(settings, seed), figures }
+        let figures = CellFigures {
+            name: name.into(),
+            ..CellFigures::default()
+        };
+        Part {
+            name: name.into(),
+            balancer: Balancer::new(settings, seed),
+            figures,
+        }
     }
 }
 
@@ -534,9 +641,23 @@
         }
         let id = RequestId(self.next_id);
         let borrowed = false;
-        let request = Request { id, ..request.clone() };
-        self.entries
-            .insert(id, Entry { at, request, borrowed, verdicts, flow, server, attempts: 0, answered });
+        let request = Request {
+            id,
+            ..request.clone()
+        };
+        self.entries.insert(
+            id,
+            Entry {
+                at,
+                request,
+                borrowed,
+                verdicts,
+                flow,
+                server,
+                attempts: 0,
+                answered,
+            },
+        );
         self.parts[at].figures.holds += 1;
         (id, mailbox)
     }
@@ -556,14 +677,20 @@
             return Placed::At(0);
         }
         let each = |of: fn(&CellFigures) -> u32| -> Vec<u32> {
-            self.by_cell.iter().map(|at| of(&self.parts[*at].figures)).collect()
+            self.by_cell
+                .iter()
+                .map(|at| of(&self.parts[*at].figures))
+                .collect()
         };
         let (home, _) = self.cells.map.home(group);
         // The common case looks at one cell, however many there are.
         if self.parts[self.by_cell[home]].figures.usable {
             return Placed::At(home);
         }
-        let usable: Vec<bool> = each(|f| u32::from(f.usable)).into_iter().map(|u| u > 0).collect();
+        let usable: Vec<bool> = each(|f| u32::from(f.usable))
+            .into_iter()
+            .map(|u| u > 0)
+            .collect();
         self.cells.map.place(group, &usable, &each(|f| f.borrowed))
     }
 
@@ -614,12 +741,20 @@
         self.by_cell = (0..cells.map.len())
             .map(|cell| {
                 let name = cells.map.name(cell);
-                self.parts.iter().position(|part| part.name == name).unwrap_or_else(|| {
-                    let seed = self.seed ^ (self.parts.len() as u64).rotate_left(32);
-                    self.parts.push(Part::new(name, self.settings.clone(), seed));
-                    self.parts.iter_mut().last().into_iter().for_each(|part| part.balancer.tune(self.tuning));
-                    self.parts.len() - 1
-                })
+                self.parts
+                    .iter()
+                    .position(|part| part.name == name)
+                    .unwrap_or_else(|| {
+                        let seed = self.seed ^ (self.parts.len() as u64).rotate_left(32);
+                        self.parts
+                            .push(Part::new(name, self.settings.clone(), seed));
+                        self.parts
+                            .iter_mut()
+                            .last()
+                            .into_iter()
+                            .for_each(|part| part.balancer.tune(self.tuning));
+                        self.parts.len() - 1
+                    })
             })
             .collect();
         self.cells = cells;
@@ -635,15 +770,26 @@
                 }
                 // Where nothing stands there is nothing to drain.
                 let holds = self.parts[*at].figures.holds > 0;
-                let state = if holds { MemberState::Draining } else { MemberState::Gone };
-                news[*at].push(Member { state, ..member.clone() });
+                let state = if holds {
+                    MemberState::Draining
+                } else {
+                    MemberState::Gone
+                };
+                news[*at].push(Member {
+                    state,
+                    ..member.clone()
+                });
                 news[to].push(member.clone());
                 *at = to;
             }
         }
         self.count_servers();
         for (at, members) in news.into_iter().enumerate() {
-            let kind = if at < known { ListKind::Delta } else { ListKind::Full };
+            let kind = if at < known {
+                ListKind::Delta
+            } else {
+                ListKind::Full
+            };
             self.handle(at, now, Event::Members { kind, members }, calls);
         }
         // A ban goes with its server: the call back will not reach the old cell, to which it may come again.
@@ -655,15 +801,23 @@
             self.handle(at, now, Event::ByHand(server, true), calls);
         }
         for id in stay {
-            let Some(entry) = self.entries.get(&id) else { continue };
+            let Some(entry) = self.entries.get(&id) else {
+                continue;
+            };
             let (at, server, request) = (entry.at, entry.server, entry.request.clone());
             self.handle(at, now, Event::Open(request, server), calls);
         }
         // Whoever stands elsewhere than its site lives now. Borrowed ones as well: their time there is over.
         let (map, by_cell) = (&self.cells.map, &self.by_cell);
-        let away =
-            |(id, e): (&RequestId, &Entry)| (by_cell[map.home(e.request.group).0] != e.at).then_some(*id);
-        self.moves = self.entries.iter().filter(|(_, e)| e.answered).filter_map(away).collect();
+        let away = |(id, e): (&RequestId, &Entry)| {
+            (by_cell[map.home(e.request.group).0] != e.at).then_some(*id)
+        };
+        self.moves = self
+            .entries
+            .iter()
+            .filter(|(_, e)| e.answered)
+            .filter_map(away)
+            .collect();
         self.next_move(now);
     }
 
@@ -675,13 +829,20 @@
         let stays = |e: &Entry| {
             let listed = members.contains_key(&e.server);
             let to = by_cell[map.of_server(e.server)];
-            (e.answered && listed && to != e.at && to == by_cell[map.home(e.request.group).0]).then_some(to)
+            (e.answered && listed && to != e.at && to == by_cell[map.home(e.request.group).0])
+                .then_some(to)
         };
-        let stay: Vec<(RequestId, usize)> =
-            self.entries.iter().filter_map(|(id, e)| Some((*id, stays(e)?))).collect();
+        let stay: Vec<(RequestId, usize)> = self
+            .entries
+            .iter()
+            .filter_map(|(id, e)| Some((*id, stays(e)?)))
+            .collect();
         for (id, to) in &stay {
-            let Some(entry) = self.entries.get_mut(id) else { continue };
-            let (from, server, borrowed) = (entry.at, entry.server, std::mem::take(&mut entry.borrowed));
+            let Some(entry) = self.entries.get_mut(id) else {
+                continue;
+            };
+            let (from, server, borrowed) =
+                (entry.at, entry.server, std::mem::take(&mut entry.borrowed));
             entry.at = *to;
             self.parts[from].figures.holds -= 1;
             self.parts[from].figures.borrowed -= u32::from(borrowed);
@@ -702,7 +863,8 @@
     fn next_move(&mut self, now: Micros) {
         let may = self.permitted.is_none_or(|permitted| self.made < permitted);
         if may && !self.moves.is_empty() && !std::mem::replace(&mut self.moving, true) {
-            self.timers.push(Reverse((now + self.cells.move_pause, MOVES, 0)));
+            self.timers
+                .push(Reverse((now + self.cells.move_pause, MOVES, 0)));
         }
     }
 
@@ -710,7 +872,9 @@
     fn move_one(&mut self, now: Micros, calls: &mut Vec<Call>) {
         self.moving = false;
         while let Some(id) = self.moves.pop_front() {
-            let Some(entry) = self.entries.get(&id) else { continue };
+            let Some(entry) = self.entries.get(&id) else {
+                continue;
+            };
             let home = self.by_cell[self.cells.map.home(entry.request.group).0];
             if home == entry.at {
                 continue;
@@ -743,11 +907,17 @@
                 let cold_budget = self.parts[part].balancer.cold_budget(server);
                 let listed = self.members.get(&server).map(|(member, _)| member);
                 tracing::debug!(server = server.0, ?cold_budget, ?listed, "send");
-                let Some(e) = self.entries.get_mut(&id) else { return };
+                let Some(e) = self.entries.get_mut(&id) else {
+                    return;
+                };
                 let number = e.attempts;
                 e.attempts += 1;
                 e.server = server;
-                let _ = e.verdicts.try_send(Verdict::Attempt { server, until, number });
+                let _ = e.verdicts.try_send(Verdict::Attempt {
+                    server,
+                    until,
+                    number,
+                });
                 calls.push(Call::Verdict(e.flow.clone()));
             }
             Action::Refuse(id, wait) => self.finish(id, Verdict::Refuse(wait), calls),
@@ -767,7 +937,9 @@
             Action::Probe(server) => {
                 // A prober that is behind must not be waited for: the probe has failed.
                 if self.orders.probe.try_send(server).is_err() {
-                    calls.push(Call::Log("decide: a probe was dropped, the prober is behind".into()));
+                    calls.push(Call::Log(
+                        "decide: a probe was dropped, the prober is behind".into(),
+                    ));
                 }
             }
             Action::Log(line) => calls.push(Call::Log(line)),
@@ -775,7 +947,9 @@
     }
 
     fn finish(&mut self, id: RequestId, verdict: Verdict, calls: &mut Vec<Call>) {
-        let Some(e) = self.entries.get_mut(&id).filter(|e| !e.answered) else { return };
+        let Some(e) = self.entries.get_mut(&id).filter(|e| !e.answered) else {
+            return;
+        };
         e.answered = true;
         let figures = &mut self.parts[e.at].figures;
         match verdict {
--- a/src/front/buffer.rs
+++ b/src/front/buffer.rs
@@ -30,7 +30,12 @@
 impl Buffer {
     /// A buffer in which this has come.
     pub fn holding(bytes: Vec<u8>) -> Buffer {
-        Buffer { start: 0, end: bytes.len(), bytes, roomy: false }
+        Buffer {
+            start: 0,
+            end: bytes.len(),
+            bytes,
+            roomy: false,
+        }
     }
 
     /// What has come and is not used up.
@@ -77,7 +82,9 @@
 
     /// Takes the next whole line, its end included.
     pub fn line(&mut self) -> Result<Option<Range<usize>>, TooLong> {
-        let Some(length) = self.peek()?.map(|line| line.len()) else { return Ok(None) };
+        let Some(length) = self.peek()?.map(|line| line.len()) else {
+            return Ok(None);
+        };
         let from = self.start;
         self.start += length;
         Ok(Some(from..self.start))
@@ -151,7 +158,11 @@
 
     #[test]
     fn a_line_may_be_as_long_as_the_protocol_says_and_no_longer() {
-        for (length, good) in [(MAX_LINE - 1, true), (MAX_LINE, false), (3 * MAX_LINE, false)] {
+        for (length, good) in [
+            (MAX_LINE - 1, true),
+            (MAX_LINE, false),
+            (3 * MAX_LINE, false),
+        ] {
             let text = [vec![b'x'; length], b"\n".to_vec()].concat();
             let (mut buffer, mut from) = (Buffer::default(), &text[..]);
             while !from.is_empty() {
--- a/src/front/line/note.rs
+++ b/src/front/line/note.rs
@@ -54,7 +54,12 @@
                 && h.x <= x * STEP
         });
         if heard.len() < REMEMBERED {
-            heard.push(Heard { at: now, on, x, delay });
+            heard.push(Heard {
+                at: now,
+                on,
+                x,
+                delay,
+            });
         }
         if delay {
             Note::Delay((x * 1000.0) as Micros)
@@ -75,9 +80,17 @@
         let ms = |x: u64| x * 1_000;
         // (when in ms, on which connection, what was heard, whether it is a delay)
         let cases: &[&[(u64, u32, f32, bool)]] = &[
-            &[(0, 1, 502.3, false), (1_000, 1, 556.4, true), (2_001, 1, 526.0, true)],
+            &[
+                (0, 1, 502.3, false),
+                (1_000, 1, 556.4, true),
+                (2_001, 1, 526.0, true),
+            ],
             // The beat passes to another connection of the backend.
-            &[(0, 1, 502.3, false), (1_000, 1, 556.4, true), (2_000, 2, 395.1, true)],
+            &[
+                (0, 1, 502.3, false),
+                (1_000, 1, 556.4, true),
+                (2_000, 2, 395.1, true),
+            ],
             // Two loads that are a second apart, on different connections.
             &[(0, 1, 502.3, false), (1_000, 2, 556.4, false)],
             // Off the beat, too much apart, or too large for a delay.
@@ -85,13 +98,21 @@
             &[(0, 1, 502.3, false), (1_000, 1, 4_000.0, false)],
             &[(0, 1, 8_262.4, false), (1_000, 1, 8_262.4, false)],
             // A load in between does not break the beat.
-            &[(0, 1, 502.3, false), (400, 1, 3_125.2, false), (1_000, 1, 556.4, true)],
+            &[
+                (0, 1, 502.3, false),
+                (400, 1, 3_125.2, false),
+                (1_000, 1, 556.4, true),
+            ],
         ];
         for case in cases {
             let notes = Notes::default();
             for &(at, on, x, delay) in *case {
                 let note = notes.read(ServerId(9), RequestId(on), ms(50_000 + at), x);
-                let expected = if delay { Note::Delay((x * 1000.0) as Micros) } else { Note::Load(x) };
+                let expected = if delay {
+                    Note::Delay((x * 1000.0) as Micros)
+                } else {
+                    Note::Load(x)
+                };
                 assert_eq!(note, expected, "{case:?} at {at}");
             }
         }
--- a/src/front/xmpp/mod.rs
+++ b/src/front/xmpp/mod.rs
@@ -39,7 +39,8 @@
 
 /// A header of the relay's own, with these attributes.
 fn header(attributes: &[(&str, &str)]) -> String {
-    let mut text = format!("<?xml version='1.0'?><{TAG} xmlns='{NS_CLIENT}' xmlns:stream='{NS_STREAMS}'");
+    let mut text =
+        format!("<?xml version='1.0'?><{TAG} xmlns='{NS_CLIENT}' xmlns:stream='{NS_STREAMS}'");
     for (name, value) in attributes {
         text.push_str(&format!(" {name}='{}'", escaped(value)));
     }
@@ -51,7 +52,11 @@
 fn stream_error(tag: &str, condition: &str, value: &str, more: &str) -> String {
     let prefix = tag.strip_suffix(":stream").unwrap_or("stream");
     // Valid also where the stream's own header has another prefix, or none.
-    let declared = if tag == TAG { String::new() } else { format!(" xmlns:{prefix}='{NS_STREAMS}'") };
+    let declared = if tag == TAG {
+        String::new()
+    } else {
+        format!(" xmlns:{prefix}='{NS_STREAMS}'")
+    };
     let value = escaped(value);
     format!(
         "<{prefix}:error{declared}><{condition} xmlns='{NS_ERRORS}'>{value}</{condition}>{more}</{prefix}:error></{tag}>"
