--- a/src/front/xmpp/terms.rs
+++ b/src/front/xmpp/terms.rs
@@ -33,9 +33,13 @@
     pub fn fits(&self, text: &str) -> bool {
         let mut parts = self.0.split('*');
         let first = parts.next().unwrap_or_default();
-        let Some(mut rest) = text.strip_prefix(first) else { return false };
+        let Some(mut rest) = text.strip_prefix(first) else {
+            return false;
+        };
         let mut parts: Vec<&str> = parts.collect();
-        let Some(last) = parts.pop() else { return rest.is_empty() };
+        let Some(last) = parts.pop() else {
+            return rest.is_empty();
+        };
         for part in parts {
             match rest.find(part) {
                 Some(at) => rest = &rest[at + part.len()..],
@@ -65,7 +69,9 @@
 impl Rule {
     fn fits(&self, jid: &Jid) -> bool {
         let part = |pattern: &Option<Pattern>, part: &Option<String>| {
-            pattern.as_ref().is_none_or(|p| part.as_ref().is_some_and(|part| p.fits(part)))
+            pattern
+                .as_ref()
+                .is_none_or(|p| part.as_ref().is_some_and(|part| p.fits(part)))
         };
         self.domain.as_ref().is_none_or(|d| *d == jid.domain)
             && part(&self.local, &jid.local)
@@ -116,7 +122,9 @@
     fn default() -> Self {
         Terms {
             domains: Vec::new(),
-            mechanisms: ["SCRAM-SHA-256", "SCRAM-SHA-1", "PLAIN"].map(String::from).to_vec(),
+            mechanisms: ["SCRAM-SHA-256", "SCRAM-SHA-1", "PLAIN"]
+                .map(String::from)
+                .to_vec(),
             bounds: Bounds::default(),
             step: 5 * SECOND,
             negotiation: 15 * SECOND,
@@ -139,9 +147,10 @@
     most: u64,
 ) -> Result<Option<u64>, OperatorError> {
     match set {
-        Some(n) if !(least..=most).contains(&n) => {
-            Err(file.error(&format!("xmpp.{key}"), format!("is {n}, outside {least} to {most}")))
-        }
+        Some(n) if !(least..=most).contains(&n) => Err(file.error(
+            &format!("xmpp.{key}"),
+            format!("is {n}, outside {least} to {most}"),
+        )),
         set => Ok(set),
     }
 }
@@ -155,15 +164,24 @@
         let mut terms = Terms::default();
         let error = |key: &str, what: String| Err(file.error(&format!("xmpp.{key}"), what));
         if x.listen.is_none() && x.listen_tls.is_none() {
-            return error("listen", "nothing is listened at: neither listen nor listen_tls is set".into());
+            return error(
+                "listen",
+                "nothing is listened at: neither listen nor listen_tls is set".into(),
+            );
         }
         for (n, domain) in x.domain.iter().enumerate() {
             match jid::domain(&domain.name) {
                 None => {
-                    return error(&format!("domain[{n}].name"), format!("'{}' is no domain", domain.name))
+                    return error(
+                        &format!("domain[{n}].name"),
+                        format!("'{}' is no domain", domain.name),
+                    )
                 }
                 Some(name) if terms.domains.contains(&name) => {
-                    return error(&format!("domain[{n}].name"), format!("'{name}' is there twice"))
+                    return error(
+                        &format!("domain[{n}].name"),
+                        format!("'{name}' is there twice"),
+                    )
                 }
                 Some(name) => terms.domains.push(name),
             }
@@ -174,7 +192,10 @@
         if let Some(list) = &x.mechanisms {
             if let Some(other) = list.iter().find(|m| !MECHANISMS.contains(&m.as_str())) {
                 let known = MECHANISMS.join(", ");
-                return error("mechanisms", format!("'{other}' cannot go through here; {known} can"));
+                return error(
+                    "mechanisms",
+                    format!("'{other}' cannot go through here; {known} can"),
+                );
             }
             if list.is_empty() {
                 return error("mechanisms", "is empty: nobody could log in".into());
@@ -183,29 +204,47 @@
         }
         let one = |text: &str| {
             let mut chars = text.chars();
-            chars.next().filter(|c| chars.next().is_none() && !c.is_whitespace() && !c.is_alphanumeric())
+            chars
+                .next()
+                .filter(|c| chars.next().is_none() && !c.is_whitespace() && !c.is_alphanumeric())
         };
         terms.group = match x.group.split_once(':') {
             None if x.group == "domain" => Group::Domain,
             None if x.group == "none" => Group::None,
-            Some(("local-after", c)) if one(c).is_some() => Group::LocalAfter(one(c).unwrap_or('.')),
-            Some(("local-before", c)) if one(c).is_some() => Group::LocalBefore(one(c).unwrap_or('.')),
+            Some(("local-after", c)) if one(c).is_some() => {
+                Group::LocalAfter(one(c).unwrap_or('.'))
+            }
+            Some(("local-before", c)) if one(c).is_some() => {
+                Group::LocalBefore(one(c).unwrap_or('.'))
+            }
             _ => {
                 let known = "domain, none, local-after:C or local-before:C with one sign for C";
                 return error("group", format!("'{}' is none of {known}", x.group));
             }
         };
         if x.class.is_empty() {
-            return error("class", "no class is set: sessions would have no deadline".into());
+            return error(
+                "class",
+                "no class is set: sessions would have no deadline".into(),
+            );
         }
         for (n, rule) in x.class.iter().enumerate() {
             if classes.find(&rule.class).is_none() {
                 let known = classes.names().join(", ");
-                return error(&format!("class[{n}].class"), format!("'{}' is none of {known}", rule.class));
+                return error(
+                    &format!("class[{n}].class"),
+                    format!("'{}' is none of {known}", rule.class),
+                );
             }
             let domain = rule.domain.as_deref().map(jid::domain);
-            if domain.as_ref().is_some_and(|d| d.as_ref().is_none_or(|d| !terms.domains.contains(d))) {
-                return error(&format!("class[{n}].domain"), "is no domain that is served here".into());
+            if domain
+                .as_ref()
+                .is_some_and(|d| d.as_ref().is_none_or(|d| !terms.domains.contains(d)))
+            {
+                return error(
+                    &format!("class[{n}].domain"),
+                    "is no domain that is served here".into(),
+                );
             }
             let key = format!("class[{n}].deadline_ms");
             terms.rules.push(Rule {
@@ -223,14 +262,26 @@
             return error(&format!("class[{last}]"), what.into());
         }
         let bound = |key: &str, set: Option<usize>, default: usize, least: u64, most: u64| {
-            let set = within(file, &format!("limits.{key}"), set.map(|n| n as u64), least, most)?;
+            let set = within(
+                file,
+                &format!("limits.{key}"),
+                set.map(|n| n as u64),
+                least,
+                most,
+            )?;
             Ok::<usize, OperatorError>(set.map_or(default, |n| n as usize))
         };
         let d = Bounds::default();
         terms.bounds = Bounds {
             header: bound("header_bytes", x.limits.header_bytes, d.header, 512, 65_536)?,
             // RFC 6120, 13.12: no less than 10,000 bytes may be refused.
-            stanza: bound("stanza_bytes", x.limits.stanza_bytes, d.stanza, 10_000, 16 << 20)?,
+            stanza: bound(
+                "stanza_bytes",
+                x.limits.stanza_bytes,
+                d.stanza,
+                10_000,
+                16 << 20,
+            )?,
             token: bound("token_bytes", x.limits.token_bytes, d.token, 1_024, 1 << 20)?,
             depth: bound("depth", x.limits.depth, d.depth, 4, 1_024)?,
             attributes: bound("attributes", x.limits.attributes, d.attributes, 4, 1_024)?,
@@ -240,7 +291,12 @@
             Ok::<Micros, OperatorError>(set.map_or(default, |ms| ms * 1_000))
         };
         terms.step = time("step_ms", x.times.step_ms, terms.step, 120_000)?;
-        terms.negotiation = time("negotiation_ms", x.times.negotiation_ms, terms.negotiation, 600_000)?;
+        terms.negotiation = time(
+            "negotiation_ms",
+            x.times.negotiation_ms,
+            terms.negotiation,
+            600_000,
+        )?;
         terms.finish = time("finish_ms", x.times.finish_ms, terms.finish, 60_000)?;
         terms.silent = time("silent_ms", x.times.silent_ms, terms.silent, 600_000)?;
         terms.security = match x.servers.security {
@@ -268,7 +324,10 @@
             class,
             key: site_key(&jid.bare()),
             group: group.map_or(0, |group| site_key(&group)),
-            left: rule.deadline.unwrap_or_else(|| classes.deadline(class)).min(crate::decide::LONGEST),
+            left: rule
+                .deadline
+                .unwrap_or_else(|| classes.deadline(class))
+                .min(crate::decide::LONGEST),
             ..Request::default()
         })
     }
@@ -296,7 +355,10 @@
 
     #[test]
     fn the_first_rule_that_fits_gives_class_and_deadline() {
-        let classes = Classes::new([("view".to_string(), 3_000_000), ("fix".to_string(), 1_800_000)]);
+        let classes = Classes::new([
+            ("view".to_string(), 3_000_000),
+            ("fix".to_string(), 1_800_000),
+        ]);
         let rule = |domain: Option<&str>, resource: Option<&str>, class: &str, deadline| Rule {
             domain: domain.map(String::from),
             local: None,
@@ -314,8 +376,10 @@
             ..Terms::default()
         };
         let request = |jid: &str| terms.request(&Jid::parse(jid).unwrap(), &classes);
-        let (one, two) =
-            (request("ali.site7@a.example/fix1").unwrap(), request("zia.site7@A.example").unwrap());
+        let (one, two) = (
+            request("ali.site7@a.example/fix1").unwrap(),
+            request("zia.site7@A.example").unwrap(),
+        );
         assert_eq!((one.class, one.left), (1, 900_000));
         assert_eq!((two.class, two.left), (0, 3_000_000));
         assert_eq!(one.group, two.group);
--- a/src/log.rs
+++ b/src/log.rs
@@ -66,7 +66,9 @@
     // An error says that a log was started before: it goes on.
     let _ = match format {
         Format::Text => tracing::subscriber::set_global_default(log.event_format(Plain).finish()),
-        Format::Json => tracing::subscriber::set_global_default(log.json().flatten_event(true).finish()),
+        Format::Json => {
+            tracing::subscriber::set_global_default(log.json().flatten_event(true).finish())
+        }
     };
 }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -3,8 +3,8 @@
 //! a key goes to the owner of slot h(key, 0), then h(key, 1), and so on, until a server is under its cap.
 
 use crate::api::{
-    Action, Class, Column, Effect, Event, Group, ListKind, Member, MemberState, Micros, Outcome, Request,
-    RequestId, ServerId, Settings, Unknown, Weights, SECOND,
+    Action, Class, Column, Effect, Event, Group, ListKind, Member, MemberState, Micros, Outcome,
+    Request, RequestId, ServerId, Settings, Unknown, Weights, SECOND,
 };
 use crate::random::Random;
 use crate::slots::{fraction, home_key, own_key, Ring};
@@ -164,13 +164,22 @@
 impl Balancer {
     /// A balancer that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let balancer = Balancer { settings, rng: Random::new(seed), admitted: 1.0, ..Balancer::default() };
+        let balancer = Balancer {
+            settings,
+            rng: Random::new(seed),
+            admitted: 1.0,
+            ..Balancer::default()
+        };
         balancer.tuned(Tuning::default())
     }
 
     /// The same with other parameters: for experiments.
     pub fn tuned(self, t: Tuning) -> Self {
-        Balancer { retries: t.retry_saved, t, ..self }
+        Balancer {
+            retries: t.retry_saved,
+            t,
+            ..self
+        }
     }
 
     /// Other parameters hold from now on.
@@ -189,18 +198,29 @@
             Event::Open(request, server) => self.open(request, server, out),
             Event::First { id, .. } => return self.first(id, out),
             Event::DelayNote(id, server, took) => return self.delay(id, server, took, out),
-            Event::Outcome { id, outcome, last, .. } => return self.ended(id, outcome, last, out),
+            Event::Outcome {
+                id, outcome, last, ..
+            } => return self.ended(id, outcome, last, out),
             Event::Vanished(id) => self.vanished(id),
             Event::Hurry(id, by) => self.hurry(id, by, out),
             Event::Timer(token) => self.timer(token, out),
-            Event::Probed { server, outcome, report } => self.probed(server, outcome, &report, out),
+            Event::Probed {
+                server,
+                outcome,
+                report,
+            } => self.probed(server, outcome, &report, out),
             Event::LoadNote(..) | Event::Peer(..) => {}
         }
         Ok(())
     }
 
     fn class(&self, request: &Request) -> Class {
-        self.settings.classes.get(request.class).or(self.settings.classes.last()).copied().unwrap_or_default()
+        self.settings
+            .classes
+            .get(request.class)
+            .or(self.settings.classes.last())
+            .copied()
+            .unwrap_or_default()
     }
 
     fn members(&mut self, kind: ListKind, members: Vec<Member>, out: &mut Out) {
@@ -211,11 +231,20 @@
         if matches!(kind, ListKind::Failed | ListKind::Silent) {
             // A failed call or a dropped subscription: ask anew, and not in step with the others.
             self.watching = false;
-            let most = if kind == ListKind::Silent { self.t.ask_soon } else { self.t.ask_most };
-            let wait =
-                (self.t.ask_backoff.max(share) << self.ask_failures.min(3)).min(within).min(most).max(8);
+            let most = if kind == ListKind::Silent {
+                self.t.ask_soon
+            } else {
+                self.t.ask_most
+            };
+            let wait = (self.t.ask_backoff.max(share) << self.ask_failures.min(3))
+                .min(within)
+                .min(most)
+                .max(8);
             self.ask_failures += 1;
-            out.push(Action::Timer(self.now + self.rng.range(wait / 8..wait), TIMER_ASK));
+            out.push(Action::Timer(
+                self.now + self.rng.range(wait / 8..wait),
+                TIMER_ASK,
+            ));
             return;
         }
         let moved = kind == ListKind::Moved;
@@ -226,7 +255,11 @@
         }
         if moved || (kind == ListKind::Cached && self.settings.list_on_request) {
             // Who knows no server has nothing to serve from meanwhile.
-            let turn = if members.is_empty() && self.ready.is_empty() { 1 } else { share };
+            let turn = if members.is_empty() && self.ready.is_empty() {
+                1
+            } else {
+                share
+            };
             out.push(Action::Timer(self.now + self.rng.range(0..turn), TIMER_ASK));
         }
         let mut left = Vec::new();
@@ -241,7 +274,8 @@
         }
         members.into_iter().for_each(|m| self.member(m, &mut left));
         self.rebuild();
-        left.into_iter().for_each(|server| self.evacuate(server, 1.0, out));
+        left.into_iter()
+            .for_each(|server| self.evacuate(server, 1.0, out));
         if self.probes == 0 {
             self.probe(out);
         }
@@ -266,14 +300,23 @@
         let s = &mut self.servers[i];
         (s.listed, s.ready, s.gone) = (listed, ready, m.state == MemberState::Gone);
         (s.zone, s.cell, s.started) = (m.zone, m.cell, m.started);
-        s.size = if m.size.is_finite() && m.size > 0.0 { m.size } else { 1.0 };
+        s.size = if m.size.is_finite() && m.size > 0.0 {
+            m.size
+        } else {
+            1.0
+        };
     }
 
     fn entry(&mut self, id: ServerId) -> usize {
         let next = self.servers.len();
         let i = *self.index.entry(id).or_insert(next);
         if i == next {
-            self.servers.push(Server { id, size: 1.0, gone: true, ..Server::default() });
+            self.servers.push(Server {
+                id,
+                size: 1.0,
+                gone: true,
+                ..Server::default()
+            });
         }
         i
     }
@@ -287,17 +330,54 @@
     }
 
     fn forget(&mut self, i: usize, credit: f32) {
-        let Server { id, zone, cell, size, listed, ready, gone, held, points, told, started, due, .. } =
-            self.servers[i];
-        let new = Server { credit, credit_at: self.now, due, points, ..Server::default() };
-        self.servers[i] = Server { id, zone, cell, size, listed, ready, gone, held, told, started, ..new };
+        let Server {
+            id,
+            zone,
+            cell,
+            size,
+            listed,
+            ready,
+            gone,
+            held,
+            points,
+            told,
+            started,
+            due,
+            ..
+        } = self.servers[i];
+        let new = Server {
+            credit,
+            credit_at: self.now,
+            due,
+            points,
+            ..Server::default()
+        };
+        self.servers[i] = Server {
+            id,
+            zone,
+            cell,
+            size,
+            listed,
+            ready,
+            gone,
+            held,
+            told,
+            started,
+            ..new
+        };
     }
 
     /// Staff take a server out, or call it back. They restart it meanwhile, so its past says nothing: it is
     /// cold from the start that the list tells, or from now. Each balancer uses it soon, not all at once.
     fn by_hand(&mut self, server: ServerId, out_of_use: bool, out: &mut Out) {
-        let changed = if out_of_use { self.by_hand.insert(server) } else { self.by_hand.remove(&server) };
-        let Some(&i) = self.index.get(&server).filter(|_| changed) else { return };
+        let changed = if out_of_use {
+            self.by_hand.insert(server)
+        } else {
+            self.by_hand.remove(&server)
+        };
+        let Some(&i) = self.index.get(&server).filter(|_| changed) else {
+            return;
+        };
         if out_of_use {
             self.leave(i, &mut Vec::new());
             self.evacuate(server, 1.0, out);
@@ -322,19 +402,31 @@
         let nominal = self.settings.weights == Weights::Nominal;
         for s in &mut self.servers {
             let size = if nominal { s.size / unit } else { 1.0 };
-            let points = (self.t.points * size).round().clamp(1.0, 8.0 * self.t.points) as u32;
+            let points = (self.t.points * size)
+                .round()
+                .clamp(1.0, 8.0 * self.t.points) as u32;
             // Only what passes through arrives mid-flow and looks for its holder.
             let known = self.settings.passes_through && !s.gone;
-            let new = (if s.ready { points } else { 0 }, if known { points } else { 0 });
+            let new = (
+                if s.ready { points } else { 0 },
+                if known { points } else { 0 },
+            );
             self.ready_ring.lay(s.id, s.points.0, new.0);
             self.known_ring.lay(s.id, s.points.1, new.1);
             s.points = new;
         }
         if self.servers.iter().any(|s| s.gone && s.held == 0) {
             self.servers.retain(|s| !s.gone || s.held > 0);
-            self.index = self.servers.iter().enumerate().map(|(i, s)| (s.id, i)).collect();
+            self.index = self
+                .servers
+                .iter()
+                .enumerate()
+                .map(|(i, s)| (s.id, i))
+                .collect();
         }
-        self.ready = (0..self.servers.len()).filter(|&i| self.servers[i].ready).collect();
+        self.ready = (0..self.servers.len())
+            .filter(|&i| self.servers[i].ready)
+            .collect();
         (self.planned_at, self.homes) = (self.seen_all, self.plan());
     }
 
@@ -351,18 +443,29 @@
         let cost = self.t.group_cost / (self.held as f32 * self.settings.balancers as f32).max(1.0);
         let groups = self.ready.len().max(self.seen.len()) as f32;
         // A cold server counts for what it can do by now, or it gets more homes than it can take (id5986d).
-        let able: Vec<f32> = self.servers.iter().map(|s| s.size * self.warmth(s)).collect();
+        let able: Vec<f32> = self
+            .servers
+            .iter()
+            .map(|s| s.size * self.warmth(s))
+            .collect();
         let sizes: f32 = self.ready.iter().map(|&i| able[i]).sum();
-        let cap = (1.0 + self.t.plan_epsilon) * (1.0 + cost * groups) / sizes.max(f32::MIN_POSITIVE);
+        let cap =
+            (1.0 + self.t.plan_epsilon) * (1.0 + cost * groups) / sizes.max(f32::MIN_POSITIVE);
         let mut room: Vec<f32> = able.iter().map(|able| cap * able).collect();
         let all = self.seen_all as f32 + self.t.seen_prior;
-        let mut rest: Vec<_> = self.seen.iter().map(|(&g, &n)| (g, n as f32 / all, 0)).collect();
+        let mut rest: Vec<_> = self
+            .seen
+            .iter()
+            .map(|(&g, &n)| (g, n as f32 / all, 0))
+            .collect();
         while !rest.is_empty() {
             for (group, share, attempt) in &mut rest {
                 let own = homes.entry(*group).or_default();
                 let mut best: Option<(f32, usize)> = None;
                 for _ in 0..self.t.jumps {
-                    let Some(owner) = self.owner(*group, *attempt) else { return homes };
+                    let Some(owner) = self.owner(*group, *attempt) else {
+                        return homes;
+                    };
                     *attempt += 1;
                     if own.iter().any(|&(i, _)| i == owner) {
                         continue;
@@ -418,12 +521,16 @@
     }
 
     fn scale(&self, s: &Server) -> f32 {
-        let whole = s.cut_at.map_or(1.0, |at| self.now.saturating_sub(at) as f32 / self.t.recover as f32);
+        let whole = s.cut_at.map_or(1.0, |at| {
+            self.now.saturating_sub(at) as f32 / self.t.recover as f32
+        });
         whole.min(1.0).min(self.warmth(s))
     }
 
     fn warmth(&self, s: &Server) -> f32 {
-        let Some(started) = s.started.max(s.back) else { return 1.0 };
+        let Some(started) = s.started.max(s.back) else {
+            return 1.0;
+        };
         let age = self.now.saturating_sub(started) as f32;
         let start = self.settings.start_capacity;
         (start + (1.0 - start) * age / (self.settings.warm_within as f32).max(1.0)).min(1.0)
@@ -433,7 +540,8 @@
     /// left to chance. Capacity is a rate: with it a server that warms evenly is full at the end.
     pub fn cold_budget(&self, id: ServerId) -> Option<f32> {
         let s = self.index.get(&id).map(|&i| &self.servers[i])?;
-        let fills_in = self.settings.warm_within as f32 * (1.0 + self.settings.start_capacity) / 2.0;
+        let fills_in =
+            self.settings.warm_within as f32 * (1.0 + self.settings.start_capacity) / 2.0;
         let capacity = s.size / self.unit * self.warmth(s) * self.settings.fall as f32 / fills_in;
         let allowed = self.settings.overload_factor * capacity;
         (self.unit > 0.0 && self.warmth(s) < 1.0).then(|| allowed + 2.0 * allowed.sqrt())
@@ -443,14 +551,23 @@
     fn credited(&mut self, i: usize) -> bool {
         let (warmth, size) = (self.warmth(&self.servers[i]), self.servers[i].size);
         // Half: what is kept from one span of the rule's time is spent together with what the next one earns.
-        let share = self.t.slow_fill / 2.0 / self.settings.balancers as f32 / self.settings.fall as f32;
+        let share =
+            self.t.slow_fill / 2.0 / self.settings.balancers as f32 / self.settings.fall as f32;
         let blind = self.t.slow_start * self.mean(size) * warmth / self.settings.warm_within as f32;
-        let pace = self.cold_budget(self.servers[i].id).map_or(blind, |budget| share * budget);
+        let pace = self
+            .cold_budget(self.servers[i].id)
+            .map_or(blind, |budget| share * budget);
         let s = &mut self.servers[i];
-        let (earned, keep) =
-            (s.credit + self.now.saturating_sub(s.credit_at) as f32 * pace, pace * self.settings.fall as f32);
+        let (earned, keep) = (
+            s.credit + self.now.saturating_sub(s.credit_at) as f32 * pace,
+            pace * self.settings.fall as f32,
+        );
         // What is not used within the rule's time is lost: hundreds had saved up one each, and came at once.
-        let lapsed = if keep < 1.0 { (earned - keep).ceil() - 1.0 } else { earned - 1.0 };
+        let lapsed = if keep < 1.0 {
+            (earned - keep).ceil() - 1.0
+        } else {
+            earned - 1.0
+        };
         (s.credit, s.credit_at) = (earned - lapsed.max(0.0), self.now);
         warmth >= 1.0 || s.credit >= 1.0
     }
@@ -466,19 +583,33 @@
         s.strikes += 1;
         s.load_at = s.load_at.filter(|_| outcome != Outcome::ConnectFailed);
         if s.strikes >= self.t.strikes || outcome == Outcome::ConnectFailed {
-            s.ejected_until = self.now + (self.t.eject << s.ejections.min(3)) - self.t.eject / 2 + jitter;
+            s.ejected_until =
+                self.now + (self.t.eject << s.ejections.min(3)) - self.t.eject / 2 + jitter;
             s.ejections += 1;
             s.strikes = 0;
         }
     }
 
-    fn delay(&mut self, id: RequestId, server: ServerId, took: Micros, out: &mut Out) -> Result<(), Unknown> {
-        let aims = self.settings.classes.iter().map(|c| c.message_aim).filter(|&aim| aim > 0);
+    fn delay(
+        &mut self,
+        id: RequestId,
+        server: ServerId,
+        took: Micros,
+        out: &mut Out,
+    ) -> Result<(), Unknown> {
+        let aims = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.message_aim)
+            .filter(|&aim| aim > 0);
         let share = took as f32 / aims.min().unwrap_or(SECOND / 10) as f32;
         let i = *self.index.get(&server).ok_or(Unknown::Server(server))?;
         self.pending.get(&id).ok_or(Unknown::Request(id))?;
         // Some are slow without much to do: while there is known to be room, only late messages count.
-        let room = self.load(&self.servers[i]).is_some_and(|load| load < self.t.near_load);
+        let room = self
+            .load(&self.servers[i])
+            .is_some_and(|load| load < self.t.near_load);
         if share < if room { 1.0 } else { self.t.delay_sign } {
             return Ok(());
         }
@@ -486,7 +617,9 @@
         self.late_notes += u32::from(share >= 1.0);
         let moves = self.t.move_share * self.servers[i].held as f32 * share;
         if share >= self.t.delay_move && self.rng.float() < moves {
-            self.leaver(i, id).into_iter().for_each(|id| self.relocate(id, out));
+            self.leaver(i, id)
+                .into_iter()
+                .for_each(|id| self.relocate(id, out));
         }
         Ok(())
     }
@@ -502,9 +635,11 @@
         let in_use = self.servers.iter().filter(|s| s.held > 0).count().max(1);
         self.late_share = (self.late_share + self.late_notes as f32 / in_use as f32) / 2.0;
         (self.late_notes, self.second) = (0, self.now);
-        if self.late_share > self.t.shed_from && (self.unit == 0.0 || self.mean_load > self.t.move_room) {
-            self.admitted =
-                (self.admitted * (1.0 - self.t.shed_step * self.late_share.min(1.0))).max(self.t.shed_least);
+        if self.late_share > self.t.shed_from
+            && (self.unit == 0.0 || self.mean_load > self.t.move_room)
+        {
+            self.admitted = (self.admitted * (1.0 - self.t.shed_step * self.late_share.min(1.0)))
+                .max(self.t.shed_least);
         } else if self.late_share < self.t.shed_from / 2.0 {
             self.admitted = (self.admitted + self.t.shed_back * seconds).min(1.0);
         }
@@ -520,40 +655,68 @@
         }
         let n = self.ready.len().max(1);
         self.probes += 1;
-        out.extend(self.ready.get(self.probes % n).map(|&i| Action::Probe(self.servers[i].id)));
+        out.extend(
+            self.ready
+                .get(self.probes % n)
+                .map(|&i| Action::Probe(self.servers[i].id)),
+        );
         let wait = self.t.probe_every * u64::from(self.settings.balancers.max(3)) / n as u64;
-        out.push(Action::Timer(self.now + wait / 2 + self.rng.range(0..wait), TIMER_PROBE));
+        out.push(Action::Timer(
+            self.now + wait / 2 + self.rng.range(0..wait),
+            TIMER_PROBE,
+        ));
     }
 
     fn probed(&mut self, server: ServerId, outcome: Outcome, report: &[f32], out: &mut Out) {
-        let Some(&i) = self.index.get(&server) else { return };
+        let Some(&i) = self.index.get(&server) else {
+            return;
+        };
         self.servers[i].probed_at = Some(self.now);
         if matches!(outcome, Outcome::ConnectFailed | Outcome::Timeout) {
             self.failed(i, outcome);
         }
         self.reported(i, report, out);
         let looks = |p: &&Pending| p.phase == Phase::Held && p.tried.is_empty();
-        let waiting: Vec<_> = self.pending.values().filter(looks).map(|p| p.request.id).collect();
-        waiting.into_iter().for_each(|id| self.timer(TIMER_HOLD | u64::from(id.0), out));
+        let waiting: Vec<_> = self
+            .pending
+            .values()
+            .filter(looks)
+            .map(|p| p.request.id)
+            .collect();
+        waiting
+            .into_iter()
+            .for_each(|id| self.timer(TIMER_HOLD | u64::from(id.0), out));
     }
 
     /// Probes those of a request's first servers whose load is not known; whether it waits for the answers.
     fn look(&mut self, p: &Pending, out: &mut Out) -> bool {
         let told = self.settings.may_probe && self.settings.columns.contains(&Column::Load);
-        if !told || !p.tried.is_empty() || self.now + p.request.left >= p.deadline + self.t.look_wait {
+        if !told
+            || !p.tried.is_empty()
+            || self.now + p.request.left >= p.deadline + self.t.look_wait
+        {
             return false;
         }
         let (mut list, _) = self.jumps(p);
         list.sort_by_key(|&i| !self.planned() || self.servers[i].zone != self.settings.zone);
-        let fresh = |s: &Server| s.probed_at.is_some_and(|at| self.now < at + self.t.look_stale);
-        let room = |s: &Server| fresh(s) && self.load(s).is_some_and(|load| load < self.t.near_load);
-        let before = list.iter().position(|&i| room(&self.servers[i])).unwrap_or(list.len());
+        let fresh = |s: &Server| {
+            s.probed_at
+                .is_some_and(|at| self.now < at + self.t.look_stale)
+        };
+        let room =
+            |s: &Server| fresh(s) && self.load(s).is_some_and(|load| load < self.t.near_load);
+        let before = list
+            .iter()
+            .position(|&i| room(&self.servers[i]))
+            .unwrap_or(list.len());
         list.truncate(before.min(self.t.look_at));
         list.retain(|&i| !fresh(&self.servers[i]));
         list.truncate(self.t.look_both);
         for &i in &list {
             let s = &mut self.servers[i];
-            if s.looked_at.is_none_or(|at| self.now >= at + self.t.look_wait) {
+            if s.looked_at
+                .is_none_or(|at| self.now >= at + self.t.look_wait)
+            {
                 s.looked_at = Some(self.now);
                 out.push(Action::Probe(s.id));
             }
@@ -562,30 +725,52 @@
     }
 
     fn reported(&mut self, i: usize, report: &[f32], out: &mut Out) {
-        let value = |kind| report.get(self.settings.columns.iter().position(|&c| c == kind)?).copied();
-        let Some(load) = value(Column::Load) else { return };
+        let value = |kind| {
+            report
+                .get(self.settings.columns.iter().position(|&c| c == kind)?)
+                .copied()
+        };
+        let Some(load) = value(Column::Load) else {
+            return;
+        };
         let s = &mut self.servers[i];
         let news = load != s.load || s.load_at.is_none();
         // A report was made some time ago: half of what was sent since the last one is not in it.
         s.since = if news { s.since / 2.0 } else { s.since };
-        (s.load, s.active, s.load_at) = (load, value(Column::Active).unwrap_or(0.0), Some(self.now));
-        let (mut work, mut sizes, mut warm_work, mut warm_active) = (0.0, f32::MIN_POSITIVE, 0.0, 0.0);
-        for s in self.ready.iter().map(|&i| &self.servers[i]).filter(|s| s.load_at.is_some()) {
+        (s.load, s.active, s.load_at) =
+            (load, value(Column::Active).unwrap_or(0.0), Some(self.now));
+        let (mut work, mut sizes, mut warm_work, mut warm_active) =
+            (0.0, f32::MIN_POSITIVE, 0.0, 0.0);
+        for s in self
+            .ready
+            .iter()
+            .map(|&i| &self.servers[i])
+            .filter(|s| s.load_at.is_some())
+        {
             let able = s.size * self.warmth(s);
             (work, sizes) = (work + s.load * able, sizes + able);
             // New connections have yet to show their load: by them a cold server bears far too many.
             let warm = f32::from(self.warmth(s) >= 1.0);
-            (warm_work, warm_active) = (warm_work + warm * s.load * able, warm_active + warm * s.active);
+            (warm_work, warm_active) = (
+                warm_work + warm * s.load * able,
+                warm_active + warm * s.active,
+            );
         }
         self.mean_load = work / sizes;
-        self.unit = if warm_active > 0.0 { warm_work / warm_active.max(1.0) } else { self.unit };
+        self.unit = if warm_active > 0.0 {
+            warm_work / warm_active.max(1.0)
+        } else {
+            self.unit
+        };
         if news && load > self.t.move_from && self.mean_load < self.t.move_room {
             self.evacuate(self.servers[i].id, (load - self.t.move_to) / load, out);
         }
     }
 
     fn load(&self, s: &Server) -> Option<f32> {
-        let fresh = s.load_at.is_some_and(|at| self.now < at + self.t.report_stale);
+        let fresh = s
+            .load_at
+            .is_some_and(|at| self.now < at + self.t.report_stale);
         let all = (self.settings.balancers as f32 / 3.0).max(1.0);
         fresh.then(|| s.load + s.since * all * self.unit / s.size / self.warmth(s))
     }
@@ -593,23 +778,42 @@
     fn place(&mut self, p: &Pending) -> Option<usize> {
         let (own, key) = (own_key(&p.request), home_key(&p.request));
         let mid_flow = p.request.mid_flow && p.tried.is_empty();
-        let first = mid_flow.then(|| self.holder(key, own)).flatten().or_else(|| self.due(p));
+        let first = mid_flow
+            .then(|| self.holder(key, own))
+            .flatten()
+            .or_else(|| self.due(p));
         if first.is_some() {
             return first;
         }
         let (list, homes) = self.jumps(p);
         let fits = |i: &&usize| self.under_cap(**i, own);
         let own_zone = |i: &&usize| self.planned() && self.servers[**i].zone == self.settings.zone;
-        let room = |i: &&usize| self.load(&self.servers[**i]).is_some_and(|load| load < self.t.near_load);
+        let room = |i: &&usize| {
+            self.load(&self.servers[**i])
+                .is_some_and(|load| load < self.t.near_load)
+        };
         let near = list.iter().filter(own_zone).filter(room).find(fits);
         let far = list.iter().filter(room).find(fits);
         // Jumping on from strained homes would make further servers pay for the group: a jam feeds itself.
-        let stay = list.first().filter(|_| self.planned() && self.late_share >= self.t.stay_from);
-        let found =
-            near.or(list[..homes].iter().find(fits)).or(far).or(stay).or(list.iter().find(fits)).copied();
+        let stay = list
+            .first()
+            .filter(|_| self.planned() && self.late_share >= self.t.stay_from);
+        let found = near
+            .or(list[..homes].iter().find(fits))
+            .or(far)
+            .or(stay)
+            .or(list.iter().find(fits))
+            .copied();
         // A group whose servers are told to be full waits: one more that pays for it would feed the jam.
-        let told = p.request.group != 0 && list.iter().any(|&i| self.load(&self.servers[i]).is_some());
-        found.or_else(|| if told && !self.planned() { None } else { self.fallback(own, p) })
+        let told =
+            p.request.group != 0 && list.iter().any(|&i| self.load(&self.servers[i]).is_some());
+        found.or_else(|| {
+            if told && !self.planned() {
+                None
+            } else {
+                self.fallback(own, p)
+            }
+        })
     }
 
     /// Whether the own estimates of groups and loads are better than none.
@@ -624,7 +828,9 @@
         list.retain(|&i| self.usable(i, p));
         let homes = list.len();
         for jump in 0..self.t.jumps {
-            let Some(owner) = self.owner(key, jump) else { break };
+            let Some(owner) = self.owner(key, jump) else {
+                break;
+            };
             if !list.contains(&owner) && self.usable(owner, p) {
                 list.push(owner);
             }
@@ -635,25 +841,45 @@
     /// A server called back by hand that is to be used again by now; it has earned that whatever its credit.
     fn due(&mut self, p: &Pending) -> Option<usize> {
         let due = |s: &Server| s.held == 0 && s.due.is_some_and(|at| at <= self.now);
-        let i = self.ready.iter().copied().find(|&i| due(&self.servers[i]))?;
+        let i = self
+            .ready
+            .iter()
+            .copied()
+            .find(|&i| due(&self.servers[i]))?;
         (self.servers[i].credit, self.servers[i].credit_at) = (1.0, self.now);
         Some(i).filter(|&i| self.usable(i, p))
     }
 
     /// A group's homes in this client's order: weighted rendezvous, so that one more moves only its own.
     fn order(&self, group: u64, own: u64) -> Vec<usize> {
-        let Some(list) = self.homes.get(&group).filter(|_| self.planned()) else { return Vec::new() };
-        let near = |i: usize| if self.servers[i].zone == self.settings.zone { self.t.near } else { 1.0 };
-        let score =
-            |i: usize, share: f32| -(1.0 - fraction(own, self.servers[i].id.0)).ln() / share / near(i);
-        let mut order: Vec<(f32, usize)> = list.iter().map(|&(i, share)| (score(i, share), i)).collect();
+        let Some(list) = self.homes.get(&group).filter(|_| self.planned()) else {
+            return Vec::new();
+        };
+        let near = |i: usize| {
+            if self.servers[i].zone == self.settings.zone {
+                self.t.near
+            } else {
+                1.0
+            }
+        };
+        let score = |i: usize, share: f32| {
+            -(1.0 - fraction(own, self.servers[i].id.0)).ln() / share / near(i)
+        };
+        let mut order: Vec<(f32, usize)> = list
+            .iter()
+            .map(|&(i, share)| (score(i, share), i))
+            .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         order.into_iter().map(|(_, i)| i).collect()
     }
 
     fn holder(&mut self, key: u64, own: u64) -> Option<usize> {
         let mut order = self.order(key, own);
-        order.extend(self.known_ring.owner(key, 0).and_then(|id| self.index.get(&id)));
+        order.extend(
+            self.known_ring
+                .owner(key, 0)
+                .and_then(|id| self.index.get(&id)),
+        );
         order.into_iter().find(|&i| match &self.servers[i] {
             // Most of a burst is set up anew: a cold server takes its share only (one was pushed over).
             s if s.ready => self.credited(i),
@@ -670,9 +896,26 @@
         let s = &self.servers[i];
         let new = s.ready && !p.tried.contains(&s.id);
         let same = match (p.ran, p.class.effect) {
-            (None, _) | (_, Effect::Safe | Effect::Keyed { group: Group::All, .. }) => true,
-            (Some((_, zone, _)), Effect::Keyed { group: Group::Zone, .. }) => s.zone == zone,
-            (Some((_, _, cell)), Effect::Keyed { group: Group::Cell, .. }) => s.cell == cell,
+            (None, _)
+            | (
+                _,
+                Effect::Safe
+                | Effect::Keyed {
+                    group: Group::All, ..
+                },
+            ) => true,
+            (
+                Some((_, zone, _)),
+                Effect::Keyed {
+                    group: Group::Zone, ..
+                },
+            ) => s.zone == zone,
+            (
+                Some((_, _, cell)),
+                Effect::Keyed {
+                    group: Group::Cell, ..
+                },
+            ) => s.cell == cell,
             (Some(_), Effect::Unsafe) => false,
         };
         new && same && self.credited(i)
@@ -683,7 +926,9 @@
         let share = fraction(own, s.id.0);
         match self.load(s) {
             Some(load) if self.planned() => load < self.t.full_load,
-            Some(load) => load + self.t.soft * share < self.t.brim && share * self.warmth(s) < self.scale(s),
+            Some(load) => {
+                load + self.t.soft * share < self.t.brim && share * self.warmth(s) < self.scale(s)
+            }
             None => s.held as f32 + share < self.cap(s),
         }
     }
@@ -691,8 +936,17 @@
     /// The least loaded of a sample, the ejected last: when all seem bad, health says nothing.
     fn fallback(&mut self, own: u64, p: &Pending) -> Option<usize> {
         let n = self.ready.len();
-        let pick = |k: usize| if n > self.t.look_at { self.rng.range(0..n as u64) as usize } else { k };
-        let mut sample: Vec<usize> = (0..self.t.look_at.min(n)).map(pick).map(|k| self.ready[k]).collect();
+        let pick = |k: usize| {
+            if n > self.t.look_at {
+                self.rng.range(0..n as u64) as usize
+            } else {
+                k
+            }
+        };
+        let mut sample: Vec<usize> = (0..self.t.look_at.min(n))
+            .map(pick)
+            .map(|k| self.ready[k])
+            .collect();
         let told = |s: &Server| !self.planned() && self.load(s).is_some();
         sample.retain(|&i| !told(&self.servers[i]) || self.under_cap(i, own));
         sample.retain(|&i| self.lawful(i, p));
@@ -703,15 +957,26 @@
             let over = (self.now < s.ejected_until && !room, !self.under_cap(i, own));
             // A new server counts at the others' mean until it holds something.
             let new = s.held == 0 && s.started.is_some();
-            let load = if new { self.mean(1.0) } else { s.held as f32 / s.size };
+            let load = if new {
+                self.mean(1.0)
+            } else {
+                s.held as f32 / s.size
+            };
             (over, load / self.scale(s).max(0.05))
         };
-        sample.into_iter().min_by(|&a, &b| rank(a).partial_cmp(&rank(b)).unwrap_or(std::cmp::Ordering::Equal))
+        sample.into_iter().min_by(|&a, &b| {
+            rank(a)
+                .partial_cmp(&rank(b))
+                .unwrap_or(std::cmp::Ordering::Equal)
+        })
     }
 
     /// How many listed servers get nothing new now, as the list, hands or their health say.
     pub fn avoided(&self, now: Micros) -> usize {
-        self.servers.iter().filter(|s| !s.gone && (!s.ready || now < s.ejected_until)).count()
+        self.servers
+            .iter()
+            .filter(|s| !s.gone && (!s.ready || now < s.ejected_until))
+            .count()
     }
 
     fn arrived(&mut self, request: Request, out: &mut Out) {
@@ -720,17 +985,33 @@
         }
         let deadline = self.now + request.left;
         self.owed_by(request.id, deadline, out);
-        self.advance(Pending { class: self.class(&request), request, deadline, ..Pending::default() }, out);
+        self.advance(
+            Pending {
+                class: self.class(&request),
+                request,
+                deadline,
+                ..Pending::default()
+            },
+            out,
+        );
     }
 
     /// Answered a tick before the client gives up, whatever is out or held then.
     fn owed_by(&self, id: RequestId, deadline: Micros, out: &mut Out) {
-        let last = deadline.saturating_sub(self.settings.tick).max(self.now + 1);
+        let last = deadline
+            .saturating_sub(self.settings.tick)
+            .max(self.now + 1);
         out.push(Action::Timer(last, TIMER_DEADLINE | u64::from(id.0)));
     }
 
     fn hurry(&mut self, id: RequestId, by: Micros, out: &mut Out) {
-        let Some(p) = self.pending.get_mut(&id).filter(|p| !p.answered && p.deadline > by) else { return };
+        let Some(p) = self
+            .pending
+            .get_mut(&id)
+            .filter(|p| !p.answered && p.deadline > by)
+        else {
+            return;
+        };
         p.deadline = by;
         self.owed_by(id, by, out);
     }
@@ -748,8 +1029,17 @@
         let i = self.entry(server);
         self.take(i);
         self.stands(i, request.id, out);
-        let (id, deadline, phase, class) = (request.id, Micros::MAX, Phase::Up, self.class(&request));
-        let p = Pending { request, class, deadline, phase, answered: true, server, ..Pending::default() };
+        let (id, deadline, phase, class) =
+            (request.id, Micros::MAX, Phase::Up, self.class(&request));
+        let p = Pending {
+            request,
+            class,
+            deadline,
+            phase,
+            answered: true,
+            server,
+            ..Pending::default()
+        };
         self.pending.insert(id, p);
     }
 
@@ -765,7 +1055,11 @@
         let spare = (p.tried.len() as u32 + 1) < self.settings.max_attempts && self.retries >= 2.0;
         // Not so short that a server which is merely slow loses its work, unless it is the last.
         let share = (p.class.aim as f32 * self.t.attempt_share) as Micros;
-        let until = if spare { p.deadline.min(self.now + share.max(self.settings.tick)) } else { p.deadline };
+        let until = if spare {
+            p.deadline.min(self.now + share.max(self.settings.tick))
+        } else {
+            p.deadline
+        };
         // The window counts to the first byte: that comes once the dial is over.
         let begins = self.now + self.settings.tick + self.settings.dial_timeout;
         let may_repeat = match (p.ran, p.class.effect) {
@@ -774,25 +1068,41 @@
             (Some(_), Effect::Unsafe) => false,
         };
         let late = self.now >= p.deadline.saturating_sub(self.settings.tick);
-        let spent = p.tried.len() as u32 >= self.settings.max_attempts || (p.begun && self.retries < 1.0);
+        let spent =
+            p.tried.len() as u32 >= self.settings.max_attempts || (p.begun && self.retries < 1.0);
         if late || spent || !may_repeat || (self.shed(&p.request) && !p.request.mid_flow) {
             return self.answer(&mut p, out);
         }
-        let found = if self.look(&p, out) { None } else { self.place(&p) };
+        let found = if self.look(&p, out) {
+            None
+        } else {
+            self.place(&p)
+        };
         if let Some(i) = found {
             self.take(i);
-            let earned = if p.tried.is_empty() { self.t.retry_share } else { -f32::from(p.begun) };
+            let earned = if p.tried.is_empty() {
+                self.t.retry_share
+            } else {
+                -f32::from(p.begun)
+            };
             self.retries = (self.retries + earned).min(self.t.retry_saved);
             let s = &mut self.servers[i];
             (s.due, s.credit, s.since) = (None, s.credit - 1.0, s.since + 1.0);
             (p.phase, p.server, p.sent_at) = (Phase::Out, s.id, self.now);
             p.tried.push(s.id);
-            out.push(Action::Send { id: p.request.id, server: s.id, until });
+            out.push(Action::Send {
+                id: p.request.id,
+                server: s.id,
+                until,
+            });
         } else if p.tried.is_empty() {
             // One timer at a time, however many probes let it look again meanwhile.
             if p.wakes <= self.now {
                 p.wakes = self.now + self.t.look_wait;
-                out.push(Action::Timer(p.wakes, TIMER_HOLD | u64::from(p.request.id.0)));
+                out.push(Action::Timer(
+                    p.wakes,
+                    TIMER_HOLD | u64::from(p.request.id.0),
+                ));
             }
         } else {
             return self.answer(&mut p, out);
@@ -805,11 +1115,23 @@
             return;
         }
         let maybe_ran = p.ran.is_some() || p.phase == Phase::Out;
-        let repeats = matches!(p.class.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let repeats = matches!(
+            p.class.effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    group: Group::All,
+                    ..
+                }
+        );
         let id = p.request.id;
         let spread = 0.5 + fraction(own_key(&p.request), self.now);
-        let wait = ((self.t.retry_after as f32 * spread) as Micros).min(self.settings.max_retry_after);
-        out.push(if repeats || !maybe_ran { Action::Refuse(id, wait) } else { Action::Fail(id) });
+        let wait =
+            ((self.t.retry_after as f32 * spread) as Micros).min(self.settings.max_retry_after);
+        out.push(if repeats || !maybe_ran {
+            Action::Refuse(id, wait)
+        } else {
+            Action::Fail(id)
+        });
     }
 
     fn first(&mut self, id: RequestId, out: &mut Out) -> Result<(), Unknown> {
@@ -824,8 +1146,17 @@
         Ok(())
     }
 
-    fn ended(&mut self, id: RequestId, outcome: Outcome, last: bool, out: &mut Out) -> Result<(), Unknown> {
-        let waits = self.pending.get(&id).is_some_and(|p| p.phase != Phase::Held);
+    fn ended(
+        &mut self,
+        id: RequestId,
+        outcome: Outcome,
+        last: bool,
+        out: &mut Out,
+    ) -> Result<(), Unknown> {
+        let waits = self
+            .pending
+            .get(&id)
+            .is_some_and(|p| p.phase != Phase::Held);
         let Some(mut p) = self.pending.remove(&id).filter(|_| waits) else {
             return Err(Unknown::Request(id));
         };
@@ -834,7 +1165,9 @@
         self.held -= 1;
         match outcome {
             Outcome::Ok => (self.servers[i].strikes, self.servers[i].ejections) = (0, 0),
-            Outcome::Moot => self.retries = (self.retries + f32::from(p.begun)).min(self.t.retry_saved),
+            Outcome::Moot => {
+                self.retries = (self.retries + f32::from(p.begun)).min(self.t.retry_saved)
+            }
             Outcome::Cancelled => {}
             Outcome::Reset if p.phase == Phase::Up => self.servers[i].cut_at = Some(self.now),
             _ => self.failed(i, outcome),
@@ -865,7 +1198,9 @@
         let id = RequestId(token as u32);
         match token & !u64::from(u32::MAX) {
             TIMER_DEADLINE => {
-                let Some(mut p) = self.pending.remove(&id) else { return };
+                let Some(mut p) = self.pending.remove(&id) else {
+                    return;
+                };
                 if !p.answered && p.phase == Phase::Out && self.settings.may_cancel {
                     out.push(Action::Cancel(id, p.tried.len() as u16 - 1));
                 }
@@ -874,18 +1209,34 @@
                     self.pending.insert(id, p);
                 }
             }
-            TIMER_HOLD if self.pending.get(&id).is_some_and(|p| p.phase == Phase::Held) => {
-                self.pending.remove(&id).into_iter().for_each(|p| self.advance(p, out))
+            TIMER_HOLD
+                if self
+                    .pending
+                    .get(&id)
+                    .is_some_and(|p| p.phase == Phase::Held) =>
+            {
+                self.pending
+                    .remove(&id)
+                    .into_iter()
+                    .for_each(|p| self.advance(p, out))
             }
             TIMER_MOVE => self.relocate(id, out),
-            TIMER_ASK if !std::mem::replace(&mut self.watching, true) => out.push(Action::Watch(true)),
+            TIMER_ASK if !std::mem::replace(&mut self.watching, true) => {
+                out.push(Action::Watch(true))
+            }
             TIMER_PROBE => self.probe(out),
             _ => {}
         }
     }
 
     fn relocate(&mut self, id: RequestId, out: &mut Out) {
-        let Some(p) = self.pending.get_mut(&id).filter(|p| p.phase == Phase::Up && !p.moving) else { return };
+        let Some(p) = self
+            .pending
+            .get_mut(&id)
+            .filter(|p| p.phase == Phase::Up && !p.moving)
+        else {
+            return;
+        };
         p.moving = true;
         out.push(Action::Move(id));
     }
@@ -893,17 +1244,27 @@
     /// Which connection leaves a strained server: one turned away now, or with its group's homes elsewhere. A
     /// client that has come again stays where little is known: sent round and round, it jams all in turn.
     fn leaver(&self, i: usize, named: RequestId) -> Option<RequestId> {
-        let stray =
-            |q: &Request| self.homes.get(&q.group).is_some_and(|h| h.iter().all(|&(home, _)| home != i));
-        let here = |p: &&Pending| p.server == self.servers[i].id && p.phase == Phase::Up && !p.moving;
+        let stray = |q: &Request| {
+            self.homes
+                .get(&q.group)
+                .is_some_and(|h| h.iter().all(|&(home, _)| home != i))
+        };
+        let here =
+            |p: &&Pending| p.server == self.servers[i].id && p.phase == Phase::Up && !p.moving;
         let first = |p: &&Pending| self.planned() || !p.request.again;
         let mut candidates = self.pending.values().filter(here).filter(first);
         let found = candidates.find(|p| self.shed(&p.request) || stray(&p.request));
-        found.or_else(|| self.pending.get(&named).filter(first)).map(|p| p.request.id)
+        found
+            .or_else(|| self.pending.get(&named).filter(first))
+            .map(|p| p.request.id)
     }
 
     fn evacuate(&mut self, server: ServerId, share: f32, out: &mut Out) {
-        for p in self.pending.values().filter(|p| p.server == server && p.phase == Phase::Up) {
+        for p in self
+            .pending
+            .values()
+            .filter(|p| p.server == server && p.phase == Phase::Up)
+        {
             let at = self.now + self.rng.range(0..self.t.move_span);
             let first = self.planned() || !p.request.again;
             if share >= 1.0 || (first && fraction(own_key(&p.request), at) < share) {
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -26,7 +26,12 @@
         let core = self.core.clone();
         if let Some(account) = &mut self.account {
             account.name = order.name().to_string();
-            account.class = core.terms().rules.classes.name(order.request().class).to_string();
+            account.class = core
+                .terms()
+                .rules
+                .classes
+                .name(order.request().class)
+                .to_string();
             account.tally = Some(core.metrics.begin(&account.class));
         }
         let (answer, reason) = match idle.request(order.name()) {
@@ -38,7 +43,10 @@
                 return self.begin(order);
             }
             // Nothing was sent, so a refusal promises nothing false.
-            Err(Denied::Full) => (Answer::Refused(core.terms().max_retry_after / 2), "no-descriptors"),
+            Err(Denied::Full) => (
+                Answer::Refused(core.terms().max_retry_after / 2),
+                "no-descriptors",
+            ),
             Err(Denied::IdInUse) => (Answer::IdInUse, "id-in-use"),
         };
         self.finish(Some(answer), order.words(answer), reason);
@@ -46,7 +54,9 @@
 
     /// Asks the decisions, or goes back to the backend at which the connection was open before the start.
     fn begin(&mut self, order: Box<dyn Order>) {
-        let Some(session) = self.session.clone() else { return };
+        let Some(session) = self.session.clone() else {
+            return;
+        };
         let (core, now) = (self.core.clone(), self.now());
         // Where this process stops, the answer is owed before it ends.
         let stop_by = core.stop_by.load(Relaxed);
@@ -65,17 +75,33 @@
                     (account.backend, account.attempts) = (at.to_string(), 1);
                 }
                 let until = (now + ADOPT).min(stop_by);
-                (id, None, Some(Attempt::new(&*order, server, until, 0, now)), server, until)
+                (
+                    id,
+                    None,
+                    Some(Attempt::new(&*order, server, until, 0, now)),
+                    server,
+                    until,
+                )
             }
             None => {
                 // Whoever waits is owed its answer by then; what went before the request is the client's own time.
                 let answer_by = now + asked.left;
-                let pick = core.decisions.pick(asked.clone(), flow, |id| session.takes_id(id));
+                let pick = core
+                    .decisions
+                    .pick(asked.clone(), flow, |id| session.takes_id(id));
                 (pick.id, Some(pick), None, Default::default(), answer_by)
             }
         };
         let cause = Cause::Broke;
-        self.placing = Some(Box::new(Placing { order, id, pick, attempt, server, cause, answer_by }));
+        self.placing = Some(Box::new(Placing {
+            order,
+            id,
+            pick,
+            attempt,
+            server,
+            cause,
+            answer_by,
+        }));
         self.place(false);
     }
 
@@ -93,14 +119,28 @@
 
     /// Goes on with a request that is placed; `ready` says that the socket of its attempt is.
     pub fn place(&mut self, mut ready: bool) {
-        let Some(session) = self.session.clone() else { return };
+        let Some(session) = self.session.clone() else {
+            return;
+        };
         loop {
-            if self.placing.as_ref().and_then(|p| p.attempt.as_ref()).is_some_and(|a| a.begins(ready)) {
+            if self
+                .placing
+                .as_ref()
+                .and_then(|p| p.attempt.as_ref())
+                .is_some_and(|a| a.begins(ready))
+            {
                 self.look_for_end();
             }
-            let Some(mut p) = self.placing.take() else { return };
+            let Some(mut p) = self.placing.take() else {
+                return;
+            };
             if let Some(attempt) = &mut p.attempt {
-                let ground = Ground { core: &self.core, session: &session, order: &*p.order, id: p.id };
+                let ground = Ground {
+                    core: &self.core,
+                    session: &session,
+                    order: &*p.order,
+                    id: p.id,
+                };
                 let Some(result) = attempt.go(ground, std::mem::take(&mut ready)) else {
                     self.placing = Some(p);
                     return;
@@ -117,20 +157,28 @@
                     self.placing = Some(p);
                     return;
                 }
-                Some(Verdict::Attempt { server, until, number }) => {
+                Some(Verdict::Attempt {
+                    server,
+                    until,
+                    number,
+                }) => {
                     if let Some(account) = &mut self.account {
                         account.attempts += 1;
-                        account.backend =
-                            self.core.directory.endpoint(server).map_or(String::new(), |e| e.name);
+                        account.backend = self
+                            .core
+                            .directory
+                            .endpoint(server)
+                            .map_or(String::new(), |e| e.name);
                     }
                     p.attempt = Some(Attempt::new(&*p.order, server, until, number, self.now()));
                     p.server = server;
                     self.placing = Some(p);
                     continue;
                 }
-                Some(Verdict::Refuse(wait)) => {
-                    (Some(Answer::Refused(wait.min(self.core.terms().max_retry_after))), "refused")
-                }
+                Some(Verdict::Refuse(wait)) => (
+                    Some(Answer::Refused(wait.min(self.core.terms().max_retry_after))),
+                    "refused",
+                ),
                 Some(Verdict::Fail) => (Some(Answer::Failed(p.cause)), "failed"),
                 Some(Verdict::Gone) => (None, "client-gave-up"),
             };
@@ -159,7 +207,11 @@
                 decisions.report(p.id, Outcome::Cancelled, Vec::new());
             }
             (Err((outcome, report)), true) => {
-                p.cause = if outcome == Outcome::Timeout { Cause::Late } else { Cause::Broke };
+                p.cause = if outcome == Outcome::Timeout {
+                    Cause::Late
+                } else {
+                    Cause::Broke
+                };
                 decisions.report(p.id, outcome, report);
             }
             (Err((outcome, report)), false) => {
@@ -183,9 +235,16 @@
 
     /// Goes on with a connection that has come up.
     fn stand(&mut self, p: Placing, up: Up) {
-        let Up { link, inbox, passage } = up;
+        let Up {
+            link,
+            inbox,
+            passage,
+        } = up;
         if passage.answered() {
-            self.account.iter().filter_map(|account| account.tally.as_ref()).for_each(|tally| tally.passed());
+            self.account
+                .iter()
+                .filter_map(|account| account.tally.as_ref())
+                .for_each(|tally| tally.passed());
         } else {
             self.answer_by = Some(p.answer_by);
         }
@@ -197,7 +256,12 @@
         if !passage.portable() {
             self.down.make_roomy();
         }
-        self.backend = Some(Backend { link, id: p.id, server: p.server, passage });
+        self.backend = Some(Backend {
+            link,
+            id: p.id,
+            server: p.server,
+            passage,
+        });
         (self.phase, self.heard) = (Phase::Up, self.now());
         self.flush_down();
         self.flush_up();
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -40,7 +40,11 @@
 }
 
 pub(super) fn end(outcome: Outcome, reason: &'static str) -> End {
-    End { outcome, report: Vec::new(), reason }
+    End {
+        outcome,
+        report: Vec::new(),
+        reason,
+    }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -193,16 +197,31 @@
 
     /// Whether its client is to be moved.
     pub fn moving(&self) -> bool {
-        self.session.as_ref().is_some_and(|session| session.moving())
+        self.session
+            .as_ref()
+            .is_some_and(|session| session.moving())
     }
 
     /// The request as the decisions see one that came up in another process, or before the start.
     pub fn standing_request(class: usize, (key, group): (u64, u64)) -> Request {
-        Request { class, key, group, ..Request::default() }
+        Request {
+            class,
+            key,
+            group,
+            ..Request::default()
+        }
     }
 
     /// A socket of its own is ready.
-    pub fn ready(&mut self, Ready { token, read, write, end }: Ready) {
+    pub fn ready(
+        &mut self,
+        Ready {
+            token,
+            read,
+            write,
+            end,
+        }: Ready,
+    ) {
         let side = token & (BACKEND | CLIENT);
         if self.watched[side as usize].is_none_or(|(now, _)| now != token) {
             // It was closed while this was on its way.
@@ -236,19 +255,32 @@
 
     /// Whether nothing has been asked for, nor begun, and it has not come just now.
     pub fn rests(&self) -> bool {
-        let hearing = self.hearing.as_ref().filter(|_| self.phase == Phase::Hearing);
-        let came = self.account.as_ref().is_none_or(|account| account.began.elapsed() >= GRACE);
-        came && hearing.is_some_and(|h| self.up.rest().is_empty() && h.out.is_empty() && !h.securing)
+        let hearing = self
+            .hearing
+            .as_ref()
+            .filter(|_| self.phase == Phase::Hearing);
+        let came = self
+            .account
+            .as_ref()
+            .is_none_or(|account| account.began.elapsed() >= GRACE);
+        came && hearing
+            .is_some_and(|h| self.up.rest().is_empty() && h.out.is_empty() && !h.securing)
     }
 
     /// The process ends, and it with that.
     pub fn cut_off(&mut self) {
-        self.account.take().iter().for_each(|account| account.log("cut-off"));
+        self.account
+            .take()
+            .iter()
+            .for_each(|account| account.log("cut-off"));
     }
 
     /// Whether it waits for a list that names its backend.
     pub fn seeks(&self) -> bool {
-        self.placing.as_ref().and_then(|p| p.attempt.as_ref()).is_some_and(Attempt::seeks)
+        self.placing
+            .as_ref()
+            .and_then(|p| p.attempt.as_ref())
+            .is_some_and(Attempt::seeks)
     }
 
     /// Waits for what it now needs. False once it is done.
@@ -257,22 +289,35 @@
         let (client, backend) = self.wanted();
         let attempt = self.placing.as_ref().and_then(|p| p.attempt.as_ref());
         let number = attempt.map_or(0, |a| u64::from(a.number));
-        let token =
-            |side: u64| (self.number << NUMBER_SHIFT) | ((number % (1 << ATTEMPT_BITS)) << SIDE_BITS) | side;
+        let token = |side: u64| {
+            (self.number << NUMBER_SHIFT) | ((number % (1 << ATTEMPT_BITS)) << SIDE_BITS) | side
+        };
         // One that is up keeps the token of its attempt.
-        let same = self.watched[1].filter(|_| attempt.is_none()).map(|(token, _)| token);
+        let same = self.watched[1]
+            .filter(|_| attempt.is_none())
+            .map(|(token, _)| token);
         let sockets = [
-            (self.client.socket.clone(), client, CLIENT | self.number << NUMBER_SHIFT),
+            (
+                self.client.socket.clone(),
+                client,
+                CLIENT | self.number << NUMBER_SHIFT,
+            ),
             match (attempt.and_then(Attempt::waits), &self.backend) {
                 (Some((socket, interest)), _) => (socket.clone(), Some(interest), token(BACKEND)),
-                (None, Some(b)) => (b.link.socket.clone(), backend, same.unwrap_or(token(BACKEND))),
+                (None, Some(b)) => (
+                    b.link.socket.clone(),
+                    backend,
+                    same.unwrap_or(token(BACKEND)),
+                ),
                 // A socket that was let go of is closed, and so is no longer watched.
                 (None, None) => (self.client.socket.clone(), None, 0),
             },
         ];
         let gone = attempt.and_then(Attempt::waits).is_none() && self.backend.is_none();
         for (side, (socket, wanted, token)) in sockets.into_iter().enumerate() {
-            let before = self.watched[side].filter(|(now, _)| *now == token).map(|(_, interest)| interest);
+            let before = self.watched[side]
+                .filter(|(now, _)| *now == token)
+                .map(|(_, interest)| interest);
             if side == 1 && gone {
                 self.watched[1] = None;
                 continue;
@@ -290,7 +335,11 @@
     fn next_due(&self) -> Option<Micros> {
         match self.phase {
             Phase::Hearing => self.hearing.as_ref().map(|h| h.due()),
-            Phase::Placing => self.placing.as_ref().and_then(|p| p.attempt.as_ref()).map(Attempt::due),
+            Phase::Placing => self
+                .placing
+                .as_ref()
+                .and_then(|p| p.attempt.as_ref())
+                .map(Attempt::due),
             Phase::Closing(since, true) => Some(since + self.linger + 1),
             _ => None,
         }
@@ -308,7 +357,10 @@
                 Phase::Closing(..) => !self.flooded,
                 Phase::Done => false,
             };
-        let hearing = self.hearing.as_ref().is_some_and(|h| h.blocked.is_some() || (h.securing && held));
+        let hearing = self
+            .hearing
+            .as_ref()
+            .is_some_and(|h| h.blocked.is_some() || (h.securing && held));
         let client_out = self.down_blocked.is_some();
         // Once a client has ended there is nothing to be heard from it but, with nothing wanted, errors
         // again and again.
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -30,7 +30,10 @@
 impl Terms {
     fn of(config: &Config) -> Terms {
         Terms {
-            rules: Arc::new(Rules { classes: config.classes.clone(), names: config.names.clone() }),
+            rules: Arc::new(Rules {
+                classes: config.classes.clone(),
+                names: config.names.clone(),
+            }),
             dial_timeout: Duration::from_micros(config.settings.dial_timeout),
             max_retry_after: config.settings.max_retry_after,
         }
@@ -50,9 +53,15 @@
 impl Xmpp {
     /// The front that an operator file sets, with its certificates, all checked; none where it sets none.
     pub fn of(file: &OperatorFile, config: &Config) -> Result<Option<Arc<Xmpp>>, OperatorError> {
-        let Some(x) = &file.operator.xmpp else { return Ok(None) };
+        let Some(x) = &file.operator.xmpp else {
+            return Ok(None);
+        };
         let terms = Arc::new(terms::Terms::of(file, x, &config.classes)?);
-        Ok(Some(Arc::new(Xmpp { terms, tls: Tls::load(file, x)?, port: x.servers.port })))
+        Ok(Some(Arc::new(Xmpp {
+            terms,
+            tls: Tls::load(file, x)?,
+            port: x.servers.port,
+        })))
     }
 }
 
@@ -69,7 +78,10 @@
 impl Held {
     /// None yet, within that limit of the process.
     pub fn new(memory_mb: u64) -> Held {
-        Held { now: AtomicUsize::new(0), most: (memory_mb * 1024 * 1024 / HELD_SHARE) as usize }
+        Held {
+            now: AtomicUsize::new(0),
+            most: (memory_mb * 1024 * 1024 / HELD_SHARE) as usize,
+        }
     }
 
     /// Holds so many bytes in place of so many before; false where that is more than there may be. What is held
@@ -119,7 +131,11 @@
             terms: Mutex::new(Arc::new(Terms::of(config))),
             xmpp: Mutex::default(),
             notes: Notes::default(),
-            admission: Admission::new(&config.limits, config.admin.is_some(), config.accept_fd.is_some()),
+            admission: Admission::new(
+                &config.limits,
+                config.admin.is_some(),
+                config.accept_fd.is_some(),
+            ),
             metrics,
             held: Held::new(config.limits.memory_mb),
             stop_by: AtomicU64::new(Micros::MAX),
@@ -154,6 +170,8 @@
 
     /// The port at which servers of that front are reached, where it is not the one that discovery gives.
     pub fn port(&self, front: &str) -> Option<u16> {
-        self.xmpp().filter(|_| front == "xmpp").and_then(|xmpp| xmpp.port)
+        self.xmpp()
+            .filter(|_| front == "xmpp")
+            .and_then(|xmpp| xmpp.port)
     }
 }
--- a/src/net/fleet/jobs.rs
+++ b/src/net/fleet/jobs.rs
@@ -36,8 +36,14 @@
 
 impl JobResources {
     fn of_zone(&self, zone: &str) -> Vec<u64> {
-        let Some(at) = self.zones.iter().position(|of| of == zone) else { return Vec::new() };
-        self.directory.of_zone(at as u16).into_iter().map(|server| server.0).collect()
+        let Some(at) = self.zones.iter().position(|of| of == zone) else {
+            return Vec::new();
+        };
+        self.directory
+            .of_zone(at as u16)
+            .into_iter()
+            .map(|server| server.0)
+            .collect()
     }
 
     /// What this relay can do for the fleet.
@@ -45,8 +51,12 @@
         let mut skills = Skills::default();
         if jobs.load_watch && self.probes {
             skills.kinds.push(load_watch::KIND.into());
-            let named = self.zones.iter().map(|zone| format!("{}/{zone}", load_watch::KIND));
-            let (may, cannot): (Vec<String>, Vec<String>) = named.partition(|name| may_be_named(name));
+            let named = self
+                .zones
+                .iter()
+                .map(|zone| format!("{}/{zone}", load_watch::KIND));
+            let (may, cannot): (Vec<String>, Vec<String>) =
+                named.partition(|name| may_be_named(name));
             for name in cannot {
                 log(&format!("fleet.jobs.load_watch: no job can be named '{name}': a shorter name of the zone is wanted"));
             }
@@ -56,7 +66,11 @@
             skills.kinds.push(moves::KIND.into());
             skills.opens.push(moves::KIND.into());
         }
-        skills.zone = self.zones.get(usize::from(self.zone)).cloned().unwrap_or_default();
+        skills.zone = self
+            .zones
+            .get(usize::from(self.zone))
+            .cloned()
+            .unwrap_or_default();
         skills
     }
 }
@@ -85,7 +99,11 @@
         #[cfg(feature = "injected-bugs")]
         let owner = Owner::with_injected(super::injected());
         let subscriber = Subscriber::new(self.lease_client.relay().clone()).in_zone(&skills.zone);
-        let subscriber = if jobs.compact_updates { subscriber } else { subscriber.with_whole_updates() };
+        let subscriber = if jobs.compact_updates {
+            subscriber
+        } else {
+            subscriber.with_whole_updates()
+        };
         self.lease_client.works(owner.skilled(skills));
         let worker = Worker::new(subscriber);
         #[cfg(feature = "injected-bugs")]
@@ -95,7 +113,9 @@
 
     /// What it does for the fleet.
     pub(super) fn do_jobs(&mut self) {
-        let Some((worker, resources)) = &mut self.work else { return };
+        let Some((worker, resources)) = &mut self.work else {
+            return;
+        };
         let now = boottime();
         for (server, at, report) in resources.book.take() {
             worker.found(at, server.0, report);
@@ -111,12 +131,23 @@
         figures.works.store(true, Relaxed);
         figures.obeyed.store(worker.obeyed, Relaxed);
         figures.refused.store(worker.refused, Relaxed);
-        figures.spared.store(resources.book.spared.load(Relaxed), Relaxed);
-        figures.made.store(resources.book.made.load(Relaxed), Relaxed);
+        figures
+            .spared
+            .store(resources.book.spared.load(Relaxed), Relaxed);
+        figures
+            .made
+            .store(resources.book.made.load(Relaxed), Relaxed);
         // Told by name only where it has changed: a turn is short.
         let mut told = crate::sys::lock(&figures.jobs);
-        if !told.iter().map(|(name, token)| (name.as_str(), *token)).eq(worker.acts_on()) {
-            *told = worker.acts_on().map(|(name, token)| (name.to_string(), token)).collect();
+        if !told
+            .iter()
+            .map(|(name, token)| (name.as_str(), *token))
+            .eq(worker.acts_on())
+        {
+            *told = worker
+                .acts_on()
+                .map(|(name, token)| (name.to_string(), token))
+                .collect();
         }
         drop(told);
         self.carry_out_commands(commands);
@@ -129,12 +160,22 @@
         } else {
             self.links.get(&from).and_then(|link| link.voter)
         };
-        let (Some(voter), Some((worker, resources))) = (voter, &mut self.work) else { return };
-        let context = WorkContext { columns: &resources.columns, listed: &|_| Vec::new(), moves: &|| None };
+        let (Some(voter), Some((worker, resources))) = (voter, &mut self.work) else {
+            return;
+        };
+        let context = WorkContext {
+            columns: &resources.columns,
+            listed: &|_| Vec::new(),
+            moves: &|| None,
+        };
         let now = boottime();
         let commands = match message {
-            Message::Updates(updates) => worker.updates(now, voter, &self.lease_client, context, updates),
-            Message::Delivery(delivery) => worker.delivery(now, voter, &self.lease_client, context, delivery),
+            Message::Updates(updates) => {
+                worker.updates(now, voter, &self.lease_client, context, updates)
+            }
+            Message::Delivery(delivery) => {
+                worker.delivery(now, voter, &self.lease_client, context, delivery)
+            }
             Message::Receipt(receipt) => {
                 worker.receipt(now, voter, receipt);
                 return;
@@ -160,13 +201,16 @@
                     }
                 }
                 WorkerCommand::Loads(rows) => {
-                    let Some((_, resources)) = &self.work else { continue };
-                    resources
-                        .book
-                        .forget(boottime(), |server| resources.directory.endpoint(server).is_some());
-                    resources
-                        .book
-                        .tell(rows.into_iter().map(|(server, at, row)| (ServerId(server), at, row)));
+                    let Some((_, resources)) = &self.work else {
+                        continue;
+                    };
+                    resources.book.forget(boottime(), |server| {
+                        resources.directory.endpoint(server).is_some()
+                    });
+                    resources.book.tell(
+                        rows.into_iter()
+                            .map(|(server, at, row)| (ServerId(server), at, row)),
+                    );
                 }
                 WorkerCommand::Permit(upto) => self.decisions.permit(upto),
                 WorkerCommand::Log(line) => log(&line),
@@ -178,5 +222,12 @@
 /// How the fleet's moves are here, and how many a second there may be in the whole fleet.
 fn moving(decisions: &Decisions) -> Option<(Moving, u64)> {
     let (waiting, made, permitted, rate) = decisions.moving()?;
-    Some((Moving { waiting, made, permitted }, rate))
+    Some((
+        Moving {
+            waiting,
+            made,
+            permitted,
+        },
+        rate,
+    ))
 }
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -22,21 +22,32 @@
         let admits = now < until;
         if std::mem::replace(&mut self.admits, admits) != admits {
             let epoch = self.lease_client.policy().epoch;
-            let what = if admits { "clients are admitted" } else { "no lease: new clients are refused" };
+            let what = if admits {
+                "clients are admitted"
+            } else {
+                "no lease: new clients are refused"
+            };
             log(&format!("fleet: {what}, policy of epoch {epoch}"));
         }
         let missing = self.voter.as_ref().map(Voter::missing).unwrap_or_default();
         if missing != self.missing {
             if !missing.is_empty() {
                 let names: Vec<String> = missing.iter().map(u64::to_string).collect();
-                log(&format!("fleet: founders {} have not been heard yet", names.join(", ")));
+                log(&format!(
+                    "fleet: founders {} have not been heard yet",
+                    names.join(", ")
+                ));
             }
             self.missing = missing;
         }
         let leads = self.voter.as_ref().and_then(Voter::leads);
         let figures = &self.metrics.control;
-        figures.epoch.store(self.lease_client.policy().epoch, Relaxed);
-        figures.votes.store(self.voter.is_some() && self.missing.is_empty(), Relaxed);
+        figures
+            .epoch
+            .store(self.lease_client.policy().epoch, Relaxed);
+        figures
+            .votes
+            .store(self.voter.is_some() && self.missing.is_empty(), Relaxed);
         figures.leads.store(leads.unwrap_or(0), Relaxed);
         if figures.admits.swap(admits, Relaxed) && !admits {
             figures.stops.fetch_add(1, Relaxed);
@@ -67,7 +78,10 @@
                 Effect::Adopt(policy) => self.adopt(&policy),
                 Effect::Membership(membership) => self.seat(membership),
                 Effect::Prepare(proposal) => {
-                    let stored = self.ledger.as_ref().map_or(Ok(()), |ledger| ledger.prepare(&proposal));
+                    let stored = self
+                        .ledger
+                        .as_ref()
+                        .map_or(Ok(()), |ledger| ledger.prepare(&proposal));
                     if let Err(e) = stored {
                         // Unanswered, it will be given up, and the fleet keeps what it has.
                         log(&format!("fleet: a proposal cannot be stored: {e}"));
@@ -94,7 +108,10 @@
             // After a restart it asks for the policy before it admits anybody.
             log(&format!("fleet: the policy cannot be stored: {e}"));
         }
-        let rules = match (policy.epoch, policy::read(Path::new("policy"), &policy.text)) {
+        let rules = match (
+            policy.epoch,
+            policy::read(Path::new("policy"), &policy.text),
+        ) {
             (0, _) => self.own.clone(),
             (_, Ok(rules)) => rules,
             (epoch, Err(e)) => {
--- a/src/net/fleet/link.rs
+++ b/src/net/fleet/link.rs
@@ -54,18 +54,42 @@
 impl Link {
     /// One whose dial has begun.
     pub(super) fn dialled(socket: TcpStream, session: Session, voter: u64) -> Link {
-        let watched = Interest { read: false, write: true, end: false };
-        Link { voter: Some(voter), connecting: true, ..Link::new(socket, session, watched) }
+        let watched = Interest {
+            read: false,
+            write: true,
+            end: false,
+        };
+        Link {
+            voter: Some(voter),
+            connecting: true,
+            ..Link::new(socket, session, watched)
+        }
     }
 
     /// One that came in.
     pub(super) fn accepted(socket: TcpStream, session: Session) -> Link {
-        Link::new(socket, session, Interest { read: true, write: false, end: false })
+        Link::new(
+            socket,
+            session,
+            Interest {
+                read: true,
+                write: false,
+                end: false,
+            },
+        )
     }
 
     fn new(socket: TcpStream, session: Session, watched: Interest) -> Link {
         let (queue, blocked) = (VecDeque::new(), None);
-        Link { socket, session, voter: None, connecting: false, watched, queue, blocked }
+        Link {
+            socket,
+            session,
+            voter: None,
+            connecting: false,
+            watched,
+            queue,
+            blocked,
+        }
     }
 
     /// Begins to be watched under this token.
@@ -105,12 +129,19 @@
     }
 
     /// Writes what waits, as far as the socket takes it.
-    pub(super) fn flush(&mut self, poller: &Poller, token: u64, traffic: &Traffic) -> Result<(), LinkEnd> {
+    pub(super) fn flush(
+        &mut self,
+        poller: &Poller,
+        token: u64,
+        traffic: &Traffic,
+    ) -> Result<(), LinkEnd> {
         if self.connecting {
             return Ok(());
         }
         while self.session.ready() && self.session.out().len() < UNSENT {
-            let Some(message) = self.queue.pop_front() else { break };
+            let Some(message) = self.queue.pop_front() else {
+                break;
+            };
             let bytes = message.encode();
             if self.session.send(&bytes) {
                 traffic.count(Direction::Sent, message.kind(), bytes.len() + FRAME);
@@ -123,7 +154,11 @@
             (true, 0) => self.blocked.or_else(|| Some(boottime())),
             (true, _) => Some(boottime()),
         };
-        let wanted = Interest { read: true, write: waits, end: false };
+        let wanted = Interest {
+            read: true,
+            write: waits,
+            end: false,
+        };
         if wanted != self.watched {
             let _ = poller.watch(&self.socket, token, Some(self.watched), Some(wanted));
             self.watched = wanted;
@@ -153,7 +188,9 @@
         let n = match (&self.socket).read(&mut piece) {
             Ok(0) => return Err(LinkEnd::Ended),
             Ok(n) => n,
-            Err(e) if timed_out(&e) || e.kind() == io::ErrorKind::Interrupted => return Ok(Vec::new()),
+            Err(e) if timed_out(&e) || e.kind() == io::ErrorKind::Interrupted => {
+                return Ok(Vec::new())
+            }
             Err(_) => return Err(LinkEnd::Broke),
         };
         let knew = self.session.ready();
--- a/src/net/fleet/links.rs
+++ b/src/net/fleet/links.rs
@@ -30,7 +30,9 @@
             Some(token) => token,
             None if dialled > 0 && boottime() < dialled + REDIAL => return,
             None => {
-                let Some(token) = self.dial(voter) else { return };
+                let Some(token) = self.dial(voter) else {
+                    return;
+                };
                 token
             }
         };
@@ -48,15 +50,31 @@
     }
 
     fn session(&self, dials: bool) -> Session {
-        Session::new(dials, self.setup.keys.clone(), self.setup.id(), random_number())
+        Session::new(
+            dials,
+            self.setup.keys.clone(),
+            self.setup.id(),
+            random_number(),
+        )
     }
 
     /// Where a voter is reached: the operator file's word goes before the log's, for a way of this relay's own.
     fn address(&self, voter: u64) -> Option<SocketAddr> {
-        let own = self.setup.fleet.voters.iter().find(|v| v.number == voter).map(|v| v.address);
-        let seat =
-            |membership: &Membership| membership.of.get(&voter).and_then(|seat| seat.address.parse().ok());
-        own.or_else(|| seat(&self.membership)).or_else(|| seat(&self.voter.as_ref()?.state().membership))
+        let own = self
+            .setup
+            .fleet
+            .voters
+            .iter()
+            .find(|v| v.number == voter)
+            .map(|v| v.address);
+        let seat = |membership: &Membership| {
+            membership
+                .of
+                .get(&voter)
+                .and_then(|seat| seat.address.parse().ok())
+        };
+        own.or_else(|| seat(&self.membership))
+            .or_else(|| seat(&self.voter.as_ref()?.state().membership))
     }
 
     fn enter(&mut self, link: Link) -> Option<u64> {
@@ -69,7 +87,9 @@
 
     /// Hands a message to a link.
     pub(super) fn send(&mut self, token: u64, message: Message) {
-        let Some(link) = self.links.get_mut(&token) else { return };
+        let Some(link) = self.links.get_mut(&token) else {
+            return;
+        };
         match link.push(message) {
             Ok(()) => self.flush(token),
             Err(end) => self.close(token, &end),
@@ -77,14 +97,18 @@
     }
 
     fn flush(&mut self, token: u64) {
-        let Some(link) = self.links.get_mut(&token) else { return };
+        let Some(link) = self.links.get_mut(&token) else {
+            return;
+        };
         if let Err(end) = link.flush(&self.poller, token, &self.metrics.control.traffic) {
             self.close(token, &end);
         }
     }
 
     fn close(&mut self, token: u64, end: &LinkEnd) {
-        let Some(link) = self.links.remove(&token) else { return };
+        let Some(link) = self.links.remove(&token) else {
+            return;
+        };
         if let Some(voter) = &mut self.voter {
             voter.gone(token);
         }
@@ -97,17 +121,30 @@
     /// Gives up links that take nothing.
     pub(super) fn close_stuck(&mut self, now: Micros) {
         let stuck = |link: &Link| link.blocked_since(now.saturating_sub(STUCK));
-        let stuck: Vec<u64> =
-            self.links.iter().filter(|(_, link)| stuck(link)).map(|(token, _)| *token).collect();
-        stuck.into_iter().for_each(|token| self.close(token, &LinkEnd::Stuck));
+        let stuck: Vec<u64> = self
+            .links
+            .iter()
+            .filter(|(_, link)| stuck(link))
+            .map(|(token, _)| *token)
+            .collect();
+        stuck
+            .into_iter()
+            .for_each(|token| self.close(token, &LinkEnd::Stuck));
     }
 
     /// Something can be done on a socket.
-    pub(super) fn ready(&mut self, Ready { token, read, write, .. }: Ready) {
+    pub(super) fn ready(
+        &mut self,
+        Ready {
+            token, read, write, ..
+        }: Ready,
+    ) {
         if token == LISTEN {
             return self.accept();
         }
-        let Some(link) = self.links.get_mut(&token) else { return };
+        let Some(link) = self.links.get_mut(&token) else {
+            return;
+        };
         if link.is_connecting() && (write || read) {
             return match link.connected(write) {
                 Ok(()) => self.flush(token),
@@ -135,18 +172,24 @@
     }
 
     fn read(&mut self, token: u64) {
-        let Some(link) = self.links.get_mut(&token) else { return };
+        let Some(link) = self.links.get_mut(&token) else {
+            return;
+        };
         let messages = match link.read(&self.metrics.control.traffic) {
             Ok(messages) => messages,
             Err(end) => {
                 if let LinkEnd::Fault(fault) = &end {
-                    let peer = link.socket.peer_addr().map_or("a process".into(), |addr| addr.to_string());
+                    let peer = link
+                        .socket
+                        .peer_addr()
+                        .map_or("a process".into(), |addr| addr.to_string());
                     log(&format!("fleet: {peer} {fault}"));
                 }
                 return self.close(token, &end);
             }
         };
-        self.inbox.extend(messages.into_iter().map(|message| (token, message)));
+        self.inbox
+            .extend(messages.into_iter().map(|message| (token, message)));
         self.work();
         // The other side's greeting may have come: what has waited for it goes out.
         self.flush(token);
--- a/src/net/fleet/messages.rs
+++ b/src/net/fleet/messages.rs
@@ -39,7 +39,11 @@
     }
 
     fn take_reply(&mut self, reply: Reply) {
-        let check = |text: &str| policy::read(Path::new("policy"), text).map(drop).map_err(|e| e.to_string());
+        let check = |text: &str| {
+            policy::read(Path::new("policy"), text)
+                .map(drop)
+                .map_err(|e| e.to_string())
+        };
         let effects = self.lease_client.heard(boottime(), reply, check);
         self.carry_out(effects);
         self.publish();
@@ -47,7 +51,9 @@
 
     fn take_stale(&mut self, job: &str, token: u64) {
         if let Some((worker, _)) = &mut self.work {
-            log(&format!("fleet: {job} has token {token} by now: it acts on it no more"));
+            log(&format!(
+                "fleet: {job} has token {token} by now: it acts on it no more"
+            ));
             worker.stale(boottime(), &mut self.lease_client, job, token);
         }
     }
@@ -61,11 +67,14 @@
                 if number == voter.id() && incarnation == voter.incarnation() =>
             {
                 let remedy = "another under a new number may take its place";
-                self.end_vote(&format!("this voter was removed, or its ledger made anew: {remedy}"));
+                self.end_vote(&format!(
+                    "this voter was removed, or its ledger made anew: {remedy}"
+                ));
             }
             Message::Log(incarnation, bytes) => {
                 if let Err(damaged) = voter.step(now, from, incarnation, &bytes) {
-                    let remedy = "its disk must be replaced, and a voter of a new number take its place";
+                    let remedy =
+                        "its disk must be replaced, and a voter of a new number take its place";
                     self.give_up_vote(&format!("the ledger: {}: {remedy}", damaged.0));
                 }
             }
@@ -81,7 +90,9 @@
 
     /// Does what this relay's voter wants done: stores first, then sends. False where there is nothing to do.
     fn work_of_voter(&mut self) -> bool {
-        let Some(voter) = &mut self.voter else { return false };
+        let Some(voter) = &mut self.voter else {
+            return false;
+        };
         let work = voter.work(boottime());
         if let Some(why) = voter.ended() {
             self.end_vote(why.0);
--- a/src/net/fleet/setup.rs
+++ b/src/net/fleet/setup.rs
@@ -28,14 +28,25 @@
 impl Setup {
     /// What `[fleet]` sets; none where the file does not have it.
     pub fn of(file: &OperatorFile) -> Result<Option<Setup>, OperatorError> {
-        let Some(fleet) = file.operator.fleet.clone() else { return Ok(None) };
+        let Some(fleet) = file.operator.fleet.clone() else {
+            return Ok(None);
+        };
         check_voters(file, &fleet)?;
         if !LEASE_MS.contains(&fleet.lease_ms) {
-            let what = format!("is {}, outside {} to {}", fleet.lease_ms, LEASE_MS.start(), LEASE_MS.end());
+            let what = format!(
+                "is {}, outside {} to {}",
+                fleet.lease_ms,
+                LEASE_MS.start(),
+                LEASE_MS.end()
+            );
             return Err(file.error("fleet.lease_ms", what));
         }
         let (keys, directory) = (read_keys(file, &fleet)?, file.resolve(&fleet.directory));
-        Ok(Some(Setup { fleet, keys, directory }))
+        Ok(Some(Setup {
+            fleet,
+            keys,
+            directory,
+        }))
     }
 
     /// The number that stands for its name on the link.
@@ -45,7 +56,10 @@
 
     /// Whose ledger it is.
     pub fn owner(&self) -> ledger::Owner {
-        ledger::Owner { fleet: self.fleet.id.clone(), voter: self.fleet.voter.unwrap_or(0) }
+        ledger::Owner {
+            fleet: self.fleet.id.clone(),
+            voter: self.fleet.voter.unwrap_or(0),
+        }
     }
 
     /// The numbers of the voters.
@@ -56,7 +70,12 @@
     /// Its times.
     pub fn times(&self) -> Times {
         let lease = self.fleet.lease_ms * 1_000;
-        Times { lease, renew: lease / 4, patience: self.fleet.patience_ms * 1_000, ..Times::default() }
+        Times {
+            lease,
+            renew: lease / 4,
+            patience: self.fleet.patience_ms * 1_000,
+            ..Times::default()
+        }
     }
 }
 
@@ -70,11 +89,17 @@
         if voter.number == 0 {
             return Err(file.error(&key, "is 0; numbers begin with 1"));
         }
-        if fleet.voters[..i].iter().any(|other| other.number == voter.number) {
+        if fleet.voters[..i]
+            .iter()
+            .any(|other| other.number == voter.number)
+        {
             return Err(file.error(&key, format!("{} stands twice", voter.number)));
         }
     }
-    match fleet.voter.filter(|own| fleet.voters.iter().all(|voter| voter.number != *own)) {
+    match fleet
+        .voter
+        .filter(|own| fleet.voters.iter().all(|voter| voter.number != *own))
+    {
         Some(own) => Err(file.error("fleet.voter", format!("no voter has the number {own}"))),
         None => Ok(()),
     }
@@ -83,12 +108,19 @@
 /// The keys of the key file, one a line.
 fn read_keys(file: &OperatorFile, fleet: &operator::Fleet) -> Result<Vec<Vec<u8>>, OperatorError> {
     let path = file.resolve(&fleet.keys);
-    let text = std::fs::read_to_string(&path)
-        .map_err(|e| file.error("fleet.keys", format!("{} cannot be read: {e}", path.display())))?;
+    let text = std::fs::read_to_string(&path).map_err(|e| {
+        file.error(
+            "fleet.keys",
+            format!("{} cannot be read: {e}", path.display()),
+        )
+    })?;
     let lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     let keys: Vec<Vec<u8>> = lines.map(|line| line.as_bytes().to_vec()).collect();
     if keys.is_empty() || keys.iter().any(|key| key.len() < KEY_LEAST) {
-        let what = format!("{} wants keys of {KEY_LEAST} characters and more, one a line", path.display());
+        let what = format!(
+            "{} wants keys of {KEY_LEAST} characters and more, one a line",
+            path.display()
+        );
         return Err(file.error("fleet.keys", what));
     }
     Ok(keys)
--- a/src/net/fleet/voting.rs
+++ b/src/net/fleet/voting.rs
@@ -21,9 +21,17 @@
     /// Becomes the voter that the ledger says, and listens: not before, or links would lead to a process that cannot
     /// answer while the older one of this relay still votes.
     pub(super) fn take_vote(&mut self) -> Result<(), Box<dyn std::error::Error>> {
-        let (Some(ledger), Some(number)) = (&self.ledger, self.setup.fleet.voter) else { return Ok(()) };
+        let (Some(ledger), Some(number)) = (&self.ledger, self.setup.fleet.voter) else {
+            return Ok(());
+        };
         let kept = ledger.kept()?;
-        let voter = Voter::new(number, ledger.incarnation()?, &kept, self.setup.times(), boottime());
+        let voter = Voter::new(
+            number,
+            ledger.incarnation()?,
+            &kept,
+            self.setup.times(),
+            boottime(),
+        );
         let voter = match voter {
             Ok(voter) => voter,
             Err(damaged) => {
@@ -41,15 +49,28 @@
             log(&format!("fleet: {}; voter {number} does not vote", why.0));
             return Ok(());
         }
-        let own = self.setup.fleet.voters.iter().find(|voter| voter.number == number);
+        let own = self
+            .setup
+            .fleet
+            .voters
+            .iter()
+            .find(|voter| voter.number == number);
         let listener = listen(own.ok_or("fleet.voter: no voter has this number")?)?;
         self.poller.watch(
             &listener,
             LISTEN,
             None,
-            Some(Interest { read: true, write: false, end: false }),
+            Some(Interest {
+                read: true,
+                write: false,
+                end: false,
+            }),
         )?;
-        log(&format!("{}: votes in its fleet on {}", self.name, listener.local_addr()?));
+        log(&format!(
+            "{}: votes in its fleet on {}",
+            self.name,
+            listener.local_addr()?
+        ));
         (self.voter, self.listener) = (Some(voter), Some(listener));
         Ok(())
     }
@@ -93,7 +114,11 @@
             let _ = self.poller.watch(
                 &listener,
                 LISTEN,
-                Some(Interest { read: true, write: false, end: false }),
+                Some(Interest {
+                    read: true,
+                    write: false,
+                    end: false,
+                }),
                 None,
             );
         }
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -32,11 +32,18 @@
     /// short and not counted.
     pub fn count_memory(&mut self) {
         let lines = self.backend.as_ref().is_none_or(|b| b.passage.portable());
-        let now = if lines { 0 } else { self.up.room() + self.down.room() };
+        let now = if lines {
+            0
+        } else {
+            self.up.room() + self.down.room()
+        };
         let before = std::mem::replace(&mut self.held, now);
         if !self.core.held.change(before, now) && self.phase == Phase::Up {
             let words = self.backend.as_ref().map(|b| b.passage.words(Away::NoRoom));
-            self.leave(words.unwrap_or_default(), end(Outcome::Cancelled, "no-memory"));
+            self.leave(
+                words.unwrap_or_default(),
+                end(Outcome::Cancelled, "no-memory"),
+            );
             self.count_memory();
         }
     }
@@ -44,13 +51,19 @@
     /// The connection as another process needs it, with both sockets; here it is done then. It goes on
     /// without a word to either side: nothing may be shut down here after that.
     pub fn hand_over(&mut self, to: &Successor) -> io::Result<()> {
-        let (Phase::Up, None, None) = (self.phase, self.client_ended, &self.farewell) else { return Ok(()) };
-        let (Some(backend), Some(account)) = (&self.backend, &self.account) else { return Ok(()) };
+        let (Phase::Up, None, None) = (self.phase, self.client_ended, &self.farewell) else {
+            return Ok(());
+        };
+        let (Some(backend), Some(account)) = (&self.backend, &self.account) else {
+            return Ok(());
+        };
         let (backend, id) = (backend.link.socket.clone(), backend.id);
         if !self.backend.as_ref().is_some_and(|b| b.passage.portable()) {
             return Ok(());
         }
-        let Some(session) = &self.session else { return Ok(()) };
+        let Some(session) = &self.session else {
+            return Ok(());
+        };
         let bytes = self.up.rest().len() + self.down.rest().len();
         if bytes > takeover::MAX_BYTES || !session.give_away() {
             return Ok(());
@@ -152,7 +165,11 @@
     /// It left before its answer. An attempt that is out is ended, and reported.
     pub fn client_gone(&mut self) {
         self.client_ended = Some(self.now());
-        if let Some(id) = self.session.as_ref().and_then(|session| session.client_has_ended()) {
+        if let Some(id) = self
+            .session
+            .as_ref()
+            .and_then(|session| session.client_has_ended())
+        {
             self.core.decisions.vanish(id);
         }
         self.place(false);
@@ -175,7 +192,9 @@
     }
 
     fn read_backend(&mut self) {
-        let Some(backend) = &mut self.backend else { return };
+        let Some(backend) = &mut self.backend else {
+            return;
+        };
         match backend.link.fill(&mut self.down) {
             Ok(0) => self.backend_ended(),
             Ok(_) => {
@@ -188,7 +207,10 @@
             Err(_) if !backend.passage.mirrors_end() => self.backend_ended(),
             Err(_) => {
                 // Ended by a reset: so is the other side.
-                let gone = self.farewell.take().unwrap_or(end(Outcome::Reset, "backend-reset"));
+                let gone = self
+                    .farewell
+                    .take()
+                    .unwrap_or(end(Outcome::Reset, "backend-reset"));
                 self.reset_both(gone);
             }
         }
@@ -215,7 +237,9 @@
 
     /// Passes on to the backend what the client has sent.
     pub fn flush_up(&mut self) {
-        let Some(backend) = &mut self.backend else { return };
+        let Some(backend) = &mut self.backend else {
+            return;
+        };
         let mut blocked = std::mem::take(&mut self.up_blocked);
         loop {
             let mut fresh = 0;
@@ -280,11 +304,16 @@
         }
         let mut finished = false;
         loop {
-            let Some(backend) = &mut self.backend else { return };
+            let Some(backend) = &mut self.backend else {
+                return;
+            };
             let (id, server) = (backend.id, backend.server);
             let (mut fresh, mut news) = (0, Vec::new());
             let unread = &self.down.rest()[self.down_passed..];
-            match backend.passage.down(unread, &self.core.terms().rules, &mut news) {
+            match backend
+                .passage
+                .down(unread, &self.core.terms().rules, &mut news)
+            {
                 Ok(n) => fresh = n,
                 Err(_) if self.down_passed > 0 => {}
                 Err(fault) => {
@@ -296,20 +325,32 @@
             for news in news {
                 match news {
                     News::Load(x) => {
-                        let note = self.core.notes.read(server, id, self.core.decisions.now(), x);
+                        let note = self
+                            .core
+                            .notes
+                            .read(server, id, self.core.decisions.now(), x);
                         self.core.decisions.note(id, note);
                     }
                     News::Heard => self.hear_back(),
                     News::Farewell(outcome, report, reason) => {
-                        self.farewell = Some(End { outcome, report, reason });
+                        self.farewell = Some(End {
+                            outcome,
+                            report,
+                            reason,
+                        });
                     }
                     News::Answered(served) => self.answered(served),
-                    News::Over(words, outcome, reason) => self.over = Some((words, end(outcome, reason))),
+                    News::Over(words, outcome, reason) => {
+                        self.over = Some((words, end(outcome, reason)))
+                    }
                     News::Finished => finished = true,
                 }
             }
             let now = self.core.decisions.now();
-            match self.client.write_some(&self.down.rest()[..self.down_passed]) {
+            match self
+                .client
+                .write_some(&self.down.rest()[..self.down_passed])
+            {
                 Ok((n, blocked)) => {
                     self.down.consume(n);
                     self.down_passed -= n;
@@ -333,7 +374,12 @@
     fn answered(&mut self, served: bool) {
         self.answer_by = None;
         match (&self.account, served) {
-            (Some(Account { tally: Some(tally), .. }), true) => tally.passed(),
+            (
+                Some(Account {
+                    tally: Some(tally), ..
+                }),
+                true,
+            ) => tally.passed(),
             (_, true) => {}
             (_, false) => drop(self.core.metrics.xmpp.sasl_failures.fetch_add(1, Relaxed)),
         }
@@ -349,12 +395,17 @@
         if !backend.passage.portable() {
             metrics.moved.fetch_add(1, Relaxed);
         }
-        self.leave(backend.passage.words(Away::Moved), end(Outcome::Cancelled, "moved"));
+        self.leave(
+            backend.passage.words(Away::Moved),
+            end(Outcome::Cancelled, "moved"),
+        );
     }
 
     /// The connection is to be moved: once the backend has finished, or its time for that is up.
     fn depart(&mut self, now: Micros) {
-        let Some(backend) = &mut self.backend else { return };
+        let Some(backend) = &mut self.backend else {
+            return;
+        };
         if let Some(by) = self.finish_by.filter(|by| self.parting || now >= *by) {
             if now >= by {
                 self.move_away();
@@ -382,8 +433,16 @@
 
     /// Ends the backend's side; the client gets what has come from there, then the last words.
     fn part(&mut self, end: End, rest: bool) {
-        let rest = rest && self.backend.as_ref().is_some_and(|b| b.passage.mirrors_end());
-        let to = if rest { self.down.rest().len() } else { self.down_passed };
+        let rest = rest
+            && self
+                .backend
+                .as_ref()
+                .is_some_and(|b| b.passage.mirrors_end());
+        let to = if rest {
+            self.down.rest().len()
+        } else {
+            self.down_passed
+        };
         let mut last = self.down.rest()[..to].to_vec();
         last.append(&mut self.last);
         self.last = last;
@@ -416,7 +475,10 @@
 
     /// Tells the decisions and the log how the connection ended, and lets go of its backend.
     fn report(&mut self, end: End) {
-        if let Some(Backend { link, id, passage, .. }) = self.backend.take() {
+        if let Some(Backend {
+            link, id, passage, ..
+        }) = self.backend.take()
+        {
             self.session.iter().for_each(|session| session.release());
             drop(link);
             if !passage.portable() {
@@ -445,8 +507,12 @@
 
     /// Whether its backend has stopped without a word.
     fn lost(&self, now: Micros) -> bool {
-        let (Some(asked), Some(backend)) = (self.asked, &self.backend) else { return false };
-        backend.passage.lost(now.saturating_sub(asked), now.saturating_sub(self.heard))
+        let (Some(asked), Some(backend)) = (self.asked, &self.backend) else {
+            return false;
+        };
+        backend
+            .passage
+            .lost(now.saturating_sub(asked), now.saturating_sub(self.heard))
     }
 
     /// Its backend has brought something back.
@@ -479,15 +545,29 @@
             // shows it.
             Phase::Up if self.lost(now) => {
                 let words = self.backend.as_ref().map(|b| b.passage.words(Away::Gone));
-                self.leave(words.unwrap_or_default(), end(Outcome::Reset, "backend-silent"));
+                self.leave(
+                    words.unwrap_or_default(),
+                    end(Outcome::Reset, "backend-silent"),
+                );
             }
             // Two looks before it is due: the next one might be too late.
             Phase::Up if self.answer_by.is_some_and(|by| now + 2 * LOOK >= by) => {
-                let late = if self.asked.is_some() { Outcome::Timeout } else { Outcome::Cancelled };
+                let late = if self.asked.is_some() {
+                    Outcome::Timeout
+                } else {
+                    Outcome::Cancelled
+                };
                 let words = self.backend.as_ref().map(|b| b.passage.words(Away::Late));
                 self.leave(words.unwrap_or_default(), end(late, "answer-late"));
             }
-            Phase::Up if self.session.as_ref().is_some_and(|session| session.departs()) => self.depart(now),
+            Phase::Up
+                if self
+                    .session
+                    .as_ref()
+                    .is_some_and(|session| session.departs()) =>
+            {
+                self.depart(now)
+            }
             _ => {}
         }
     }
--- a/src/net/greet.rs
+++ b/src/net/greet.rs
@@ -48,17 +48,25 @@
     }
     let mut ids = [0; 3];
     for id in &mut ids {
-        *id = getrandom::u64().inspect_err(|e| log(&format!("xmpp: no random numbers: {e}"))).ok()?;
+        *id = getrandom::u64()
+            .inspect_err(|e| log(&format!("xmpp: no random numbers: {e}")))
+            .ok()?;
     }
     let terms = core.xmpp()?.terms.clone();
-    Some(Box::new(greeting::Greeting::new(terms, ids, speaks == Speaks::XmppTls, now)))
+    Some(Box::new(greeting::Greeting::new(
+        terms,
+        ids,
+        speaks == Speaks::XmppTls,
+        now,
+    )))
 }
 
 impl Hearing {
     /// When it must be called though nothing has come.
     pub fn due(&self) -> Micros {
         let until = self.greeter.until();
-        self.blocked.map_or(until, |since| until.min(since + ANSWER))
+        self.blocked
+            .map_or(until, |since| until.min(since + ANSWER))
     }
 }
 
@@ -66,11 +74,21 @@
     /// The connection of a client that has just come to this listener; none where there is nobody to hear it.
     pub fn greet(core: &Arc<Core>, idle: Idle, speaks: Speaks) -> Option<Conn> {
         let greeter = greeter(core, speaks)?;
-        idle.stream.set_nonblocking(true).and_then(|()| idle.stream.set_nodelay(true)).ok()?;
+        idle.stream
+            .set_nonblocking(true)
+            .and_then(|()| idle.stream.set_nodelay(true))
+            .ok()?;
         let mut conn = Conn::new(core, idle.number(), idle.stream.clone());
         conn.account = Some(Account::new(speaks.front()));
         let (out, blocked) = (Vec::new(), None);
-        let mut hearing = Hearing { idle, greeter, securing: false, tells: false, out, blocked };
+        let mut hearing = Hearing {
+            idle,
+            greeter,
+            securing: false,
+            tells: false,
+            out,
+            blocked,
+        };
         let secured = speaks != Speaks::XmppTls || conn.secure(&mut hearing, None, false);
         conn.hearing = Some(Box::new(hearing));
         if secured {
@@ -96,7 +114,9 @@
         if self.phase == Phase::Hearing {
             self.hear();
         }
-        let Some(mut hearing) = self.hearing.take() else { return };
+        let Some(mut hearing) = self.hearing.take() else {
+            return;
+        };
         let (last, reason) = hearing.greeter.cut_short(&self.up, Short::Dismissed);
         self.idle = Some(hearing.idle);
         self.linger = LINGER_SHORT;
@@ -115,7 +135,9 @@
 
     /// Hears the client as far as it has spoken.
     pub fn hear(&mut self) {
-        let Some(mut hearing) = self.hearing.take() else { return };
+        let Some(mut hearing) = self.hearing.take() else {
+            return;
+        };
         if self.heard(&mut hearing) {
             self.hearing = Some(hearing);
         } else if self.phase != Phase::Done && self.session.is_none() {
@@ -142,7 +164,11 @@
                     Ok(false) if now < h.greeter.until() => return true,
                     failed => {
                         self.core.metrics.xmpp.tls_failures.fetch_add(1, Relaxed);
-                        self.unheard(if failed.is_ok() { "tls-late" } else { "tls-failed" });
+                        self.unheard(if failed.is_ok() {
+                            "tls-late"
+                        } else {
+                            "tls-failed"
+                        });
                         return false;
                     }
                 }
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -27,7 +27,9 @@
 
     /// Goes on with the handshake as far as the socket allows; true once TLS stands and its last words are out.
     pub fn shake(&mut self) -> io::Result<bool> {
-        let Some(tls) = &mut self.tls else { return Ok(true) };
+        let Some(tls) = &mut self.tls else {
+            return Ok(true);
+        };
         loop {
             while tls.wants_write() {
                 match tls.write_tls(&mut &*self.socket) {
@@ -55,7 +57,9 @@
 
     /// Reads what has come; 0 is the end of the stream. Of a link under TLS nothing that has come stays unread.
     pub fn fill(&mut self, inbox: &mut Buffer) -> io::Result<usize> {
-        let Some(tls) = &mut self.tls else { return inbox.fill(&mut &*self.socket) };
+        let Some(tls) = &mut self.tls else {
+            return inbox.fill(&mut &*self.socket);
+        };
         loop {
             let (mut all, mut ended) = (0, false);
             loop {
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -46,7 +46,10 @@
         // The flag is common to all processes that share the socket; none of them waits in `accept`. It is
         // never shut down here: that would end it for the others too.
         listener.set_nonblocking(true)?;
-        Ok(Listener { socket: listener, held })
+        Ok(Listener {
+            socket: listener,
+            held,
+        })
     }
 
     /// Where it listens.
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -89,8 +89,17 @@
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let fd = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
         epoll::add(&epoll, &fd, EventData::new_u64(WOKEN), EventFlags::IN)?;
-        let (pending, again, owner) = (AtomicBool::new(false), AtomicBool::new(false), OnceLock::new());
-        let waker = Arc::new(Waker { fd, pending, again, owner });
+        let (pending, again, owner) = (
+            AtomicBool::new(false),
+            AtomicBool::new(false),
+            OnceLock::new(),
+        );
+        let waker = Arc::new(Waker {
+            fd,
+            pending,
+            again,
+            owner,
+        });
         Ok(Poller { epoll, waker })
     }
 
@@ -120,12 +129,16 @@
     ) -> io::Result<()> {
         let flag = |on: bool, flag: EventFlags| if on { flag } else { EventFlags::empty() };
         let flags = |i: Interest| {
-            flag(i.read, EventFlags::IN) | flag(i.write, EventFlags::OUT) | flag(i.end, EventFlags::RDHUP)
+            flag(i.read, EventFlags::IN)
+                | flag(i.write, EventFlags::OUT)
+                | flag(i.end, EventFlags::RDHUP)
         };
         let data = EventData::new_u64(token);
         match (from, to) {
             (None, Some(to)) => epoll::add(&self.epoll, socket, data, flags(to))?,
-            (Some(from), Some(to)) if from != to => epoll::modify(&self.epoll, socket, data, flags(to))?,
+            (Some(from), Some(to)) if from != to => {
+                epoll::modify(&self.epoll, socket, data, flags(to))?
+            }
             (Some(_), None) => epoll::delete(&self.epoll, socket)?,
             _ => {}
         }
@@ -153,7 +166,12 @@
             }
             let read = flags.intersects(EventFlags::IN | EventFlags::HUP | EventFlags::ERR);
             let end = flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR);
-            ready.push(Ready { token, read, write: flags.contains(EventFlags::OUT), end });
+            ready.push(Ready {
+                token,
+                read,
+                write: flags.contains(EventFlags::OUT),
+                end,
+            });
         }
         events.clear();
     }
@@ -179,7 +197,8 @@
         Errno::ACCESS,
         Errno::PERM,
     ];
-    own.iter().any(|errno| e.raw_os_error() == Some(errno.raw_os_error()))
+    own.iter()
+        .any(|errno| e.raw_os_error() == Some(errno.raw_os_error()))
 }
 
 /// Begins a dial and does not wait for its end: the socket takes bytes, or has an error, when it is over.
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -96,10 +96,21 @@
         finishes: bool,
         standing: Option<Arc<TcpStream>>,
     ) -> Arc<Session> {
-        let state = State { up: standing.is_some(), backend: standing, ..State::default() };
+        let state = State {
+            up: standing.is_some(),
+            backend: standing,
+            ..State::default()
+        };
         let state = Mutex::new(state);
         let (woken, news) = (woken.clone(), AtomicBool::new(false));
-        Arc::new(Session { woken, news, keys, state, finishes, place })
+        Arc::new(Session {
+            woken,
+            news,
+            keys,
+            state,
+            finishes,
+            place,
+        })
     }
 
     fn has_news(&self) {
@@ -223,12 +234,28 @@
     /// One of a client that has just come.
     pub fn new(front: &'static str) -> Account {
         let (name, class, backend) = (String::new(), String::new(), String::new());
-        Account { front, name, class, backend, attempts: 0, began: Instant::now(), tally: None }
+        Account {
+            front,
+            name,
+            class,
+            backend,
+            attempts: 0,
+            began: Instant::now(),
+            tally: None,
+        }
     }
 
     /// Writes the connection's one line.
     pub fn log(&self, reason: &str) {
-        let Account { front, name, class, backend, attempts, began, .. } = self;
+        let Account {
+            front,
+            name,
+            class,
+            backend,
+            attempts,
+            began,
+            ..
+        } = self;
         let ms = began.elapsed().as_millis() as u64;
         tracing::info!(id = %name, class, backend, attempts, ms, reason, front, "end");
     }
--- a/src/net/tls.rs
+++ b/src/net/tls.rs
@@ -10,7 +10,9 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName, UnixTime};
 use rustls::server::{ClientHello, ResolvesServerCert};
 use rustls::sign::CertifiedKey;
-use rustls::{ClientConfig, ClientConnection, Connection, RootCertStore, ServerConfig, ServerConnection};
+use rustls::{
+    ClientConfig, ClientConnection, Connection, RootCertStore, ServerConfig, ServerConnection,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -23,7 +25,9 @@
 
 impl ResolvesServerCert for Chosen {
     fn resolve(&self, hello: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
-        let named = hello.server_name().and_then(|name| self.all.get(&name.to_lowercase()));
+        let named = hello
+            .server_name()
+            .and_then(|name| self.all.get(&name.to_lowercase()));
         named.or_else(|| self.all.get(&self.default)).cloned()
     }
 }
@@ -38,16 +42,31 @@
 fn certified(file: &OperatorFile, n: usize, x: &Xmpp) -> Result<Arc<CertifiedKey>, OperatorError> {
     let (domain, key) = (&x.domain[n], format!("xmpp.domain[{n}]"));
     let at = file.resolve(&domain.certificate);
-    let wrong = |what: String| file.error(&format!("{key}.certificate"), format!("{}: {what}", at.display()));
-    let chain: Result<Vec<CertificateDer>, _> =
-        CertificateDer::pem_file_iter(&at).map_err(|e| wrong(e.to_string()))?.collect();
+    let wrong = |what: String| {
+        file.error(
+            &format!("{key}.certificate"),
+            format!("{}: {what}", at.display()),
+        )
+    };
+    let chain: Result<Vec<CertificateDer>, _> = CertificateDer::pem_file_iter(&at)
+        .map_err(|e| wrong(e.to_string()))?
+        .collect();
     let chain = chain.map_err(|e| wrong(e.to_string()))?;
-    let Some(leaf) = chain.first() else { return Err(wrong("has no certificate".into())) };
-    let name = ServerName::try_from(domain.name.clone())
-        .map_err(|_| file.error(&format!("{key}.name"), "is no name that a certificate can have"))?;
+    let Some(leaf) = chain.first() else {
+        return Err(wrong("has no certificate".into()));
+    };
+    let name = ServerName::try_from(domain.name.clone()).map_err(|_| {
+        file.error(
+            &format!("{key}.name"),
+            "is no name that a certificate can have",
+        )
+    })?;
     let end = webpki::EndEntityCert::try_from(leaf).map_err(|e| wrong(e.to_string()))?;
     // Who has signed it is the clients' to judge: without an anchor only its dates are looked at.
-    let (algorithms, usage) = (webpki::ALL_VERIFICATION_ALGS, webpki::KeyUsage::server_auth());
+    let (algorithms, usage) = (
+        webpki::ALL_VERIFICATION_ALGS,
+        webpki::KeyUsage::server_auth(),
+    );
     match end.verify_for_usage(algorithms, &[], &[], UnixTime::now(), usage, None, None) {
         Err(webpki::Error::CertExpired { not_after, .. }) => {
             return Err(wrong(format!("has run out, {} days ago", days(not_after))));
@@ -57,12 +76,19 @@
         }
         _ => {}
     }
-    end.verify_is_valid_for_subject_name(&name).map_err(|_| wrong(format!("is not for {}", domain.name)))?;
+    end.verify_is_valid_for_subject_name(&name)
+        .map_err(|_| wrong(format!("is not for {}", domain.name)))?;
     let secret = file.resolve(&domain.key);
-    let wrong = |what: String| file.error(&format!("{key}.key"), format!("{}: {what}", secret.display()));
+    let wrong = |what: String| {
+        file.error(
+            &format!("{key}.key"),
+            format!("{}: {what}", secret.display()),
+        )
+    };
     let secret = PrivateKeyDer::from_pem_file(&secret).map_err(|e| wrong(e.to_string()))?;
     let pair = CertifiedKey::from_der(chain, secret, &ring::default_provider());
-    pair.map(Arc::new).map_err(|e| wrong(format!("is not the certificate's key: {e}")))
+    pair.map(Arc::new)
+        .map_err(|e| wrong(format!("is not the certificate's key: {e}")))
 }
 
 /// How many days a moment is from now.
@@ -81,15 +107,19 @@
         let Some(first) = x.domain.first() else {
             return Err(file.error("xmpp.domain", "no domain is served"));
         };
-        let ticketer =
-            ring::Ticketer::new().map_err(|e| file.error("xmpp", format!("no random numbers: {e}")))?;
+        let ticketer = ring::Ticketer::new()
+            .map_err(|e| file.error("xmpp", format!("no random numbers: {e}")))?;
         let config = |domain: &String| {
-            let chosen = Chosen { all: all.clone(), default: domain.clone() };
-            let mut config = ServerConfig::builder_with_provider(Arc::new(ring::default_provider()))
-                .with_safe_default_protocol_versions()
-                .map_err(|e| file.error("xmpp", e))?
-                .with_no_client_auth()
-                .with_cert_resolver(Arc::new(chosen));
+            let chosen = Chosen {
+                all: all.clone(),
+                default: domain.clone(),
+            };
+            let mut config =
+                ServerConfig::builder_with_provider(Arc::new(ring::default_provider()))
+                    .with_safe_default_protocol_versions()
+                    .map_err(|e| file.error("xmpp", e))?
+                    .with_no_client_auth()
+                    .with_cert_resolver(Arc::new(chosen));
             // Clients that were moved come back together: a resumed handshake costs a tenth of a full one.
             config.ticketer = ticketer.clone();
             config.send_tls13_tickets = 1;
@@ -102,15 +132,20 @@
             Security::Plain => None,
             Security::StartTls | Security::Tls => Some(Tls::towards_servers(file, x)?),
         };
-        Ok(Tls { by_domain, first: first.name.to_lowercase(), towards_servers })
+        Ok(Tls {
+            by_domain,
+            first: first.name.to_lowercase(),
+            towards_servers,
+        })
     }
 
     fn towards_servers(file: &OperatorFile, x: &Xmpp) -> Result<Arc<ClientConfig>, OperatorError> {
         let key = "xmpp.servers.ca";
         let Some(ca) = &x.servers.ca else {
-            return Err(
-                file.error(key, "is missing: servers' certificates must be checked against something")
-            );
+            return Err(file.error(
+                key,
+                "is missing: servers' certificates must be checked against something",
+            ));
         };
         let at = file.resolve(ca);
         let wrong = |what: String| file.error(key, format!("{}: {what}", at.display()));
@@ -133,14 +168,19 @@
     /// The relay's side of TLS with a client; the certificate is that of the name the client gives, else that of
     /// this domain, else the first.
     pub fn server(&self, domain: Option<&str>) -> Option<Connection> {
-        let config =
-            domain.and_then(|d| self.by_domain.get(d)).or_else(|| self.by_domain.get(&self.first))?;
-        ServerConnection::new(config.clone()).ok().map(Connection::Server)
+        let config = domain
+            .and_then(|d| self.by_domain.get(d))
+            .or_else(|| self.by_domain.get(&self.first))?;
+        ServerConnection::new(config.clone())
+            .ok()
+            .map(Connection::Server)
     }
 
     /// The relay's side of TLS with a server of that domain.
     pub fn client(&self, domain: &str) -> Option<Connection> {
         let name = ServerName::try_from(domain.to_string()).ok()?;
-        ClientConnection::new(self.towards_servers.clone()?, name).ok().map(Connection::Client)
+        ClientConnection::new(self.towards_servers.clone()?, name)
+            .ok()
+            .map(Connection::Client)
     }
 }
