--- a/src/ops/admin.rs
+++ b/src/ops/admin.rs
@@ -78,7 +78,10 @@
 /// What a path asks about a backend.
 fn by_hand(path: &str) -> Option<Call> {
     let (id, verb) = path.strip_prefix("/control/backends/")?.split_once('/')?;
-    let id = percent_decode_str(id).decode_utf8().ok().filter(|id| !id.is_empty())?;
+    let id = percent_decode_str(id)
+        .decode_utf8()
+        .ok()
+        .filter(|id| !id.is_empty())?;
     match verb {
         "offline" => Some(Call::Backend(id.into_owned(), true)),
         "online" => Some(Call::Backend(id.into_owned(), false)),
@@ -126,7 +129,9 @@
                 Ok(_) if self.rest.is_some() => break,
                 Ok(n) => {
                     self.head.extend_from_slice(&piece[..n]);
-                    let Some(call) = call(&self.head) else { continue };
+                    let Some(call) = call(&self.head) else {
+                        continue;
+                    };
                     self.rest = Some(written(&call.map_or_else(|refused| refused, &mut *serve)));
                     return self.send();
                 }
@@ -139,7 +144,9 @@
     }
 
     fn send(&mut self) -> bool {
-        let Some(rest) = &mut self.rest else { return true };
+        let Some(rest) = &mut self.rest else {
+            return true;
+        };
         while !rest.is_empty() {
             match self.stream.write(rest) {
                 Ok(n) => drop(rest.drain(..n)),
@@ -183,7 +190,11 @@
     pub fn open(addr: SocketAddr, staffed: Staffed, bans: Bans) -> io::Result<Admin> {
         let listener = TcpListener::bind(addr)?;
         listener.set_nonblocking(true)?;
-        let mut admin = Admin { listener, staffed, bans };
+        let mut admin = Admin {
+            listener,
+            staffed,
+            bans,
+        };
         admin.follow();
         Ok(admin)
     }
@@ -197,7 +208,10 @@
 
     /// Tells the network first: it checks right before a first byte goes out.
     fn apply(&self, id: &str, out_of_use: bool) {
-        log(&format!("admin: backend {id} is {} by hand", if out_of_use { "out" } else { "back" }));
+        log(&format!(
+            "admin: backend {id} is {} by hand",
+            if out_of_use { "out" } else { "back" }
+        ));
         self.staffed.directory.by_hand(server_id(id), out_of_use);
         self.staffed.decisions.by_hand(server_id(id), out_of_use);
     }
@@ -213,7 +227,9 @@
                 self.apply(id, true);
             }
             if let Err(e) = self.bans.set(id, out_of_use) {
-                log(&format!("admin: backend {id}: cannot be noted for other processes: {e}"));
+                log(&format!(
+                    "admin: backend {id}: cannot be noted for other processes: {e}"
+                ));
                 return answer(500, "cannot be noted for other processes of this relay");
             }
             if !out_of_use {
@@ -240,7 +256,14 @@
             let mut fds = vec![PollFd::new(&self.listener, PollFlags::IN)];
             fds.extend(callers.iter().map(|caller| {
                 let blocked = caller.rest.as_ref().is_some_and(|rest| !rest.is_empty());
-                PollFd::new(&caller.stream, if blocked { PollFlags::OUT } else { PollFlags::IN })
+                PollFd::new(
+                    &caller.stream,
+                    if blocked {
+                        PollFlags::OUT
+                    } else {
+                        PollFlags::IN
+                    },
+                )
             }));
             if let Err(e) = poll(&mut fds, LOOK.as_millis() as i32) {
                 if e != rustix::io::Errno::INTR {
@@ -271,7 +294,13 @@
                         callers.remove(0);
                     }
                     let (since, head) = (Instant::now(), Vec::new());
-                    callers.push(Caller { stream, since, head, rest: None, answered: None });
+                    callers.push(Caller {
+                        stream,
+                        since,
+                        head,
+                        rest: None,
+                        answered: None,
+                    });
                 }
                 Ok(_) => {}
                 Err(e) if timed_out(&e) => return,
@@ -293,8 +322,16 @@
             Call::Backend(id, out_of_use) => self.by_hand(id, *out_of_use),
             Call::Counters => {
                 let (cells, moves) = self.staffed.decisions.cell_figures();
-                let (known, skipped) = (self.staffed.directory.known(), self.staffed.decisions.avoided());
-                let fleet = Fleet { known, skipped, cells, moves };
+                let (known, skipped) = (
+                    self.staffed.directory.known(),
+                    self.staffed.decisions.avoided(),
+                );
+                let fleet = Fleet {
+                    known,
+                    skipped,
+                    cells,
+                    moves,
+                };
                 (200, self.staffed.metrics.render(&fleet))
             }
         }
@@ -311,14 +348,32 @@
         let long = format!("GET / HTTP/1.1\r\na: {}", "b".repeat(MAX_HEAD));
         // (the head, the call or the status of the refusal)
         let cases: &[(&str, Result<Call, u16>)] = &[
-            ("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n", Ok(Call::Ready)),
-            ("GET /control/counters?all=1 HTTP/1.1\r\n\r\n", Ok(Call::Counters)),
-            ("POST /control/backends/s-1/offline HTTP/1.1\r\n\r\n", Ok(Call::Backend("s-1".into(), true))),
-            ("POST /control/backends/s%2F1/online HTTP/1.1\r\n\r\n", Ok(Call::Backend("s/1".into(), false))),
-            ("GET /control/backends/s-1/offline HTTP/1.1\r\n\r\n", Err(405)),
+            (
+                "GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n",
+                Ok(Call::Ready),
+            ),
+            (
+                "GET /control/counters?all=1 HTTP/1.1\r\n\r\n",
+                Ok(Call::Counters),
+            ),
+            (
+                "POST /control/backends/s-1/offline HTTP/1.1\r\n\r\n",
+                Ok(Call::Backend("s-1".into(), true)),
+            ),
+            (
+                "POST /control/backends/s%2F1/online HTTP/1.1\r\n\r\n",
+                Ok(Call::Backend("s/1".into(), false)),
+            ),
+            (
+                "GET /control/backends/s-1/offline HTTP/1.1\r\n\r\n",
+                Err(405),
+            ),
             ("POST /control/backends/s-1/away HTTP/1.1\r\n\r\n", Err(404)),
             ("POST /control/backends//online HTTP/1.1\r\n\r\n", Err(404)),
-            ("POST /control/backends/%ff/online HTTP/1.1\r\n\r\n", Err(404)),
+            (
+                "POST /control/backends/%ff/online HTTP/1.1\r\n\r\n",
+                Err(404),
+            ),
             ("POST /control/ready HTTP/1.1\r\n\r\n", Err(405)),
             ("GET /control HTTP/1.1\r\n\r\n", Err(404)),
             ("GET /control/ready/ HTTP/1.1\r\n\r\n", Err(404)),
@@ -331,9 +386,12 @@
             let read = call(head.as_bytes()).unwrap().map_err(|(status, _)| status);
             assert_eq!(&read, expected, "{head}");
         }
-        for part in
-            ["", "GET", "GET /control/ready HTTP/1.1\r\n", "GET /control/ready HTTP/1.1\r\nHost: x\r\n"]
-        {
+        for part in [
+            "",
+            "GET",
+            "GET /control/ready HTTP/1.1\r\n",
+            "GET /control/ready HTTP/1.1\r\nHost: x\r\n",
+        ] {
             assert_eq!(call(part.as_bytes()), None, "{part}");
         }
     }
--- a/src/ops/traffic.rs
+++ b/src/ops/traffic.rs
@@ -73,10 +73,18 @@
         traffic.count(Direction::Sent, "renew", 100);
         traffic.count(Direction::Sent, "renew", 20);
         traffic.count(Direction::Received, "reply", 7);
-        let count = |direction, kind, messages, bytes| Count { direction, kind, messages, bytes };
+        let count = |direction, kind, messages, bytes| Count {
+            direction,
+            kind,
+            messages,
+            bytes,
+        };
         assert_eq!(
             traffic.counts(),
-            [count(Direction::Sent, "renew", 2, 120), count(Direction::Received, "reply", 1, 7)]
+            [
+                count(Direction::Sent, "renew", 2, 120),
+                count(Direction::Received, "reply", 1, 7)
+            ]
         );
     }
 }
--- a/src/platform/answer.rs
+++ b/src/platform/answer.rs
@@ -60,7 +60,11 @@
                 Part::Size => match httparse::parse_chunk_size(&self.raw) {
                     Ok(httparse::Status::Complete((used, size))) => {
                         let size = usize::try_from(size).map_err(|_| "a chunk is too long")?;
-                        self.part = if size == 0 { Part::Ended } else { Part::Data(size) };
+                        self.part = if size == 0 {
+                            Part::Ended
+                        } else {
+                            Part::Data(size)
+                        };
                         used
                     }
                     Ok(httparse::Status::Partial) if self.raw.len() < MAX_HEAD => 0,
@@ -68,7 +72,11 @@
                 },
                 Part::Data(left) => {
                     let n = self.pass(left);
-                    self.part = if n == left { Part::DataEnd } else { Part::Data(left - n) };
+                    self.part = if n == left {
+                        Part::DataEnd
+                    } else {
+                        Part::Data(left - n)
+                    };
                     n
                 }
                 Part::DataEnd if self.raw.len() < 2 => 0,
@@ -80,7 +88,11 @@
                 Part::Plain(None) => self.pass(usize::MAX),
                 Part::Plain(Some(left)) => {
                     let n = self.pass(left);
-                    self.part = if n == left { Part::Ended } else { Part::Plain(Some(left - n)) };
+                    self.part = if n == left {
+                        Part::Ended
+                    } else {
+                        Part::Plain(Some(left - n))
+                    };
                     n
                 }
                 Part::Ended => return Ok(()),
@@ -111,11 +123,23 @@
         if response.code != Some(200) {
             return Err(format!("status {}", response.code.unwrap_or(0)));
         }
-        let header = |name: &str| response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-        let chunked = header("transfer-encoding")
-            .is_some_and(|h| h.value.trim_ascii().to_ascii_lowercase().ends_with(b"chunked"));
+        let header = |name: &str| {
+            response
+                .headers
+                .iter()
+                .find(|h| h.name.eq_ignore_ascii_case(name))
+        };
+        let chunked = header("transfer-encoding").is_some_and(|h| {
+            h.value
+                .trim_ascii()
+                .to_ascii_lowercase()
+                .ends_with(b"chunked")
+        });
         let length = match header("content-length") {
-            Some(h) => std::str::from_utf8(h.value).ok().and_then(|text| text.trim().parse().ok()).map(Some),
+            Some(h) => std::str::from_utf8(h.value)
+                .ok()
+                .and_then(|text| text.trim().parse().ok())
+                .map(Some),
             None => Some(None),
         };
         self.part = match (chunked, length.ok_or("malformed Content-Length")?) {
@@ -141,14 +165,23 @@
                 b'}' | b']' if scan.depth > 1 => scan.depth -= 1,
                 b'}' if scan.depth == 1 => {
                     let end = scan.at;
-                    *scan = Scan { line: true, ..Scan::default() };
+                    *scan = Scan {
+                        line: true,
+                        ..Scan::default()
+                    };
                     return Ok(Some(Piece::Object(self.body.drain(..end).collect())));
                 }
                 _ if scan.depth > 0 => {}
                 b'\n' => {
                     let beat = !std::mem::take(&mut scan.line);
                     scan.at = 0;
-                    self.body.drain(..self.body.iter().position(|&b| b == b'\n').map_or(0, |at| at + 1));
+                    self.body.drain(
+                        ..self
+                            .body
+                            .iter()
+                            .position(|&b| b == b'\n')
+                            .map_or(0, |at| at + 1),
+                    );
                     if beat {
                         return Ok(Some(Piece::Beat));
                     }
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -55,7 +55,9 @@
 
     /// A backend's name and address.
     pub fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
-        self.lock().get(&server).map(|(endpoint, ..)| endpoint.clone())
+        self.lock()
+            .get(&server)
+            .map(|(endpoint, ..)| endpoint.clone())
     }
 
     /// How many backends the list has.
@@ -65,17 +67,23 @@
 
     /// Whether something new may go there.
     pub fn takes_new(&self, server: ServerId) -> bool {
-        let ready = self.lock().get(&server).is_some_and(|&(_, state, _)| state == MemberState::Ready);
+        let ready = self
+            .lock()
+            .get(&server)
+            .is_some_and(|&(_, state, _)| state == MemberState::Ready);
         ready && !self.bans().contains(&server)
     }
 
     /// The backends of a zone, by its place in the settings, to which something new may go.
     pub fn of_zone(&self, zone: u16) -> Vec<ServerId> {
         let bans = self.bans().clone();
-        let ready =
-            |(_, state, of): &(Endpoint, MemberState, u16)| *state == MemberState::Ready && *of == zone;
+        let ready = |(_, state, of): &(Endpoint, MemberState, u16)| {
+            *state == MemberState::Ready && *of == zone
+        };
         let known = self.lock();
-        let of = known.iter().filter(|(server, entry)| ready(entry) && !bans.contains(server));
+        let of = known
+            .iter()
+            .filter(|(server, entry)| ready(entry) && !bans.contains(server));
         of.map(|(server, _)| *server).collect()
     }
 
--- a/src/platform/discovery.rs
+++ b/src/platform/discovery.rs
@@ -86,8 +86,19 @@
     /// Discovery at this address.
     pub fn new(addr: SocketAddr, upkeep: Upkeep) -> Arc<Source> {
         let on = upkeep == Upkeep::Standing;
-        let wanted = Wanted { addr, moves: 0, on, orders: 0, begun: 0, open: None };
-        Arc::new(Source { upkeep, wanted: Mutex::new(wanted), changed: Condvar::new() })
+        let wanted = Wanted {
+            addr,
+            moves: 0,
+            on,
+            orders: 0,
+            begun: 0,
+            open: None,
+        };
+        Arc::new(Source {
+            upkeep,
+            wanted: Mutex::new(wanted),
+            changed: Condvar::new(),
+        })
     }
 
     fn lock(&self) -> MutexGuard<'_, Wanted> {
@@ -131,12 +142,21 @@
             };
             if due {
                 wanted.begun = wanted.orders;
-                return Call { addr: wanted.addr, moves: wanted.moves };
+                return Call {
+                    addr: wanted.addr,
+                    moves: wanted.moves,
+                };
             }
             wanted = match self.upkeep {
-                Upkeep::Asked => self.changed.wait(wanted).unwrap_or_else(PoisonError::into_inner),
+                Upkeep::Asked => self
+                    .changed
+                    .wait(wanted)
+                    .unwrap_or_else(PoisonError::into_inner),
                 Upkeep::Standing => {
-                    self.changed.wait_timeout(wanted, left).unwrap_or_else(PoisonError::into_inner).0
+                    self.changed
+                        .wait_timeout(wanted, left)
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .0
                 }
             };
         }
@@ -212,7 +232,10 @@
 impl From<std::io::Error> for Fault {
     fn from(e: std::io::Error) -> Fault {
         match timed_out(&e) {
-            true => Fault { why: "silent".into(), silent: true },
+            true => Fault {
+                why: "silent".into(),
+                silent: true,
+            },
             false => e.to_string().into(),
         }
     }
@@ -224,7 +247,8 @@
     pub fn run(mut self) {
         let (mut known, mut failures) = (0, 0);
         loop {
-            let pause = AGAIN * failures.min(AGAIN_MOST.as_millis() as u32 / AGAIN.as_millis() as u32);
+            let pause =
+                AGAIN * failures.min(AGAIN_MOST.as_millis() as u32 / AGAIN.as_millis() as u32);
             let call = self.source.call(pause, known);
             if call.moves != known {
                 // Versions of one place say nothing at another: its whole list is asked for.
@@ -242,7 +266,11 @@
                         log(&format!("discovery: the watch failed: {}", fault.why));
                     }
                     if self.source.upkeep == Upkeep::Asked {
-                        let kind = if fault.silent { ListKind::Silent } else { ListKind::Failed };
+                        let kind = if fault.silent {
+                            ListKind::Silent
+                        } else {
+                            ListKind::Failed
+                        };
                         self.decisions.members(kind, Vec::new());
                     }
                 }
@@ -259,8 +287,15 @@
         let mut stream = &*shared;
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(DIAL))?;
-        let after = if self.version > 0 { format!("&after={}", self.version) } else { String::new() };
-        let request = format!("GET /v1/endpoints?watch=1{after} HTTP/1.1\r\nHost: {}\r\n\r\n", call.addr);
+        let after = if self.version > 0 {
+            format!("&after={}", self.version)
+        } else {
+            String::new()
+        };
+        let request = format!(
+            "GET /v1/endpoints?watch=1{after} HTTP/1.1\r\nHost: {}\r\n\r\n",
+            call.addr
+        );
         stream.write_all(request.as_bytes())?;
         let mut answer = Answer::default();
         let mut piece = [0; 4096];
@@ -288,7 +323,10 @@
                 (*heard, by) = (true, Instant::now() + SILENT);
             } else if left.is_zero() {
                 // Bytes alone are no life: half a head, half a chunk or half an object may dribble for ever.
-                return Err(Fault { why: "nothing whole in time".into(), silent: true });
+                return Err(Fault {
+                    why: "nothing whole in time".into(),
+                    silent: true,
+                });
             }
             if answer.ended() {
                 return Err("it ended".into());
@@ -309,14 +347,30 @@
             log(&format!("discovery: an entry was left out: {problem}"));
         }
         let (version, entries) = (listing.version, listing.servers.len());
-        let said = |(endpoint, member): &(Endpoint, Member)| format!("{} {:?}", endpoint.name, member.state);
+        let said = |(endpoint, member): &(Endpoint, Member)| {
+            format!("{} {:?}", endpoint.name, member.state)
+        };
         let named: Vec<String> = listing.servers.iter().take(NAMED).map(said).collect();
-        log(&format!("discovery: version {version}, {entries} entries: {}", named.join(", ")));
+        log(&format!(
+            "discovery: version {version}, {entries} entries: {}",
+            named.join(", ")
+        ));
         self.version = listing.version;
         // The network first: it checks against this list once more, right before a first byte goes out.
         self.directory.update(listing.full, &listing.servers);
-        let kind = if listing.full { ListKind::Full } else { ListKind::Delta };
-        self.decisions.members(kind, listing.servers.into_iter().map(|(_, member)| member).collect());
+        let kind = if listing.full {
+            ListKind::Full
+        } else {
+            ListKind::Delta
+        };
+        self.decisions.members(
+            kind,
+            listing
+                .servers
+                .into_iter()
+                .map(|(_, member)| member)
+                .collect(),
+        );
         Ok(())
     }
 }
--- a/src/platform/probe.rs
+++ b/src/platform/probe.rs
@@ -39,8 +39,22 @@
 
 impl Probe {
     /// A probe whose dial has begun.
-    pub fn new(server: ServerId, watch: bool, stream: TcpStream, now: Micros, limit: Micros) -> Probe {
-        Probe { server, watch, stream, by: now + limit, asked: false, buffer: Buffer::default(), limit }
+    pub fn new(
+        server: ServerId,
+        watch: bool,
+        stream: TcpStream,
+        now: Micros,
+        limit: Micros,
+    ) -> Probe {
+        Probe {
+            server,
+            watch,
+            stream,
+            by: now + limit,
+            asked: false,
+            buffer: Buffer::default(),
+            limit,
+        }
     }
 
     /// Whether it waits for its dial.
@@ -84,6 +98,10 @@
 pub fn answer(line: &[u8], names: &Names) -> (Outcome, Vec<f32>) {
     let text = String::from_utf8_lossy(line);
     let (word, rest) = text.split_once(' ').unwrap_or((&text, ""));
-    let outcome = if word == "PONG" { Outcome::Ok } else { Outcome::Error };
+    let outcome = if word == "PONG" {
+        Outcome::Ok
+    } else {
+        Outcome::Error
+    };
     (outcome, report(rest, names))
 }
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -39,7 +39,9 @@
 
 /// What the home of a request hashes by: its group, or itself where it has none.
 pub fn home_key(q: &Request) -> u64 {
-    Some(q.group).filter(|&group| group != 0).unwrap_or_else(|| own_key(q))
+    Some(q.group)
+        .filter(|&group| group != 0)
+        .unwrap_or_else(|| own_key(q))
 }
 
 /// The owners of the slots: each slot is the nearest server's clockwise. Where two points share a slot it is
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,8 +2,8 @@
 //! and from [`crate::api`]. It decides nothing.
 
 use crate::api::{
-    Action, Class, Column, Effect, Event, Group, ListKind, Member, MemberState, Micros, Outcome, Request,
-    RequestId, ServerId, Settings, Weights,
+    Action, Class, Column, Effect, Event, Group, ListKind, Member, MemberState, Micros, Outcome,
+    Request, RequestId, ServerId, Settings, Weights,
 };
 use simd_json::owned::Object;
 use simd_json::prelude::*;
@@ -37,7 +37,10 @@
 impl std::error::Error for WireError {}
 
 fn wrong<T>(at: usize, what: impl Into<String>) -> Result<T, WireError> {
-    Err(WireError { at, what: what.into() })
+    Err(WireError {
+        at,
+        what: what.into(),
+    })
 }
 
 /// A cursor over big-endian bytes that never reads past its end.
@@ -88,7 +91,10 @@
     fn time(&mut self, what: &str) -> Result<Micros, WireError> {
         let at = self.at;
         let ms = f64::from_be_bytes(self.array(what)?);
-        micros(ms).ok_or(WireError { at, what: format!("{what} is not a time") })
+        micros(ms).ok_or(WireError {
+            at,
+            what: format!("{what} is not a time"),
+        })
     }
 
     fn server(&mut self) -> Result<ServerId, WireError> {
@@ -100,7 +106,10 @@
     fn count(&mut self, n: usize, width: usize, what: &str) -> Result<usize, WireError> {
         match n.checked_mul(width) {
             Some(bytes) if bytes <= self.end - self.at => Ok(n),
-            _ => wrong(self.at, format!("{what} counts {n} items, more than the record holds")),
+            _ => wrong(
+                self.at,
+                format!("{what} counts {n} items, more than the record holds"),
+            ),
         }
     }
 
@@ -156,7 +165,11 @@
 
 /// The bytes that follow the first [`PREFIX`] ones of a batch.
 pub fn rest_of_frame(prefix: &[u8; PREFIX]) -> Result<usize, WireError> {
-    let mut r = Reader { bytes: prefix, at: 0, end: PREFIX };
+    let mut r = Reader {
+        bytes: prefix,
+        at: 0,
+        end: PREFIX,
+    };
     r.u32("record count")?;
     let rest = r.u32("length")? as usize;
     if rest < HEADER_REST {
@@ -170,35 +183,57 @@
 
 /// Reads one whole batch.
 pub fn decode(frame: &[u8]) -> Result<Batch, WireError> {
-    let mut r = Reader { bytes: frame, at: 0, end: frame.len() };
+    let mut r = Reader {
+        bytes: frame,
+        at: 0,
+        end: frame.len(),
+    };
     let count = r.u32("record count")? as usize;
     let rest = r.u32("length")? as usize;
     if rest != frame.len() - r.at {
-        return wrong(4, format!("length {rest} where {} bytes follow", frame.len() - r.at));
+        return wrong(
+            4,
+            format!("length {rest} where {} bytes follow", frame.len() - r.at),
+        );
     }
     let now = r.time("clock")?;
     let number = r.u32("batch number")?;
     let count = r.count(count, 6, "batch")?;
-    let mut batch = Batch { now, number, records: Vec::with_capacity(count), skipped: Vec::new() };
+    let mut batch = Batch {
+        now,
+        number,
+        records: Vec::with_capacity(count),
+        skipped: Vec::new(),
+    };
     for _ in 0..count {
         let code = r.u16("record code")?;
         let size = r.u32("record length")? as usize;
         let at = r.at;
         r.take(size, "record")?;
-        let mut body = Reader { bytes: frame, at, end: at + size };
+        let mut body = Reader {
+            bytes: frame,
+            at,
+            end: at + size,
+        };
         match record(code, &mut body)? {
             Some(found) => batch.records.push(found),
             None => batch.skipped.push(code),
         }
     }
     if r.at != frame.len() {
-        return wrong(r.at, format!("{} bytes after the last record", frame.len() - r.at));
+        return wrong(
+            r.at,
+            format!("{} bytes after the last record", frame.len() - r.at),
+        );
     }
     Ok(batch)
 }
 
 fn record(code: u16, r: &mut Reader) -> Result<Option<(u32, Record)>, WireError> {
-    if !matches!(code, 1000 | 1010 | 1020 | 1030 | 1040 | 1050 | 1060 | 1070 | 1080 | 1090 | 1100 | 1110) {
+    if !matches!(
+        code,
+        1000 | 1010 | 1020 | 1030 | 1040 | 1050 | 1060 | 1070 | 1080 | 1090 | 1100 | 1110
+    ) {
         return Ok(None);
     }
     let instance = r.u32("proxy_id")?;
@@ -213,7 +248,10 @@
         1090 => return Ok(Some((instance, Record::Crash))),
         1010 => members(r)?,
         1020 => {
-            let mut q = Request { id: RequestId(r.u32("ref")?), ..Request::default() };
+            let mut q = Request {
+                id: RequestId(r.u32("ref")?),
+                ..Request::default()
+            };
             q.class = usize::from(r.u8("profile")?);
             q.tenant = r.u32("team")?;
             q.key = r.u64("affinity")?;
@@ -237,7 +275,13 @@
             r.u16("attempt")?;
             let last = r.u8("last")? != 0;
             r.time("took")?;
-            Event::Outcome { id, server, outcome, last, report: r.report()? }
+            Event::Outcome {
+                id,
+                server,
+                outcome,
+                last,
+                report: r.report()?,
+            }
         }
         1050 => Event::Vanished(RequestId(r.u32("ref")?)),
         1060 => Event::Timer(r.u64("nonce")?),
@@ -245,7 +289,11 @@
             let server = r.server()?;
             let outcome = outcome(r)?;
             r.time("took")?;
-            Event::Probed { server, outcome, report: r.report()? }
+            Event::Probed {
+                server,
+                outcome,
+                report: r.report()?,
+            }
         }
         1080 => {
             let from = r.u32("author")?;
@@ -254,7 +302,10 @@
             Event::Peer(from, r.take(n, "body")?.to_vec())
         }
         1100 => {
-            let mut q = Request { id: RequestId(r.u32("ref")?), ..Request::default() };
+            let mut q = Request {
+                id: RequestId(r.u32("ref")?),
+                ..Request::default()
+            };
             r.take(8, "estimate")?;
             q.tenant = r.u32("team")?;
             q.left = r.time("budget")?;
@@ -329,7 +380,14 @@
         let size = r.f32("size")?;
         let started = r.time("started_at")?;
         let started = (started > 0).then_some(started);
-        members.push(Member { server, zone, cell, state, size, started });
+        members.push(Member {
+            server,
+            zone,
+            cell,
+            state,
+            size,
+            started,
+        });
     }
     Ok(Event::Members { kind, members })
 }
@@ -377,16 +435,28 @@
             [b[2], b[3], b[4], b[5], b[6], b[7]]
         };
         match action {
-            Action::Send { id: request, server, until } => {
-                self.record(instance, 1000, &[&id(*request), &address(*server), &time(*until)]);
+            Action::Send {
+                id: request,
+                server,
+                until,
+            } => {
+                self.record(
+                    instance,
+                    1000,
+                    &[&id(*request), &address(*server), &time(*until)],
+                );
             }
             Action::Cancel(request, attempt) => {
                 self.record(instance, 1040, &[&id(*request), &attempt.to_be_bytes()]);
             }
-            Action::Refuse(request, wait) => self.record(instance, 1070, &[&id(*request), &time(*wait)]),
+            Action::Refuse(request, wait) => {
+                self.record(instance, 1070, &[&id(*request), &time(*wait)])
+            }
             Action::Fail(request) => self.record(instance, 1110, &[&id(*request)]),
             Action::Move(request) => self.record(instance, 1020, &[&id(*request)]),
-            Action::Timer(at, token) => self.record(instance, 1030, &[&time(*at), &token.to_be_bytes()]),
+            Action::Timer(at, token) => {
+                self.record(instance, 1030, &[&time(*at), &token.to_be_bytes()])
+            }
             Action::Probe(server) => self.record(instance, 1050, &[&address(*server)]),
             Action::Watch(on) => self.record(instance, 1060, &[&[u8::from(*on)]]),
             Action::Log(line) => self.text(instance, 1090, line),
@@ -434,8 +504,14 @@
 impl<'a> Section<'a> {
     fn of(value: &'a Value, path: &str) -> Result<Self, SettingsError> {
         match value.as_object() {
-            Some(map) => Ok(Section { path: path.to_string(), map }),
-            None => Err(SettingsError { key: path.to_string(), what: "is not an object".into() }),
+            Some(map) => Ok(Section {
+                path: path.to_string(),
+                map,
+            }),
+            None => Err(SettingsError {
+                key: path.to_string(),
+                what: "is not an object".into(),
+            }),
         }
     }
 
@@ -448,7 +524,10 @@
     }
 
     fn bad<T>(&self, key: &str, what: &str) -> Result<T, SettingsError> {
-        Err(SettingsError { key: self.name(key), what: what.to_string() })
+        Err(SettingsError {
+            key: self.name(key),
+            what: what.to_string(),
+        })
     }
 
     fn get(&self, key: &str) -> Result<&'a Value, SettingsError> {
@@ -506,19 +585,28 @@
 
 /// Reads the text of an instance's settings.
 pub fn settings(text: &[u8]) -> Result<Settings, SettingsError> {
-    let value = simd_json::to_owned_value(&mut text.to_vec())
-        .map_err(|e| SettingsError { key: String::new(), what: format!("are not valid JSON: {e}") })?;
+    let value = simd_json::to_owned_value(&mut text.to_vec()).map_err(|e| SettingsError {
+        key: String::new(),
+        what: format!("are not valid JSON: {e}"),
+    })?;
     settings_of(&value)
 }
 
 /// Reads the settings object. Keys that the module has no use for are ignored.
 pub fn settings_of(value: &Value) -> Result<Settings, SettingsError> {
     let top = Section::of(value, "profile_data")?;
-    let top = Section { path: String::new(), ..top };
+    let top = Section {
+        path: String::new(),
+        ..top
+    };
     let limits = top.section("limits")?;
     let rules = top.section("rules")?;
     let report = top.section("report")?;
-    let family = top.map.get("family_info").map(|v| Section::of(v, "family_info")).transpose()?;
+    let family = top
+        .map
+        .get("family_info")
+        .map(|v| Section::of(v, "family_info"))
+        .transpose()?;
     let has = |key: &str| family.as_ref().filter(|f| f.map.contains_key(key));
 
     let balancers = top.whole("peers_total", 1, 1 << 20)? as u32;
@@ -547,17 +635,30 @@
         };
         let effect = match c.word("idempotency")? {
             "safe" => Effect::Safe,
-            "keyed" => Effect::Keyed { group, window: c.time("window", 0.0)? },
+            "keyed" => Effect::Keyed {
+                group,
+                window: c.time("window", 0.0)?,
+            },
             "unsafe" => Effect::Unsafe,
             _ => return c.bad("idempotency", "is none of 'safe', 'keyed' and 'unsafe'"),
         };
         let message_aim = match message_aims.get(i).map(|v| v.cast_f64().and_then(micros)) {
             Some(Some(aim)) => aim,
-            Some(None) => return top.bad("family_info.message_aim", "holds something that is not a time"),
+            Some(None) => {
+                return top.bad(
+                    "family_info.message_aim",
+                    "holds something that is not a time",
+                )
+            }
             None => 0,
         };
         let aim = c.time("goal_time", 0.001)?;
-        classes.push(Class { aim, deadline: c.time("deadline", 0.001)?, effect, message_aim });
+        classes.push(Class {
+            aim,
+            deadline: c.time("deadline", 0.001)?,
+            effect,
+            message_aim,
+        });
     }
     if classes.is_empty() {
         return top.bad("grades", "is empty");
@@ -571,7 +672,12 @@
         "none" => Weights::None,
         "nominal" | "rough" => Weights::Nominal,
         "live" => Weights::Live,
-        _ => return top.bad("weights", "is none of 'none', 'nominal', 'rough' and 'live'"),
+        _ => {
+            return top.bad(
+                "weights",
+                "is none of 'none', 'nominal', 'rough' and 'live'",
+            )
+        }
     };
     let mut columns = Vec::new();
     for value in report.list("columns")? {
@@ -583,7 +689,11 @@
         });
     }
     let retry_after = limits.flag("retry_after")?;
-    let ask_within = if list_on_request { rules.time("ask_within", 1.0)? } else { 0 };
+    let ask_within = if list_on_request {
+        rules.time("ask_within", 1.0)?
+    } else {
+        0
+    };
     Ok(Settings {
         balancers,
         number,
@@ -597,7 +707,11 @@
         may_probe: limits.flag("probes")?,
         max_attempts: limits.whole("max_attempts", 1, 1 << 16)? as u32,
         dial_timeout: limits.time("dial_timeout", 0.0)?,
-        max_retry_after: if retry_after { limits.time("max_retry_after", 0.0)? } else { 0 },
+        max_retry_after: if retry_after {
+            limits.time("max_retry_after", 0.0)?
+        } else {
+            0
+        },
         columns,
         drain_grace: rules.time("drain_grace", 0.0)?,
         start_capacity: rules.number("start_capacity", 0.0, 1.0)? as f32,
