--- a/crates/control/src/broadcast/allowance.rs
+++ b/crates/control/src/broadcast/allowance.rs
@@ -11,7 +11,7 @@
 //! anybody has.
 
 use super::message::{Allowance, MovesSummary};
-use crate::jobs::moves::Moving;
+use crate::jobs::moves::MigrationStatus;
 
 #[cfg(test)]
 mod tests;
@@ -22,13 +22,13 @@
 /// What a relay has reported of its moves, and what it is permitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayMoves {
-    reported: Moving,
+    reported: MigrationStatus,
     permitted: u64,
 }
 
 impl RelayMoves {
     /// It reports. What it was permitted it keeps.
-    pub fn report(&mut self, reported: Moving) {
+    pub fn report(&mut self, reported: MigrationStatus) {
         self.reported = reported;
         self.permitted = self.permitted.max(reported.permitted);
     }
@@ -45,7 +45,7 @@
 
     fn lacking(&self) -> u64 {
         self.reported
-            .made
+            .completed
             .saturating_add(self.reported.waiting)
             .saturating_sub(self.permitted)
     }
@@ -71,8 +71,8 @@
 
     /// The owner has said how much it allows. What is left of the allowance before lapses: nothing is saved up here.
     pub fn allow(&mut self, allowance: Allowance) {
-        if allowance.instance == self.instance && allowance.upto >= self.allowed {
-            (self.used, self.allowed) = (self.allowed, allowance.upto);
+        if allowance.instance == self.instance && allowance.permitted >= self.allowed {
+            (self.used, self.allowed) = (self.allowed, allowance.permitted);
         }
     }
 
@@ -107,7 +107,7 @@
         for relay in relays {
             summary.relays += 1;
             summary.waiting = summary.waiting.saturating_add(relay.reported.waiting);
-            summary.made = summary.made.saturating_add(relay.reported.made);
+            summary.made = summary.made.saturating_add(relay.reported.completed);
             summary.permitted = summary.permitted.saturating_add(relay.permitted);
             summary.lacking = summary.lacking.saturating_add(relay.lacking());
         }
--- a/crates/control/src/broadcast/allowance/tests.rs
+++ b/crates/control/src/broadcast/allowance/tests.rs
@@ -2,16 +2,19 @@
 
 fn relay(waiting: u64, made: u64, permitted: u64) -> RelayMoves {
     let mut relay = RelayMoves::default();
-    relay.report(Moving {
+    relay.report(MigrationStatus {
         waiting,
-        made,
+        completed: made,
         permitted,
     });
     relay
 }
 
 fn allow(pool: &mut AllowancePool, instance: u64, upto: u64) {
-    pool.allow(Allowance { instance, upto });
+    pool.allow(Allowance {
+        instance,
+        permitted: upto,
+    });
 }
 
 #[test]
@@ -59,9 +62,9 @@
     allow(&mut pool, 7, 10);
     pool.divide(&mut [&mut one]);
     assert_eq!(one.to_be_told(), Some(2));
-    one.report(Moving {
+    one.report(MigrationStatus {
         waiting: 100,
-        made: 2,
+        completed: 2,
         permitted: 2,
     });
     allow(&mut pool, 7, 11);
@@ -73,9 +76,9 @@
 fn a_relay_that_comes_with_more_than_was_given_here_keeps_it() {
     let mut one = relay(5, 3, 9);
     assert_eq!((one.to_be_told(), one.lacking()), (None, 0));
-    one.report(Moving {
+    one.report(MigrationStatus {
         waiting: u64::MAX,
-        made: u64::MAX,
+        completed: u64::MAX,
         permitted: 1,
     });
     assert_eq!(one.to_be_told(), Some(9), "it is told again");
--- a/crates/control/src/broadcast/broadcaster.rs
+++ b/crates/control/src/broadcast/broadcaster.rs
@@ -17,14 +17,14 @@
 use super::channel::Channel;
 use super::feed::{Feed, Why};
 use super::message::{Delivery, Poll, Receipt, Reports, Submission, VERSION};
-use super::stream::Received;
+use super::stream::ReceivedSequences;
 use super::subscription::Subscription;
-use crate::jobs::assignment::{Job, Jobs, Token};
-use crate::jobs::moves::{self, Permits};
-use crate::wire::message::{kind_of, From, Message, Publish, Relay, Report, Subscribe};
+use crate::jobs::assignment::{FencingToken, Job, Jobs};
+use crate::jobs::moves::{self, MigrationPermits};
+use crate::wire::message::{job_kind, Message, Publish, RelayId, ReplyAddress, Report, Subscribe};
 #[cfg(feature = "injected-bugs")]
 use crate::InjectedBugs;
-use crate::{at_least, at_most, InjectedBug, Micros};
+use crate::{max_elapsed, min_elapsed, InjectedBug, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[cfg(test)]
@@ -38,7 +38,7 @@
 /// See the module's text.
 #[derive(Default)]
 pub struct Broadcaster {
-    subscriptions: BTreeMap<From, Subscription>,
+    subscriptions: BTreeMap<ReplyAddress, Subscription>,
     feed: Feed,
     /// The voter's share of the fleet's moves.
     pool: AllowancePool,
@@ -73,10 +73,10 @@
 
     /// A relay follows. It is told what it does not have; an owner of an older build is told what others report to its
     /// jobs.
-    pub fn subscribe(
+    pub fn handle_subscribe(
         &mut self,
         now: Micros,
-        from: From,
+        from: ReplyAddress,
         mut follow: Subscribe,
         jobs: &Jobs,
     ) -> Vec<Message> {
@@ -86,9 +86,9 @@
             return Vec::new();
         }
         if self.is_older {
-            (follow.version, follow.asks_only) = (0, false);
+            (follow.version, follow.clock_only) = (0, false);
         }
-        if follow.asks_only && follow.version >= VERSION {
+        if follow.clock_only && follow.version >= VERSION {
             // An owner wants to know this voter's clock, and follows another.
             return vec![Message::Updates(
                 Subscription::new(now, follow, None).answer(now),
@@ -119,13 +119,13 @@
         now: Micros,
         owner: &Subscription,
         jobs: &Jobs,
-    ) -> Vec<(Relay, Micros, Vec<Report>)> {
+    ) -> Vec<(RelayId, Micros, Vec<Report>)> {
         let own = |job: &Job| job.owner.as_ref() == Some(&owner.relay);
         let kinds: BTreeSet<&str> = jobs
-            .of
+            .by_name
             .iter()
             .filter(|(_, job)| own(job))
-            .map(|(name, _)| kind_of(name))
+            .map(|(name, _)| job_kind(name))
             .collect();
         let mut all = Vec::new();
         for other in self
@@ -144,33 +144,39 @@
     }
 
     /// A relay that follows asks what is new.
-    pub fn poll(&mut self, now: Micros, from: From, poll: Poll, jobs: &Jobs) -> Option<Delivery> {
+    pub fn handle_poll(
+        &mut self,
+        now: Micros,
+        from: ReplyAddress,
+        poll: Poll,
+        jobs: &Jobs,
+    ) -> Option<Delivery> {
         if self.is_older {
             return None;
         }
         Some(self.polled(now, from, poll, jobs))
     }
 
-    fn polled(&mut self, now: Micros, from: From, poll: Poll, jobs: &Jobs) -> Delivery {
+    fn polled(&mut self, now: Micros, from: ReplyAddress, poll: Poll, jobs: &Jobs) -> Delivery {
         let Poll {
-            start,
-            number,
+            incarnation: start,
+            sequence: number,
             stream,
             highest,
-            before,
+            received_bitmap: before,
             reports,
         } = poll;
         let unknown = Delivery {
-            start,
-            number,
+            incarnation: start,
+            request_sequence: number,
             stream,
-            unknown: true,
+            must_resubscribe: true,
             ..Delivery::default()
         };
         let Some(subscription) = self.subscriptions.get_mut(&from) else {
             return unknown;
         };
-        if subscription.relay.start != start || subscription.is_silent(now) {
+        if subscription.relay.incarnation != start || subscription.is_silent(now) {
             return unknown;
         }
         let Some(compact) = subscription
@@ -182,7 +188,7 @@
         };
         compact.stream.acknowledged(
             now,
-            Received {
+            ReceivedSequences {
                 stream,
                 highest,
                 before,
@@ -192,12 +198,14 @@
         if number >= subscription.number {
             (subscription.number, subscription.heard) = (number, now);
         }
-        if let Some(Reports { version, of }) =
-            reports.filter(|of| of.version > subscription.reports_version)
+        if let Some(Reports {
+            version,
+            reports: of,
+        }) = reports.filter(|of| of.version > subscription.reports_version)
         {
             let report = |(kind, body): (String, serde_bytes::ByteBuf)| Report {
                 kind,
-                body: body.into_vec(),
+                payload: body.into_vec(),
             };
             subscription.take_reports(of.into_iter().map(report).collect());
             subscription.reports_version = version;
@@ -208,30 +216,30 @@
     }
 
     /// An owner of an older build has an update for all. What comes of it goes to whoever it is for.
-    pub fn publish(
+    pub fn handle_publish(
         &mut self,
         now: Micros,
-        from: From,
+        from: ReplyAddress,
         publish: Publish,
         jobs: &Jobs,
-    ) -> Vec<(From, Message)> {
+    ) -> Vec<(ReplyAddress, Message)> {
         let Publish {
             update,
             stamp,
-            since,
+            stamp_age: since,
         } = publish;
         if let Some(refused) = self.refuse(from, &update.job, update.token, jobs) {
             return refused;
         }
-        let Some(sent) = sent_at(now, stamp, since).filter(|_| update.body.len() <= MOST_BODY)
+        let Some(sent) = sent_at(now, stamp, since).filter(|_| update.payload.len() <= MOST_BODY)
         else {
             return Vec::new();
         };
         let name = update.job.clone();
         if name == moves::KIND && !self.is_older {
-            let permits = Permits::decode(&update.body).unwrap_or_default();
-            self.feed.moves = self.feed.moves.max((update.token, update.number));
-            for (relay, upto) in permits.of {
+            let permits = MigrationPermits::decode(&update.payload).unwrap_or_default();
+            self.feed.moves = self.feed.moves.max((update.token, update.sequence));
+            for (relay, upto) in permits.by_relay {
                 let of = self
                     .subscriptions
                     .values_mut()
@@ -240,7 +248,7 @@
                     .for_each(|moves| moves.permit(upto));
             }
         } else {
-            let at = sent.saturating_sub(at_most(update.age));
+            let at = sent.saturating_sub(max_elapsed(update.age));
             let channel = self.feed.channels.entry(name.clone()).or_default();
             if !channel.take_whole(at, update, self.feed.injected.is(InjectedBug::NoFence)) {
                 return Vec::new();
@@ -250,23 +258,23 @@
     }
 
     /// An owner has changes or an allowance; it is told what this voter has, and what relays report.
-    pub fn submit(
+    pub fn handle_submission(
         &mut self,
         now: Micros,
-        from: From,
+        from: ReplyAddress,
         submission: Submission,
         jobs: &Jobs,
-    ) -> Vec<(From, Message)> {
+    ) -> Vec<(ReplyAddress, Message)> {
         if self.is_older {
             return Vec::new();
         }
         let Submission {
-            start,
-            number,
+            incarnation: start,
+            sequence: number,
             job,
             token,
             stamp,
-            since,
+            stamp_age: since,
             changes,
             allowance,
         } = submission;
@@ -312,12 +320,12 @@
     /// What an owner is told whose token is not the newest, or whose job there is not.
     fn refuse(
         &self,
-        from: From,
+        from: ReplyAddress,
         job: &str,
-        token: Token,
+        token: FencingToken,
         jobs: &Jobs,
-    ) -> Option<Vec<(From, Message)>> {
-        let Some(known) = jobs.of.get(job) else {
+    ) -> Option<Vec<(ReplyAddress, Message)>> {
+        let Some(known) = jobs.by_name.get(job) else {
             return Some(Vec::new());
         };
         // What the log here says may lag behind, so a higher token is one that this voter has yet to hear of.
@@ -329,11 +337,11 @@
         };
         let highest = seen.max(known.token);
         let stale = token < highest && !self.feed.injected.is(InjectedBug::NoFence);
-        stale.then(|| vec![(from, Message::Stale(job.into(), highest))])
+        stale.then(|| vec![(from, Message::StaleToken(job.into(), highest))])
     }
 
     /// A job has a new update: who follows is told, as far as it may be told now.
-    fn spread(&mut self, now: Micros, job: &str, jobs: &Jobs) -> Vec<(From, Message)> {
+    fn spread(&mut self, now: Micros, job: &str, jobs: &Jobs) -> Vec<(ReplyAddress, Message)> {
         self.feed.retain(now, jobs);
         let mut out = Vec::new();
         for (from, subscription) in self
@@ -348,12 +356,12 @@
     }
 
     /// Divides the allowance; who is permitted more is told.
-    fn permit(&mut self, now: Micros, jobs: &Jobs) -> Vec<(From, Message)> {
+    fn permit(&mut self, now: Micros, jobs: &Jobs) -> Vec<(ReplyAddress, Message)> {
         let live = self
             .subscriptions
             .iter_mut()
             .filter(|(_, subscription)| !subscription.is_silent(now));
-        let (of, mut moves): (Vec<From>, Vec<&mut RelayMoves>) = live
+        let (of, mut moves): (Vec<ReplyAddress>, Vec<&mut RelayMoves>) = live
             .filter_map(|(from, subscription)| Some((*from, subscription.moves.as_mut()?)))
             .unzip();
         let raised = self.pool.divide(&mut moves);
@@ -369,7 +377,7 @@
     }
 
     /// A link has ended.
-    pub fn gone(&mut self, from: From) {
+    pub fn disconnected(&mut self, from: ReplyAddress) {
         self.subscriptions.remove(&from);
     }
 
@@ -382,6 +390,6 @@
 /// When an owner sent something, at the earliest, by this voter's clock: after the voter had told it that clock. Without
 /// that, the age of what it says is not known.
 fn sent_at(now: Micros, stamp: Micros, since: Micros) -> Option<Micros> {
-    let sent = stamp.saturating_add(at_least(since));
+    let sent = stamp.saturating_add(min_elapsed(since));
     (stamp > 0 && sent <= now).then_some(sent)
 }
--- a/crates/control/src/broadcast/broadcaster/tests.rs
+++ b/crates/control/src/broadcast/broadcaster/tests.rs
@@ -4,10 +4,10 @@
 use crate::jobs::assignment::Assignment;
 use crate::wire::message::{Update, Updates};
 
-fn relay(name: &str) -> Relay {
-    Relay {
+fn relay(name: &str) -> RelayId {
+    RelayId {
         name: name.into(),
-        start: 1,
+        incarnation: 1,
     }
 }
 
@@ -26,36 +26,36 @@
     jobs
 }
 
-fn follow(name: &str, number: u64, knows: &[(Token, u64)]) -> Subscribe {
+fn follow(name: &str, number: u64, knows: &[(FencingToken, u64)]) -> Subscribe {
     let knows = knows
         .iter()
         .map(|(token, number)| ("load/a".to_string(), *token, *number))
         .collect();
     let reports = vec![Report {
         kind: "load".into(),
-        body: vec![number as u8],
+        payload: vec![number as u8],
     }];
     Subscribe {
         relay: relay(name),
-        number,
-        knows,
+        sequence: number,
+        known_updates: knows,
         reports,
         ..Subscribe::default()
     }
 }
 
-fn publish(token: Token, number: u64, age: Micros, stamp: Micros, since: Micros) -> Publish {
+fn publish(token: FencingToken, number: u64, age: Micros, stamp: Micros, since: Micros) -> Publish {
     let update = Update {
         job: "load/a".into(),
         token,
-        number,
+        sequence: number,
         age,
-        body: vec![token as u8],
+        payload: vec![token as u8],
     };
     Publish {
         update,
         stamp,
-        since,
+        stamp_age: since,
     }
 }
 
@@ -70,11 +70,11 @@
 fn a_word_is_as_old_as_it_is_and_one_of_an_owner_of_before_stops_its_sender() {
     let (mut broadcaster, jobs) = (Broadcaster::default(), jobs(2));
     assert_eq!(
-        updates(broadcaster.subscribe(1_000_000, 7, follow("n3", 1, &[]), &jobs)).updates,
+        updates(broadcaster.handle_subscribe(1_000_000, 7, follow("n3", 1, &[]), &jobs)).updates,
         []
     );
     // Sent 100 ms after the stamp, true 50 ms before that, held back for a second on its way.
-    let out = broadcaster.publish(
+    let out = broadcaster.handle_publish(
         2_100_000,
         8,
         publish(2, 1, 50_000, 1_000_000, 100_000),
@@ -85,55 +85,58 @@
     };
     // And a hundredth of each span, by which clocks may differ.
     assert_eq!(
-        (told.number, told.since, told.updates[0].age),
+        (told.sequence, told.request_age, told.updates[0].age),
         (1, 1_100_000, 1_051_500)
     );
-    let stale = broadcaster.publish(2_200_000, 9, publish(1, 9, 0, 2_000_000, 0), &jobs);
-    assert_eq!(stale, [(9, Message::Stale("load/a".into(), 2))]);
+    let stale = broadcaster.handle_publish(2_200_000, 9, publish(1, 9, 0, 2_000_000, 0), &jobs);
+    assert_eq!(stale, [(9, Message::StaleToken("load/a".into(), 2))]);
     // Whoever missed it is told again, whoever has it is not.
     assert_eq!(
-        updates(broadcaster.subscribe(2_300_000, 7, follow("n3", 2, &[]), &jobs))
+        updates(broadcaster.handle_subscribe(2_300_000, 7, follow("n3", 2, &[]), &jobs))
             .updates
             .len(),
         1
     );
     assert_eq!(
-        updates(broadcaster.subscribe(2_400_000, 7, follow("n3", 3, &[(2, 1)]), &jobs)).updates,
+        updates(broadcaster.handle_subscribe(2_400_000, 7, follow("n3", 3, &[(2, 1)]), &jobs))
+            .updates,
         []
     );
     // A token that this voter's log does not have yet is newer than all that it knows.
     assert_eq!(
         broadcaster
-            .publish(2_500_000, 8, publish(3, 1, 0, 2_400_000, 0), &jobs)
+            .handle_publish(2_500_000, 8, publish(3, 1, 0, 2_400_000, 0), &jobs)
             .len(),
         1
     );
-    let stale = broadcaster.publish(2_600_000, 9, publish(2, 2, 0, 2_500_000, 0), &jobs);
-    assert_eq!(stale, [(9, Message::Stale("load/a".into(), 3))]);
+    let stale = broadcaster.handle_publish(2_600_000, 9, publish(2, 2, 0, 2_500_000, 0), &jobs);
+    assert_eq!(stale, [(9, Message::StaleToken("load/a".into(), 3))]);
 }
 
 #[test]
 fn a_word_without_an_age_or_a_job_is_not_kept_and_who_is_silent_is_told_nothing() {
     let (mut broadcaster, jobs) = (Broadcaster::default(), jobs(1));
-    broadcaster.subscribe(0, 7, follow("n3", 1, &[]), &jobs);
+    broadcaster.handle_subscribe(0, 7, follow("n3", 1, &[]), &jobs);
     assert!(
         broadcaster
-            .publish(1_000, 8, publish(1, 1, 0, 0, 0), &jobs)
+            .handle_publish(1_000, 8, publish(1, 1, 0, 0, 0), &jobs)
             .is_empty(),
         "no stamp"
     );
     assert!(
         broadcaster
-            .publish(1_000, 8, publish(1, 1, 0, 900, 300), &jobs)
+            .handle_publish(1_000, 8, publish(1, 1, 0, 900, 300), &jobs)
             .is_empty(),
         "from the future"
     );
     let mut unknown = publish(1, 1, 0, 1, 0);
     unknown.update.job = "load/b".into();
-    assert!(broadcaster.publish(1_000, 8, unknown, &jobs).is_empty());
+    assert!(broadcaster
+        .handle_publish(1_000, 8, unknown, &jobs)
+        .is_empty());
     assert!(
         broadcaster
-            .publish(3_000_000, 8, publish(1, 1, 0, 1, 0), &jobs)
+            .handle_publish(3_000_000, 8, publish(1, 1, 0, 1, 0), &jobs)
             .is_empty(),
         "nobody follows any more"
     );
@@ -142,22 +145,22 @@
 #[test]
 fn owners_hear_what_relays_say_to_their_kind_of_jobs() {
     let (mut broadcaster, jobs) = (Broadcaster::default(), jobs(1));
-    broadcaster.subscribe(0, 7, follow("n3", 5, &[]), &jobs);
+    broadcaster.handle_subscribe(0, 7, follow("n3", 5, &[]), &jobs);
     assert_eq!(
-        updates(broadcaster.subscribe(10, 8, follow("n4", 1, &[]), &jobs)).reports,
+        updates(broadcaster.handle_subscribe(10, 8, follow("n4", 1, &[]), &jobs)).reports,
         [],
         "it owns nothing"
     );
-    let reports = updates(broadcaster.subscribe(20, 9, follow("n1", 2, &[]), &jobs)).reports;
+    let reports = updates(broadcaster.handle_subscribe(20, 9, follow("n1", 2, &[]), &jobs)).reports;
     let seen: Vec<_> = reports
         .iter()
-        .map(|(relay, age, of)| (&relay.name[..], *age, of[0].body[0]))
+        .map(|(relay, age, of)| (&relay.name[..], *age, of[0].payload[0]))
         .collect();
     assert_eq!(seen, [("n3", 20, 5), ("n4", 10, 1), ("n1", 0, 2)]);
 }
 
 /// A relay of this build follows: in that zone, with these tables.
-fn follows(name: &str, number: u64, zone: &str, tables: &[(Token, u64)]) -> Subscribe {
+fn follows(name: &str, number: u64, zone: &str, tables: &[(FencingToken, u64)]) -> Subscribe {
     let tables = tables
         .iter()
         .map(|(token, version)| ("load/a".to_string(), *token, *version))
@@ -173,11 +176,11 @@
 
 fn poll(number: u64, stream: u64, highest: u64) -> Poll {
     Poll {
-        start: 1,
-        number,
+        incarnation: 1,
+        sequence: number,
         stream,
         highest,
-        before: u32::MAX,
+        received_bitmap: u32::MAX,
         reports: None,
     }
 }
@@ -209,7 +212,7 @@
     crate::broadcast::table::versions(delivered.changes.as_ref().unwrap()).unwrap()
 }
 
-fn deliveries(messages: Vec<(From, Message)>) -> Vec<(From, Vec<(u64, u64)>)> {
+fn deliveries(messages: Vec<(ReplyAddress, Message)>) -> Vec<(ReplyAddress, Vec<(u64, u64)>)> {
     let delivery = |(to, message)| match message {
         Message::Delivery(delivery) => {
             Some((to, delivery.updates.iter().map(versions_of).collect()))
@@ -222,34 +225,36 @@
 #[test]
 fn who_follows_is_delivered_changes_from_what_it_has_and_an_older_build_the_whole() {
     let (mut broadcaster, jobs, mut owner) = (Broadcaster::new(1), jobs(1), table(2));
-    let told = broadcaster.subscribe(1_000_000, 7, follows("n3", 1, "a", &[]), &jobs);
+    let told = broadcaster.handle_subscribe(1_000_000, 7, follows("n3", 1, "a", &[]), &jobs);
     assert!(
         matches!(&told[..], [Message::Updates(of), Message::Delivery(_)] if of.version == VERSION)
     );
-    broadcaster.subscribe(1_000_000, 8, follow("n4", 1, &[]), &jobs);
-    let out = broadcaster.submit(1_100_000, 9, submit(owner.changes(0), 1_000_000), &jobs);
+    broadcaster.handle_subscribe(1_000_000, 8, follow("n4", 1, &[]), &jobs);
+    let out =
+        broadcaster.handle_submission(1_100_000, 9, submit(owner.changes(0), 1_000_000), &jobs);
     let older = out.iter().find(|(to, _)| *to == 8).unwrap();
     assert!(
-        matches!(&older.1, Message::Updates(of) if of.updates[0].number == 2 && of.version == 0)
+        matches!(&older.1, Message::Updates(of) if of.updates[0].sequence == 2 && of.version == 0)
     );
     assert!(matches!(&out.last().unwrap().1, Message::Receipt(of) if of.version == 2));
     assert_eq!(deliveries(out), [(7, vec![(0, 2)])]);
     // The next one from there; to who comes with an older version, from that.
     owner.update(3, &["x0".to_string()], &[(7, 0, vec![0.9])]);
-    let out = broadcaster.submit(1_200_000, 9, submit(owner.changes(2), 1_100_000), &jobs);
+    let out =
+        broadcaster.handle_submission(1_200_000, 9, submit(owner.changes(2), 1_100_000), &jobs);
     assert_eq!(deliveries(out), [(7, vec![(2, 3)])]);
-    let told = broadcaster.subscribe(1_300_000, 10, follows("n5", 1, "a", &[(1, 2)]), &jobs);
+    let told = broadcaster.handle_subscribe(1_300_000, 10, follows("n5", 1, "a", &[(1, 2)]), &jobs);
     let Some(Message::Delivery(delivery)) = told.last() else {
         panic!("{told:?}")
     };
     assert_eq!(versions_of(&delivery.updates[0]), (2, 3));
     // What was lost is delivered again, from what was acknowledged.
     let delivery = broadcaster
-        .poll(1_400_000, 7, poll(2, 1, 1), &jobs)
+        .handle_poll(1_400_000, 7, poll(2, 1, 1), &jobs)
         .unwrap();
     assert_eq!(delivery.updates, [], "it may be on its way");
     let delivery = broadcaster
-        .poll(2_300_000, 7, poll(3, 1, 1), &jobs)
+        .handle_poll(2_300_000, 7, poll(3, 1, 1), &jobs)
         .unwrap();
     assert_eq!(versions_of(&delivery.updates[0]), (2, 3));
 }
@@ -257,12 +262,12 @@
 #[test]
 fn changes_without_those_before_them_are_not_taken_and_the_receipt_says_so() {
     let (mut broadcaster, jobs, mut owner) = (Broadcaster::new(1), jobs(1), table(3));
-    broadcaster.subscribe(1_000_000, 7, follows("n3", 1, "a", &[]), &jobs);
+    broadcaster.handle_subscribe(1_000_000, 7, follows("n3", 1, "a", &[]), &jobs);
     for (changes, stamp) in [
         (owner.changes(2).to_vec(), 1_000_000),
         (owner.changes(0).to_vec(), 0),
     ] {
-        let out = broadcaster.submit(1_100_000, 9, submit(&changes, stamp), &jobs);
+        let out = broadcaster.handle_submission(1_100_000, 9, submit(&changes, stamp), &jobs);
         assert!(
             matches!(&out[..], [(9, Message::Receipt(of))] if of.version == 0 && of.stamp == 1_100_000)
         );
@@ -271,39 +276,39 @@
         token: 0,
         ..submit(owner.changes(0), 1_000_000)
     };
-    let out = broadcaster.submit(1_100_000, 9, stale, &jobs);
-    assert_eq!(out, [(9, Message::Stale("load/a".into(), 1))]);
+    let out = broadcaster.handle_submission(1_100_000, 9, stale, &jobs);
+    assert_eq!(out, [(9, Message::StaleToken("load/a".into(), 1))]);
 }
 
 #[test]
 fn a_relay_that_the_voter_has_forgotten_is_told_so() {
     let (mut broadcaster, jobs) = (Broadcaster::new(1), jobs(1));
-    broadcaster.subscribe(0, 7, follows("n3", 4, "a", &[]), &jobs);
+    broadcaster.handle_subscribe(0, 7, follows("n3", 4, "a", &[]), &jobs);
     assert!(
         !broadcaster
-            .poll(10, 7, poll(5, 4, 0), &jobs)
+            .handle_poll(10, 7, poll(5, 4, 0), &jobs)
             .unwrap()
-            .unknown
+            .must_resubscribe
     );
     assert!(
         broadcaster
-            .poll(10, 7, poll(5, 3, 0), &jobs)
+            .handle_poll(10, 7, poll(5, 3, 0), &jobs)
             .unwrap()
-            .unknown,
+            .must_resubscribe,
         "another stream"
     );
     assert!(
         broadcaster
-            .poll(10, 8, poll(5, 4, 0), &jobs)
+            .handle_poll(10, 8, poll(5, 4, 0), &jobs)
             .unwrap()
-            .unknown,
+            .must_resubscribe,
         "another link"
     );
     assert!(
         broadcaster
-            .poll(4_000_000, 7, poll(6, 4, 0), &jobs)
+            .handle_poll(4_000_000, 7, poll(6, 4, 0), &jobs)
             .unwrap()
-            .unknown,
+            .must_resubscribe,
         "it was silent"
     );
 }
@@ -315,13 +320,13 @@
     jobs.apply(Assignment::Assign(vec![(moves::KIND.into(), relay("n1"))]));
     let mut broadcaster = Broadcaster::new(5);
     let report = |waiting| {
-        let moving = moves::Moving {
+        let moving = moves::MigrationStatus {
             waiting,
-            ..moves::Moving::default()
+            ..moves::MigrationStatus::default()
         };
         vec![Report {
             kind: moves::KIND.into(),
-            body: moving.encode(),
+            payload: moving.encode(),
         }]
     };
     for n in 0..50 {
@@ -329,21 +334,24 @@
             reports: report(n),
             ..follows(&format!("n{n}"), 1, "a", &[])
         };
-        broadcaster.subscribe(0, n, follow, &jobs);
+        broadcaster.handle_subscribe(0, n, follow, &jobs);
     }
     let older = Subscribe {
         reports: report(100),
         ..follow("n99", 1, &[])
     };
-    broadcaster.subscribe(0, 99, older, &jobs);
+    broadcaster.handle_subscribe(0, 99, older, &jobs);
     let allow = |upto| Submission {
         job: moves::KIND.into(),
         token: 1,
-        number: 3,
-        allowance: Some(Allowance { instance: 5, upto }),
+        sequence: 3,
+        allowance: Some(Allowance {
+            instance: 5,
+            permitted: upto,
+        }),
         ..Submission::default()
     };
-    let out = broadcaster.submit(1_000, 200, allow(51), &jobs);
+    let out = broadcaster.handle_submission(1_000, 200, allow(51), &jobs);
     let Some((200, Message::Receipt(receipt))) = out.last() else {
         panic!("{out:?}")
     };
@@ -360,9 +368,9 @@
     let [(99, Message::Updates(updates)), ..] = &out[..] else {
         panic!("{out:?}")
     };
-    let permits = moves::Permits::decode(&updates.updates[0].body).unwrap();
-    assert_eq!(permits.of, [(relay("n99"), 51)]);
+    let permits = moves::MigrationPermits::decode(&updates.updates[0].payload).unwrap();
+    assert_eq!(permits.by_relay, [(relay("n99"), 51)]);
     assert_eq!(out.len(), 2);
-    let out = broadcaster.submit(1_000, 200, allow(53), &jobs);
+    let out = broadcaster.handle_submission(1_000, 200, allow(53), &jobs);
     assert_eq!(out.len(), 3, "49 lacking at one, 49 at the other: {out:?}");
 }
--- a/crates/control/src/broadcast/channel.rs
+++ b/crates/control/src/broadcast/channel.rs
@@ -1,10 +1,10 @@
 //! The newest update of one job at a voter: a table, or a whole update as owners of older builds publish it.
 
 use super::message::Delivered;
-use super::stream::Have;
+use super::stream::HeldVersion;
 use super::table::{Table, Version};
-use crate::jobs::assignment::Token;
-use crate::jobs::load_watch::Loads;
+use crate::jobs::assignment::FencingToken;
+use crate::jobs::load_watch::LoadReports;
 use crate::wire::message::Update;
 use crate::Micros;
 use serde_bytes::ByteBuf;
@@ -31,15 +31,15 @@
 
 impl Channel {
     /// The token of the owner whose update it is.
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.have().0
     }
 
     /// Token and number of the update.
-    pub fn have(&self) -> Have {
+    pub fn have(&self) -> HeldVersion {
         match &self.content {
             Content::Nothing => (0, 0),
-            Content::Whole(update) => (update.token, update.number),
+            Content::Whole(update) => (update.token, update.sequence),
             Content::Table(table, _) => (table.token(), table.version()),
         }
     }
@@ -50,7 +50,7 @@
     }
 
     /// The version of the table under this token that changes can start from; zero where there is none.
-    pub fn version(&self, token: Token) -> Version {
+    pub fn version(&self, token: FencingToken) -> Version {
         match &self.content {
             Content::Table(table, _) if table.token() == token => table.version(),
             _ => 0,
@@ -59,7 +59,7 @@
 
     /// Takes a whole update, where it is newer, or whatever it is; whether it was taken.
     pub fn take_whole(&mut self, at: Micros, update: Update, whatever: bool) -> bool {
-        let newer = (update.token, update.number) > self.have();
+        let newer = (update.token, update.sequence) > self.have();
         if newer || whatever {
             (self.content, self.at) = (Content::Whole(update), at);
         }
@@ -67,7 +67,7 @@
     }
 
     /// Takes changes of the table under a token that were sent then at the earliest; whether they were taken.
-    pub fn take_changes(&mut self, sent: Micros, token: Token, changes: &[u8]) -> bool {
+    pub fn take_changes(&mut self, sent: Micros, token: FencingToken, changes: &[u8]) -> bool {
         let same = matches!(&self.content, Content::Table(table, _) if table.token() == token);
         if !same {
             let mut table = Table::new(token);
@@ -88,20 +88,20 @@
     }
 
     /// What a relay that takes deliveries is told, which has so much; and about how many bytes that is.
-    pub fn delivered(&mut self, now: Micros, job: &str, has: Have) -> (Delivered, usize) {
+    pub fn delivered(&mut self, now: Micros, job: &str, has: HeldVersion) -> (Delivered, usize) {
         let (token, number) = self.have();
         let age = now.saturating_sub(self.at).div_ceil(1_000);
         let mut delivered = Delivered {
             job: job.into(),
             token,
-            age,
+            age_ms: age,
             ..Delivered::default()
         };
         let bytes = match &mut self.content {
             Content::Nothing => Vec::new(),
             Content::Whole(update) => {
-                delivered.number = number;
-                update.body.clone()
+                delivered.sequence = number;
+                update.payload.clone()
             }
             Content::Table(table, _) => {
                 let from = if has.0 == token { has.1 } else { 0 };
@@ -112,7 +112,7 @@
         if matches!(self.content, Content::Table(..)) {
             delivered.changes = Some(ByteBuf::from(bytes));
         } else {
-            delivered.whole = Some(ByteBuf::from(bytes));
+            delivered.full = Some(ByteBuf::from(bytes));
         }
         (delivered, size)
     }
@@ -123,17 +123,17 @@
         let age = now.saturating_sub(self.at);
         let body = match &mut self.content {
             Content::Nothing => Vec::new(),
-            Content::Whole(update) => update.body.clone(),
+            Content::Whole(update) => update.payload.clone(),
             Content::Table(table, whole) => whole
-                .get_or_insert_with(|| Loads::of_table(table).encode())
+                .get_or_insert_with(|| LoadReports::of_table(table).encode())
                 .clone(),
         };
         Update {
             job: job.into(),
             token,
-            number,
+            sequence: number,
             age,
-            body,
+            payload: body,
         }
     }
 }
--- a/crates/control/src/broadcast/feed.rs
+++ b/crates/control/src/broadcast/feed.rs
@@ -2,10 +2,10 @@
 
 use super::channel::Channel;
 use super::message::{Delivered, Delivery};
-use super::stream::Have;
+use super::stream::HeldVersion;
 use super::subscription::{Compact, Subscription};
 use crate::jobs::assignment::Jobs;
-use crate::jobs::moves::{self, Permits};
+use crate::jobs::moves::{self, MigrationPermits};
 use crate::wire::message::{Message, Update, Updates};
 use crate::{InjectedBug, InjectedBugs, Micros};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     pub injected: InjectedBugs,
     pub channels: BTreeMap<String, Channel>,
     /// The token and number of what the owner of moves said last.
-    pub moves: Have,
+    pub moves: HeldVersion,
 }
 
 /// Why a relay is told something.
@@ -35,7 +35,7 @@
     /// A job has a new update.
     Spread,
     /// It is permitted more moves.
-    Permits,
+    MigrationPermits,
 }
 
 /// A job whose update a relay lacks: what is not near goes last, then what was sent last.
@@ -45,7 +45,7 @@
     /// Forgets updates of jobs that there are no more, and those that nobody can use.
     pub fn retain(&mut self, now: Micros, jobs: &Jobs) {
         self.channels
-            .retain(|name, channel| jobs.of.contains_key(name) && !channel.is_old(now));
+            .retain(|name, channel| jobs.by_name.contains_key(name) && !channel.is_old(now));
     }
 
     /// What a relay is told now of a job, or of all that it lacks.
@@ -58,7 +58,7 @@
     ) -> Option<Message> {
         if subscription.compact.is_some() {
             let why = if job == moves::KIND {
-                Why::Permits
+                Why::MigrationPermits
             } else {
                 Why::Spread
             };
@@ -111,13 +111,13 @@
             compact.stream.send(now, versions)
         };
         Some(Delivery {
-            start: subscription.relay.start,
-            number: subscription.number,
-            since: (now - subscription.heard) / 1_000,
+            incarnation: subscription.relay.incarnation,
+            request_sequence: subscription.number,
+            request_age_ms: (now - subscription.heard) / 1_000,
             stream: compact.stream.number,
             sequence,
-            reports: subscription.reports_version,
-            unknown: false,
+            reports_version: subscription.reports_version,
+            must_resubscribe: false,
             updates,
         })
     }
@@ -131,7 +131,7 @@
         jobs: &Jobs,
     ) -> (Vec<Lacking>, bool) {
         let owns_moves = jobs
-            .of
+            .by_name
             .get(moves::KIND)
             .is_some_and(|job| job.owner.as_ref() == Some(&subscription.relay));
         let (mut lacking, mut owns_any) = (Vec::new(), owns_moves);
@@ -139,7 +139,7 @@
             return (lacking, false);
         };
         for (name, channel) in &self.channels {
-            let owner = jobs.of.get(name).and_then(|job| job.owner.as_ref());
+            let owner = jobs.by_name.get(name).and_then(|job| job.owner.as_ref());
             let owns = owner == Some(&subscription.relay);
             owns_any |= owns;
             if !owns && !channel.is_old(now) && stream.lacks(name, channel.have()) {
@@ -158,7 +158,7 @@
         compact: &mut Compact,
         lacking: Vec<Lacking>,
         rate: u64,
-    ) -> (Vec<Delivered>, Vec<(String, Have)>) {
+    ) -> (Vec<Delivered>, Vec<(String, HeldVersion)>) {
         let (mut updates, mut versions) = (Vec::new(), Vec::new());
         for (far, _, name) in lacking {
             if far && !compact.bucket.has_any() {
@@ -183,7 +183,7 @@
         job: Option<&str>,
     ) -> Vec<Update> {
         let injected = self.injected;
-        let lacks = |name: &str, have: Have| {
+        let lacks = |name: &str, have: HeldVersion| {
             let wanted = job.is_none_or(|job| job == name);
             let knows = subscription
                 .knows
@@ -199,17 +199,17 @@
         }
         let permitted = subscription.moves.and_then(|moves| moves.to_be_told());
         if let Some(permitted) = permitted.filter(|_| lacks(moves::KIND, self.moves)) {
-            let body = Permits {
-                of: vec![(subscription.relay.clone(), permitted)],
+            let body = MigrationPermits {
+                by_relay: vec![(subscription.relay.clone(), permitted)],
             }
             .encode();
             let (job, (token, number)) = (moves::KIND.to_string(), self.moves);
             updates.push(Update {
                 job,
                 token,
-                number,
+                sequence: number,
                 age: 0,
-                body,
+                payload: body,
             });
         }
         updates
--- a/crates/control/src/broadcast/message.rs
+++ b/crates/control/src/broadcast/message.rs
@@ -5,7 +5,7 @@
 //! left out. As everywhere, a part that is not known is passed over.
 
 use super::table::Version;
-use crate::jobs::assignment::Token;
+use crate::jobs::assignment::FencingToken;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
@@ -22,10 +22,10 @@
 pub struct Poll {
     /// The start of the process that asks.
     #[serde(rename = "s")]
-    pub start: u64,
+    pub incarnation: u64,
     /// Grows with each poll and each `Follow`.
     #[serde(rename = "n")]
-    pub number: u64,
+    pub sequence: u64,
     /// The number of the `Follow` with which its stream of deliveries began.
     #[serde(rename = "q")]
     pub stream: u64,
@@ -34,7 +34,7 @@
     pub highest: u64,
     /// Which of the 32 before it were received: bit 0 stands for the one right before.
     #[serde(rename = "m", skip_serializing_if = "is_default")]
-    pub before: u32,
+    pub received_bitmap: u32,
     /// Its reports, where the voter has not acknowledged this version of them.
     #[serde(rename = "r", skip_serializing_if = "is_default")]
     pub reports: Option<Reports>,
@@ -49,7 +49,7 @@
     pub version: u64,
     /// Kind and text of each.
     #[serde(rename = "o")]
-    pub of: Vec<(String, serde_bytes::ByteBuf)>,
+    pub reports: Vec<(String, serde_bytes::ByteBuf)>,
 }
 
 /// What a voter delivers to a relay that follows it.
@@ -58,13 +58,13 @@
 pub struct Delivery {
     /// The start of the process that it is for.
     #[serde(rename = "s")]
-    pub start: u64,
+    pub incarnation: u64,
     /// The last question that the voter heard of it.
     #[serde(rename = "n")]
-    pub number: u64,
+    pub request_sequence: u64,
     /// How long ago that was, in milliseconds, rounded down.
     #[serde(rename = "a", skip_serializing_if = "is_default")]
-    pub since: u64,
+    pub request_age_ms: u64,
     /// The stream, and the place in it, from one on.
     #[serde(rename = "q")]
     pub stream: u64,
@@ -73,10 +73,10 @@
     pub sequence: u64,
     /// The version of the relay's reports that the voter has.
     #[serde(rename = "v", skip_serializing_if = "is_default")]
-    pub reports: u64,
+    pub reports_version: u64,
     /// The voter does not know the relay: it must follow anew.
     #[serde(rename = "u", skip_serializing_if = "is_default")]
-    pub unknown: bool,
+    pub must_resubscribe: bool,
     /// Updates of jobs.
     #[serde(rename = "i", skip_serializing_if = "is_default")]
     pub updates: Vec<Delivered>,
@@ -91,19 +91,19 @@
     pub job: String,
     /// See `job`.
     #[serde(rename = "t")]
-    pub token: Token,
+    pub token: FencingToken,
     /// The number of the update, where it is a whole one.
     #[serde(rename = "n", skip_serializing_if = "is_default")]
-    pub number: u64,
+    pub sequence: u64,
     /// At most so old when it was sent on, in milliseconds, rounded up.
     #[serde(rename = "a", skip_serializing_if = "is_default")]
-    pub age: u64,
+    pub age_ms: u64,
     /// Changes of the job's table.
     #[serde(rename = "c", skip_serializing_if = "Option::is_none")]
     pub changes: Option<serde_bytes::ByteBuf>,
     /// The update as a whole, as an owner of an older build tells it.
     #[serde(rename = "w", skip_serializing_if = "Option::is_none")]
-    pub whole: Option<serde_bytes::ByteBuf>,
+    pub full: Option<serde_bytes::ByteBuf>,
     /// Moves that this relay may have made since its start.
     #[serde(rename = "p", skip_serializing_if = "is_default")]
     pub permitted: u64,
@@ -115,22 +115,22 @@
 pub struct Submission {
     /// The start of the owner's process.
     #[serde(rename = "s")]
-    pub start: u64,
+    pub incarnation: u64,
     /// Grows with each; the receipt bears it.
     #[serde(rename = "n")]
-    pub number: u64,
+    pub sequence: u64,
     /// The job, and the token under which it is said.
     #[serde(rename = "j")]
     pub job: String,
     /// See `job`.
     #[serde(rename = "t")]
-    pub token: Token,
+    pub token: FencingToken,
     /// The last moment of the voter's clock that the voter has told this owner, and how long ago that was here.
     #[serde(rename = "k")]
     pub stamp: Micros,
     /// See `stamp`.
     #[serde(rename = "e")]
-    pub since: Micros,
+    pub stamp_age: Micros,
     /// Changes of the job's table, from a version that the voter has.
     #[serde(rename = "c", skip_serializing_if = "Option::is_none")]
     pub changes: Option<serde_bytes::ByteBuf>,
@@ -148,7 +148,7 @@
     pub instance: u64,
     /// So many. It only grows.
     #[serde(rename = "u")]
-    pub upto: u64,
+    pub permitted: u64,
 }
 
 /// What a voter says to a submission.
--- a/crates/control/src/broadcast/stream.rs
+++ b/crates/control/src/broadcast/stream.rs
@@ -8,7 +8,7 @@
 //! bytes bounds what a relay is sent; what it needs most goes first, then what it has waited for longest), and
 //! acknowledgements of a stream of before.
 
-use crate::jobs::assignment::Token;
+use crate::jobs::assignment::FencingToken;
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -23,11 +23,11 @@
 const BURST_MS: u64 = 1_000;
 
 /// Token and version of what somebody has of a job. Tokens of owners only grow, and versions under a token.
-pub type Have = (Token, u64);
+pub type HeldVersion = (FencingToken, u64);
 
 /// The relay's side: which deliveries came.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Received {
+pub struct ReceivedSequences {
     /// The number of the `Follow` with which the stream began.
     pub stream: u64,
     /// See [`super::message::Poll::highest`].
@@ -36,7 +36,7 @@
     pub before: u32,
 }
 
-impl Received {
+impl ReceivedSequences {
     /// A delivery was taken.
     pub fn add(&mut self, stream: u64, sequence: u64) {
         if stream != self.stream || sequence == 0 {
@@ -65,16 +65,16 @@
 
 /// A bucket of bytes that fills at a rate. What must go out may leave it in debt.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// In thousandths of a byte.
     level: i64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// One that begins to fill.
-    pub fn new(now: Micros) -> Bucket {
-        Bucket { level: 0, at: now }
+    pub fn new(now: Micros) -> TokenBucket {
+        TokenBucket { level: 0, at: now }
     }
 
     /// Time has passed; whether there is anything in it.
@@ -102,15 +102,15 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct JobState {
-    acknowledged: Have,
-    sent: Have,
+    acknowledged: HeldVersion,
+    sent: HeldVersion,
     sent_at: Micros,
 }
 
 struct Sent {
     sequence: u64,
     at: Micros,
-    of: Vec<(String, Have)>,
+    of: Vec<(String, HeldVersion)>,
 }
 
 /// The voter's side.
@@ -124,7 +124,7 @@
 
 impl Stream {
     /// A relay follows, and has these.
-    pub fn new(number: u64, has: impl IntoIterator<Item = (String, Have)>) -> Stream {
+    pub fn new(number: u64, has: impl IntoIterator<Item = (String, HeldVersion)>) -> Stream {
         let state = |(job, have)| {
             (
                 job,
@@ -144,7 +144,7 @@
     }
 
     /// A poll says what was received.
-    pub fn acknowledged(&mut self, now: Micros, received: Received) {
+    pub fn acknowledged(&mut self, now: Micros, received: ReceivedSequences) {
         if received.stream != self.number {
             return;
         }
@@ -168,12 +168,12 @@
     }
 
     /// Whether a job's newest version has not been sent.
-    pub fn lacks(&self, job: &str, newest: Have) -> bool {
+    pub fn lacks(&self, job: &str, newest: HeldVersion) -> bool {
         self.sent(job) < newest
     }
 
     /// What the relay was sent of a job, whether it came or not.
-    pub fn sent(&self, job: &str) -> Have {
+    pub fn sent(&self, job: &str) -> HeldVersion {
         self.jobs.get(job).map_or((0, 0), |state| state.sent)
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// A delivery goes out with these versions; its sequence number.
-    pub fn send(&mut self, now: Micros, of: Vec<(String, Have)>) -> u64 {
+    pub fn send(&mut self, now: Micros, of: Vec<(String, HeldVersion)>) -> u64 {
         self.sequence += 1;
         for (job, have) in &of {
             let state = self.jobs.entry(job.clone()).or_default();
--- a/crates/control/src/broadcast/stream/tests.rs
+++ b/crates/control/src/broadcast/stream/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-fn received(sequences: &[u64]) -> Received {
-    let mut received = Received {
+fn received(sequences: &[u64]) -> ReceivedSequences {
+    let mut received = ReceivedSequences {
         stream: 3,
-        ..Received::default()
+        ..ReceivedSequences::default()
     };
     sequences
         .iter()
@@ -47,7 +47,7 @@
     send(&mut stream, LOST_AFTER + 40, 8);
     stream.acknowledged(
         LOST_AFTER + 50,
-        Received {
+        ReceivedSequences {
             stream: 2,
             highest: 5,
             before: u32::MAX,
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_bucket_fills_at_its_rate_and_owes_no_more_than_a_second() {
-    let mut bucket = Bucket::new(0);
+    let mut bucket = TokenBucket::new(0);
     assert!(!bucket.has_any());
     bucket.take(5_000, 1_000);
     assert!(
--- a/crates/control/src/broadcast/subscriber.rs
+++ b/crates/control/src/broadcast/subscriber.rs
@@ -10,14 +10,14 @@
 //! followed) or has forgotten it, and an answer to the process before this one.
 
 use super::message::{Delivered, Delivery, Poll, Receipt, Reports, Submission, VERSION};
-use super::stream::{Have, Received};
-use super::table::{Checks, Refused, Table};
-use crate::jobs::assignment::Token;
-use crate::jobs::fence::{Fence, Verdict};
-use crate::wire::message::{Message, Publish, Relay, Report, Subscribe, Update, Updates};
+use super::stream::{HeldVersion, ReceivedSequences};
+use super::table::{Checks, Table, TableError};
+use crate::jobs::assignment::FencingToken;
+use crate::jobs::fence::{Fence, FenceDecision};
+use crate::wire::message::{Message, Publish, RelayId, Report, Subscribe, Update, Updates};
 #[cfg(feature = "injected-bugs")]
 use crate::InjectedBugs;
-use crate::{at_least, at_most, Micros};
+use crate::{max_elapsed, min_elapsed, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -25,9 +25,9 @@
 mod tests;
 
 /// A relay asks its voter so often what is new; what an owner says meanwhile is told at once.
-pub const PACE: Micros = 500_000;
+pub const POLL_INTERVAL: Micros = 500_000;
 /// A voter that has told nothing for so long is left for the next one: three questions are without an answer.
-const SILENT: Micros = 3 * PACE;
+const SILENT: Micros = 3 * POLL_INTERVAL;
 /// A voter that has not shown for so long that it knows deliveries may be of an older build by now.
 const FORGOTTEN: Micros = 3_000_000;
 /// A voter's clock that was told longer ago would make what is said by it too old: clocks drift.
@@ -37,41 +37,41 @@
 
 /// An update that it obeys.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct OwnerCommand {
     /// The job, and the token under which it was said.
     pub job: String,
     /// See `job`.
-    pub token: Token,
+    pub token: FencingToken,
     /// When it was true, at the earliest, by this relay's clock.
-    pub at: Micros,
+    pub valid_since: Micros,
     /// What it says.
-    pub body: Body,
+    pub payload: CommandBody,
     /// Whether it is the first that it obeys under this token.
-    pub first: bool,
+    pub is_first: bool,
 }
 
 /// What an update says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum CommandBody {
     /// A whole update, as that kind of job reads it.
-    Whole(Vec<u8>),
+    Full(Vec<u8>),
     /// The job's table has changed: see [`Subscriber::table`].
     Table,
     /// So many moves may have been made since the start.
-    Permitted(u64),
+    PermittedMigrations(u64),
 }
 
 /// What a message has brought.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct ReceivedUpdates {
     /// Updates to be obeyed.
-    pub orders: Vec<Order>,
+    pub commands: Vec<OwnerCommand>,
     /// What relays report to this owner's kinds of jobs, and since when that has been so at the earliest.
-    pub reports: Vec<(Relay, Micros, Vec<Report>)>,
+    pub reports: Vec<(RelayId, Micros, Vec<Report>)>,
     /// Updates of owners of before that were refused.
-    pub refused: usize,
+    pub rejected: usize,
     /// Jobs whose token has to be asked for before anybody is obeyed; [`Subscriber::known`] takes the answer.
-    pub ask: Vec<String>,
+    pub unknown_tokens: Vec<String>,
 }
 
 /// What a relay knows of a voter.
@@ -90,7 +90,7 @@
         self.compact.is_some_and(|at| now < at + FORGOTTEN)
     }
 
-    fn ask(&mut self, now: Micros, number: u64) {
+    fn record_request(&mut self, now: Micros, number: u64) {
         if self.asked.len() == ASKED {
             self.asked.pop_front();
         }
@@ -107,7 +107,7 @@
 
 /// See the module's text.
 pub struct Subscriber {
-    relay: Relay,
+    relay: RelayId,
     zone: String,
     number: u64,
     next: Micros,
@@ -118,7 +118,7 @@
     voters: BTreeMap<u64, Voter>,
     /// The voter that has a stream of deliveries for it, and what came of that.
     streams_from: Option<u64>,
-    received: Received,
+    received: ReceivedSequences,
     /// Its reports, their version, and the version that the voter has.
     reports: Vec<Report>,
     reports_version: u64,
@@ -127,7 +127,7 @@
     reports_subscribed: u64,
     fence: Fence,
     checks: Checks,
-    known: BTreeMap<String, Have>,
+    learn_token: BTreeMap<String, HeldVersion>,
     tables: BTreeMap<String, Table>,
     published: u64,
     /// It acts as builds did that knew no deliveries.
@@ -136,7 +136,7 @@
 
 impl Subscriber {
     /// A relay that has just started: it obeys nobody before it knows how far the tokens are.
-    pub fn new(relay: Relay) -> Subscriber {
+    pub fn new(relay: RelayId) -> Subscriber {
         Subscriber {
             at: xxh3_64(relay.name.as_bytes()) as usize,
             relay,
@@ -146,14 +146,14 @@
             since: 0,
             voters: BTreeMap::new(),
             streams_from: None,
-            received: Received::default(),
+            received: ReceivedSequences::default(),
             reports: Vec::new(),
             reports_version: 0,
             reports_known: 0,
             reports_subscribed: 0,
             fence: Fence::default(),
             checks: Checks::ALL,
-            known: BTreeMap::new(),
+            learn_token: BTreeMap::new(),
             tables: BTreeMap::new(),
             published: 0,
             is_older: false,
@@ -200,7 +200,7 @@
         if now < self.next || voters.is_empty() {
             return Vec::new();
         }
-        self.next = now + PACE;
+        self.next = now + POLL_INTERVAL;
         if now >= self.since + SILENT {
             // The first time it is the one that its name chose.
             self.at = if self.since == 0 {
@@ -224,13 +224,16 @@
                 self.ask_own(own, is_compact)
             } else if owns && !is_compact {
                 Message::Subscribe(Subscribe {
-                    asks_only: !self.is_older,
+                    clock_only: !self.is_older,
                     ..self.subscription()
                 })
             } else {
                 continue;
             };
-            self.voters.entry(*voter).or_default().ask(now, self.number);
+            self.voters
+                .entry(*voter)
+                .or_default()
+                .record_request(now, self.number);
             out.push((*voter, message));
         }
         out
@@ -245,14 +248,14 @@
     fn ask_own(&mut self, own: u64, is_compact: bool) -> Message {
         if self.streams_from != Some(own) || !is_compact {
             self.streams_from = None;
-            self.received = Received {
+            self.received = ReceivedSequences {
                 stream: self.number,
-                ..Received::default()
+                ..ReceivedSequences::default()
             };
             self.reports_subscribed = self.reports_version;
             return Message::Subscribe(self.subscription());
         }
-        let Received {
+        let ReceivedSequences {
             stream,
             highest,
             before,
@@ -260,37 +263,37 @@
         let report = |report: &Report| {
             (
                 report.kind.clone(),
-                serde_bytes::ByteBuf::from(report.body.clone()),
+                serde_bytes::ByteBuf::from(report.payload.clone()),
             )
         };
         let reports = (self.reports_known < self.reports_version).then(|| Reports {
             version: self.reports_version,
-            of: self.reports.iter().map(report).collect(),
+            reports: self.reports.iter().map(report).collect(),
         });
         Message::Poll(Poll {
-            start: self.relay.start,
-            number: self.number,
+            incarnation: self.relay.incarnation,
+            sequence: self.number,
             stream,
             highest,
-            before,
+            received_bitmap: before,
             reports,
         })
     }
 
     fn subscription(&self) -> Subscribe {
-        let mut knows = self.known.clone();
+        let mut knows = self.learn_token.clone();
         for (job, table) in &self.tables {
             let known = knows.entry(job.clone()).or_default();
             *known = (*known).max((table.token(), table.version()));
         }
-        let list = |(job, (token, number)): (String, Have)| (job, token, number);
+        let list = |(job, (token, number)): (String, HeldVersion)| (job, token, number);
         if self.is_older {
             let (relay, knows) = (self.relay.clone(), knows.into_iter().map(list).collect());
             let (number, reports) = (self.number, self.reports.clone());
             return Subscribe {
                 relay,
-                number,
-                knows,
+                sequence: number,
+                known_updates: knows,
                 reports,
                 ..Subscribe::default()
             };
@@ -298,14 +301,14 @@
         let table = |(job, table): (&String, &Table)| (job.clone(), table.token(), table.version());
         Subscribe {
             relay: self.relay.clone(),
-            number: self.number,
-            knows: knows.into_iter().map(list).collect(),
+            sequence: self.number,
+            known_updates: knows.into_iter().map(list).collect(),
             reports: self.reports.clone(),
             version: VERSION,
             zone: self.zone.clone(),
             tables: self.tables.iter().map(table).collect(),
             reports_version: self.reports_version,
-            asks_only: false,
+            clock_only: false,
         }
     }
 
@@ -319,7 +322,7 @@
         (start, number): (u64, u64),
         since: Micros,
     ) -> Option<Micros> {
-        if start != self.relay.start {
+        if start != self.relay.incarnation {
             return None;
         }
         let asked = self.voters.get(&voter)?.asked_at(number)?;
@@ -327,67 +330,67 @@
             self.since = now;
         }
         // So long after the question came there.
-        Some((asked + at_least(since)).min(now))
+        Some((asked + min_elapsed(since)).min(now))
     }
 
     /// A voter has told something. `last` is the last token that the fleet has given, as a leader told this process.
-    pub fn heard(
+    pub fn handle_updates(
         &mut self,
         now: Micros,
         voter: u64,
         voters: &[u64],
-        last: Option<Token>,
+        last: Option<FencingToken>,
         updates: Updates,
-    ) -> Heard {
-        let mut heard = Heard::default();
-        let answers = (updates.start, updates.number);
-        let Some(sent) = self.answered(now, voter, voters, answers, updates.since) else {
+    ) -> ReceivedUpdates {
+        let mut heard = ReceivedUpdates::default();
+        let answers = (updates.incarnation, updates.sequence);
+        let Some(sent) = self.answered(now, voter, voters, answers, updates.request_age) else {
             return heard;
         };
         let known = self.voters.entry(voter).or_default();
         known.stamp = Some((updates.stamp, now));
         known.compact = (updates.version >= VERSION && !self.is_older).then_some(now);
         let is_own = voters.get(self.at % voters.len().max(1)) == Some(&voter);
-        if known.compact.is_some() && is_own && updates.number == self.received.stream {
+        if known.compact.is_some() && is_own && updates.sequence == self.received.stream {
             (self.streams_from, self.reports_known) = (Some(voter), self.reports_subscribed);
         }
-        last.iter().for_each(|last| self.fence.floor(*last));
+        last.iter().for_each(|last| self.fence.set_floor(*last));
         for update in updates.updates {
-            match self.fence.take(&update.job, update.token) {
-                Verdict::Obey => heard.orders.extend(self.obey(sent, update)),
-                Verdict::Stale(_) => heard.refused += 1,
+            match self.fence.check(&update.job, update.token) {
+                FenceDecision::Accept => heard.commands.extend(self.obey(sent, update)),
+                FenceDecision::Stale(_) => heard.rejected += 1,
                 // It comes again with the answer to the next question.
-                Verdict::Ask => heard.ask.push(update.job),
+                FenceDecision::Unknown => heard.unknown_tokens.push(update.job),
             }
         }
-        let told = |(relay, age, reports): (Relay, Micros, Vec<Report>)| {
-            (relay, sent.saturating_sub(at_most(age)), reports)
+        let told = |(relay, age, reports): (RelayId, Micros, Vec<Report>)| {
+            (relay, sent.saturating_sub(max_elapsed(age)), reports)
         };
         heard.reports = updates.reports.into_iter().map(told).collect();
         heard
     }
 
     /// A voter delivers updates.
-    pub fn delivered(
+    pub fn handle_delivery(
         &mut self,
         now: Micros,
         voter: u64,
         voters: &[u64],
-        last: Option<Token>,
+        last: Option<FencingToken>,
         delivery: Delivery,
-    ) -> Heard {
-        let mut heard = Heard::default();
+    ) -> ReceivedUpdates {
+        let mut heard = ReceivedUpdates::default();
         if self.is_older {
             return heard;
         }
         let Delivery {
-            start,
-            number,
-            since,
+            incarnation: start,
+            request_sequence: number,
+            request_age_ms: since,
             stream,
             sequence,
-            reports,
-            unknown,
+            reports_version: reports,
+            must_resubscribe: unknown,
             updates,
         } = delivery;
         let since = since.saturating_mul(1_000);
@@ -403,23 +406,23 @@
         if is_own {
             self.reports_known = self.reports_known.max(reports);
         }
-        last.iter().for_each(|last| self.fence.floor(*last));
+        last.iter().for_each(|last| self.fence.set_floor(*last));
         let mut complete = true;
         for update in updates {
-            match self.fence.take(&update.job, update.token) {
-                Verdict::Obey => match self.take(sent, update) {
-                    Ok(order) => heard.orders.extend(order),
-                    Err(Refused::Old) => {}
-                    Err(Refused::Gap | Refused::Damaged) => {
+            match self.fence.check(&update.job, update.token) {
+                FenceDecision::Accept => match self.take(sent, update) {
+                    Ok(order) => heard.commands.extend(order),
+                    Err(TableError::Old) => {}
+                    Err(TableError::Gap | TableError::Damaged) => {
                         // What the voter takes it to have it has not: it follows anew, and says what it has.
                         complete = false;
                         self.streams_from = self.streams_from.filter(|_| !is_own);
                     }
                 },
-                Verdict::Stale(_) => heard.refused += 1,
-                Verdict::Ask => {
+                FenceDecision::Stale(_) => heard.rejected += 1,
+                FenceDecision::Unknown => {
                     complete = false;
-                    heard.ask.push(update.job);
+                    heard.unknown_tokens.push(update.job);
                 }
             }
         }
@@ -430,14 +433,18 @@
         heard
     }
 
-    fn take(&mut self, sent: Micros, delivered: Delivered) -> Result<Option<Order>, Refused> {
+    fn take(
+        &mut self,
+        sent: Micros,
+        delivered: Delivered,
+    ) -> Result<Option<OwnerCommand>, TableError> {
         let Delivered {
             job,
             token,
-            number,
-            age,
+            sequence: number,
+            age_ms: age,
             changes,
-            whole,
+            full: whole,
             permitted,
         } = delivered;
         let age = age.saturating_mul(1_000);
@@ -447,23 +454,23 @@
                 Update {
                     job,
                     token,
-                    number,
+                    sequence: number,
                     age,
-                    body: body.into_vec(),
+                    payload: body.into_vec(),
                 },
             ));
         }
-        let at = sent.saturating_sub(at_most(age));
+        let at = sent.saturating_sub(max_elapsed(age));
         let first = self
-            .known
+            .learn_token
             .get(&job)
             .is_none_or(|(known, _)| *known != token);
         let body = match changes {
             Some(changes) => {
                 self.take_changes(at, &job, token, &changes)?;
-                Body::Table
+                CommandBody::Table
             }
-            None if permitted > 0 => Body::Permitted(permitted),
+            None if permitted > 0 => CommandBody::PermittedMigrations(permitted),
             // Of a later build.
             None => return Ok(None),
         };
@@ -472,14 +479,14 @@
             .get(&job)
             .filter(|of| of.token() == token)
             .map_or(0, Table::version);
-        let known = self.known.entry(job.clone()).or_default();
+        let known = self.learn_token.entry(job.clone()).or_default();
         *known = (*known).max((token, number));
-        Ok(Some(Order {
+        Ok(Some(OwnerCommand {
             job,
             token,
-            at,
-            body,
-            first,
+            valid_since: at,
+            payload: body,
+            is_first: first,
         }))
     }
 
@@ -487,9 +494,9 @@
         &mut self,
         at: Micros,
         job: &str,
-        token: Token,
+        token: FencingToken,
         changes: &[u8],
-    ) -> Result<(), Refused> {
+    ) -> Result<(), TableError> {
         if let Some(table) = self
             .tables
             .get_mut(job)
@@ -503,34 +510,34 @@
         Ok(())
     }
 
-    fn obey(&mut self, sent: Micros, update: Update) -> Option<Order> {
-        let before = self.known.get(&update.job).copied();
-        if before == Some((update.token, update.number))
-            || before.is_some_and(|(t, n)| t == update.token && n > update.number)
+    fn obey(&mut self, sent: Micros, update: Update) -> Option<OwnerCommand> {
+        let before = self.learn_token.get(&update.job).copied();
+        if before == Some((update.token, update.sequence))
+            || before.is_some_and(|(t, n)| t == update.token && n > update.sequence)
         {
             return None;
         }
-        self.known
-            .insert(update.job.clone(), (update.token, update.number));
+        self.learn_token
+            .insert(update.job.clone(), (update.token, update.sequence));
         let first = before.is_none_or(|(token, _)| token != update.token);
-        let at = sent.saturating_sub(at_most(update.age));
-        Some(Order {
+        let at = sent.saturating_sub(max_elapsed(update.age));
+        Some(OwnerCommand {
             job: update.job,
             token: update.token,
-            at,
-            body: Body::Whole(update.body),
-            first,
+            valid_since: at,
+            payload: CommandBody::Full(update.payload),
+            is_first: first,
         })
     }
 
     /// The token that a job has now, as the leader says.
-    pub fn known(&mut self, job: &str, token: Token) {
-        self.fence.known(job, token);
+    pub fn learn_token(&mut self, job: &str, token: FencingToken) {
+        self.fence.learn_token(job, token);
     }
 
     /// A voter has told its clock with a receipt for this process.
-    pub fn receipt(&mut self, now: Micros, voter: u64, receipt: &Receipt) -> bool {
-        if receipt.start != self.relay.start {
+    pub fn handle_receipt(&mut self, now: Micros, voter: u64, receipt: &Receipt) -> bool {
+        if receipt.start != self.relay.incarnation {
             return false;
         }
         let Some(known) = self.voters.get_mut(&voter) else {
@@ -541,17 +548,17 @@
     }
 
     /// The last number of what this relay has said as an owner.
-    pub fn last_number(&self) -> u64 {
+    pub fn last_sequence(&self) -> u64 {
         self.published
     }
 
     /// This relay says something of that number as an owner.
-    pub fn says(&mut self, number: u64) {
+    pub fn reserve_sequence(&mut self, number: u64) {
         self.published = self.published.max(number);
     }
 
     /// The next number of what this relay says as an owner.
-    pub fn next_number(&mut self) -> u64 {
+    pub fn next_sequence(&mut self) -> u64 {
         self.published += 1;
         self.published
     }
@@ -561,7 +568,7 @@
     pub fn submit(
         &self,
         now: Micros,
-        (job, token, number): (&str, Token, u64),
+        (job, token, number): (&str, FencingToken, u64),
         mut fill: impl FnMut(u64, &mut Submission),
     ) -> Vec<(u64, Message)> {
         let mut out = Vec::new();
@@ -570,17 +577,17 @@
             .iter()
             .filter(|(_, known)| known.is_compact(now))
         {
-            let (start, job) = (self.relay.start, job.to_string());
+            let (start, job) = (self.relay.incarnation, job.to_string());
             let mut submission = Submission {
-                start,
-                number,
+                incarnation: start,
+                sequence: number,
                 job,
                 token,
                 ..Submission::default()
             };
             fill(*voter, &mut submission);
             match known.stamp.filter(|(_, at)| now < at + STAMP_LASTS) {
-                Some((stamp, at)) => (submission.stamp, submission.since) = (stamp, now - at),
+                Some((stamp, at)) => (submission.stamp, submission.stamp_age) = (stamp, now - at),
                 None => submission.changes = None,
             }
             out.push((*voter, Message::Submission(submission)));
@@ -599,22 +606,22 @@
     pub fn publish(
         &self,
         now: Micros,
-        (job, token, number): (&str, Token, u64),
+        (job, token, number): (&str, FencingToken, u64),
         body: &[u8],
     ) -> Vec<(u64, Message)> {
         let update = Update {
             job: job.into(),
             token,
-            number,
+            sequence: number,
             age: 0,
-            body: body.to_vec(),
+            payload: body.to_vec(),
         };
         let to = |(voter, known): (&u64, &Voter)| {
             let (stamp, at) = known.stamp.filter(|_| !known.is_compact(now))?;
             let publish = Publish {
                 update: update.clone(),
                 stamp,
-                since: now - at,
+                stamp_age: now - at,
             };
             Some((*voter, Message::Publish(publish)))
         };
@@ -627,12 +634,12 @@
     }
 
     /// When it asks next.
-    pub fn due(&self) -> Micros {
+    pub fn next_tick(&self) -> Micros {
         self.next
     }
 
     /// Jobs that it has obeyed an owner of.
-    pub fn obeyed(&self) -> BTreeSet<&str> {
-        self.known.keys().map(String::as_str).collect()
+    pub fn accepted_jobs(&self) -> BTreeSet<&str> {
+        self.learn_token.keys().map(String::as_str).collect()
     }
 }
--- a/crates/control/src/broadcast/subscriber/tests.rs
+++ b/crates/control/src/broadcast/subscriber/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 fn subscriber() -> Subscriber {
-    Subscriber::new(Relay {
+    Subscriber::new(RelayId {
         name: "n1".into(),
-        start: 4,
+        incarnation: 4,
     })
 }
 
 fn asks(subscriber: &mut Subscriber, now: Micros, owns: bool) -> Vec<(u64, u64)> {
     let said = subscriber.tick(now, &[1, 2, 3], owns, Vec::new);
     let number = |message: &Message| match message {
-        Message::Subscribe(follow) => follow.number,
+        Message::Subscribe(follow) => follow.sequence,
         other => panic!("{other:?}"),
     };
     said.iter()
@@ -18,19 +18,19 @@
         .collect()
 }
 
-fn updates(number: u64, since: Micros, updates: &[(Token, u64, Micros)]) -> Updates {
-    let update = |(token, number, age): &(Token, u64, Micros)| Update {
+fn updates(number: u64, since: Micros, updates: &[(FencingToken, u64, Micros)]) -> Updates {
+    let update = |(token, number, age): &(FencingToken, u64, Micros)| Update {
         job: "load/a".into(),
         token: *token,
-        number: *number,
+        sequence: *number,
         age: *age,
-        body: Vec::new(),
+        payload: Vec::new(),
     };
     let updates = updates.iter().map(update).collect();
     Updates {
-        start: 4,
-        number,
-        since,
+        incarnation: 4,
+        sequence: number,
+        request_age: since,
         stamp: 77,
         updates,
         ..Updates::default()
@@ -42,7 +42,7 @@
     let mut subscriber = subscriber();
     let (voter, number) = asks(&mut subscriber, 1_000_000, false)[0];
     let hears = |subscriber: &mut Subscriber, now, updates| {
-        subscriber.heard(now, voter, &[1, 2, 3], Some(3), updates)
+        subscriber.handle_updates(now, voter, &[1, 2, 3], Some(3), updates)
     };
     // Sent 200 ms after its question came there, true 100 ms before; here much later.
     let heard = hears(
@@ -51,7 +51,7 @@
         updates(number, 200_000, &[(5, 1, 100_000)]),
     );
     assert_eq!(
-        (heard.orders[0].at, heard.orders[0].first),
+        (heard.commands[0].valid_since, heard.commands[0].is_first),
         (1_097_000, true)
     );
     let heard = hears(
@@ -60,26 +60,29 @@
         updates(number, 200_000, &[(5, 1, 0), (4, 9, 0), (5, 2, 0)]),
     );
     assert_eq!(
-        (heard.orders.len(), heard.refused),
+        (heard.commands.len(), heard.rejected),
         (1, 1),
         "once each, and none of before"
     );
-    assert!(!heard.orders[0].first);
+    assert!(!heard.commands[0].is_first);
     // Numbers begin anew with each owner; an answer to the process before this one counts for nothing.
     assert_eq!(
         hears(&mut subscriber, 9_200_000, updates(number, 0, &[(6, 1, 0)]))
-            .orders
+            .commands
             .len(),
         1
     );
     let other = Updates {
-        start: 3,
+        incarnation: 3,
         ..updates(number, 0, &[(7, 1, 0)])
     };
-    assert_eq!(hears(&mut subscriber, 9_200_000, other), Heard::default());
+    assert_eq!(
+        hears(&mut subscriber, 9_200_000, other),
+        ReceivedUpdates::default()
+    );
     assert_eq!(
         hears(&mut subscriber, 9_200_000, updates(99, 0, &[(7, 1, 0)])),
-        Heard::default(),
+        ReceivedUpdates::default(),
         "never asked"
     );
 }
@@ -89,16 +92,16 @@
     let mut subscriber = subscriber();
     let (voter, number) = asks(&mut subscriber, 0, false)[0];
     let said = updates(number, 0, &[(3, 1, 0)]);
-    let heard = subscriber.heard(1, voter, &[1, 2, 3], Some(9), said.clone());
+    let heard = subscriber.handle_updates(1, voter, &[1, 2, 3], Some(9), said.clone());
     assert_eq!(
-        (heard.orders.len(), heard.ask),
+        (heard.commands.len(), heard.unknown_tokens),
         (0, vec!["load/a".to_string()])
     );
-    subscriber.known("load/a", 3);
+    subscriber.learn_token("load/a", 3);
     assert_eq!(
         subscriber
-            .heard(2, voter, &[1, 2, 3], Some(9), said)
-            .orders
+            .handle_updates(2, voter, &[1, 2, 3], Some(9), said)
+            .commands
             .len(),
         1
     );
@@ -111,28 +114,28 @@
     assert_eq!(asks(&mut subscriber, 2, false), [], "not before it is time");
     let mut followed = Vec::new();
     for n in 1..=9 {
-        followed.push(asks(&mut subscriber, 1 + n * PACE, false)[0].0);
+        followed.push(asks(&mut subscriber, 1 + n * POLL_INTERVAL, false)[0].0);
     }
     assert_eq!(followed.iter().collect::<BTreeSet<_>>().len(), 3);
     assert_eq!(followed[..2], [first, first]);
-    assert_eq!(asks(&mut subscriber, 20 * PACE, true).len(), 3);
+    assert_eq!(asks(&mut subscriber, 20 * POLL_INTERVAL, true).len(), 3);
     // Without a voter's clock its words would have no age.
     assert!(subscriber
-        .publish(20 * PACE, ("load/a", 1, 1), &[])
+        .publish(20 * POLL_INTERVAL, ("load/a", 1, 1), &[])
         .is_empty());
-    subscriber.heard(
-        20 * PACE + 1,
+    subscriber.handle_updates(
+        20 * POLL_INTERVAL + 1,
         2,
         &[1, 2, 3],
         None,
         updates(subscriber.number, 0, &[]),
     );
-    let said = subscriber.publish(20 * PACE + 5, ("load/a", 1, 2), &[]);
+    let said = subscriber.publish(20 * POLL_INTERVAL + 5, ("load/a", 1, 2), &[]);
     let [(2, Message::Publish(publish))] = &said[..] else {
         panic!("{said:?}")
     };
     assert_eq!(
-        (publish.stamp, publish.since, publish.update.age),
+        (publish.stamp, publish.stamp_age, publish.update.age),
         (77, 4, 0)
     );
 }
--- a/crates/control/src/broadcast/subscription.rs
+++ b/crates/control/src/broadcast/subscription.rs
@@ -2,10 +2,10 @@
 
 use super::allowance::RelayMoves;
 use super::message::VERSION;
-use super::stream::{Bucket, Have, Stream};
-use crate::jobs::assignment::Token;
-use crate::jobs::moves::{self, Moving};
-use crate::wire::message::{Relay, Report, Subscribe, Updates};
+use super::stream::{HeldVersion, Stream, TokenBucket};
+use crate::jobs::assignment::FencingToken;
+use crate::jobs::moves::{self, MigrationStatus};
+use crate::wire::message::{RelayId, Report, Subscribe, Updates};
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -17,12 +17,12 @@
 
 /// A relay that follows.
 pub(super) struct Subscription {
-    pub relay: Relay,
+    pub relay: RelayId,
     /// The last question, and when it came.
     pub number: u64,
     pub heard: Micros,
     /// What it said to have of whole updates.
-    pub knows: BTreeMap<String, Have>,
+    pub knows: BTreeMap<String, HeldVersion>,
     pub reports: Vec<Report>,
     pub reports_version: u64,
     pub moves: Option<RelayMoves>,
@@ -33,7 +33,7 @@
 /// What is kept of a relay that takes deliveries.
 pub(super) struct Compact {
     pub stream: Stream,
-    pub bucket: Bucket,
+    pub bucket: TokenBucket,
     /// Where it stands: updates of that zone are what it needs most.
     pub zone: String,
 }
@@ -42,22 +42,22 @@
     /// The subscription that a relay asks for. What it was permitted before it keeps, where it is the same process.
     pub fn new(now: Micros, follow: Subscribe, before: Option<&Subscription>) -> Subscription {
         let before = before.filter(|before| before.relay == follow.relay);
-        let of = |of: Vec<(String, Token, u64)>| {
+        let of = |of: Vec<(String, FencingToken, u64)>| {
             of.into_iter()
                 .map(|(job, token, number)| (job, (token, number)))
         };
         let compact = (follow.version >= VERSION).then(|| Compact {
-            stream: Stream::new(follow.number, of(follow.tables)),
+            stream: Stream::new(follow.sequence, of(follow.tables)),
             bucket: before
                 .and_then(|before| Some(before.compact.as_ref()?.bucket))
-                .unwrap_or(Bucket::new(now)),
+                .unwrap_or(TokenBucket::new(now)),
             zone: follow.zone,
         });
         let mut subscription = Subscription {
             relay: follow.relay,
-            number: follow.number,
+            number: follow.sequence,
             heard: now,
-            knows: of(follow.knows).collect(),
+            knows: of(follow.known_updates).collect(),
             reports: Vec::new(),
             reports_version: follow.reports_version,
             moves: before.and_then(|before| before.moves),
@@ -76,13 +76,13 @@
     pub fn take_reports(&mut self, reports: Vec<Report>) {
         self.reports = reports;
         self.reports
-            .retain(|report| report.body.len() <= MOST_REPORT);
+            .retain(|report| report.payload.len() <= MOST_REPORT);
         self.reports.truncate(MOST_REPORTS);
         let of_moves = self
             .reports
             .iter()
             .find(|report| report.kind == moves::KIND);
-        match of_moves.and_then(|report| Moving::decode(&report.body)) {
+        match of_moves.and_then(|report| MigrationStatus::decode(&report.payload)) {
             Some(moving) => self.moves.get_or_insert_default().report(moving),
             None => self.moves = None,
         }
@@ -91,9 +91,9 @@
     /// An answer that says nothing yet but the voter's clock.
     pub fn answer(&self, now: Micros) -> Updates {
         Updates {
-            start: self.relay.start,
-            number: self.number,
-            since: now - self.heard,
+            incarnation: self.relay.incarnation,
+            sequence: self.number,
+            request_age: now - self.heard,
             stamp: now,
             version: if self.compact.is_some() { VERSION } else { 0 },
             ..Updates::default()
--- a/crates/control/src/broadcast/table.rs
+++ b/crates/control/src/broadcast/table.rs
@@ -13,8 +13,8 @@
 //! clock are lengthened, offsets are rounded up, and what is beyond their range has no time at all).
 
 use super::quantise::{level, load, Level};
-use crate::jobs::assignment::Token;
-use crate::{at_most, Micros};
+use crate::jobs::assignment::FencingToken;
+use crate::{max_elapsed, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -82,7 +82,7 @@
 /// See the module's text.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    token: Token,
+    token: FencingToken,
     version: Version,
     /// The oldest version that changes can be written from.
     base: Version,
@@ -123,7 +123,7 @@
 
 /// Why changes could not be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum TableError {
     /// The receiver has that version, or a newer one.
     Old,
     /// The receiver lacks a version before: it must ask for the whole table.
@@ -137,7 +137,7 @@
 
 impl Table {
     /// A table that nothing is known of.
-    pub fn new(token: Token) -> Table {
+    pub fn new(token: FencingToken) -> Table {
         Table {
             token,
             ..Table::default()
@@ -146,7 +146,7 @@
 
     /// A new table of an owner that may have told others under this token, up to this version: it had the job before, and
     /// its lease ran out meanwhile.
-    pub fn after(token: Token, version: Version) -> Table {
+    pub fn after(token: FencingToken, version: Version) -> Table {
         Table {
             token,
             version,
@@ -156,7 +156,7 @@
     }
 
     /// The token of its owner.
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
@@ -342,7 +342,7 @@
 
 impl Table {
     /// Takes changes that were sent at `sent`, at the earliest, by the own clock.
-    pub fn apply(&mut self, sent: Micros, bytes: &[u8]) -> Result<(), Refused> {
+    pub fn apply(&mut self, sent: Micros, bytes: &[u8]) -> Result<(), TableError> {
         self.apply_checked(sent, bytes, Checks::ALL)
     }
 
@@ -352,14 +352,14 @@
         sent: Micros,
         bytes: &[u8],
         checks: Checks,
-    ) -> Result<(), Refused> {
-        let changes: Changes = postcard::from_bytes(bytes).map_err(|_| Refused::Damaged)?;
+    ) -> Result<(), TableError> {
+        let changes: Changes = postcard::from_bytes(bytes).map_err(|_| TableError::Damaged)?;
         if checks.old && changes.to <= self.version {
-            return Err(Refused::Old);
+            return Err(TableError::Old);
         }
         let whole = changes.from == 0;
         if checks.gap && !whole && changes.from > self.version {
-            return Err(Refused::Gap);
+            return Err(TableError::Gap);
         }
         let places = changes.places();
         self.fits(&changes, &places)?;
@@ -378,7 +378,7 @@
     }
 
     /// Whether changes can be those of this table.
-    fn fits(&self, changes: &Changes, places: &[usize]) -> Result<(), Refused> {
+    fn fits(&self, changes: &Changes, places: &[usize]) -> Result<(), TableError> {
         let whole = changes.from == 0;
         let (rows, columns) = if whole {
             (0, changes.columns.len())
@@ -401,7 +401,7 @@
         let in_range =
             first <= rows && all <= MOST_ROWS && places.last().is_none_or(|last| *last < all);
         let fits = same && has_levels && new_have_levels && in_range && columns <= MOST_COLUMNS;
-        fits.then_some(()).ok_or(Refused::Damaged)
+        fits.then_some(()).ok_or(TableError::Damaged)
     }
 
     /// Rows that were seen unchanged, and those that were missed.
@@ -477,7 +477,7 @@
     if offset == UNKNOWN {
         return 0;
     }
-    at.saturating_sub(at_most(Micros::from(offset) * STEP))
+    at.saturating_sub(max_elapsed(Micros::from(offset) * STEP))
 }
 
 fn set_bit(bits: &mut Vec<u8>, place: usize) {
--- a/crates/control/src/broadcast/table/tests.rs
+++ b/crates/control/src/broadcast/table/tests.rs
@@ -79,9 +79,9 @@
         round(&mut owner, n * 500_000, &[report(70, 0, n as f32 / 10.0)]);
     }
     let late = owner.changes(3).to_vec();
-    assert_eq!(receiver.apply(0, &late), Err(Refused::Gap));
+    assert_eq!(receiver.apply(0, &late), Err(TableError::Gap));
     receiver.apply(0, owner.changes(0)).unwrap();
-    assert_eq!(receiver.apply(0, &late), Err(Refused::Old));
+    assert_eq!(receiver.apply(0, &late), Err(TableError::Old));
     // From an older version than the receiver has they hold more than it lacks, and fit.
     round(&mut owner, 3_000_000, &[report(70, 0, 0.8)]);
     assert_eq!(receiver.apply(0, owner.changes(2)), Ok(()));
@@ -179,7 +179,7 @@
     round(&mut owner, 0, &[report(70, 0, 0.5), report(80, 0, 0.2)]);
     let whole = owner.changes(0).to_vec();
     for cut in 0..whole.len() {
-        assert_eq!(receiver.apply(0, &whole[..cut]), Err(Refused::Damaged));
+        assert_eq!(receiver.apply(0, &whole[..cut]), Err(TableError::Damaged));
     }
     for place in 0..whole.len() {
         for bits in 1..=255u8 {
@@ -194,6 +194,9 @@
     let mut other = Table::new(5);
     round(&mut other, 0, &[report(70, 0, 0.5)]);
     round(&mut other, 0, &[report(99, 0, 0.5)]);
-    assert_eq!(receiver.apply(0, other.changes(1)), Err(Refused::Damaged));
+    assert_eq!(
+        receiver.apply(0, other.changes(1)),
+        Err(TableError::Damaged)
+    );
     assert_eq!(receiver.digest(), before);
 }
--- a/crates/control/src/jobs/assignment.rs
+++ b/crates/control/src/jobs/assignment.rs
@@ -8,20 +8,20 @@
 //! that is alive but cut off (its job is given away once its lease cannot run any more), flapping (a job is moved for
 //! balance only after a pause, and never by a lost message), and a checkpoint of an owner of before (it bears its token).
 
-use crate::wire::relay::{Relay, Skills};
+use crate::wire::relay::{JobCapabilities, RelayId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Grows with each giving of any job.
-pub type Token = u64;
+pub type FencingToken = u64;
 
 /// Jobs at most, and the longest name and checkpoint, in bytes: they are in each snapshot.
-pub const MOST_JOBS: usize = 16_384;
+pub const MAX_JOBS: usize = 16_384;
 const MOST_NAME: usize = 64;
 const MOST_CHECKPOINT: usize = 1024;
 /// Jobs that one entry of the log gives, frees or takes back.
-pub const BATCH: usize = 256;
+pub const MAX_ASSIGNMENTS_PER_BATCH: usize = 256;
 /// A relay's part is its even share and a quarter more, so that a relay's coming or going moves few jobs.
 const PART: f64 = 1.25;
 
@@ -30,18 +30,21 @@
 #[serde(default)]
 pub struct Job {
     /// Of the last giving; 0 before the first.
-    pub token: Token,
+    pub token: FencingToken,
     /// Who has it.
-    pub owner: Option<Relay>,
+    pub owner: Option<RelayId>,
     /// It is taken back: its owner has it no more once it knows this version of the jobs.
     #[serde(rename = "yields")]
     pub revoked_at: Option<u64>,
     /// Operators want nobody to have it.
-    pub held: bool,
+    #[serde(rename = "held")]
+    pub paused: bool,
     /// Whoever gave it up last, and why: another gets it where there is one.
-    pub gave_up: Option<(String, String)>,
+    #[serde(rename = "gave_up")]
+    pub relinquished_by: Option<(String, String)>,
     /// How far it is: the number of the last checkpoint, and what it says.
-    pub step: u64,
+    #[serde(rename = "step")]
+    pub checkpoint_step: u64,
     /// See `step`.
     #[serde(with = "serde_bytes")]
     pub checkpoint: Vec<u8>,
@@ -52,11 +55,13 @@
 #[serde(default)]
 pub struct Jobs {
     /// The last token that was given.
-    pub last: Token,
+    #[serde(rename = "last")]
+    pub last_token: FencingToken,
     /// Grows with each change of who has what.
     pub version: u64,
     /// By name.
-    pub of: BTreeMap<String, Job>,
+    #[serde(rename = "of")]
+    pub by_name: BTreeMap<String, Job>,
 }
 
 /// A change of them, as it stands in the log.
@@ -68,15 +73,15 @@
     Close(String),
     /// Each goes to that relay.
     #[serde(rename = "Give")]
-    Assign(Vec<(String, Relay)>),
+    Assign(Vec<(String, RelayId)>),
     /// Each is taken back from its owner, with why.
     #[serde(rename = "Yield")]
-    Revoke(Vec<(String, Token, String)>),
+    Revoke(Vec<(String, FencingToken, String)>),
     /// No owner acts on these any more.
     #[serde(rename = "Free")]
-    Release(Vec<(String, Token)>),
+    Release(Vec<(String, FencingToken)>),
     /// The owner is so far.
-    Checkpoint(String, Token, u64, Vec<u8>),
+    Checkpoint(String, FencingToken, u64, Vec<u8>),
     /// Nobody is to have it, or somebody again.
     Hold(String, bool),
 }
@@ -88,29 +93,33 @@
         match assignment {
             Assignment::Open(names) => {
                 for name in names {
-                    if may_be_named(&name) && self.of.len() < MOST_JOBS {
-                        self.of.entry(name).or_default();
+                    if is_valid_job_name(&name) && self.by_name.len() < MAX_JOBS {
+                        self.by_name.entry(name).or_default();
                     }
                 }
             }
             Assignment::Close(name) => {
                 // Its owner first has to know.
-                if self.of.get(&name).is_some_and(|job| job.owner.is_none()) {
-                    self.of.remove(&name);
+                if self
+                    .by_name
+                    .get(&name)
+                    .is_some_and(|job| job.owner.is_none())
+                {
+                    self.by_name.remove(&name);
                 }
             }
             Assignment::Assign(assignments) => {
                 for (name, relay) in assignments {
                     let Some(job) = self
-                        .of
+                        .by_name
                         .get_mut(&name)
-                        .filter(|job| job.owner.is_none() && !job.held)
+                        .filter(|job| job.owner.is_none() && !job.paused)
                     else {
                         continue;
                     };
-                    self.last += 1;
+                    self.last_token += 1;
                     self.version += 1;
-                    (job.token, job.owner, job.revoked_at) = (self.last, Some(relay), None);
+                    (job.token, job.owner, job.revoked_at) = (self.last_token, Some(relay), None);
                 }
             }
             Assignment::Revoke(names) => {
@@ -120,7 +129,8 @@
                         .with(&name, token)
                         .filter(|job| job.revoked_at.is_none())
                     {
-                        job.gave_up = job.owner.as_ref().map(|owner| (owner.name.clone(), why));
+                        job.relinquished_by =
+                            job.owner.as_ref().map(|owner| (owner.name.clone(), why));
                         job.revoked_at = Some(version);
                         self.version = version;
                     }
@@ -136,29 +146,29 @@
             }
             Assignment::Checkpoint(name, token, step, bytes) => {
                 if let Some(job) = self.with(&name, token) {
-                    if step == job.step + 1 && bytes.len() <= MOST_CHECKPOINT {
-                        (job.step, job.checkpoint) = (step, bytes);
+                    if step == job.checkpoint_step + 1 && bytes.len() <= MOST_CHECKPOINT {
+                        (job.checkpoint_step, job.checkpoint) = (step, bytes);
                     }
                 }
             }
             Assignment::Hold(name, held) => {
-                if let Some(job) = self.of.get_mut(&name) {
-                    job.held = held;
+                if let Some(job) = self.by_name.get_mut(&name) {
+                    job.paused = held;
                 }
             }
         }
     }
 
-    fn with(&mut self, name: &str, token: Token) -> Option<&mut Job> {
-        self.of
+    fn with(&mut self, name: &str, token: FencingToken) -> Option<&mut Job> {
+        self.by_name
             .get_mut(name)
             .filter(|job| job.token == token && job.owner.is_some())
     }
 
     /// What a relay's process has, by name and token.
-    pub fn of_relay(&self, relay: &Relay) -> Vec<(String, Token)> {
+    pub fn of_relay(&self, relay: &RelayId) -> Vec<(String, FencingToken)> {
         let own = |job: &Job| job.owner.as_ref() == Some(relay) && job.revoked_at.is_none();
-        self.of
+        self.by_name
             .iter()
             .filter(|(_, job)| own(job))
             .map(|(name, job)| (name.clone(), job.token))
@@ -170,45 +180,45 @@
     /// comes after all others. Jobs that rest are given to nobody.
     pub fn assignments(
         &self,
-        workers: &[(Relay, Skills)],
+        workers: &[(RelayId, JobCapabilities)],
         rests: impl Fn(&str) -> bool,
-    ) -> Vec<(String, Relay)> {
+    ) -> Vec<(String, RelayId)> {
         let part = self.part(workers.len());
-        let mut has: BTreeMap<&Relay, usize> =
+        let mut has: BTreeMap<&RelayId, usize> =
             workers.iter().map(|(relay, _)| (relay, 0)).collect();
-        for owner in self.of.values().filter_map(|job| job.owner.as_ref()) {
+        for owner in self.by_name.values().filter_map(|job| job.owner.as_ref()) {
             if let Some(n) = has.get_mut(owner) {
                 *n += 1;
             }
         }
         let mut assignments = Vec::new();
         for (name, job) in self
-            .of
+            .by_name
             .iter()
-            .filter(|(_, job)| job.owner.is_none() && !job.held)
+            .filter(|(_, job)| job.owner.is_none() && !job.paused)
         {
             if rests(name) {
                 continue;
             }
-            let gave_up = |relay: &Relay| {
-                job.gave_up
+            let gave_up = |relay: &RelayId| {
+                job.relinquished_by
                     .as_ref()
                     .is_some_and(|(by, _)| *by == relay.name)
             };
             let first = workers
                 .iter()
                 .filter(|(relay, skills)| {
-                    skills.can(name) && has.get(relay).is_some_and(|n| *n < part)
+                    skills.supports(name) && has.get(relay).is_some_and(|n| *n < part)
                 })
                 .max_by_key(|(relay, skills)| {
-                    (!gave_up(relay), skills.near(name), weight(name, relay))
+                    (!gave_up(relay), skills.is_local(name), weight(name, relay))
                 });
             let Some((relay, _)) = first else { continue };
             if let Some(n) = has.get_mut(relay) {
                 *n += 1;
             }
             assignments.push((name.clone(), relay.clone()));
-            if assignments.len() == BATCH {
+            if assignments.len() == MAX_ASSIGNMENTS_PER_BATCH {
                 break;
             }
         }
@@ -216,10 +226,14 @@
     }
 
     /// Jobs to take back because their owner has more than its part, those first that it is least the relay for.
-    pub fn excess(&self, workers: usize) -> Vec<(String, Token, String)> {
+    pub fn excess(&self, workers: usize) -> Vec<(String, FencingToken, String)> {
         let part = self.part(workers);
-        let mut of: BTreeMap<&Relay, Vec<(u64, &String, Token)>> = BTreeMap::new();
-        for (name, job) in self.of.iter().filter(|(_, job)| job.revoked_at.is_none()) {
+        let mut of: BTreeMap<&RelayId, Vec<(u64, &String, FencingToken)>> = BTreeMap::new();
+        for (name, job) in self
+            .by_name
+            .iter()
+            .filter(|(_, job)| job.revoked_at.is_none())
+        {
             let Some(owner) = &job.owner else { continue };
             of.entry(owner)
                 .or_default()
@@ -236,21 +250,21 @@
                     .map(|(_, name, token)| (name.clone(), token, why.into())),
             );
         }
-        excess.truncate(BATCH);
+        excess.truncate(MAX_ASSIGNMENTS_PER_BATCH);
         excess
     }
 
     fn part(&self, relays: usize) -> usize {
-        (self.of.len() as f64 / relays.max(1) as f64 * PART).ceil() as usize
+        (self.by_name.len() as f64 / relays.max(1) as f64 * PART).ceil() as usize
     }
 }
 
 /// Whether a job may have this name.
-pub fn may_be_named(name: &str) -> bool {
+pub fn is_valid_job_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= MOST_NAME
 }
 
-fn weight(name: &str, relay: &Relay) -> u64 {
+fn weight(name: &str, relay: &RelayId) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), xxh3_64_with_seed(relay.name.as_bytes(), 0))
 }
 
@@ -258,10 +272,10 @@
 mod tests {
     use super::*;
 
-    fn relay(n: usize) -> Relay {
-        Relay {
+    fn relay(n: usize) -> RelayId {
+        RelayId {
             name: format!("n{n}"),
-            start: 1,
+            incarnation: 1,
         }
     }
 
@@ -273,15 +287,15 @@
         jobs
     }
 
-    fn assignments(jobs: &Jobs, relays: &[Relay]) -> Vec<(String, Relay)> {
+    fn assignments(jobs: &Jobs, relays: &[RelayId]) -> Vec<(String, RelayId)> {
         let workers: Vec<_> = relays
             .iter()
-            .map(|relay| (relay.clone(), Skills::default()))
+            .map(|relay| (relay.clone(), JobCapabilities::default()))
             .collect();
         jobs.assignments(&workers, |_| false)
     }
 
-    fn give_all(jobs: &mut Jobs, relays: &[Relay]) {
+    fn give_all(jobs: &mut Jobs, relays: &[RelayId]) {
         loop {
             let assignments = assignments(jobs, relays);
             if assignments.is_empty() {
@@ -294,7 +308,9 @@
     #[test]
     fn tokens_only_grow_and_what_an_owner_of_before_says_changes_nothing() {
         let mut jobs = jobs(1);
-        let (name, of) = ("job-0".to_string(), |jobs: &Jobs| jobs.of["job-0"].clone());
+        let (name, of) = ("job-0".to_string(), |jobs: &Jobs| {
+            jobs.by_name["job-0"].clone()
+        });
         jobs.apply(Assignment::Assign(vec![(name.clone(), relay(1))]));
         jobs.apply(Assignment::Assign(vec![(name.clone(), relay(2))]));
         assert_eq!(
@@ -322,7 +338,7 @@
         jobs.apply(Assignment::Checkpoint(name.clone(), 1, 2, vec![8]));
         let job = of(&jobs);
         assert_eq!(
-            (job.owner, job.token, job.step, job.checkpoint),
+            (job.owner, job.token, job.checkpoint_step, job.checkpoint),
             (Some(relay(2)), 2, 1, vec![7])
         );
         jobs.apply(Assignment::Hold(name.clone(), true));
@@ -333,7 +349,7 @@
     #[test]
     fn jobs_are_spread_within_a_part_and_few_move_when_a_relay_comes() {
         let mut jobs = jobs(1_000);
-        let relays: Vec<Relay> = (0..10).map(relay).collect();
+        let relays: Vec<RelayId> = (0..10).map(relay).collect();
         give_all(&mut jobs, &relays[..9]);
         let had = jobs.clone();
         let most = relays
@@ -361,9 +377,9 @@
         assert!(moved < 200, "{moved} moved");
         assert!(relays.iter().all(|relay| jobs.of_relay(relay).len() <= 125));
         assert!(
-            had.of
+            had.by_name
                 .iter()
-                .filter(|(name, job)| jobs.of[*name].owner == job.owner)
+                .filter(|(name, job)| jobs.by_name[*name].owner == job.owner)
                 .count()
                 >= 800
         );
@@ -377,19 +393,19 @@
             "load/b".into(),
             "moves".into(),
         ]));
-        let skills = |kinds: &[&str], zone: &str| Skills {
+        let skills = |kinds: &[&str], zone: &str| JobCapabilities {
             kinds: kinds.iter().map(|kind| kind.to_string()).collect(),
-            opens: Vec::new(),
+            expected_jobs: Vec::new(),
             zone: zone.into(),
         };
         let all: Vec<_> = (0..8)
             .map(|n| (relay(n), skills(&["load"], if n < 4 { "a" } else { "b" })))
             .collect();
         let assignments = jobs.assignments(&all, |_| false);
-        let near = |name: &str, assignments: &[(String, Relay)]| {
+        let near = |name: &str, assignments: &[(String, RelayId)]| {
             let (_, owner) = assignments.iter().find(|(job, _)| job == name).unwrap();
             all.iter()
-                .any(|(relay, skills)| relay == owner && skills.near(name))
+                .any(|(relay, skills)| relay == owner && skills.is_local(name))
         };
         assert_eq!(assignments.len(), 2, "nobody can do moves");
         assert!(near("load/a", &assignments) && near("load/b", &assignments));
--- a/crates/control/src/jobs/fence.rs
+++ b/crates/control/src/jobs/fence.rs
@@ -4,19 +4,19 @@
 //! receiver that has started anew without a disk: it obeys nobody before it knows how far the tokens are, and asks about
 //! those that were given before.
 
-use crate::jobs::assignment::Token;
+use crate::jobs::assignment::FencingToken;
 use crate::{InjectedBug, InjectedBugs};
 use std::collections::BTreeMap;
 
 /// What becomes of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum FenceDecision {
     /// Obey.
-    Obey,
+    Accept,
     /// It is of an owner of before: the token that the job has now. The sender must stop.
-    Stale(Token),
+    Stale(FencingToken),
     /// It may be either: ask the fleet which token the job has now, say so to [`Fence::known`], and look again.
-    Ask,
+    Unknown,
 }
 
 /// See the module's text.
@@ -24,8 +24,8 @@
 pub struct Fence {
     injected: InjectedBugs,
     /// The last token that was given when this receiver started; none before it was told.
-    floor: Option<Token>,
-    highest: BTreeMap<String, Token>,
+    set_floor: Option<FencingToken>,
+    highest: BTreeMap<String, FencingToken>,
 }
 
 impl Fence {
@@ -40,32 +40,32 @@
 
     /// The last token that the fleet has given. What counts is the first word since the start: later tokens are seen
     /// with their orders.
-    pub fn floor(&mut self, last: Token) {
-        self.floor.get_or_insert(last);
+    pub fn set_floor(&mut self, last: FencingToken) {
+        self.set_floor.get_or_insert(last);
     }
 
     /// The token that a job has now.
-    pub fn known(&mut self, name: &str, token: Token) {
+    pub fn learn_token(&mut self, name: &str, token: FencingToken) {
         let highest = self.highest.entry(name.into()).or_insert(token);
         *highest = token.max(*highest);
     }
 
     /// What becomes of an order with this token.
-    pub fn take(&mut self, name: &str, token: Token) -> Verdict {
-        match (self.highest.get(name), self.floor) {
-            _ if self.injected.is(InjectedBug::NoFence) => Verdict::Obey,
+    pub fn check(&mut self, name: &str, token: FencingToken) -> FenceDecision {
+        match (self.highest.get(name), self.set_floor) {
+            _ if self.injected.is(InjectedBug::NoFence) => FenceDecision::Accept,
             (None, _) if self.injected.is(InjectedBug::TrustFirst) => self.obey(name, token),
-            (Some(highest), _) if token < *highest => Verdict::Stale(*highest),
+            (Some(highest), _) if token < *highest => FenceDecision::Stale(*highest),
             (Some(_), _) => self.obey(name, token),
             // Given since this receiver started: any later one has a higher token, and none before has.
             (None, Some(floor)) if token > floor => self.obey(name, token),
-            (None, _) => Verdict::Ask,
+            (None, _) => FenceDecision::Unknown,
         }
     }
 
-    fn obey(&mut self, name: &str, token: Token) -> Verdict {
-        self.known(name, token);
-        Verdict::Obey
+    fn obey(&mut self, name: &str, token: FencingToken) -> FenceDecision {
+        self.learn_token(name, token);
+        FenceDecision::Accept
     }
 }
 
@@ -77,29 +77,29 @@
     fn none_older_than_the_highest_is_obeyed_also_by_a_receiver_that_has_just_started() {
         let mut fence = Fence::default();
         assert_eq!(
-            fence.take("a", 5),
-            Verdict::Ask,
+            fence.check("a", 5),
+            FenceDecision::Unknown,
             "before it knows how far the tokens are"
         );
-        fence.floor(5);
-        fence.floor(9);
+        fence.set_floor(5);
+        fence.set_floor(9);
         assert_eq!(
-            fence.take("a", 5),
-            Verdict::Ask,
+            fence.check("a", 5),
+            FenceDecision::Unknown,
             "it may be of an owner of before"
         );
-        assert_eq!(fence.take("a", 6), Verdict::Obey);
-        assert_eq!(fence.take("a", 5), Verdict::Stale(6));
-        assert_eq!(fence.take("a", 6), Verdict::Obey);
-        fence.known("b", 4);
+        assert_eq!(fence.check("a", 6), FenceDecision::Accept);
+        assert_eq!(fence.check("a", 5), FenceDecision::Stale(6));
+        assert_eq!(fence.check("a", 6), FenceDecision::Accept);
+        fence.learn_token("b", 4);
         assert_eq!(
-            (fence.take("b", 3), fence.take("b", 4)),
-            (Verdict::Stale(4), Verdict::Obey)
+            (fence.check("b", 3), fence.check("b", 4)),
+            (FenceDecision::Stale(4), FenceDecision::Accept)
         );
-        fence.known("b", 2);
+        fence.learn_token("b", 2);
         assert_eq!(
-            fence.take("b", 3),
-            Verdict::Stale(4),
+            fence.check("b", 3),
+            FenceDecision::Stale(4),
             "a late word takes nothing back"
         );
     }
--- a/crates/control/src/jobs/load_watch.rs
+++ b/crates/control/src/jobs/load_watch.rs
@@ -27,26 +27,27 @@
 /// What an owner tells: each backend's load as its columns say it, and how old that is.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Loads {
+pub struct LoadReports {
     /// The names of the columns.
     pub columns: Vec<String>,
     /// Each backend that answered: its number, how long before the word was sent, and its columns.
-    pub of: Vec<(u64, Micros, Vec<f32>)>,
+    #[serde(rename = "of")]
+    pub reports: Vec<(u64, Micros, Vec<f32>)>,
 }
 
-impl Loads {
+impl LoadReports {
     /// As it is told.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
     /// As it was told; none where it is nothing of the kind.
-    pub fn decode(bytes: &[u8]) -> Option<Loads> {
+    pub fn decode(bytes: &[u8]) -> Option<LoadReports> {
         wire::decode(bytes)
     }
 
     /// A table as owners of older builds tell it: the rows that its version has seen.
-    pub fn of_table(table: &Table) -> Loads {
+    pub fn of_table(table: &Table) -> LoadReports {
         let row = |row: &Row| {
             (
                 row.backend,
@@ -54,9 +55,9 @@
                 row.loads().collect(),
             )
         };
-        Loads {
+        LoadReports {
             columns: table.columns().to_vec(),
-            of: table.confirmed().map(row).collect(),
+            reports: table.confirmed().map(row).collect(),
         }
     }
 
@@ -81,7 +82,7 @@
                     .collect(),
             ))
         };
-        self.of.iter().filter_map(row)
+        self.reports.iter().filter_map(row)
     }
 }
 
@@ -92,7 +93,7 @@
     /// Of this round: who is to be probed, who is out, and who has answered when.
     todo: Vec<u64>,
     out: Vec<u64>,
-    found: BTreeMap<u64, (Micros, Vec<f32>)>,
+    health_checked: BTreeMap<u64, (Micros, Vec<f32>)>,
     told: bool,
     /// Since when no backend has answered, though some were asked.
     vain: Option<Micros>,
@@ -100,7 +101,7 @@
 
 impl LoadWatch {
     /// Time has passed: which of the zone's backends are to be probed now. Who is listed is asked once a round.
-    pub fn turn<L>(&mut self, now: Micros, listed: impl FnOnce() -> L) -> Vec<u64>
+    pub fn tick<L>(&mut self, now: Micros, listed: impl FnOnce() -> L) -> Vec<u64>
     where
         L: IntoIterator<Item = u64>,
     {
@@ -108,7 +109,7 @@
             (self.began, self.told) = (Some(now), false);
             self.todo = listed().into_iter().collect();
             self.out.clear();
-            self.found.clear();
+            self.health_checked.clear();
         }
         let free = OUT.saturating_sub(self.out.len()).min(self.todo.len());
         let next: Vec<u64> = self.todo.drain(..free).collect();
@@ -117,7 +118,7 @@
     }
 
     /// A probe has ended, with what the backend said.
-    pub fn found(&mut self, now: Micros, server: u64, report: Option<Vec<f32>>) {
+    pub fn health_checked(&mut self, now: Micros, server: u64, report: Option<Vec<f32>>) {
         let Some(at) = self.out.iter().position(|out| *out == server) else {
             return;
         };
@@ -125,14 +126,14 @@
         match report.filter(|report| !report.is_empty()) {
             Some(report) => {
                 self.vain = None;
-                self.found.insert(server, (now, report));
+                self.health_checked.insert(server, (now, report));
             }
             None => _ = self.vain.get_or_insert(now),
         }
     }
 
     /// What is to be told now: once a round, when all have answered or it has lasted long enough.
-    pub fn tell(&mut self, now: Micros, columns: &[String]) -> Option<Loads> {
+    pub fn take_reports(&mut self, now: Micros, columns: &[String]) -> Option<LoadReports> {
         let began = self.began?;
         let done = self.todo.is_empty() && self.out.is_empty();
         if self.told || !(done || now >= began + ROUND_END) {
@@ -140,27 +141,27 @@
         }
         // Also where there is nothing to tell: the round is over, and nothing is due before the next.
         self.told = true;
-        if self.found.is_empty() {
+        if self.health_checked.is_empty() {
             return None;
         }
         let row = |(server, (at, report)): (&u64, &(Micros, Vec<f32>))| {
             (*server, now - at, report.clone())
         };
-        Some(Loads {
+        Some(LoadReports {
             columns: columns.to_vec(),
-            of: self.found.iter().map(row).collect(),
+            reports: self.health_checked.iter().map(row).collect(),
         })
     }
 
     /// Why it is of no use to the fleet, by its own measure.
-    pub fn useless(&self, now: Micros) -> Option<&'static str> {
+    pub fn failure(&self, now: Micros) -> Option<&'static str> {
         self.vain
             .filter(|since| now >= since + USELESS)
             .map(|_| "it reaches no backend of the zone")
     }
 
     /// When it has something to do next though nothing comes.
-    pub fn due(&self) -> Micros {
+    pub fn next_tick(&self) -> Micros {
         self.began.map_or(0, |began| {
             began
                 + if self.told {
--- a/crates/control/src/jobs/moves.rs
+++ b/crates/control/src/jobs/moves.rs
@@ -12,7 +12,7 @@
 //! begins with what relays say to be permitted and without credit), and a relay that has gone (it is given nothing).
 
 use crate::broadcast::message::{Allowance, MovesSummary};
-use crate::wire::relay::Relay;
+use crate::wire::relay::RelayId;
 use crate::{wire, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -32,23 +32,24 @@
 /// What a relay says of its moves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Moving {
+pub struct MigrationStatus {
     /// Connections that wait to be moved.
     pub waiting: u64,
     /// Moved since its start.
-    pub made: u64,
+    #[serde(rename = "made")]
+    pub completed: u64,
     /// Permitted since its start.
     pub permitted: u64,
 }
 
-impl Moving {
+impl MigrationStatus {
     /// As it is said.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
     /// As it was said; none where it is nothing of the kind.
-    pub fn decode(bytes: &[u8]) -> Option<Moving> {
+    pub fn decode(bytes: &[u8]) -> Option<MigrationStatus> {
         wire::decode(bytes)
     }
 }
@@ -56,25 +57,26 @@
 /// What the owner tells: how many moves each relay may have made since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Permits {
+pub struct MigrationPermits {
     /// See there.
-    pub of: Vec<(Relay, u64)>,
+    #[serde(rename = "of")]
+    pub by_relay: Vec<(RelayId, u64)>,
 }
 
-impl Permits {
+impl MigrationPermits {
     /// As it is told.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
     /// As it was told; none where it is nothing of the kind.
-    pub fn decode(bytes: &[u8]) -> Option<Permits> {
+    pub fn decode(bytes: &[u8]) -> Option<MigrationPermits> {
         wire::decode(bytes)
     }
 
     /// What this process may have made.
-    pub fn for_relay(&self, relay: &Relay) -> Option<u64> {
-        self.of
+    pub fn for_relay(&self, relay: &RelayId) -> Option<u64> {
+        self.by_relay
             .iter()
             .find(|(of, _)| of == relay)
             .map(|(_, upto)| *upto)
@@ -85,14 +87,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Claimant {
     /// A relay that follows a voter of an older build.
-    Relay(Relay),
+    RelayId(RelayId),
     /// A voter, by its number and that of its process, for all relays that follow it.
     Voter(u64, u64),
 }
 
 /// What it says.
 enum Said {
-    Relay(Moving),
+    RelayId(MigrationStatus),
     Voter(MovesSummary),
 }
 
@@ -107,8 +109,8 @@
     /// Connections that wait and that nothing was permitted for.
     fn lacking(&self) -> u64 {
         match &self.said {
-            Said::Relay(said) => said
-                .made
+            Said::RelayId(said) => said
+                .completed
                 .saturating_add(said.waiting)
                 .saturating_sub(self.upto),
             Said::Voter(said) => said
@@ -120,63 +122,63 @@
 
 /// See the module's text.
 #[derive(Default)]
-pub struct Mover {
+pub struct MigrationPacer {
     claims: BTreeMap<Claimant, Known>,
     last: Option<Micros>,
     /// In moves times microseconds a second.
     credit: u64,
-    given: u64,
+    permitted_total: u64,
 }
 
-impl Mover {
+impl MigrationPacer {
     /// One that goes on where the last checkpoint says.
-    pub fn resume(checkpoint: &[u8]) -> Mover {
-        Mover {
-            given: checkpoint.try_into().map_or(0, u64::from_be_bytes),
-            ..Mover::default()
+    pub fn resume(checkpoint: &[u8]) -> MigrationPacer {
+        MigrationPacer {
+            permitted_total: checkpoint.try_into().map_or(0, u64::from_be_bytes),
+            ..MigrationPacer::default()
         }
     }
 
     /// How far it is, for the log.
     pub fn checkpoint(&self) -> Vec<u8> {
-        self.given.to_be_bytes().to_vec()
+        self.permitted_total.to_be_bytes().to_vec()
     }
 
     /// Moves that were permitted since the job began, by all its owners.
-    pub fn given(&self) -> u64 {
-        self.given
+    pub fn permitted_total(&self) -> u64 {
+        self.permitted_total
     }
 
     /// When permits are given next.
-    pub fn due(&self) -> Micros {
+    pub fn next_tick(&self) -> Micros {
         self.last.map_or(0, |last| last + TURN)
     }
 
     /// A relay has said how its moves are. What it said before that comes later changes nothing.
-    pub fn heard(&mut self, at: Micros, relay: Relay, said: &[u8]) {
-        let Some(said) = Moving::decode(said) else {
+    pub fn handle_report(&mut self, at: Micros, relay: RelayId, said: &[u8]) {
+        let Some(said) = MigrationStatus::decode(said) else {
             return;
         };
         let new = || Known {
-            said: Said::Relay(said),
+            said: Said::RelayId(said),
             at,
             upto: said.permitted,
         };
         let known = self
             .claims
-            .entry(Claimant::Relay(relay))
+            .entry(Claimant::RelayId(relay))
             .or_insert_with(new);
-        let Said::Relay(before) = known.said else {
+        let Said::RelayId(before) = known.said else {
             return;
         };
-        if said.made >= before.made && at >= known.at {
-            (known.said, known.at) = (Said::Relay(said), at);
+        if said.completed >= before.completed && at >= known.at {
+            (known.said, known.at) = (Said::RelayId(said), at);
             known.upto = known.upto.max(said.permitted);
         }
     }
 
     /// A voter has said how the moves of the relays are that follow it. It goes on from the allowance that it has.
-    pub fn summarised(&mut self, now: Micros, voter: u64, said: MovesSummary) {
+    pub fn handle_summary(&mut self, now: Micros, voter: u64, said: MovesSummary) {
         let new = || Known {
             said: Said::Voter(said),
             at: now,
@@ -202,13 +204,13 @@
         };
         Some(Allowance {
             instance: *instance,
-            upto: known.upto,
+            permitted: known.upto,
         })
     }
 
     /// Time has passed: what is permitted now, at so many moves a second for the whole fleet. Those that wait with most go
     /// first.
-    pub fn turn(&mut self, now: Micros, per_second: u64) -> Option<Permits> {
+    pub fn tick(&mut self, now: Micros, per_second: u64) -> Option<MigrationPermits> {
         let last = *self.last.get_or_insert(now);
         if now < last + TURN {
             return None;
@@ -227,12 +229,13 @@
                 break;
             }
             known.upto += 1;
-            (self.credit, self.given, gave) = (self.credit - second, self.given + 1, true);
+            (self.credit, self.permitted_total, gave) =
+                (self.credit - second, self.permitted_total + 1, true);
         }
         let mut of = Vec::new();
         let mut waits = false;
         for (claimant, known) in &self.claims {
-            let (Claimant::Relay(relay), Said::Relay(said)) = (claimant, &known.said) else {
+            let (Claimant::RelayId(relay), Said::RelayId(said)) = (claimant, &known.said) else {
                 continue;
             };
             waits |= said.permitted < known.upto;
@@ -241,6 +244,6 @@
             }
         }
         // Said again while somebody waits for it: a word may be lost.
-        ((gave || waits) && !of.is_empty()).then_some(Permits { of })
+        ((gave || waits) && !of.is_empty()).then_some(MigrationPermits { by_relay: of })
     }
 }
--- a/crates/control/src/jobs/moves/tests.rs
+++ b/crates/control/src/jobs/moves/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-fn relay(n: usize) -> Relay {
-    Relay {
+fn relay(n: usize) -> RelayId {
+    RelayId {
         name: format!("n{n}"),
-        start: 9,
+        incarnation: 9,
     }
 }
 
-fn says(mover: &mut Mover, at: Micros, n: usize, waiting: u64, made: u64, permitted: u64) {
-    mover.heard(
+fn says(mover: &mut MigrationPacer, at: Micros, n: usize, waiting: u64, made: u64, permitted: u64) {
+    mover.handle_report(
         at,
         relay(n),
-        &Moving {
+        &MigrationStatus {
             waiting,
-            made,
+            completed: made,
             permitted,
         }
         .encode(),
@@ -22,19 +22,19 @@
 
 #[test]
 fn no_more_are_permitted_than_the_rate_whoever_owns_the_job() {
-    let (mut mover, mut permitted) = (Mover::default(), [0u64; 3]);
+    let (mut mover, mut permitted) = (MigrationPacer::default(), [0u64; 3]);
     let mut total = 0;
     for turn in 0..40u64 {
         let now = turn * TURN;
         // Half-way another owner goes on, by what the relays say and the checkpoint.
         if turn == 20 {
-            mover = Mover::resume(&mover.checkpoint());
+            mover = MigrationPacer::resume(&mover.checkpoint());
         }
         for (n, permitted) in permitted.iter().enumerate() {
             says(&mut mover, now, n, 100 - permitted, *permitted, *permitted);
         }
-        if let Some(permits) = mover.turn(now, 8) {
-            let permits = Permits::decode(&permits.encode()).unwrap();
+        if let Some(permits) = mover.tick(now, 8) {
+            let permits = MigrationPermits::decode(&permits.encode()).unwrap();
             for (n, permitted) in permitted.iter_mut().enumerate() {
                 *permitted = permits.for_relay(&relay(n)).unwrap_or(0).max(*permitted);
             }
@@ -46,7 +46,7 @@
         );
     }
     assert!(total >= 74, "{total}");
-    assert_eq!(mover.given(), total);
+    assert_eq!(mover.permitted_total(), total);
     assert!(
         permitted.iter().max().unwrap() - permitted.iter().min().unwrap() <= 1,
         "{permitted:?}"
@@ -55,15 +55,15 @@
 
 #[test]
 fn who_waits_for_nothing_or_is_silent_is_given_nothing_and_nothing_is_saved_up() {
-    let mut mover = Mover::default();
+    let mut mover = MigrationPacer::default();
     says(&mut mover, 0, 0, 0, 5, 5);
-    mover.turn(0, 100);
+    mover.tick(0, 100);
     for turn in 1..40 {
         says(&mut mover, turn * TURN, 0, 0, 5, 5);
-        assert_eq!(mover.turn(turn * TURN, 100), None);
+        assert_eq!(mover.tick(turn * TURN, 100), None);
     }
     says(&mut mover, 40 * TURN, 0, 1_000, 5, 5);
-    let permits = mover.turn(40 * TURN, 100).unwrap();
+    let permits = mover.tick(40 * TURN, 100).unwrap();
     assert_eq!(
         permits.for_relay(&relay(0)),
         Some(5 + 100),
@@ -72,9 +72,9 @@
     // Late words of before change nothing.
     says(&mut mover, 30 * TURN, 0, 9_000, 2, 0);
     assert_eq!(
-        mover.turn(41 * TURN + SILENT + 40 * TURN, 100),
+        mover.tick(41 * TURN + SILENT + 40 * TURN, 100),
         None,
         "it fell silent"
     );
-    mover.heard(0, relay(1), b"what is this");
+    mover.handle_report(0, relay(1), b"what is this");
 }
--- a/crates/control/src/jobs/owner.rs
+++ b/crates/control/src/jobs/owner.rs
@@ -4,24 +4,24 @@
 //! (it stops before it says that it knows the list), after a receiver has said that another has the job, and an older
 //! list that comes late (versions only grow).
 
-use crate::jobs::assignment::Token;
-use crate::wire::message::{OwnJobs, Renew, Reply, Skills};
-use crate::{InjectedBug, InjectedBugs, Micros, Times};
+use crate::jobs::assignment::FencingToken;
+use crate::wire::message::{AssignedJobs, JobCapabilities, RenewRequest, RenewResponse};
+use crate::{FleetTiming, InjectedBug, InjectedBugs, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Why a relay gives its jobs up that is told to stop. It says nothing of the job.
-pub const STOPS: &str = "its relay stops";
+pub const RELAY_STOPS: &str = "its relay stops";
 
 /// Jobs that one question says there are to be, at most.
 const OPENS: usize = 2;
 
 /// A job that it has.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Own {
+pub struct OwnedJob {
     /// Goes with each order.
-    pub token: Token,
+    pub token: FencingToken,
     /// The last checkpoint that the log has: where to go on.
-    pub step: u64,
+    pub checkpoint_step: u64,
     /// See `step`.
     pub checkpoint: Vec<u8>,
     /// The next one, not in the log yet.
@@ -30,44 +30,44 @@
 
 /// See the module's text.
 #[derive(Clone, Debug, Default)]
-pub struct Owner {
+pub struct JobOwner {
     injected: InjectedBugs,
     version: u64,
-    jobs: BTreeMap<String, Own>,
+    jobs: BTreeMap<String, OwnedJob>,
     /// What it acts on no more, whatever an older list says, and why.
-    gave_up: BTreeMap<(String, Token), String>,
+    gave_up: BTreeMap<(String, FencingToken), String>,
     /// Up to when it may act.
     lease: Micros,
-    skills: Skills,
+    skills: JobCapabilities,
     /// It wants no more jobs.
     stops: bool,
 }
 
-impl Owner {
+impl JobOwner {
     /// One with a fault in it: for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
-    pub fn with_injected(injected: InjectedBugs) -> Owner {
-        Owner {
+    pub fn with_injected(injected: InjectedBugs) -> JobOwner {
+        JobOwner {
             injected,
-            ..Owner::default()
+            ..JobOwner::default()
         }
     }
 
     /// What it can do.
-    pub fn skilled(self, skills: Skills) -> Owner {
-        Owner { skills, ..self }
+    pub fn with_capabilities(self, skills: JobCapabilities) -> JobOwner {
+        JobOwner { skills, ..self }
     }
 
     /// Its relay stops: it gives up what it has, and takes nothing more.
-    pub fn stop(&mut self) {
+    pub fn release_all(&mut self) {
         self.stops = true;
         for name in self.jobs.keys().cloned().collect::<Vec<_>>() {
-            self.give_up(&name, STOPS);
+            self.relinquish(&name, RELAY_STOPS);
         }
     }
 
     /// The job, where it may be acted on at this moment: to be asked right before each order.
-    pub fn may_act(&self, now: Micros, name: &str) -> Option<&Own> {
+    pub fn may_act(&self, now: Micros, name: &str) -> Option<&OwnedJob> {
         let runs =
             now < self.lease || (self.injected.is(InjectedBug::OwnForever) && self.lease > 0);
         self.jobs.get(name).filter(|_| runs)
@@ -79,7 +79,7 @@
     }
 
     /// Acts on it no more, by its own measure or because a receiver has refused its token.
-    pub fn give_up(&mut self, name: &str, why: &str) {
+    pub fn relinquish(&mut self, name: &str, why: &str) {
         if let Some(own) = self.jobs.remove(name) {
             self.gave_up.insert((name.into(), own.token), why.into());
         }
@@ -96,7 +96,7 @@
 
     /// Some of the jobs that there are to be. A question names few, so that it stays short; the next one names others.
     fn opens(&self, number: u64) -> Vec<String> {
-        let all = &self.skills.opens;
+        let all = &self.skills.expected_jobs;
         let first = number as usize * OPENS % all.len().max(1);
         all.iter()
             .cycle()
@@ -107,36 +107,43 @@
     }
 
     /// What it has to say with its next question.
-    pub fn fill(&self, renew: &mut Renew) {
-        renew.jobs = Some(self.version);
-        renew.skills = Skills {
-            opens: self.opens(renew.number),
+    pub fn fill_request(&self, renew: &mut RenewRequest) {
+        renew.jobs_version = Some(self.version);
+        renew.capabilities = JobCapabilities {
+            expected_jobs: self.opens(renew.sequence),
             ..self.skills.clone()
         };
         if self.stops {
             // A kind that there is not: it can do nothing any more.
-            renew.skills = Skills {
+            renew.capabilities = JobCapabilities {
                 kinds: vec![String::new()],
-                ..Skills::default()
+                ..JobCapabilities::default()
             };
         }
         let gave_up = self
             .gave_up
             .iter()
             .map(|((name, token), why)| (name.clone(), *token, why.clone()));
-        renew.gives_up = gave_up.collect();
+        renew.relinquished = gave_up.collect();
         let next = self
             .jobs
             .iter()
             .filter_map(|(name, own)| Some((name, own, own.next.as_ref()?)));
         renew.checkpoints = next
-            .map(|(name, own, bytes)| (name.clone(), own.token, own.step + 1, bytes.clone()))
+            .map(|(name, own, bytes)| {
+                (
+                    name.clone(),
+                    own.token,
+                    own.checkpoint_step + 1,
+                    bytes.clone(),
+                )
+            })
             .collect();
     }
 
     /// An answer of a leader that a majority has confirmed after the question.
-    pub fn heard(&mut self, asked: Micros, reply: &Reply, times: Times) {
-        if reply.last.is_none() {
+    pub fn handle_response(&mut self, asked: Micros, reply: &RenewResponse, times: FleetTiming) {
+        if reply.last_token.is_none() {
             return;
         }
         if let Some(list) = reply
@@ -146,19 +153,23 @@
         {
             self.take(list);
         }
-        for (name, step) in &reply.steps {
-            if let Some(own) = self.jobs.get_mut(name).filter(|own| own.step + 1 == *step) {
+        for (name, step) in &reply.checkpoint_steps {
+            if let Some(own) = self
+                .jobs
+                .get_mut(name)
+                .filter(|own| own.checkpoint_step + 1 == *step)
+            {
                 if let Some(bytes) = own.next.take() {
-                    (own.step, own.checkpoint) = (*step, bytes);
+                    (own.checkpoint_step, own.checkpoint) = (*step, bytes);
                 }
             }
         }
-        self.lease = self.lease.max(asked + times.lease);
+        self.lease = self.lease.max(asked + times.lease_duration);
     }
 
-    fn take(&mut self, list: &OwnJobs) {
-        let listed: BTreeSet<(&str, Token)> = list
-            .of
+    fn take(&mut self, list: &AssignedJobs) {
+        let listed: BTreeSet<(&str, FencingToken)> = list
+            .jobs
             .iter()
             .map(|(name, token, ..)| (name.as_str(), *token))
             .collect();
@@ -168,15 +179,15 @@
             self.jobs
                 .retain(|name, own| listed.contains(&(name.as_str(), own.token)));
         }
-        for (name, token, step, checkpoint) in &list.of {
+        for (name, token, step, checkpoint) in &list.jobs {
             if self.gave_up.contains_key(&(name.clone(), *token))
                 || self.jobs.get(name).is_some_and(|own| own.token == *token)
             {
                 continue;
             }
-            let own = Own {
+            let own = OwnedJob {
                 token: *token,
-                step: *step,
+                checkpoint_step: *step,
                 checkpoint: checkpoint.clone(),
                 next: None,
             };
@@ -184,7 +195,7 @@
         }
         self.version = list.version;
         if self.stops {
-            self.stop();
+            self.release_all();
         }
     }
 }
@@ -193,89 +204,89 @@
 mod tests {
     use super::*;
 
-    fn list(version: u64, jobs: &[(&str, Token)]) -> Reply {
+    fn list(version: u64, jobs: &[(&str, FencingToken)]) -> RenewResponse {
         let of = jobs
             .iter()
             .map(|(name, token)| (name.to_string(), *token, 0, Vec::new()))
             .collect();
-        Reply {
-            jobs: Some(OwnJobs { version, of }),
-            last: Some(9),
-            ..Reply::default()
+        RenewResponse {
+            jobs: Some(AssignedJobs { version, jobs: of }),
+            last_token: Some(9),
+            ..RenewResponse::default()
         }
     }
 
     #[test]
     fn it_acts_while_its_lease_runs_and_on_what_its_newest_list_has() {
-        let (mut owner, times) = (Owner::default(), Times::default());
-        owner.heard(1_000, &list(3, &[("a", 1), ("b", 2)]), times);
+        let (mut owner, times) = (JobOwner::default(), FleetTiming::default());
+        owner.handle_response(1_000, &list(3, &[("a", 1), ("b", 2)]), times);
         assert_eq!(
             owner
-                .may_act(1_000 + times.lease - 1, "a")
+                .may_act(1_000 + times.lease_duration - 1, "a")
                 .map(|own| own.token),
             Some(1)
         );
         assert!(
-            owner.may_act(1_000 + times.lease, "a").is_none(),
+            owner.may_act(1_000 + times.lease_duration, "a").is_none(),
             "the lease runs from the question"
         );
-        owner.heard(2_000, &list(5, &[("b", 2)]), times);
-        owner.heard(2_000, &list(4, &[("a", 1), ("b", 2)]), times);
+        owner.handle_response(2_000, &list(5, &[("b", 2)]), times);
+        owner.handle_response(2_000, &list(4, &[("a", 1), ("b", 2)]), times);
         assert!(
             owner.may_act(3_000, "a").is_none(),
             "an older list comes late"
         );
         // One that only tells where the leader is renews nothing.
-        owner.heard(9_000, &Reply::default(), times);
-        assert!(owner.may_act(2_000 + times.lease, "b").is_none());
+        owner.handle_response(9_000, &RenewResponse::default(), times);
+        assert!(owner.may_act(2_000 + times.lease_duration, "b").is_none());
     }
 
     #[test]
     fn what_it_gave_up_it_takes_again_under_a_new_token_only() {
-        let (mut owner, times) = (Owner::default(), Times::default());
-        owner.heard(0, &list(1, &[("a", 1)]), times);
-        owner.give_up("a", "it reaches no backend");
-        owner.heard(0, &list(2, &[("a", 1)]), times);
+        let (mut owner, times) = (JobOwner::default(), FleetTiming::default());
+        owner.handle_response(0, &list(1, &[("a", 1)]), times);
+        owner.relinquish("a", "it reaches no backend");
+        owner.handle_response(0, &list(2, &[("a", 1)]), times);
         assert!(owner.may_act(1, "a").is_none());
-        let mut renew = Renew::default();
-        owner.fill(&mut renew);
+        let mut renew = RenewRequest::default();
+        owner.fill_request(&mut renew);
         assert_eq!(
-            (renew.jobs, renew.gives_up),
+            (renew.jobs_version, renew.relinquished),
             (
                 Some(2),
                 vec![("a".into(), 1, "it reaches no backend".into())]
             )
         );
-        owner.heard(0, &list(4, &[("a", 7)]), times);
+        owner.handle_response(0, &list(4, &[("a", 7)]), times);
         assert_eq!(owner.may_act(1, "a").map(|own| own.token), Some(7));
     }
 
     #[test]
     fn a_checkpoint_is_said_until_the_log_has_it() {
-        let (mut owner, times) = (Owner::default(), Times::default());
-        owner.heard(0, &list(1, &[("a", 1)]), times);
+        let (mut owner, times) = (JobOwner::default(), FleetTiming::default());
+        owner.handle_response(0, &list(1, &[("a", 1)]), times);
         assert!(
             owner.checkpoint("a", vec![5]) && !owner.checkpoint("a", vec![6]),
             "one at a time"
         );
         for _ in 0..2 {
-            let mut renew = Renew::default();
-            owner.fill(&mut renew);
+            let mut renew = RenewRequest::default();
+            owner.fill_request(&mut renew);
             assert_eq!(renew.checkpoints, [("a".to_string(), 1, 1, vec![5])]);
         }
-        owner.heard(
+        owner.handle_response(
             0,
-            &Reply {
-                steps: vec![("a".into(), 1)],
-                last: Some(1),
-                ..Reply::default()
+            &RenewResponse {
+                checkpoint_steps: vec![("a".into(), 1)],
+                last_token: Some(1),
+                ..RenewResponse::default()
             },
             times,
         );
         assert_eq!(
             owner
                 .may_act(1, "a")
-                .map(|own| (own.step, own.checkpoint.clone())),
+                .map(|own| (own.checkpoint_step, own.checkpoint.clone())),
             Some((1, vec![5]))
         );
         assert!(owner.checkpoint("a", vec![6]));
--- a/crates/control/src/jobs/worker.rs
+++ b/crates/control/src/jobs/worker.rs
@@ -9,14 +9,14 @@
 //! checkpoint), words of relays to jobs that are not theirs, and an owner that is of no use (it gives the job up).
 
 use crate::broadcast::message::{Delivery, Receipt};
-use crate::broadcast::subscriber::{Body, Heard, Order, Subscriber};
+use crate::broadcast::subscriber::{CommandBody, OwnerCommand, ReceivedUpdates, Subscriber};
 use crate::broadcast::table::{Row, Table, Version};
-use crate::jobs::assignment::Token;
-use crate::jobs::load_watch::{self, LoadWatch, Loads};
-use crate::jobs::moves::{self, Mover, Moving, Permits};
+use crate::jobs::assignment::FencingToken;
+use crate::jobs::load_watch::{self, LoadReports, LoadWatch};
+use crate::jobs::moves::{self, MigrationPacer, MigrationPermits, MigrationStatus};
 use crate::lease::client::LeaseClient;
-use crate::wire::message::{Ask, Message, Report, Updates};
-use crate::wire::relay::kind_of;
+use crate::wire::message::{Message, OperatorRequest, Report, Updates};
+use crate::wire::relay::job_kind;
 #[cfg(feature = "injected-bugs")]
 use crate::InjectedBugs;
 use crate::Micros;
@@ -35,13 +35,13 @@
     /// Hand this to that voter.
     Send(u64, Message),
     /// The same, with which an owner acts: its lease was looked at in this call.
-    Act(u64, Message),
+    SendAsOwner(u64, Message),
     /// Probe this backend, and say to [`Worker::found`] what it said.
-    Probe(u64),
+    CheckHealth(u64),
     /// Backends' loads as their zone's owner saw them, each with when that was at the earliest.
-    Loads(Vec<(u64, Micros, Vec<f32>)>),
+    LoadReports(Vec<(u64, Micros, Vec<f32>)>),
     /// So many moves may have been made since the start.
-    Permit(u64),
+    PermitMigrations(u64),
     /// Something for the log.
     Log(String),
 }
@@ -50,17 +50,17 @@
 #[derive(Clone, Copy)]
 pub struct WorkContext<'a> {
     /// The names of the columns in which its backends tell their load.
-    pub columns: &'a [String],
+    pub report_columns: &'a [String],
     /// Backends of a zone that may be sent something, by the zone's name.
-    pub listed: &'a dyn Fn(&str) -> Vec<u64>,
+    pub endpoints_in_zone: &'a dyn Fn(&str) -> Vec<u64>,
     /// How its moves are, and moves a second that the policy allows the whole fleet; none where the fleet does not pace
     /// them.
-    pub moves: &'a dyn Fn() -> Option<(Moving, u64)>,
+    pub migration_status: &'a dyn Fn() -> Option<(MigrationStatus, u64)>,
 }
 
 enum Job {
     LoadWatch(Box<LoadWatch>, SharedTable),
-    Mover(PacedMoves),
+    MigrationPacer(PacedMoves),
     /// Of a kind that this build does not do, or that is there to be owned only.
     Idle,
 }
@@ -73,7 +73,7 @@
 
 /// The moves of the fleet, when their owner said last to the log how far it is, and when it spoke to the voters.
 struct PacedMoves {
-    mover: Mover,
+    mover: MigrationPacer,
     saved: Micros,
     submitted: Micros,
 }
@@ -81,13 +81,13 @@
 /// See the module's text.
 pub struct Worker {
     subscriber: Subscriber,
-    jobs: BTreeMap<String, (Token, Job)>,
+    jobs: BTreeMap<String, (FencingToken, Job)>,
     /// Jobs whose token is to be asked for.
     doubts: BTreeMap<String, Micros>,
     /// Words of owners of before that were refused, and words obeyed.
-    pub refused: u64,
+    pub updates_rejected: u64,
     /// See `refused`.
-    pub obeyed: u64,
+    pub updates_accepted: u64,
 }
 
 impl Worker {
@@ -97,8 +97,8 @@
             subscriber,
             jobs: BTreeMap::new(),
             doubts: BTreeMap::new(),
-            refused: 0,
-            obeyed: 0,
+            updates_rejected: 0,
+            updates_accepted: 0,
         }
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Time has passed.
-    pub fn turn(
+    pub fn tick(
         &mut self,
         now: Micros,
         lease_client: &mut LeaseClient,
@@ -135,30 +135,30 @@
             let said = match job {
                 Job::LoadWatch(watch, shared) => {
                     let zone = name.split_once('/').map_or("", |(_, zone)| zone);
-                    let probes = watch.turn(now, || (context.listed)(zone));
-                    commands.extend(probes.into_iter().map(WorkerCommand::Probe));
-                    if let Some(why) = watch.useless(now) {
-                        owner.give_up(name, why);
+                    let probes = watch.tick(now, || (context.endpoints_in_zone)(zone));
+                    commands.extend(probes.into_iter().map(WorkerCommand::CheckHealth));
+                    if let Some(why) = watch.failure(now) {
+                        owner.relinquish(name, why);
                         commands.push(WorkerCommand::Log(format!(
                             "fleet: gives up {name}, token {token}: {why}"
                         )));
                         continue;
                     }
-                    let Some(loads) = watch.tell(now, context.columns) else {
+                    let Some(loads) = watch.take_reports(now, context.report_columns) else {
                         continue;
                     };
-                    commands.extend(shared.update(now, &loads, context.columns));
+                    commands.extend(shared.update(now, &loads, context.report_columns));
                     shared.tell(now, name, token, &loads, &mut self.subscriber)
                 }
-                Job::Mover(moves) => {
-                    if now < moves.mover.due() {
+                Job::MigrationPacer(moves) => {
+                    if now < moves.mover.next_tick() {
                         continue;
                     }
-                    let Some((_, rate)) = (context.moves)() else {
+                    let Some((_, rate)) = (context.migration_status)() else {
                         continue;
                     };
                     let said = moves.tell(now, name, token, rate, &mut self.subscriber);
-                    if moves.mover.given() > 0
+                    if moves.mover.permitted_total() > 0
                         && now >= moves.saved + CHECKPOINT
                         && owner.checkpoint(name, moves.mover.checkpoint())
                     {
@@ -170,7 +170,7 @@
             };
             commands.extend(
                 said.into_iter()
-                    .map(|(voter, message)| WorkerCommand::Act(voter, message)),
+                    .map(|(voter, message)| WorkerCommand::SendAsOwner(voter, message)),
             );
         }
         self.follow(now, lease_client, context, &mut commands);
@@ -201,9 +201,9 @@
             let Some(own) = own(name).filter(|_| !self.jobs.contains_key(name)) else {
                 continue;
             };
-            let job = match kind_of(name) {
+            let job = match job_kind(name) {
                 load_watch::KIND => {
-                    let table = Table::after(own.token, self.subscriber.last_number());
+                    let table = Table::after(own.token, self.subscriber.last_sequence());
                     Job::LoadWatch(
                         Box::default(),
                         SharedTable {
@@ -212,8 +212,8 @@
                         },
                     )
                 }
-                moves::KIND => Job::Mover(PacedMoves {
-                    mover: Mover::resume(&own.checkpoint),
+                moves::KIND => Job::MigrationPacer(PacedMoves {
+                    mover: MigrationPacer::resume(&own.checkpoint),
                     saved: now,
                     submitted: 0,
                 }),
@@ -222,7 +222,7 @@
             self.jobs.insert(name.into(), (own.token, job));
             commands.push(WorkerCommand::Log(format!(
                 "fleet: acts on {name}, token {}, from step {}",
-                own.token, own.step
+                own.token, own.checkpoint_step
             )));
         }
     }
@@ -235,12 +235,12 @@
         commands: &mut Vec<WorkerCommand>,
     ) {
         let (voters, leader) = lease_client.voters();
-        let report = |moving: Moving| Report {
+        let report = |moving: MigrationStatus| Report {
             kind: moves::KIND.into(),
-            body: moving.encode(),
+            payload: moving.encode(),
         };
         let reports = || {
-            (context.moves)()
+            (context.migration_status)()
                 .map(|(moving, _)| report(moving))
                 .into_iter()
                 .collect()
@@ -253,16 +253,16 @@
         );
         let Some(leader) = leader else { return };
         for (name, next) in self.doubts.iter_mut().filter(|(_, next)| now >= **next) {
-            *next = now + crate::broadcast::subscriber::PACE;
+            *next = now + crate::broadcast::subscriber::POLL_INTERVAL;
             commands.push(WorkerCommand::Send(
                 leader,
-                Message::Ask(TOKEN, Ask::Token(name.clone())),
+                Message::OperatorRequest(TOKEN, OperatorRequest::Token(name.clone())),
             ));
         }
     }
 
     /// A voter has told something.
-    pub fn updates(
+    pub fn handle_updates(
         &mut self,
         now: Micros,
         voter: u64,
@@ -270,18 +270,18 @@
         context: WorkContext,
         updates: Updates,
     ) -> Vec<WorkerCommand> {
-        let heard = self.subscriber.heard(
+        let heard = self.subscriber.handle_updates(
             now,
             voter,
             lease_client.voters().0,
-            lease_client.tokens(),
+            lease_client.last_token(),
             updates,
         );
         self.act_on(lease_client, context, heard)
     }
 
     /// A voter delivers updates.
-    pub fn delivery(
+    pub fn handle_delivery(
         &mut self,
         now: Micros,
         voter: u64,
@@ -289,27 +289,27 @@
         context: WorkContext,
         delivery: Delivery,
     ) -> Vec<WorkerCommand> {
-        let (voters, last) = (lease_client.voters().0, lease_client.tokens());
+        let (voters, last) = (lease_client.voters().0, lease_client.last_token());
         let heard = self
             .subscriber
-            .delivered(now, voter, voters, last, delivery);
+            .handle_delivery(now, voter, voters, last, delivery);
         self.act_on(lease_client, context, heard)
     }
 
     /// A voter says what it has of what this owner submitted.
-    pub fn receipt(&mut self, now: Micros, voter: u64, receipt: Receipt) {
-        if !self.subscriber.receipt(now, voter, &receipt) {
+    pub fn handle_receipt(&mut self, now: Micros, voter: u64, receipt: Receipt) {
+        if !self.subscriber.handle_receipt(now, voter, &receipt) {
             return;
         }
         match self.jobs.get_mut(&receipt.job) {
             Some((_, Job::LoadWatch(_, shared))) => {
                 shared.acknowledged.insert(voter, receipt.version);
             }
-            Some((_, Job::Mover(moves))) => {
+            Some((_, Job::MigrationPacer(moves))) => {
                 receipt
                     .moves
                     .into_iter()
-                    .for_each(|said| moves.mover.summarised(now, voter, said));
+                    .for_each(|said| moves.mover.handle_summary(now, voter, said));
             }
             _ => {}
         }
@@ -319,22 +319,24 @@
         &mut self,
         lease_client: &LeaseClient,
         context: WorkContext,
-        heard: Heard,
+        heard: ReceivedUpdates,
     ) -> Vec<WorkerCommand> {
-        self.refused += heard.refused as u64;
+        self.updates_rejected += heard.rejected as u64;
         heard
-            .ask
+            .unknown_tokens
             .into_iter()
             .for_each(|job| _ = self.doubts.entry(job).or_insert(0));
         for (relay, at, reports) in heard.reports {
             for report in reports {
-                if let Some((_, Job::Mover(moves))) = self.jobs.get_mut(&report.kind) {
-                    moves.mover.heard(at, relay.clone(), &report.body);
+                if let Some((_, Job::MigrationPacer(moves))) = self.jobs.get_mut(&report.kind) {
+                    moves
+                        .mover
+                        .handle_report(at, relay.clone(), &report.payload);
                 }
             }
         }
         heard
-            .orders
+            .commands
             .into_iter()
             .flat_map(|order| self.obey(lease_client, context, order))
             .collect()
@@ -344,32 +346,34 @@
         &mut self,
         lease_client: &LeaseClient,
         context: WorkContext,
-        order: Order,
+        order: OwnerCommand,
     ) -> Vec<WorkerCommand> {
-        self.obeyed += 1;
+        self.updates_accepted += 1;
         let mut commands = Vec::new();
-        if order.first {
+        if order.is_first {
             commands.push(WorkerCommand::Log(format!(
                 "fleet: obeys {} under token {}",
                 order.job, order.token
             )));
         }
-        match (kind_of(&order.job), &order.body) {
-            (load_watch::KIND, Body::Table) => {
+        match (job_kind(&order.job), &order.payload) {
+            (load_watch::KIND, CommandBody::Table) => {
                 let table = self.subscriber.table(&order.job);
-                commands.extend(table.and_then(|table| loads_of(table, context.columns)));
+                commands.extend(table.and_then(|table| loads_of(table, context.report_columns)));
             }
-            (load_watch::KIND, Body::Whole(body)) => {
-                let loads = Loads::decode(body).unwrap_or_default();
-                commands.extend(rows_of(&loads, order.at, context.columns));
+            (load_watch::KIND, CommandBody::Full(body)) => {
+                let loads = LoadReports::decode(body).unwrap_or_default();
+                commands.extend(rows_of(&loads, order.valid_since, context.report_columns));
             }
-            (moves::KIND, Body::Permitted(upto)) => commands.push(WorkerCommand::Permit(*upto)),
-            (moves::KIND, Body::Whole(body)) => {
-                let permits = Permits::decode(body).unwrap_or_default();
+            (moves::KIND, CommandBody::PermittedMigrations(upto)) => {
+                commands.push(WorkerCommand::PermitMigrations(*upto))
+            }
+            (moves::KIND, CommandBody::Full(body)) => {
+                let permits = MigrationPermits::decode(body).unwrap_or_default();
                 commands.extend(
                     permits
                         .for_relay(lease_client.relay())
-                        .map(WorkerCommand::Permit),
+                        .map(WorkerCommand::PermitMigrations),
                 );
             }
             _ => {}
@@ -378,43 +382,49 @@
     }
 
     /// A backend that it was to probe has answered, or has not.
-    pub fn found(&mut self, now: Micros, server: u64, report: Option<Vec<f32>>) {
+    pub fn health_checked(&mut self, now: Micros, server: u64, report: Option<Vec<f32>>) {
         for (_, job) in self.jobs.values_mut() {
             if let Job::LoadWatch(watch, _) = job {
-                watch.found(now, server, report.clone());
+                watch.health_checked(now, server, report.clone());
             }
         }
     }
 
     /// The token that a job has now, as the leader says.
-    pub fn known(&mut self, job: &str, token: Token) {
+    pub fn learn_token(&mut self, job: &str, token: FencingToken) {
         self.doubts.remove(job);
-        self.subscriber.known(job, token);
+        self.subscriber.learn_token(job, token);
     }
 
     /// A voter knows a newer token of a job than the one that this relay acts under.
-    pub fn stale(&mut self, now: Micros, lease_client: &mut LeaseClient, job: &str, token: Token) {
+    pub fn handle_stale_token(
+        &mut self,
+        now: Micros,
+        lease_client: &mut LeaseClient,
+        job: &str,
+        token: FencingToken,
+    ) {
         let Some(owner) = lease_client.owner_mut() else {
             return;
         };
         if owner.may_act(now, job).is_some_and(|own| own.token < token) {
-            owner.give_up(job, "a voter knows a newer token");
+            owner.relinquish(job, "a voter knows a newer token");
         }
         self.jobs.remove(job);
     }
 
     /// The jobs that it acts on, with their tokens.
-    pub fn acts_on(&self) -> impl Iterator<Item = (&str, Token)> {
+    pub fn active_jobs(&self) -> impl Iterator<Item = (&str, FencingToken)> {
         self.jobs
             .iter()
             .map(|(name, (token, _))| (name.as_str(), *token))
     }
 
     /// When it has something to do next though nothing comes.
-    pub fn due(&self) -> Micros {
+    pub fn next_tick(&self) -> Micros {
         let job = |job: &Job| match job {
-            Job::LoadWatch(watch, _) => watch.due(),
-            Job::Mover(moves) => moves.mover.due(),
+            Job::LoadWatch(watch, _) => watch.next_tick(),
+            Job::MigrationPacer(moves) => moves.mover.next_tick(),
             Job::Idle => Micros::MAX,
         };
         let jobs = self
@@ -423,7 +433,7 @@
             .map(|(_, of)| job(of))
             .min()
             .unwrap_or(Micros::MAX);
-        jobs.min(self.subscriber.due())
+        jobs.min(self.subscriber.next_tick())
     }
 }
 
@@ -444,8 +454,13 @@
 
 impl SharedTable {
     /// A round has ended. This relay knows at once what it tells the others.
-    fn update(&mut self, now: Micros, loads: &Loads, columns: &[String]) -> Option<WorkerCommand> {
-        self.table.update(now, &loads.columns, &loads.of);
+    fn update(
+        &mut self,
+        now: Micros,
+        loads: &LoadReports,
+        columns: &[String],
+    ) -> Option<WorkerCommand> {
+        self.table.update(now, &loads.columns, &loads.reports);
         loads_of(&self.table, columns)
     }
 
@@ -454,12 +469,12 @@
         &mut self,
         now: Micros,
         job: &str,
-        token: Token,
-        loads: &Loads,
+        token: FencingToken,
+        loads: &LoadReports,
         subscriber: &mut Subscriber,
     ) -> Vec<(u64, Message)> {
         let said = (job, token, self.table.version());
-        subscriber.says(self.table.version());
+        subscriber.reserve_sequence(self.table.version());
         let mut out = subscriber.submit(now, said, |voter, submission| {
             let from = self.acknowledged.get(&voter).copied().unwrap_or(0);
             submission.changes = Some(serde_bytes::ByteBuf::from(self.table.changes(from)));
@@ -477,12 +492,12 @@
         &mut self,
         now: Micros,
         job: &str,
-        token: Token,
+        token: FencingToken,
         rate: u64,
         subscriber: &mut Subscriber,
     ) -> Vec<(u64, Message)> {
-        let permits = self.mover.turn(now, rate);
-        let number = subscriber.next_number();
+        let permits = self.mover.tick(now, rate);
+        let number = subscriber.next_sequence();
         let mut out = Vec::new();
         if now >= self.submitted + SUBMIT {
             self.submitted = now;
@@ -515,12 +530,12 @@
         (row.backend, row.seen, wanted)
     };
     let rows: Vec<_> = table.rows().iter().map(row).collect();
-    (!rows.is_empty()).then_some(WorkerCommand::Loads(rows))
+    (!rows.is_empty()).then_some(WorkerCommand::LoadReports(rows))
 }
 
 /// What a whole update says of backends that was true then.
-fn rows_of(loads: &Loads, at: Micros, columns: &[String]) -> Option<WorkerCommand> {
+fn rows_of(loads: &LoadReports, at: Micros, columns: &[String]) -> Option<WorkerCommand> {
     let row = |(server, age, row): (u64, Micros, Vec<f32>)| (server, at.saturating_sub(age), row);
     let rows: Vec<_> = loads.rows(columns).map(row).collect();
-    (!rows.is_empty()).then_some(WorkerCommand::Loads(rows))
+    (!rows.is_empty()).then_some(WorkerCommand::LoadReports(rows))
 }
--- a/crates/control/src/jobs/zones.rs
+++ b/crates/control/src/jobs/zones.rs
@@ -42,11 +42,12 @@
 /// What a relay has seen of a zone's backends since it last said so.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Sight {
+pub struct ZoneObservation {
     /// The zone.
     pub zone: String,
     /// Attempts that ended, and those of them that failed, were reset or came back with nothing.
-    pub tries: u32,
+    #[serde(rename = "tries")]
+    pub attempts: u32,
     /// See `tries`.
     pub failed: u32,
 }
@@ -54,39 +55,41 @@
 /// What a relay says to the owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Seen {
+pub struct ZoneObservations {
     /// Where it stands.
-    pub own: String,
+    #[serde(rename = "own")]
+    pub observer_zone: String,
     /// What it has seen.
-    pub of: Vec<Sight>,
+    #[serde(rename = "of")]
+    pub zones: Vec<ZoneObservation>,
 }
 
-impl Seen {
+impl ZoneObservations {
     /// As it is said.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
     /// As it was said; none where it is nothing of the kind.
-    pub fn decode(bytes: &[u8]) -> Option<Seen> {
+    pub fn decode(bytes: &[u8]) -> Option<ZoneObservations> {
         wire::decode(bytes)
     }
 
-    fn sight(&self, zone: &str) -> Option<&Sight> {
-        self.of
+    fn sight(&self, zone: &str) -> Option<&ZoneObservation> {
+        self.zones
             .iter()
-            .find(|sight| sight.zone == zone && sight.tries >= TRIES)
+            .find(|sight| sight.zone == zone && sight.attempts >= TRIES)
     }
 
     fn sees_bad(&self, zone: &str) -> Option<bool> {
         let sight = self.sight(zone)?;
-        Some(f64::from(sight.failed) >= BAD * f64::from(sight.tries))
+        Some(f64::from(sight.failed) >= BAD * f64::from(sight.attempts))
     }
 }
 
 /// What a zone's backends can do and bear now, in any one unit, as the load watch tells it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct ZoneCapacity {
     /// What they can do.
     pub capacity: f64,
     /// What they bear.
@@ -96,35 +99,39 @@
 /// How it stands with a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum ZoneState {
     /// It takes its whole part.
     #[default]
-    Well,
+    #[serde(rename = "Well")]
+    Healthy,
     /// Seen as bad, and not for long enough.
     Suspect,
     /// It takes nothing new, or less.
-    Out,
+    #[serde(rename = "Out")]
+    Ejected,
     /// It takes a part again, more with each step.
     Returning,
     /// Operators have said what it takes.
-    Held,
+    #[serde(rename = "Held")]
+    Manual,
 }
 
 /// What the fleet is to do with a zone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Zone {
-    /// See [`State`].
-    pub state: State,
+pub struct ZoneStatus {
+    /// See [`ZoneState`].
+    pub state: ZoneState,
     /// Its part of what it would take, in hundredths.
     pub share: u8,
     /// Why, in words.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Place {
-    state: State,
+    state: ZoneState,
     share: u8,
     since: Micros,
     step: usize,
@@ -134,9 +141,9 @@
 
 /// See the module's text.
 #[derive(Clone, Debug, Default)]
-pub struct Zones {
+pub struct ZoneFailover {
     places: BTreeMap<String, Place>,
-    seen: BTreeMap<String, (Micros, Seen)>,
+    seen: BTreeMap<String, (Micros, ZoneObservations)>,
 }
 
 /// What all relays together say of a zone.
@@ -147,9 +154,9 @@
     why: String,
 }
 
-impl Zones {
+impl ZoneFailover {
     /// The zones of the settings, each well; those that are known already stay as they are.
-    pub fn know<'a>(&mut self, zones: impl IntoIterator<Item = &'a str>) {
+    pub fn add_zones<'a>(&mut self, zones: impl IntoIterator<Item = &'a str>) {
         for zone in zones {
             let well = || Place {
                 share: 100,
@@ -162,14 +169,14 @@
 
     /// Goes on where the policy in force says that an owner of before had come to: a zone that was out is held out for its
     /// least time again, and none returns faster for a change of owner.
-    pub fn resume(&mut self, now: Micros, zones: &BTreeMap<String, Zone>) {
+    pub fn resume(&mut self, now: Micros, zones: &BTreeMap<String, ZoneStatus>) {
         for (name, zone) in zones {
             let step = STEPS
                 .iter()
                 .rposition(|step| *step <= zone.share)
                 .unwrap_or(0);
-            let state = if zone.state == State::Suspect {
-                State::Well
+            let state = if zone.state == ZoneState::Suspect {
+                ZoneState::Healthy
             } else {
                 zone.state
             };
@@ -179,14 +186,14 @@
                 since: now,
                 step,
                 relapses: 0,
-                why: zone.why.clone(),
+                why: zone.reason.clone(),
             };
             self.places.insert(name.clone(), place);
         }
     }
 
     /// A relay has said what it has seen, at that moment at the earliest.
-    pub fn heard(&mut self, at: Micros, relay: &str, seen: Seen) {
+    pub fn handle_observations(&mut self, at: Micros, relay: &str, seen: ZoneObservations) {
         let newer = self.seen.get(relay).is_none_or(|(before, _)| at >= *before);
         if newer {
             self.seen.insert(relay.into(), (at, seen));
@@ -194,7 +201,12 @@
     }
 
     /// Operators hold a zone at a share, or let it go: it returns then, by steps from what it has.
-    pub fn hold(&mut self, now: Micros, zone: &str, share: Option<u8>) -> Result<(), String> {
+    pub fn set_manual_share(
+        &mut self,
+        now: Micros,
+        zone: &str,
+        share: Option<u8>,
+    ) -> Result<(), String> {
         let known: Vec<&str> = self.places.keys().map(String::as_str).collect();
         let names = known.join(", ");
         let Some(place) = self.places.get_mut(zone) else {
@@ -202,13 +214,18 @@
         };
         match share {
             Some(share) => {
-                place.become_(now, State::Held, share.min(100), "operators hold it".into());
+                place.become_(
+                    now,
+                    ZoneState::Manual,
+                    share.min(100),
+                    "operators hold it".into(),
+                );
             }
-            None if place.state == State::Held => {
+            None if place.state == ZoneState::Manual => {
                 let share = place.share;
                 place.become_(
                     now,
-                    State::Out,
+                    ZoneState::Ejected,
                     share,
                     "operators let it go: it returns by steps".into(),
                 );
@@ -219,13 +236,13 @@
     }
 
     /// Time has passed: what the fleet is to do, where that has changed.
-    pub fn turn(
+    pub fn tick(
         &mut self,
         now: Micros,
-        rooms: &BTreeMap<String, Room>,
-    ) -> Option<BTreeMap<String, Zone>> {
+        rooms: &BTreeMap<String, ZoneCapacity>,
+    ) -> Option<BTreeMap<String, ZoneStatus>> {
         self.seen.retain(|_, (at, _)| now < *at + SILENT);
-        let before = self.told();
+        let before = self.status();
         let names: Vec<String> = self.places.keys().cloned().collect();
         let evidence: BTreeMap<&str, Evidence> = names
             .iter()
@@ -250,16 +267,16 @@
             };
             self.step(now, name, seen, alike, usual, rooms);
         }
-        let told = self.told();
+        let told = self.status();
         (told != before).then_some(told)
     }
 
     /// How each zone stands.
-    pub fn told(&self) -> BTreeMap<String, Zone> {
-        let zone = |place: &Place| Zone {
+    pub fn status(&self) -> BTreeMap<String, ZoneStatus> {
+        let zone = |place: &Place| ZoneStatus {
             state: place.state,
             share: place.share,
-            why: place.why.clone(),
+            reason: place.why.clone(),
         };
         self.places
             .iter()
@@ -268,8 +285,8 @@
     }
 
     /// Relays that see most zones as bad, where most relays do not, are ill themselves: they are left out.
-    fn sound(&self) -> Vec<&Seen> {
-        let ill = |seen: &&Seen| {
+    fn sound(&self) -> Vec<&ZoneObservations> {
+        let ill = |seen: &&ZoneObservations| {
             let views: Vec<bool> = self
                 .places
                 .keys()
@@ -277,7 +294,7 @@
                 .collect();
             views.len() > 1 && views.iter().filter(|bad| **bad).count() * 2 > views.len()
         };
-        let all: Vec<&Seen> = self.seen.values().map(|(_, seen)| seen).collect();
+        let all: Vec<&ZoneObservations> = self.seen.values().map(|(_, seen)| seen).collect();
         let sick = all.iter().filter(|seen| ill(seen)).count();
         if sick * 2 > all.len() {
             return all;
@@ -286,19 +303,25 @@
     }
 
     fn evidence(&self, zone: &str) -> Evidence {
-        let views: Vec<(&Seen, bool)> = self
+        let views: Vec<(&ZoneObservations, bool)> = self
             .sound()
             .into_iter()
             .filter_map(|seen| Some((seen, seen.sees_bad(zone)?)))
             .collect();
-        let against: Vec<&Seen> = views
+        let against: Vec<&ZoneObservations> = views
             .iter()
             .filter(|(_, bad)| *bad)
             .map(|(seen, _)| *seen)
             .collect();
-        let from: BTreeSet<&str> = against.iter().map(|seen| seen.own.as_str()).collect();
+        let from: BTreeSet<&str> = against
+            .iter()
+            .map(|seen| seen.observer_zone.as_str())
+            .collect();
         // With one zone that looks on there is nobody else to ask.
-        let onlookers: BTreeSet<&str> = views.iter().map(|(seen, _)| seen.own.as_str()).collect();
+        let onlookers: BTreeSet<&str> = views
+            .iter()
+            .map(|(seen, _)| seen.observer_zone.as_str())
+            .collect();
         let enough = from.len() >= onlookers.len().min(2);
         let bad = against.len() * 2 > views.len() && enough && !views.is_empty();
         let (tries, failed) =
@@ -307,7 +330,7 @@
                 .filter_map(|(seen, _)| seen.sight(zone))
                 .fold((0, 0), |sum, sight| {
                     (
-                        sum.0 + u64::from(sight.tries),
+                        sum.0 + u64::from(sight.attempts),
                         sum.1 + u64::from(sight.failed),
                     )
                 });
@@ -322,7 +345,7 @@
     }
 
     /// How much of a zone can be left: all, where the others have room for what it bears.
-    fn leaves(&self, zone: &str, rooms: &BTreeMap<String, Room>) -> u8 {
+    fn leaves(&self, zone: &str, rooms: &BTreeMap<String, ZoneCapacity>) -> u8 {
         let Some(own) = rooms.get(zone).filter(|own| own.load > 0.0) else {
             return 0;
         };
@@ -346,10 +369,10 @@
         evidence: &Evidence,
         alike: bool,
         usual: f64,
-        rooms: &BTreeMap<String, Room>,
+        rooms: &BTreeMap<String, ZoneCapacity>,
     ) {
         let away = |place: &Place| {
-            matches!(place.state, State::Out | State::Returning) && place.share < 100
+            matches!(place.state, ZoneState::Ejected | ZoneState::Returning) && place.share < 100
         };
         let another = self
             .places
@@ -367,49 +390,56 @@
         };
         let lasted = now.saturating_sub(place.since);
         match place.state {
-            State::Held => {}
-            State::Well if evidence.bad => {
-                place.become_(now, State::Suspect, place.share, evidence.why.clone());
+            ZoneState::Manual => {}
+            ZoneState::Healthy if evidence.bad => {
+                place.become_(now, ZoneState::Suspect, place.share, evidence.why.clone());
             }
-            State::Well if lasted >= FORGOTTEN => place.relapses = 0,
-            State::Well => {}
-            State::Suspect if !evidence.bad => {
+            ZoneState::Healthy if lasted >= FORGOTTEN => place.relapses = 0,
+            ZoneState::Healthy => {}
+            ZoneState::Suspect if !evidence.bad => {
                 place.become_(
                     now,
-                    State::Well,
+                    ZoneState::Healthy,
                     place.share,
                     "it was suspect for a moment".into(),
                 );
             }
-            State::Suspect if lasted < SUSPECT => {}
-            State::Suspect if alike => {
+            ZoneState::Suspect if lasted < SUSPECT => {}
+            ZoneState::Suspect if alike => {
                 place.why =
                     "most zones fail alike: that is no zone's fault, and nobody leaves".into();
             }
-            State::Suspect if another.is_some() => {
+            ZoneState::Suspect if another.is_some() => {
                 let other = another.unwrap_or_default();
                 place.why = format!(
                     "{}; the fleet is away from {other}: one zone at a time",
                     evidence.why
                 );
             }
-            State::Suspect if stays >= 100 => {
+            ZoneState::Suspect if stays >= 100 => {
                 place.why = format!(
                     "{}; the others have no room for what it bears",
                     evidence.why
                 );
             }
-            State::Suspect => {
+            ZoneState::Suspect => {
                 let part = if stays > 0 {
                     "; the others have room for a part only"
                 } else {
                     ""
                 };
-                place.become_(now, State::Out, stays, format!("{}{part}", evidence.why));
+                place.become_(
+                    now,
+                    ZoneState::Ejected,
+                    stays,
+                    format!("{}{part}", evidence.why),
+                );
+            }
+            ZoneState::Ejected if lasted < (OUT << place.relapses.min(5)).min(OUT_MOST) => {}
+            ZoneState::Ejected if peak => {
+                place.why = "the others are at their peak: it waits".into()
             }
-            State::Out if lasted < (OUT << place.relapses.min(5)).min(OUT_MOST) => {}
-            State::Out if peak => place.why = "the others are at their peak: it waits".into(),
-            State::Out => {
+            ZoneState::Ejected => {
                 // One that was left in part goes on from there.
                 place.step = STEPS
                     .iter()
@@ -418,12 +448,12 @@
                 let share = STEPS[place.step].max(place.share);
                 place.become_(
                     now,
-                    State::Returning,
+                    ZoneState::Returning,
                     share,
                     format!("tried with {share} in a hundred"),
                 );
             }
-            State::Returning => {
+            ZoneState::Returning => {
                 let worse = evidence.failed.is_some_and(|failed| failed > usual + WORSE);
                 if evidence.bad || (worse && lasted >= SUSPECT) {
                     place.relapse(now);
@@ -438,7 +468,7 @@
 }
 
 impl Place {
-    fn become_(&mut self, now: Micros, state: State, share: u8, why: String) {
+    fn become_(&mut self, now: Micros, state: ZoneState, share: u8, why: String) {
         (self.state, self.share, self.since, self.why) = (state, share, now, why);
     }
 
@@ -446,7 +476,7 @@
     fn relapse(&mut self, now: Micros) {
         self.relapses += 1;
         if self.step == 0 {
-            return self.become_(now, State::Out, 0, "the trial failed".into());
+            return self.become_(now, ZoneState::Ejected, 0, "the trial failed".into());
         }
         self.step -= 1;
         let wait = STEP << self.relapses.min(5);
@@ -455,19 +485,24 @@
             STEPS[self.step]
         );
         // Held for longer: the time counts from later on.
-        self.become_(now + wait - STEP, State::Returning, STEPS[self.step], why);
+        self.become_(
+            now + wait - STEP,
+            ZoneState::Returning,
+            STEPS[self.step],
+            why,
+        );
     }
 
     fn forth(&mut self, now: Micros) {
         self.step += 1;
         match STEPS.get(self.step) {
-            Some(100) | None => self.become_(now, State::Well, 100, "it is back".into()),
+            Some(100) | None => self.become_(now, ZoneState::Healthy, 100, "it is back".into()),
             Some(share) => {
                 let why = format!(
                     "as good as the others at {} in a hundred",
                     STEPS[self.step - 1]
                 );
-                self.become_(now, State::Returning, *share, why);
+                self.become_(now, ZoneState::Returning, *share, why);
             }
         }
     }
@@ -481,21 +516,21 @@
 
     /// A fleet of nine relays in three zones, and what each sees.
     struct Fleet {
-        zones: Zones,
+        zones: ZoneFailover,
         now: Micros,
-        rooms: BTreeMap<String, Room>,
+        rooms: BTreeMap<String, ZoneCapacity>,
         /// Each change, with when it was.
-        log: Vec<(Micros, String, State, u8)>,
+        log: Vec<(Micros, String, ZoneState, u8)>,
     }
 
     impl Fleet {
         fn new(load: f64) -> Fleet {
-            let mut zones = Zones::default();
-            zones.know(ZONES);
+            let mut zones = ZoneFailover::default();
+            zones.add_zones(ZONES);
             let room = |zone: &str| {
                 (
                     zone.to_string(),
-                    Room {
+                    ZoneCapacity {
                         capacity: 10.0,
                         load,
                     },
@@ -515,20 +550,21 @@
                 self.now += SECOND / 4;
                 for relay in 0..9 {
                     let own = ZONES[relay % 3];
-                    let sight = |zone: &&str| Sight {
+                    let sight = |zone: &&str| ZoneObservation {
                         zone: zone.to_string(),
-                        tries: 10,
+                        attempts: 10,
                         failed: sees(relay, own, zone),
                     };
-                    let seen = Seen {
-                        own: own.into(),
-                        of: ZONES.iter().map(sight).collect(),
+                    let seen = ZoneObservations {
+                        observer_zone: own.into(),
+                        zones: ZONES.iter().map(sight).collect(),
                     };
-                    let seen = Seen::decode(&seen.encode()).unwrap();
-                    self.zones.heard(self.now, &format!("n{relay}"), seen);
+                    let seen = ZoneObservations::decode(&seen.encode()).unwrap();
+                    self.zones
+                        .handle_observations(self.now, &format!("n{relay}"), seen);
                 }
-                let before = self.zones.told();
-                for (name, zone) in self.zones.turn(self.now, &self.rooms).into_iter().flatten() {
+                let before = self.zones.status();
+                for (name, zone) in self.zones.tick(self.now, &self.rooms).into_iter().flatten() {
                     if before
                         .get(&name)
                         .is_none_or(|b| (b.state, b.share) != (zone.state, zone.share))
@@ -539,8 +575,8 @@
             }
         }
 
-        fn zone(&self, name: &str) -> Zone {
-            self.zones.told()[name].clone()
+        fn zone(&self, name: &str) -> ZoneStatus {
+            self.zones.status()[name].clone()
         }
     }
 
@@ -555,19 +591,19 @@
         fleet.play(2, dead("b"));
         assert_eq!(
             (fleet.zone("b").state, fleet.zone("b").share),
-            (State::Out, 0)
+            (ZoneState::Ejected, 0)
         );
         assert!(fleet.log.iter().all(|(at, ..)| *at <= 5 * SECOND));
         fleet.play(8, dead("b"));
         assert_eq!(
             fleet.zone("b").state,
-            State::Out,
+            ZoneState::Ejected,
             "not before its least time"
         );
         fleet.play(60, |_, _, _| 0);
         let shares: Vec<u8> = fleet.log.iter().map(|(.., share)| *share).collect();
         assert_eq!(shares, [100, 0, 1, 5, 10, 25, 50, 100], "{:?}", fleet.log);
-        assert_eq!(fleet.zone("b").state, State::Well);
+        assert_eq!(fleet.zone("b").state, ZoneState::Healthy);
     }
 
     #[test]
@@ -597,7 +633,7 @@
             "{:?}",
             fleet.log
         );
-        assert!(fleet.zone("a").why.contains("nobody leaves"));
+        assert!(fleet.zone("a").reason.contains("nobody leaves"));
         let mut fleet = Fleet::new(2.0);
         fleet.play(3, dead("a"));
         fleet.play(10, |_, _, of| if of == "c" { 0 } else { 10 });
@@ -610,15 +646,15 @@
         let mut fleet = Fleet::new(8.0);
         fleet.play(5, dead("b"));
         let b = fleet.zone("b");
-        assert_eq!((b.state, b.share), (State::Out, 75), "{}", b.why);
-        assert!(b.why.contains("a part only"));
+        assert_eq!((b.state, b.share), (ZoneState::Ejected, 75), "{}", b.reason);
+        assert!(b.reason.contains("a part only"));
         let mut fleet = Fleet::new(9.5);
         fleet.play(5, dead("b"));
         assert_eq!(fleet.zone("b").share, 100);
         assert!(
-            fleet.zone("b").why.contains("no room"),
+            fleet.zone("b").reason.contains("no room"),
             "{}",
-            fleet.zone("b").why
+            fleet.zone("b").reason
         );
     }
 
@@ -659,39 +695,39 @@
     #[test]
     fn staff_hold_a_zone_and_a_peak_holds_a_return() {
         let mut fleet = Fleet::new(4.0);
-        fleet.zones.hold(0, "b", Some(0)).unwrap();
+        fleet.zones.set_manual_share(0, "b", Some(0)).unwrap();
         fleet.play(30, |_, _, _| 0);
         assert_eq!(
             (fleet.zone("b").state, fleet.zone("b").share),
-            (State::Held, 0)
+            (ZoneState::Manual, 0)
         );
         assert!(fleet
             .zones
-            .hold(0, "x", None)
+            .set_manual_share(0, "x", None)
             .unwrap_err()
             .contains("there are a, b, c"));
-        fleet.zones.hold(fleet.now, "b", None).unwrap();
+        fleet.zones.set_manual_share(fleet.now, "b", None).unwrap();
         fleet.rooms.values_mut().for_each(|room| room.load = 9.0);
         fleet.play(30, |_, _, _| 0);
-        assert_eq!(fleet.zone("b").share, 0, "{}", fleet.zone("b").why);
+        assert_eq!(fleet.zone("b").share, 0, "{}", fleet.zone("b").reason);
         fleet.rooms.values_mut().for_each(|room| room.load = 4.0);
         fleet.play(40, |_, _, _| 0);
-        assert_eq!(fleet.zone("b").state, State::Well);
+        assert_eq!(fleet.zone("b").state, ZoneState::Healthy);
     }
 
     #[test]
     fn another_owner_goes_on_and_returns_no_faster() {
         let mut fleet = Fleet::new(4.0);
         fleet.play(3, dead("b"));
-        let told = fleet.zones.told();
-        let mut next = Zones::default();
+        let told = fleet.zones.status();
+        let mut next = ZoneFailover::default();
         next.resume(fleet.now, &told);
         fleet.zones = next;
         let since = fleet.now;
         fleet.play(9, |_, _, _| 0);
-        assert_eq!(fleet.zone("b").state, State::Out);
+        assert_eq!(fleet.zone("b").state, ZoneState::Ejected);
         fleet.play(60, |_, _, _| 0);
-        assert_eq!(fleet.zone("b").state, State::Well);
+        assert_eq!(fleet.zone("b").state, ZoneState::Healthy);
         assert!(fleet
             .log
             .iter()
