--- a/crates/control/src/lease/client.rs
+++ b/crates/control/src/lease/client.rs
@@ -7,11 +7,11 @@
 //! Guards against: an answer to a question from before it stopped or changed its policy (it counts for nothing), a lease that outlives a restart, and
 //! a proposal that this build does not understand (it is refused, with the reason, and the fleet keeps what it has).
 
-use crate::jobs::owner::Owner;
+use crate::jobs::owner::JobOwner;
 use crate::log::membership::Membership;
 use crate::log::state::{Policy, Proposal, ProposalId};
-use crate::wire::message::{Relay, Renew, Reply};
-use crate::{InjectedBug, InjectedBugs, Micros, Times};
+use crate::wire::message::{RelayId, RenewRequest, RenewResponse};
+use crate::{FleetTiming, InjectedBug, InjectedBugs, Micros};
 use std::collections::VecDeque;
 
 /// Questions whose answers may still come; what is older has lost its lease anyway.
@@ -19,39 +19,39 @@
 
 /// What a relay does when it hears from no leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Alone {
+pub enum LeaderlessMode {
     /// It admits nobody: nothing is ever served under two policies.
     #[default]
-    Refuse,
+    Reject,
     /// It goes on under the policy that it has: served, but perhaps by an old policy.
     Serve,
 }
 
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum LeaseAction {
     /// Store it as the policy that is prepared; [`LeaseClient::prepared`] says that it is stored.
-    Prepare(Proposal),
+    PersistProposal(Proposal),
     /// Store it as the policy to start with, then serve under it.
-    Adopt(Policy),
+    AdoptPolicy(Policy),
     /// Who votes has changed: store it, and know where to reach them.
-    Membership(Membership),
+    PersistMembership(Membership),
     /// Send this to that voter.
-    Send(u64, Box<Renew>),
+    SendRenew(u64, Box<RenewRequest>),
 }
 
 /// See the module's text.
 #[derive(Clone, Debug)]
 pub struct LeaseClient {
-    relay: Relay,
-    times: Times,
-    alone: Alone,
+    relay: RelayId,
+    times: FleetTiming,
+    alone: LeaderlessMode,
     injected: InjectedBugs,
     voters: Vec<u64>,
     /// The version of the membership that it knows; 0 for those of the operator file.
     membership: u64,
     policy: Policy,
-    prepared: Option<Proposal>,
+    proposal_persisted: Option<Proposal>,
     refused: Option<(ProposalId, String)>,
     /// The proposal that it has stopped for, and when.
     revoked: Option<(ProposalId, Micros)>,
@@ -59,7 +59,7 @@
     lease: Micros,
     number: u64,
     /// The last question that a leader has answered, as far as it has heard.
-    heard: u64,
+    handle_response: u64,
     /// Answers to questions up to this number count for nothing any more.
     barrier: u64,
     /// The last questions, each with its number and when it was asked.
@@ -70,19 +70,19 @@
     /// Whom it asks.
     voter: usize,
     /// What it does for the fleet, where it does any.
-    owner: Option<Owner>,
+    owner: Option<JobOwner>,
     /// The last token that the fleet has given, as far as it was told.
-    tokens: Option<u64>,
+    last_token: Option<u64>,
 }
 
 impl LeaseClient {
     /// A relay with the policy that it had stored. Its voters are asked in turn until one leads.
     pub fn new(
-        relay: Relay,
+        relay: RelayId,
         voters: Vec<u64>,
         kept: Policy,
-        times: Times,
-        alone: Alone,
+        times: FleetTiming,
+        alone: LeaderlessMode,
     ) -> LeaseClient {
         let spread = relay
             .name
@@ -97,19 +97,19 @@
             voters,
             membership: 0,
             policy: kept,
-            prepared: None,
+            proposal_persisted: None,
             refused: None,
             revoked: None,
             lease: 0,
             number: 0,
-            heard: 0,
+            handle_response: 0,
             barrier: 0,
             asked: VecDeque::new(),
             next: 0,
             waits: false,
             voter,
             owner: None,
-            tokens: None,
+            last_token: None,
         }
     }
 
@@ -118,7 +118,7 @@
     pub fn with_injected(mut self, injected: InjectedBugs, now: Micros) -> LeaseClient {
         self.injected = injected;
         if injected.is(InjectedBug::LeaseSurvivesRestart) && self.policy.epoch > 0 {
-            self.lease = now + self.times.lease;
+            self.lease = now + self.times.lease_duration;
         }
         self
     }
@@ -143,23 +143,23 @@
     }
 
     /// It may be given jobs from now on.
-    pub fn works(&mut self, owner: Owner) {
+    pub fn set_job_owner(&mut self, owner: JobOwner) {
         self.owner = Some(owner);
     }
 
     /// Its jobs, to act on.
-    pub fn owner_mut(&mut self) -> Option<&mut Owner> {
+    pub fn owner_mut(&mut self) -> Option<&mut JobOwner> {
         self.owner.as_mut()
     }
 
     /// Its jobs.
-    pub fn owner(&self) -> Option<&Owner> {
+    pub fn owner(&self) -> Option<&JobOwner> {
         self.owner.as_ref()
     }
 
     /// The last token that the fleet has given, as a leader told this process last: what a receiver has to know first.
-    pub fn tokens(&self) -> Option<u64> {
-        self.tokens
+    pub fn last_token(&self) -> Option<u64> {
+        self.last_token
     }
 
     /// Who votes, as far as it knows, and whom of them it asks: the leader, if it can.
@@ -173,13 +173,13 @@
     }
 
     /// The process that it is.
-    pub fn relay(&self) -> &Relay {
+    pub fn relay(&self) -> &RelayId {
         &self.relay
     }
 
     /// Its relay stops: it gives up its jobs, and says so at once.
-    pub fn stop_work(&mut self, now: Micros) -> Option<Effect> {
-        self.owner.as_mut()?.stop();
+    pub fn release_jobs(&mut self, now: Micros) -> Option<LeaseAction> {
+        self.owner.as_mut()?.release_all();
         Some(self.ask(now))
     }
 
@@ -189,25 +189,25 @@
     }
 
     /// Whether a client may be admitted at this moment.
-    pub fn admits(&self, now: Micros) -> bool {
-        now < self.until(now)
+    pub fn may_admit(&self, now: Micros) -> bool {
+        now < self.admit_until(now)
     }
 
     /// Up to when clients may be admitted, as things stand.
-    pub fn until(&self, now: Micros) -> Micros {
+    pub fn admit_until(&self, now: Micros) -> Micros {
         let forever = self.injected.is(InjectedBug::IgnoreLease) && self.lease > 0;
         // One that serves alone still stops when it is asked to, for as long as the fleet may need.
         let stopped = self
             .revoked
-            .is_some_and(|(_, at)| now < at + self.times.patience);
-        if forever || (self.alone == Alone::Serve && !stopped) {
+            .is_some_and(|(_, at)| now < at + self.times.proposal_timeout);
+        if forever || (self.alone == LeaderlessMode::Serve && !stopped) {
             return Micros::MAX;
         }
         self.lease
     }
 
     /// Time has passed: asks for the lease anew where that is due.
-    pub fn tick(&mut self, now: Micros) -> Option<Effect> {
+    pub fn tick(&mut self, now: Micros) -> Option<LeaseAction> {
         if now < self.next {
             return None;
         }
@@ -216,51 +216,51 @@
         Some(self.ask(now))
     }
 
-    fn ask(&mut self, now: Micros) -> Effect {
+    fn ask(&mut self, now: Micros) -> LeaseAction {
         self.number += 1;
         if self.asked.len() == ASKED {
             self.asked.pop_front();
         }
         self.asked.push_back((self.number, now));
         // Half the usual time for an answer, which is moved on once it has come.
-        (self.next, self.waits) = (now + self.times.renew / 2, true);
-        let mut renew = Renew {
+        (self.next, self.waits) = (now + self.times.renew_interval / 2, true);
+        let mut renew = RenewRequest {
             relay: self.relay.clone(),
-            number: self.number,
-            heard: self.heard,
+            sequence: self.number,
+            last_seen_response: self.handle_response,
             epoch: self.policy.epoch,
-            prepared: self.prepared.as_ref().map(|p| p.id),
-            refused: self.refused.clone(),
+            prepared: self.proposal_persisted.as_ref().map(|p| p.id),
+            rejected: self.refused.clone(),
             revoked: self.revoked.map(|(id, _)| id),
-            membership: self.membership,
-            ..Renew::default()
+            membership_version: self.membership,
+            ..RenewRequest::default()
         };
         if let Some(owner) = &self.owner {
-            owner.fill(&mut renew);
+            owner.fill_request(&mut renew);
         }
-        Effect::Send(self.voters[self.voter % self.voters.len()], Box::new(renew))
+        LeaseAction::SendRenew(self.voters[self.voter % self.voters.len()], Box::new(renew))
     }
 
     /// An answer has come. `check` says whether this build understands a policy's text, and what is wrong with it.
-    pub fn heard(
+    pub fn handle_response(
         &mut self,
         now: Micros,
-        mut reply: Reply,
+        mut reply: RenewResponse,
         check: impl Fn(&str) -> Result<(), String>,
-    ) -> Vec<Effect> {
+    ) -> Vec<LeaseAction> {
         // An answer to the process before this one, held back on its way, once bore the number of a question of this
         // one, and was taken for a lease.
-        if reply.start != self.relay.start {
+        if reply.incarnation != self.relay.incarnation {
             return Vec::new();
         }
         let asked = self
             .asked
             .iter()
-            .find(|(number, _)| *number == reply.number && *number > self.barrier);
+            .find(|(number, _)| *number == reply.sequence && *number > self.barrier);
         let Some(&(_, asked)) = asked else {
             return Vec::new();
         };
-        let last = reply.number == self.number;
+        let last = reply.sequence == self.number;
         let mut effects = Vec::new();
         if let Some(membership) = reply
             .membership
@@ -268,9 +268,9 @@
             .filter(|membership| membership.version > self.membership)
         {
             self.learn_membership(&membership);
-            effects.push(Effect::Membership(membership));
+            effects.push(LeaseAction::PersistMembership(membership));
         }
-        if let Some(leader) = reply.elsewhere {
+        if let Some(leader) = reply.redirect {
             if !last || !std::mem::take(&mut self.waits) {
                 return effects;
             }
@@ -288,13 +288,13 @@
             self.next = self
                 .asked
                 .back()
-                .map_or(now, |(_, at)| at + self.times.renew);
+                .map_or(now, |(_, at)| at + self.times.renew_interval);
         }
-        self.heard = self.heard.max(reply.number);
-        self.tokens = reply.last.max(self.tokens);
+        self.handle_response = self.handle_response.max(reply.sequence);
+        self.last_token = reply.last_token.max(self.last_token);
         let mut updates = false;
         if let Some(owner) = &mut self.owner {
-            owner.heard(asked, &reply, self.times);
+            owner.handle_response(asked, &reply, self.times);
             // Said at once that it has stopped: somebody waits for its jobs.
             updates = reply.jobs.is_some();
         }
@@ -302,9 +302,9 @@
             .policy
             .filter(|policy| policy.epoch > self.policy.epoch)
         {
-            (self.prepared, self.refused, self.revoked) = (None, None, None);
+            (self.proposal_persisted, self.refused, self.revoked) = (None, None, None);
             (self.lease, self.policy, self.barrier) = (0, policy.clone(), self.number);
-            effects.push(Effect::Adopt(policy));
+            effects.push(LeaseAction::AdoptPolicy(policy));
             updates = true;
         }
         if reply.grant.is_some_and(|epoch| epoch == self.policy.epoch) && !updates {
@@ -313,24 +313,27 @@
             } else {
                 asked
             };
-            self.lease = self.lease.max(from + self.times.lease);
+            self.lease = self.lease.max(from + self.times.lease_duration);
         }
         if let Some(proposal) = reply.prepare {
-            let known = self.prepared.as_ref().is_some_and(|p| p.id == proposal.id)
+            let known = self
+                .proposal_persisted
+                .as_ref()
+                .is_some_and(|p| p.id == proposal.id)
                 || self
                     .refused
                     .as_ref()
                     .is_some_and(|(id, _)| *id == proposal.id);
             match check(&proposal.text) {
                 _ if known => {}
-                Ok(()) => effects.push(Effect::Prepare(proposal)),
+                Ok(()) => effects.push(LeaseAction::PersistProposal(proposal)),
                 Err(why) => {
                     self.refused = Some((proposal.id, why));
                     updates = true;
                 }
             }
         }
-        if let Some(id) = reply.close {
+        if let Some(id) = reply.revoke {
             if self.revoked.is_none_or(|(of, _)| of != id) {
                 // Before it is said: from here on nobody is admitted.
                 if !self.injected.is(InjectedBug::KeepAfterYield) {
@@ -340,7 +343,7 @@
                 updates = true;
             }
             // In force within a moment: asked for sooner than usual.
-            self.next = self.next.min(now + self.times.renew / 10);
+            self.next = self.next.min(now + self.times.renew_interval / 10);
         }
         if updates {
             effects.push(self.ask(now));
@@ -349,13 +352,13 @@
     }
 
     /// A proposal is stored: now it may be said.
-    pub fn prepared(&mut self, now: Micros, proposal: Proposal) -> Effect {
-        self.prepared = Some(proposal);
+    pub fn proposal_persisted(&mut self, now: Micros, proposal: Proposal) -> LeaseAction {
+        self.proposal_persisted = Some(proposal);
         self.ask(now)
     }
 
     /// When it has something to do next though nothing comes.
-    pub fn due(&self) -> Micros {
+    pub fn next_tick(&self) -> Micros {
         self.next
     }
 }
@@ -368,28 +371,28 @@
 
     fn lease_client(start: u64) -> LeaseClient {
         LeaseClient::new(
-            Relay {
+            RelayId {
                 name: "n1".into(),
-                start,
+                incarnation: start,
             },
             vec![1],
             Policy::default(),
-            Times::default(),
-            Alone::Refuse,
+            FleetTiming::default(),
+            LeaderlessMode::Reject,
         )
     }
 
-    fn asks(lease_client: &mut LeaseClient, now: Micros) -> Renew {
+    fn asks(lease_client: &mut LeaseClient, now: Micros) -> RenewRequest {
         match lease_client.tick(now) {
-            Some(Effect::Send(1, renew)) => *renew,
+            Some(LeaseAction::SendRenew(1, renew)) => *renew,
             other => panic!("{other:?}"),
         }
     }
 
-    fn granted(renew: &Renew) -> Reply {
-        Reply {
+    fn granted(renew: &RenewRequest) -> RenewResponse {
+        RenewResponse {
             grant: Some(renew.epoch),
-            ..Reply::to(renew)
+            ..RenewResponse::for_request(renew)
         }
     }
 
@@ -401,13 +404,13 @@
     fn a_lease_runs_from_when_it_was_asked_for() {
         let mut lease_client = lease_client(1);
         let renew = asks(&mut lease_client, SECOND);
-        assert!(!lease_client.admits(SECOND));
-        lease_client.heard(2 * SECOND, granted(&renew), any);
-        assert!(lease_client.admits(3 * SECOND - 1) && !lease_client.admits(3 * SECOND));
+        assert!(!lease_client.may_admit(SECOND));
+        lease_client.handle_response(2 * SECOND, granted(&renew), any);
+        assert!(lease_client.may_admit(3 * SECOND - 1) && !lease_client.may_admit(3 * SECOND));
         // An answer that comes once the lease would have run out gives none.
         let renew = asks(&mut lease_client, 4 * SECOND);
-        lease_client.heard(7 * SECOND, granted(&renew), any);
-        assert!(!lease_client.admits(7 * SECOND));
+        lease_client.handle_response(7 * SECOND, granted(&renew), any);
+        assert!(!lease_client.may_admit(7 * SECOND));
     }
 
     /// Found by seed 2102 of the virtual fleet: held back for 3 s, an answer to the process before was taken for one's own.
@@ -415,44 +418,49 @@
     fn an_answer_to_the_process_before_gives_no_lease() {
         let old = asks(&mut lease_client(1), SECOND);
         let mut new = lease_client(2);
-        assert_eq!(asks(&mut new, 5 * SECOND).number, old.number);
-        assert_eq!(new.heard(5 * SECOND, granted(&old), any), []);
-        assert!(!new.admits(5 * SECOND));
+        assert_eq!(asks(&mut new, 5 * SECOND).sequence, old.sequence);
+        assert_eq!(new.handle_response(5 * SECOND, granted(&old), any), []);
+        assert!(!new.may_admit(5 * SECOND));
     }
 
     #[test]
     fn who_has_said_that_it_stopped_takes_no_lease_that_was_on_its_way() {
         let mut lease_client = lease_client(1);
         let first = asks(&mut lease_client, SECOND);
-        let second = asks(&mut lease_client, SECOND + Times::default().renew);
-        let effects = lease_client.heard(
+        let second = asks(
+            &mut lease_client,
+            SECOND + FleetTiming::default().renew_interval,
+        );
+        let effects = lease_client.handle_response(
             2 * SECOND,
-            Reply {
-                close: Some(7),
-                ..Reply::to(&second)
+            RenewResponse {
+                revoke: Some(7),
+                ..RenewResponse::for_request(&second)
             },
             any,
         );
-        assert!(matches!(&effects[..], [Effect::Send(1, renew)] if renew.revoked == Some(7)));
-        lease_client.heard(2 * SECOND, granted(&first), any);
-        assert!(!lease_client.admits(2 * SECOND));
+        assert!(
+            matches!(&effects[..], [LeaseAction::SendRenew(1, renew)] if renew.revoked == Some(7))
+        );
+        lease_client.handle_response(2 * SECOND, granted(&first), any);
+        assert!(!lease_client.may_admit(2 * SECOND));
         // The policy that it stopped for comes with the next answer, and a lease on it with the one after.
         let renew = asks(&mut lease_client, 3 * SECOND);
         let policy = Policy {
             epoch: 1,
             ..Policy::default()
         };
-        let reply = Reply {
+        let reply = RenewResponse {
             policy: Some(policy.clone()),
-            ..Reply::to(&renew)
+            ..RenewResponse::for_request(&renew)
         };
-        let effects = lease_client.heard(3 * SECOND, reply, any);
-        assert_eq!(effects[0], Effect::Adopt(policy));
-        let Effect::Send(1, renew) = &effects[1] else {
+        let effects = lease_client.handle_response(3 * SECOND, reply, any);
+        assert_eq!(effects[0], LeaseAction::AdoptPolicy(policy));
+        let LeaseAction::SendRenew(1, renew) = &effects[1] else {
             panic!("{effects:?}")
         };
-        lease_client.heard(3 * SECOND, granted(renew), any);
-        assert!(lease_client.admits(3 * SECOND));
+        lease_client.handle_response(3 * SECOND, granted(renew), any);
+        assert!(lease_client.may_admit(3 * SECOND));
     }
 
     /// Found by seed 5915 of the virtual fleet: a relay came back when all voters that it knew had been replaced.
@@ -460,21 +468,28 @@
     fn whoever_does_not_lead_says_who_votes_now_and_the_leader_is_asked_at_once() {
         let mut lease_client = lease_client(1);
         let renew = asks(&mut lease_client, SECOND);
-        let mut membership = Membership::found(&[1]);
-        membership.apply(&crate::log::membership::Change::Add(2, "host:1".into(), 5));
-        membership.apply(&crate::log::membership::Change::Promote(2));
-        let reply = Reply {
-            elsewhere: Some(Some(2)),
+        let mut membership = Membership::for_new_fleet(&[1]);
+        membership.apply(&crate::log::membership::MembershipChange::Add(
+            2,
+            "host:1".into(),
+            5,
+        ));
+        membership.apply(&crate::log::membership::MembershipChange::Promote(2));
+        let reply = RenewResponse {
+            redirect: Some(Some(2)),
             membership: Some(membership.clone()),
-            ..Reply::to(&renew)
+            ..RenewResponse::for_request(&renew)
         };
-        let effects = lease_client.heard(SECOND, reply, any);
-        assert_eq!(effects[0], Effect::Membership(membership.clone()));
+        let effects = lease_client.handle_response(SECOND, reply, any);
+        assert_eq!(
+            effects[0],
+            LeaseAction::PersistMembership(membership.clone())
+        );
         assert!(
-            matches!(&effects[1], Effect::Send(2, renew) if renew.membership == membership.version)
+            matches!(&effects[1], LeaseAction::SendRenew(2, renew) if renew.membership_version == membership.version)
         );
         assert!(
-            !lease_client.learn_membership(&Membership::found(&[1])),
+            !lease_client.learn_membership(&Membership::for_new_fleet(&[1])),
             "an older word counts for nothing"
         );
     }
@@ -485,30 +500,31 @@
         let renew = asks(&mut lease_client, SECOND);
         let proposal = Proposal {
             id: 9,
-            base: 0,
+            base_epoch: 0,
             text: "x".into(),
-            who: String::new(),
-            why: String::new(),
+            author: String::new(),
+            reason: String::new(),
         };
-        let reply = Reply {
+        let reply = RenewResponse {
             prepare: Some(proposal.clone()),
-            ..Reply::to(&renew)
+            ..RenewResponse::for_request(&renew)
         };
-        let effects = lease_client.heard(SECOND, reply.clone(), |_| Err("line 1".into()));
-        let Effect::Send(1, renew) = &effects[0] else {
+        let effects = lease_client.handle_response(SECOND, reply.clone(), |_| Err("line 1".into()));
+        let LeaseAction::SendRenew(1, renew) = &effects[0] else {
             panic!("{effects:?}")
         };
         assert_eq!(
-            (renew.refused.clone(), renew.prepared),
+            (renew.rejected.clone(), renew.prepared),
             (Some((9, "line 1".into())), None)
         );
         let mut lease_client = self::lease_client(1);
         asks(&mut lease_client, SECOND);
         assert_eq!(
-            lease_client.heard(SECOND, reply, any),
-            [Effect::Prepare(proposal.clone())]
+            lease_client.handle_response(SECOND, reply, any),
+            [LeaseAction::PersistProposal(proposal.clone())]
         );
-        let Effect::Send(1, renew) = lease_client.prepared(SECOND, proposal) else {
+        let LeaseAction::SendRenew(1, renew) = lease_client.proposal_persisted(SECOND, proposal)
+        else {
             panic!()
         };
         assert_eq!(renew.prepared, Some(9));
@@ -516,23 +532,31 @@
 
     #[test]
     fn one_that_serves_alone_stops_when_it_is_asked_to_and_not_for_good() {
-        let times = Times::default();
-        let relay = Relay {
+        let times = FleetTiming::default();
+        let relay = RelayId {
             name: "n1".into(),
-            start: 1,
+            incarnation: 1,
         };
-        let mut lease_client =
-            LeaseClient::new(relay, vec![1], Policy::default(), times, Alone::Serve);
-        assert!(lease_client.admits(0));
+        let mut lease_client = LeaseClient::new(
+            relay,
+            vec![1],
+            Policy::default(),
+            times,
+            LeaderlessMode::Serve,
+        );
+        assert!(lease_client.may_admit(0));
         let renew = asks(&mut lease_client, SECOND);
-        lease_client.heard(
+        lease_client.handle_response(
             SECOND,
-            Reply {
-                close: Some(7),
-                ..Reply::to(&renew)
+            RenewResponse {
+                revoke: Some(7),
+                ..RenewResponse::for_request(&renew)
             },
             any,
         );
-        assert!(!lease_client.admits(2 * SECOND) && lease_client.admits(SECOND + times.patience));
+        assert!(
+            !lease_client.may_admit(2 * SECOND)
+                && lease_client.may_admit(SECOND + times.proposal_timeout)
+        );
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -14,52 +14,52 @@
 /// A moment or a span of time, in microseconds.
 pub type Micros = u64;
 
-/// Times of a fleet. All its relays must have the same.
+/// FleetTiming of a fleet. All its relays must have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Times {
+pub struct FleetTiming {
     /// The tick of the log: an election begins after ten of them, or some more, without a leader.
     pub tick: Micros,
     /// How long a relay may admit clients after it asked for its lease.
-    pub lease: Micros,
+    pub lease_duration: Micros,
     /// How much faster than the others' a relay's clock may run, in thousandths: a lease is waited for so much longer.
-    pub drift: u64,
+    pub clock_drift_per_mille: u64,
     /// A relay asks for its lease anew so often.
-    pub renew: Micros,
+    pub renew_interval: Micros,
     /// A relay that answers a proposal with nothing for so long, though it serves, makes it given up.
-    pub patience: Micros,
+    pub proposal_timeout: Micros,
 }
 
 /// How much faster one clock may run than another, in thousandths: those of machines differ by under 0.1, ten leave room
 /// for one that is slewed.
-pub const DRIFT: u64 = 10;
+pub const MAX_CLOCK_DRIFT_PER_MILLE: u64 = 10;
 
 /// How long a span that another clock has measured was here at least.
-pub fn at_least(span: Micros) -> Micros {
-    span - span * DRIFT / 1_000
+pub fn min_elapsed(span: Micros) -> Micros {
+    span - span * MAX_CLOCK_DRIFT_PER_MILLE / 1_000
 }
 
 /// The same at most.
-pub fn at_most(span: Micros) -> Micros {
-    span + span * DRIFT / 1_000
+pub fn max_elapsed(span: Micros) -> Micros {
+    span + span * MAX_CLOCK_DRIFT_PER_MILLE / 1_000
 }
 
-impl Default for Times {
-    fn default() -> Times {
+impl Default for FleetTiming {
+    fn default() -> FleetTiming {
         // Four renewals a lease: three in a row may be lost.
-        Times {
+        FleetTiming {
             tick: 50_000,
-            lease: 2_000_000,
-            drift: DRIFT,
-            renew: 500_000,
-            patience: 10_000_000,
+            lease_duration: 2_000_000,
+            clock_drift_per_mille: MAX_CLOCK_DRIFT_PER_MILLE,
+            renew_interval: 500_000,
+            proposal_timeout: 10_000_000,
         }
     }
 }
 
-impl Times {
+impl FleetTiming {
     /// By when a lease that was asked for at a time has run out on any clock that drifts no more than allowed.
-    pub fn lapsed_by(&self, asked: Micros) -> Micros {
-        asked + self.lease + self.lease * self.drift / 1_000 + 1
+    pub fn lease_expired_by(&self, asked: Micros) -> Micros {
+        asked + self.lease_duration + self.lease_duration * self.clock_drift_per_mille / 1_000 + 1
     }
 }
 
@@ -125,7 +125,7 @@
     ];
 
     /// The fault of that name.
-    pub fn named(name: &str) -> Option<InjectedBug> {
+    pub fn by_name(name: &str) -> Option<InjectedBug> {
         InjectedBug::ALL
             .iter()
             .find(|(n, _)| *n == name)
--- a/crates/control/src/log/membership.rs
+++ b/crates/control/src/log/membership.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// A voter's number, never given twice.
-pub type Number = u64;
+pub type VoterId = u64;
 
 /// The longest address that is taken, in bytes: a host's name has 253 at most.
 const MOST_ADDRESS: usize = 264;
@@ -23,7 +23,8 @@
     /// The incarnation of its disk; 0 for a founder that the others have not met yet.
     pub incarnation: u64,
     /// Whether it has its vote yet.
-    pub votes: bool,
+    #[serde(rename = "votes")]
+    pub is_voter: bool,
 }
 
 /// All of them.
@@ -33,43 +34,45 @@
     /// Grows with each change.
     pub version: u64,
     /// The highest number that was ever given.
-    pub highest: Number,
+    #[serde(rename = "highest")]
+    pub highest_id: VoterId,
     /// By number.
-    pub of: BTreeMap<Number, Member>,
+    #[serde(rename = "of")]
+    pub members: BTreeMap<VoterId, Member>,
 }
 
 /// One change of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
+pub enum MembershipChange {
     /// A newcomer learns the log: its number, where it can be reached, and the incarnation of its disk.
-    Add(Number, String, u64),
+    Add(VoterId, String, u64),
     /// It has its vote from here on. Made by a leader, never asked for.
-    Promote(Number),
+    Promote(VoterId),
     /// It votes no more, and never will again.
-    Remove(Number),
+    Remove(VoterId),
 }
 
 /// What a change that is asked for comes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ChangeDecision {
     /// It is done already.
     Done,
     /// It is on its way: what is waited for.
-    UnderWay(String),
+    InProgress(String),
     /// It may be made.
-    Make,
+    Allowed,
     /// It may not, and why.
-    Refused(String),
+    Rejected(String),
 }
 
 impl Membership {
     /// Those of a new fleet.
-    pub fn found(numbers: &[Number]) -> Membership {
-        let member = |number: &Number| {
+    pub fn for_new_fleet(numbers: &[VoterId]) -> Membership {
+        let member = |number: &VoterId| {
             (
                 *number,
                 Member {
-                    votes: true,
+                    is_voter: true,
                     ..Member::default()
                 },
             )
@@ -77,100 +80,100 @@
         let highest = numbers.iter().copied().max().unwrap_or(0);
         Membership {
             version: 1,
-            highest,
-            of: numbers.iter().map(member).collect(),
+            highest_id: highest,
+            members: numbers.iter().map(member).collect(),
         }
     }
 
     /// Takes a change that the log has.
-    pub fn apply(&mut self, change: &Change) {
+    pub fn apply(&mut self, change: &MembershipChange) {
         self.version += 1;
         match change {
-            Change::Add(number, address, incarnation) => {
-                self.highest = self.highest.max(*number);
+            MembershipChange::Add(number, address, incarnation) => {
+                self.highest_id = self.highest_id.max(*number);
                 let member = Member {
                     address: address.clone(),
                     incarnation: *incarnation,
-                    votes: false,
+                    is_voter: false,
                 };
-                self.of.insert(*number, member);
+                self.members.insert(*number, member);
             }
-            Change::Promote(number) => {
-                if let Some(member) = self.of.get_mut(number) {
-                    member.votes = true;
+            MembershipChange::Promote(number) => {
+                if let Some(member) = self.members.get_mut(number) {
+                    member.is_voter = true;
                 }
             }
-            Change::Remove(number) => drop(self.of.remove(number)),
+            MembershipChange::Remove(number) => drop(self.members.remove(number)),
         }
     }
 
     /// The founders have met: from here on each is known by its disk.
-    pub fn met(&mut self, incarnations: &BTreeMap<Number, u64>) {
-        for (number, member) in &mut self.of {
+    pub fn founders_met(&mut self, incarnations: &BTreeMap<VoterId, u64>) {
+        for (number, member) in &mut self.members {
             member.incarnation = incarnations.get(number).copied().unwrap_or_default();
         }
     }
 
     /// Whether founders have yet to meet.
-    pub fn founding(&self) -> bool {
-        self.of.values().any(|member| member.incarnation == 0)
+    pub fn is_founding(&self) -> bool {
+        self.members.values().any(|member| member.incarnation == 0)
     }
 
     /// Whether whoever says to be this voter, with a disk of that incarnation, is none (any more).
-    pub fn gone(&self, number: Number, incarnation: u64) -> bool {
-        match self.of.get(&number) {
+    pub fn is_replaced(&self, number: VoterId, incarnation: u64) -> bool {
+        match self.members.get(&number) {
             Some(member) => member.incarnation != incarnation,
             // One with a higher number may have been added by entries that have not come here yet.
-            None => number <= self.highest,
+            None => number <= self.highest_id,
         }
     }
 
     /// Those that vote.
-    pub fn voters(&self) -> impl Iterator<Item = Number> + '_ {
-        self.of
+    pub fn voters(&self) -> impl Iterator<Item = VoterId> + '_ {
+        self.members
             .iter()
-            .filter(|(_, member)| member.votes)
+            .filter(|(_, member)| member.is_voter)
             .map(|(number, _)| *number)
     }
 
     /// What a change that is asked for comes to; `active` are the voters that the leader has heard of lately.
-    pub fn judge(&self, change: &Change, active: &[Number]) -> Verdict {
+    pub fn check(&self, change: &MembershipChange, active: &[VoterId]) -> ChangeDecision {
         match change {
-            Change::Promote(_) => {
-                Verdict::Refused("a vote is given by the leader, once its voter has caught up".into())
+            MembershipChange::Promote(_) => {
+                ChangeDecision::Rejected("a vote is given by the leader, once its voter has caught up".into())
             }
-            Change::Add(number, address, incarnation) => match self.of.get(number) {
-                Some(member) if member.incarnation != *incarnation => Verdict::Refused(format!(
+            MembershipChange::Add(number, address, incarnation) => match self.members.get(number) {
+                Some(member) if member.incarnation != *incarnation => ChangeDecision::Rejected(format!(
                     "voter {number} has another disk: a lost one's place is taken under a new number"
                 )),
-                Some(member) if member.votes => Verdict::Done,
-                Some(_) => Verdict::UnderWay(format!("voter {number} learns the log")),
-                None if *number <= self.highest => Verdict::Refused(format!(
+                Some(member) if member.is_voter => ChangeDecision::Done,
+                Some(_) => ChangeDecision::InProgress(format!("voter {number} learns the log")),
+                None if *number <= self.highest_id => ChangeDecision::Rejected(format!(
                     "the number {number} was given before; the next is {}",
-                    self.highest + 1
+                    self.highest_id + 1
                 )),
-                None if address.is_empty() || address.len() > MOST_ADDRESS => Verdict::Refused(format!(
+                None if address.is_empty() || address.len() > MOST_ADDRESS => ChangeDecision::Rejected(format!(
                     "the address has {} bytes, 1 to {MOST_ADDRESS} are wanted",
                     address.len()
                 )),
-                None if self.of.len() >= 8 => {
-                    Verdict::Refused("there are 8 membership already; remove one first".into())
+                None if self.members.len() >= 8 => {
+                    ChangeDecision::Rejected("there are 8 membership already; remove one first".into())
                 }
-                None => match self.of.iter().find(|(_, member)| !member.votes) {
-                    Some((other, _)) => Verdict::Refused(format!(
+                None => match self.members.iter().find(|(_, member)| !member.is_voter) {
+                    Some((other, _)) => ChangeDecision::Rejected(format!(
                         "voter {other} is learning the log: one change at a time, or remove {other}"
                     )),
-                    None => Verdict::Make,
+                    None => ChangeDecision::Allowed,
                 },
             },
-            Change::Remove(number) => {
-                let Some(member) = self.of.get(number) else { return Verdict::Done };
-                let left: Vec<Number> = self.voters().filter(|other| other != number).collect();
+            MembershipChange::Remove(number) => {
+                let Some(member) = self.members.get(number) else { return ChangeDecision::Done };
+                let left: Vec<VoterId> = self.voters().filter(|other| other != number).collect();
                 let up = left.iter().filter(|other| active.contains(other)).count();
-                if !member.votes || up > left.len() / 2 {
-                    return Verdict::Make;
+                if !member.is_voter || up > left.len() / 2 {
+                    return ChangeDecision::Allowed;
                 }
-                Verdict::Refused(format!(
+                ChangeDecision::Rejected(format!(
                     "of the {} that would be left {up} answer, no majority: add one first, or bring one back",
                     left.len()
                 ))
@@ -185,54 +188,72 @@
 
     #[test]
     fn a_number_is_given_once_and_a_lost_disk_does_not_come_back_under_it() {
-        let mut membership = Membership::found(&[1, 2, 3]);
-        let add = |number, incarnation| Change::Add(number, "host:1".into(), incarnation);
-        assert!(membership.founding());
-        membership.met(&BTreeMap::from([(1, 10), (2, 20), (3, 30)]));
-        assert!(!membership.founding());
-        assert!(!membership.gone(3, 30) && membership.gone(3, 31));
+        let mut membership = Membership::for_new_fleet(&[1, 2, 3]);
+        let add = |number, incarnation| MembershipChange::Add(number, "host:1".into(), incarnation);
+        assert!(membership.is_founding());
+        membership.founders_met(&BTreeMap::from([(1, 10), (2, 20), (3, 30)]));
+        assert!(!membership.is_founding());
+        assert!(!membership.is_replaced(3, 30) && membership.is_replaced(3, 31));
         assert!(
-            !membership.gone(9, 1),
+            !membership.is_replaced(9, 1),
             "it may have been added by entries that are on their way"
         );
-        assert_eq!(membership.judge(&add(4, 40), &[1, 2]), Verdict::Make);
+        assert_eq!(
+            membership.check(&add(4, 40), &[1, 2]),
+            ChangeDecision::Allowed
+        );
         membership.apply(&add(4, 40));
         assert!(matches!(
-            membership.judge(&add(4, 40), &[1, 2]),
-            Verdict::UnderWay(_)
+            membership.check(&add(4, 40), &[1, 2]),
+            ChangeDecision::InProgress(_)
         ));
         assert!(
-            matches!(membership.judge(&add(5, 50), &[1, 2]), Verdict::Refused(_)),
+            matches!(
+                membership.check(&add(5, 50), &[1, 2]),
+                ChangeDecision::Rejected(_)
+            ),
             "one at a time"
         );
-        membership.apply(&Change::Promote(4));
-        assert_eq!(membership.judge(&add(4, 40), &[1, 2]), Verdict::Done);
+        membership.apply(&MembershipChange::Promote(4));
+        assert_eq!(membership.check(&add(4, 40), &[1, 2]), ChangeDecision::Done);
         assert!(matches!(
-            membership.judge(&add(4, 41), &[1, 2]),
-            Verdict::Refused(_)
+            membership.check(&add(4, 41), &[1, 2]),
+            ChangeDecision::Rejected(_)
         ));
-        assert_eq!(membership.judge(&Change::Remove(3), &[1, 2]), Verdict::Make);
-        membership.apply(&Change::Remove(3));
-        assert!(membership.gone(3, 30));
-        assert_eq!(membership.judge(&Change::Remove(3), &[1, 2]), Verdict::Done);
+        assert_eq!(
+            membership.check(&MembershipChange::Remove(3), &[1, 2]),
+            ChangeDecision::Allowed
+        );
+        membership.apply(&MembershipChange::Remove(3));
+        assert!(membership.is_replaced(3, 30));
+        assert_eq!(
+            membership.check(&MembershipChange::Remove(3), &[1, 2]),
+            ChangeDecision::Done
+        );
         assert!(
-            matches!(membership.judge(&add(3, 32), &[1, 2]), Verdict::Refused(why) if why.ends_with("the next is 5"))
+            matches!(membership.check(&add(3, 32), &[1, 2]), ChangeDecision::Rejected(why) if why.ends_with("the next is 5"))
         );
     }
 
     #[test]
     fn no_voter_is_removed_whose_loss_would_leave_no_majority() {
-        let mut membership = Membership::found(&[1, 2, 3]);
+        let mut membership = Membership::for_new_fleet(&[1, 2, 3]);
         assert!(
             matches!(
-                membership.judge(&Change::Remove(1), &[1, 2]),
-                Verdict::Refused(_)
+                membership.check(&MembershipChange::Remove(1), &[1, 2]),
+                ChangeDecision::Rejected(_)
             ),
             "2 alone of 2 and 3"
         );
-        assert_eq!(membership.judge(&Change::Remove(3), &[1, 2]), Verdict::Make);
+        assert_eq!(
+            membership.check(&MembershipChange::Remove(3), &[1, 2]),
+            ChangeDecision::Allowed
+        );
         // A newcomer that never caught up can go at any time: it has no vote.
-        membership.apply(&Change::Add(4, "host:1".into(), 4));
-        assert_eq!(membership.judge(&Change::Remove(4), &[1]), Verdict::Make);
+        membership.apply(&MembershipChange::Add(4, "host:1".into(), 4));
+        assert_eq!(
+            membership.check(&MembershipChange::Remove(4), &[1]),
+            ChangeDecision::Allowed
+        );
     }
 }
--- a/crates/control/src/log/state.rs
+++ b/crates/control/src/log/state.rs
@@ -16,7 +16,7 @@
 /// Outcomes and policies that are remembered: those asked for are the last few.
 const REMEMBERED: usize = 64;
 /// The longest text of a policy, in bytes: it has to fit a frame, and a person has to read it.
-pub const MOST_TEXT: usize = 64 * 1024;
+pub const MAX_POLICY_BYTES: usize = 64 * 1024;
 
 /// What decides behaviour beyond the platform's settings, with its number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -27,9 +27,11 @@
     /// The text of its file.
     pub text: String,
     /// Who proposed it, and why.
-    pub who: String,
+    #[serde(rename = "who")]
+    pub author: String,
     /// See `who`.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// The proposal that it came by; 0 for the empty one that a fleet begins with.
     pub proposal: ProposalId,
 }
@@ -41,21 +43,25 @@
     /// Its name.
     pub id: ProposalId,
     /// The epoch that it was made for; 0 where that does not matter to whoever proposes.
-    pub base: u64,
+    #[serde(rename = "base")]
+    pub base_epoch: u64,
     /// See [`Policy`].
     pub text: String,
     /// See [`Policy`].
-    pub who: String,
+    #[serde(rename = "who")]
+    pub author: String,
     /// See [`Policy`].
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// How far the proposal under way has come.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Phase {
+pub enum ProposalPhase {
     /// None is under way.
     #[default]
-    Rest,
+    #[serde(rename = "Rest")]
+    Idle,
     /// Each relay checks and stores it; all serve under the old one.
     Preparing(Proposal),
     /// No lease is granted any more; once no relay can hold one, it is in force. There is no way back.
@@ -65,13 +71,15 @@
 
 /// What became of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum ProposalOutcome {
     /// It is, or was, in force under this epoch.
     InForce(u64),
     /// It was refused: by whom, and why.
-    Refused(String, String),
+    #[serde(rename = "Refused")]
+    Rejected(String, String),
     /// These relays gave no answer in time.
-    GivenUp(Vec<String>),
+    #[serde(rename = "GivenUp")]
+    TimedOut(Vec<String>),
 }
 
 /// An entry of the log.
@@ -80,9 +88,11 @@
     /// Begin with this proposal.
     Propose(Proposal),
     /// A relay refuses it.
-    Refuse(ProposalId, String, String),
+    #[serde(rename = "Refuse")]
+    Reject(ProposalId, String, String),
     /// Relays have not answered.
-    GiveUp(ProposalId, Vec<String>),
+    #[serde(rename = "GiveUp")]
+    TimeOut(ProposalId, Vec<String>),
     /// All have it: grant no lease on the old policy any more.
     #[serde(rename = "Close")]
     Seal(ProposalId),
@@ -96,13 +106,13 @@
 /// See the module's text.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct State {
+pub struct FleetState {
     /// The policy in force.
     pub policy: Policy,
     /// The proposal under way.
-    pub phase: Phase,
+    pub phase: ProposalPhase,
     /// Outcomes of the last proposals, the newest last.
-    pub outcomes: Vec<(ProposalId, Outcome)>,
+    pub outcomes: Vec<(ProposalId, ProposalOutcome)>,
     /// Policies that were in force, the newest last, without the present one.
     pub history: Vec<Policy>,
     /// Who votes.
@@ -112,16 +122,17 @@
     pub jobs: Jobs,
     /// The least that a build must know to keep this state: 0, or 1 once there has been a job. One that knows less would
     /// lose part of it.
-    pub needs: u32,
+    #[serde(rename = "needs")]
+    pub required_version: u32,
 }
 
-/// What this build knows: see [`State::needs`].
-pub const NEEDS: u32 = 1;
+/// What this build knows: see [`FleetState::needs`].
+pub const STATE_VERSION: u32 = 1;
 
-impl State {
+impl FleetState {
     /// As it stands in a snapshot; none where it is damaged or needs a later build.
-    pub fn read(bytes: &[u8]) -> Option<State> {
-        wire::decode(bytes).filter(|state: &State| state.needs <= NEEDS)
+    pub fn decode(bytes: &[u8]) -> Option<FleetState> {
+        wire::decode(bytes).filter(|state: &FleetState| state.required_version <= STATE_VERSION)
     }
 
     /// Takes the next entry.
@@ -131,28 +142,30 @@
                 self.phase = phase;
                 self.propose(proposal);
             }
-            (Command::Refuse(id, by, why), Phase::Preparing(p)) if p.id == id => {
-                self.remember(id, Outcome::Refused(by, why));
+            (Command::Reject(id, by, why), ProposalPhase::Preparing(p)) if p.id == id => {
+                self.remember(id, ProposalOutcome::Rejected(by, why));
             }
-            (Command::GiveUp(id, missing), Phase::Preparing(p)) if p.id == id => {
-                self.remember(id, Outcome::GivenUp(missing));
+            (Command::TimeOut(id, missing), ProposalPhase::Preparing(p)) if p.id == id => {
+                self.remember(id, ProposalOutcome::TimedOut(missing));
             }
-            (Command::Seal(id), Phase::Preparing(p)) if p.id == id => self.phase = Phase::Sealed(p),
-            (Command::Commit(id), Phase::Sealed(p)) if p.id == id => {
+            (Command::Seal(id), ProposalPhase::Preparing(p)) if p.id == id => {
+                self.phase = ProposalPhase::Sealed(p)
+            }
+            (Command::Commit(id), ProposalPhase::Sealed(p)) if p.id == id => {
                 let epoch = self.policy.epoch + 1;
                 let new = Policy {
                     epoch,
                     text: p.text,
-                    who: p.who,
-                    why: p.why,
+                    author: p.author,
+                    reason: p.reason,
                     proposal: id,
                 };
                 self.history.push(std::mem::replace(&mut self.policy, new));
-                self.remember(id, Outcome::InForce(epoch));
+                self.remember(id, ProposalOutcome::InForce(epoch));
             }
             (Command::Assignment(assignment), phase) => {
                 self.phase = phase;
-                self.needs = self.needs.max(1);
+                self.required_version = self.required_version.max(1);
                 self.jobs.apply(assignment);
             }
             // Of a leader that did not know how things stood.
@@ -166,47 +179,47 @@
 
     fn propose(&mut self, proposal: Proposal) {
         let id = proposal.id;
-        if self.outcome(id).is_some() || self.under_way().is_some_and(|p| p.id == id) {
+        if self.outcome(id).is_some() || self.pending_proposal().is_some_and(|p| p.id == id) {
             return;
         }
-        let refuse = |why: String| Outcome::Refused("the fleet".into(), why);
-        if let Some(p) = self.under_way() {
+        let refuse = |why: String| ProposalOutcome::Rejected("the fleet".into(), why);
+        if let Some(p) = self.pending_proposal() {
             let why = format!(
                 "another change is under way, by {}: ask for its outcome and propose again",
-                p.who
+                p.author
             );
             self.remember(id, refuse(why));
-        } else if proposal.base != 0 && proposal.base != self.policy.epoch {
+        } else if proposal.base_epoch != 0 && proposal.base_epoch != self.policy.epoch {
             let why = format!(
                 "it was made for epoch {}, in force is {}",
-                proposal.base, self.policy.epoch
+                proposal.base_epoch, self.policy.epoch
             );
             self.remember(id, refuse(why));
-        } else if proposal.text.len() > MOST_TEXT {
+        } else if proposal.text.len() > MAX_POLICY_BYTES {
             let why = format!(
-                "its text has {} bytes, {MOST_TEXT} at most",
+                "its text has {} bytes, {MAX_POLICY_BYTES} at most",
                 proposal.text.len()
             );
             self.remember(id, refuse(why));
         } else {
-            self.phase = Phase::Preparing(proposal);
+            self.phase = ProposalPhase::Preparing(proposal);
         }
     }
 
-    fn remember(&mut self, id: ProposalId, outcome: Outcome) {
+    fn remember(&mut self, id: ProposalId, outcome: ProposalOutcome) {
         self.outcomes.push((id, outcome));
     }
 
     /// The proposal under way.
-    pub fn under_way(&self) -> Option<&Proposal> {
+    pub fn pending_proposal(&self) -> Option<&Proposal> {
         match &self.phase {
-            Phase::Rest => None,
-            Phase::Preparing(p) | Phase::Sealed(p) => Some(p),
+            ProposalPhase::Idle => None,
+            ProposalPhase::Preparing(p) | ProposalPhase::Sealed(p) => Some(p),
         }
     }
 
     /// What became of a proposal; none where it is under way, was never heard of, or is long past.
-    pub fn outcome(&self, id: ProposalId) -> Option<&Outcome> {
+    pub fn outcome(&self, id: ProposalId) -> Option<&ProposalOutcome> {
         self.outcomes
             .iter()
             .rev()
@@ -222,15 +235,15 @@
     fn proposal(id: ProposalId, base: u64) -> Proposal {
         Proposal {
             id,
-            base,
+            base_epoch: base,
             text: format!("# {id}"),
-            who: "operators".into(),
-            why: "a test".into(),
+            author: "operators".into(),
+            reason: "a test".into(),
         }
     }
 
-    fn after(commands: &[Command]) -> State {
-        let mut state = State::default();
+    fn after(commands: &[Command]) -> FleetState {
+        let mut state = FleetState::default();
         commands
             .iter()
             .for_each(|command| state.apply(command.clone()));
@@ -244,7 +257,7 @@
             Command::Propose(proposal(2, 0)),
         );
         let whole = [one.clone(), Command::Seal(1), Command::Commit(1)];
-        assert_eq!(after(&whole).outcome(1), Some(&Outcome::InForce(1)));
+        assert_eq!(after(&whole).outcome(1), Some(&ProposalOutcome::InForce(1)));
         // The same again changes nothing.
         assert_eq!(after(&[&whole[..], &whole[..]].concat()), after(&whole));
         // The second of two at once is refused; the first goes on.
@@ -254,21 +267,24 @@
             Command::Seal(1),
             Command::Commit(1),
         ]);
-        assert!(matches!(both.outcome(2), Some(Outcome::Refused(..))));
+        assert!(matches!(
+            both.outcome(2),
+            Some(ProposalOutcome::Rejected(..))
+        ));
         assert_eq!(both.policy.epoch, 1);
         // Once closed there is no way back, and before that no way past a refusal.
         let late = [
             one.clone(),
             Command::Seal(1),
-            Command::Refuse(1, "n1".into(), "no".into()),
+            Command::Reject(1, "n1".into(), "no".into()),
         ];
-        assert!(matches!(after(&late).phase, Phase::Sealed(_)));
+        assert!(matches!(after(&late).phase, ProposalPhase::Sealed(_)));
         let refused = [
             one.clone(),
-            Command::Refuse(1, "n1".into(), "no".into()),
+            Command::Reject(1, "n1".into(), "no".into()),
             Command::Seal(1),
         ];
-        assert_eq!(after(&refused).phase, Phase::Rest);
+        assert_eq!(after(&refused).phase, ProposalPhase::Idle);
         assert_eq!(
             after(&[one.clone(), Command::Commit(1)]).policy.epoch,
             0,
@@ -278,13 +294,13 @@
         let stale = [&whole[..], &[Command::Propose(proposal(3, 7))]].concat();
         assert!(matches!(
             after(&stale).outcome(3),
-            Some(Outcome::Refused(..))
+            Some(ProposalOutcome::Rejected(..))
         ));
     }
 
     #[test]
     fn what_is_remembered_is_bounded() {
-        let mut state = State::default();
+        let mut state = FleetState::default();
         for id in 1..200 {
             for command in [
                 Command::Propose(proposal(id, 0)),
--- a/crates/control/src/log/storage.rs
+++ b/crates/control/src/log/storage.rs
@@ -1,39 +1,39 @@
 //! What a voter has stored: the log's entries, its vote, and a snapshot that stands for the entries before them. Kept
-//! in memory for the consensus library to read; every change goes out as [`Stored`] for the disk, and comes back as a
-//! [`Kept`] at the next start.
+//! in memory for the consensus library to read; every change goes out as [`PersistBatch`] for the disk, and comes back as a
+//! [`PersistedLog`] at the next start.
 
 use crate::log::membership::Membership;
-use crate::log::state::State;
+use crate::log::state::FleetState;
 use crate::wire;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 
 /// What must be on the disk before anything that follows from it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct PersistBatch {
     /// Term, vote and commit.
-    pub vote: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
     /// Replaces all entries, and what they stand for.
     pub snapshot: Option<Vec<u8>>,
     /// Entries from that index on; those that were there from it on are gone.
     pub entries: Vec<(u64, Vec<u8>)>,
     /// Entries up to this index are needless.
-    pub compact: Option<u64>,
+    pub compact_to: Option<u64>,
 }
 
-impl Stored {
+impl PersistBatch {
     /// Whether there is nothing to store.
     pub fn is_empty(&self) -> bool {
-        *self == Stored::default()
+        *self == PersistBatch::default()
     }
 }
 
 /// What the disk gives back at a start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
-    /// See [`Stored`].
-    pub vote: Option<Vec<u8>>,
-    /// See [`Stored`].
+pub struct PersistedLog {
+    /// See [`PersistBatch`].
+    pub hard_state: Option<Vec<u8>>,
+    /// See [`PersistBatch`].
     pub snapshot: Option<Vec<u8>>,
     /// All entries, in their order.
     pub entries: Vec<Vec<u8>>,
@@ -41,35 +41,35 @@
 
 /// Stored bytes that cannot be what was stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Damaged(pub &'static str);
+pub struct CorruptLog(pub &'static str);
 
 /// See the module's text.
 #[derive(Default)]
-pub struct Log {
+pub struct RaftLog {
     vote: HardState,
     snapshot: Snapshot,
     entries: Vec<Entry>,
 }
 
-fn read<M: protobuf::Message>(bytes: &[u8], what: &'static str) -> Result<M, Damaged> {
-    M::parse_from_bytes(bytes).map_err(|_| Damaged(what))
+fn read<M: protobuf::Message>(bytes: &[u8], what: &'static str) -> Result<M, CorruptLog> {
+    M::parse_from_bytes(bytes).map_err(|_| CorruptLog(what))
 }
 
 pub(crate) fn bytes(message: &impl protobuf::Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
 
-impl Log {
+impl RaftLog {
     /// The log of a new fleet with these voters.
-    pub fn found(voters: &[u64]) -> Log {
-        let mut log = Log::default();
+    pub fn for_new_fleet(voters: &[u64]) -> RaftLog {
+        let mut log = RaftLog::default();
         let meta = log.snapshot.mut_metadata();
         // The library takes an index of 0 for a voter that knows nothing yet.
         (meta.index, meta.term) = (1, 1);
         meta.set_conf_state(ConfState::from((voters.to_vec(), Vec::new())));
-        let state = State {
-            membership: Membership::found(voters),
-            ..State::default()
+        let state = FleetState {
+            membership: Membership::for_new_fleet(voters),
+            ..FleetState::default()
         };
         log.snapshot.data = wire::encode(&state).into();
         (log.vote.term, log.vote.commit) = (1, 1);
@@ -77,17 +77,17 @@
     }
 
     /// The log of a voter that joins a fleet: it knows nothing, and learns all from the leader.
-    pub fn joining() -> Log {
-        Log::default()
+    pub fn for_joining_voter() -> RaftLog {
+        RaftLog::default()
     }
 
     /// The log as it was stored.
-    pub fn read(kept: &Kept) -> Result<Log, Damaged> {
-        let mut log = Log::default();
+    pub fn restore(kept: &PersistedLog) -> Result<RaftLog, CorruptLog> {
+        let mut log = RaftLog::default();
         if let Some(snapshot) = &kept.snapshot {
             log.snapshot = read(snapshot, "the snapshot cannot be read")?;
         }
-        if let Some(vote) = &kept.vote {
+        if let Some(vote) = &kept.hard_state {
             log.vote = read(vote, "the vote cannot be read")?;
         }
         for entry in &kept.entries {
@@ -97,15 +97,15 @@
                 continue;
             }
             if entry.index != log.end() + 1 {
-                return Err(Damaged("entries of the log are missing"));
+                return Err(CorruptLog("entries of the log are missing"));
             }
             log.entries.push(entry);
         }
         if kept.snapshot.is_none() {
-            return Err(Damaged("there is no snapshot"));
+            return Err(CorruptLog("there is no snapshot"));
         }
         if log.vote.commit > log.end() {
-            return Err(Damaged(
+            return Err(CorruptLog(
                 "entries that were answered for are missing at the end of the log",
             ));
         }
@@ -114,23 +114,23 @@
     }
 
     /// Lets a founder's first snapshot say who the others are.
-    pub(crate) fn met(&mut self, state: Vec<u8>) -> Stored {
+    pub(crate) fn met(&mut self, state: Vec<u8>) -> PersistBatch {
         self.snapshot.data = state.into();
-        Stored {
+        PersistBatch {
             snapshot: Some(bytes(&self.snapshot)),
-            compact: Some(self.base()),
-            ..Stored::default()
+            compact_to: Some(self.base()),
+            ..PersistBatch::default()
         }
     }
 
     /// All of it, as the first thing that is stored.
-    pub fn stored(&self) -> Stored {
+    pub fn persist_all(&self) -> PersistBatch {
         let entries = self.entries.iter().map(|e| (e.index, bytes(e))).collect();
-        Stored {
-            vote: Some(bytes(&self.vote)),
+        PersistBatch {
+            hard_state: Some(bytes(&self.vote)),
             snapshot: Some(bytes(&self.snapshot)),
             entries,
-            compact: None,
+            compact_to: None,
         }
     }
 
@@ -176,24 +176,24 @@
     }
 
     /// Lets the state at an entry that is applied stand for all up to it.
-    pub(crate) fn compact(&mut self, index: u64, conf: &ConfState, state: Vec<u8>) -> Stored {
+    pub(crate) fn compact(&mut self, index: u64, conf: &ConfState, state: Vec<u8>) -> PersistBatch {
         let Ok(term) = self.term(index) else {
-            return Stored::default();
+            return PersistBatch::default();
         };
         let meta = self.snapshot.mut_metadata();
         (meta.index, meta.term) = (index, term);
         meta.set_conf_state(conf.clone());
         self.snapshot.data = state.into();
         self.entries.retain(|e| e.index > index);
-        Stored {
+        PersistBatch {
             snapshot: Some(bytes(&self.snapshot)),
-            compact: Some(index),
-            ..Stored::default()
+            compact_to: Some(index),
+            ..PersistBatch::default()
         }
     }
 }
 
-impl Storage for Log {
+impl Storage for RaftLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
         Ok(RaftState::new(
             self.vote.clone(),
--- a/crates/control/src/log/voter.rs
+++ b/crates/control/src/log/voter.rs
@@ -11,12 +11,15 @@
 mod members;
 
 use crate::broadcast::broadcaster::Broadcaster;
-use crate::log::state::{Command, Phase, ProposalId, State};
-use crate::log::storage::{bytes, Damaged, Kept, Log, Stored};
+use crate::log::state::{Command, FleetState, ProposalId, ProposalPhase};
+use crate::log::storage::{bytes, CorruptLog, PersistBatch, PersistedLog, RaftLog};
 use crate::wire;
-pub use crate::wire::message::From;
-use crate::wire::message::{Answer, Ask, Message, Relay, Renew, Reply, Skills, Status};
-use crate::{InjectedBug, InjectedBugs, Micros, Times};
+pub use crate::wire::message::ReplyAddress;
+use crate::wire::message::{
+    FleetStatus, JobCapabilities, Message, OperatorRequest, OperatorResponse, RelayId,
+    RenewRequest, RenewResponse,
+};
+use crate::{FleetTiming, InjectedBug, InjectedBugs, Micros};
 use members::Founding;
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, MessageType};
@@ -37,25 +40,25 @@
 const AGAIN: Micros = 1_000_000;
 
 /// An entry or a state that this build cannot read.
-const LATER: Damaged = Damaged(
+const LATER: CorruptLog = CorruptLog(
     "the log has what this build cannot read: it is of a later build (upgrade this relay), or damaged",
 );
 
 /// What is to be done, in this order: store, then send.
 #[derive(Debug, Default)]
-pub struct Work {
+pub struct Ready {
     /// To be stored before anything is sent.
-    pub store: Stored,
+    pub persist: PersistBatch,
     /// To other voters, by their numbers.
-    pub to_voters: Vec<(u64, Message)>,
+    pub voter_messages: Vec<(u64, Message)>,
     /// To whoever asked.
-    pub answers: Vec<(From, Message)>,
+    pub replies: Vec<(ReplyAddress, Message)>,
 }
 
-impl Work {
+impl Ready {
     /// Whether there is nothing to do.
     pub fn is_empty(&self) -> bool {
-        self.store.is_empty() && self.to_voters.is_empty() && self.answers.is_empty()
+        self.persist.is_empty() && self.voter_messages.is_empty() && self.replies.is_empty()
     }
 }
 
@@ -70,7 +73,7 @@
     /// The version of the jobs that it knows, where it does any, and when its lease on its jobs was last granted.
     jobs: Option<u64>,
     leased: Option<Micros>,
-    skills: Skills,
+    skills: JobCapabilities,
     /// The first question that it was answered and has not said to have heard the answer to, and when that was.
     unheard: Option<(u64, Micros)>,
     seen: Micros,
@@ -81,7 +84,7 @@
 struct Leadership {
     term: u64,
     since: Micros,
-    relays: BTreeMap<Relay, Known>,
+    relays: BTreeMap<RelayId, Known>,
     /// Since when the proposal is prepared, or closed, here.
     step: Option<(ProposalId, bool, Micros)>,
     /// When its next step was last handed to the log.
@@ -96,18 +99,18 @@
 }
 
 enum Waiting {
-    Renew(From, Box<Renew>),
-    Ask(From, u64, Ask),
+    RenewRequest(ReplyAddress, Box<RenewRequest>),
+    OperatorRequest(ReplyAddress, u64, OperatorRequest),
 }
 
 /// See the module's text.
 pub struct Voter {
-    raw: RawNode<Log>,
+    raw: RawNode<RaftLog>,
     /// Of its disk.
     incarnation: u64,
-    times: Times,
+    times: FleetTiming,
     injected: InjectedBugs,
-    state: State,
+    state: FleetState,
     leadership: Option<Leadership>,
     tick: Micros,
     reads: u64,
@@ -116,18 +119,18 @@
     /// What waits for the next confirmation, and what waits for one that is under way.
     next: Vec<Waiting>,
     under_way: BTreeMap<u64, Vec<Waiting>>,
-    answers: Vec<(From, Message)>,
+    answers: Vec<(ReplyAddress, Message)>,
     /// The membership have changed, and a snapshot has to say so: a newcomer takes none that does not know it.
     membership_changed: bool,
     /// When each voter that a snapshot is on its way to was sent it.
     snapshots: BTreeMap<u64, Micros>,
     /// Founders meet before they vote; what they know then is stored first.
     founding: Option<Founding>,
-    met: Option<Stored>,
+    met: Option<PersistBatch>,
     /// When each founder was last told who this voter is, past the founding.
     introduced: BTreeMap<u64, Micros>,
     /// The log has what this build cannot read: it must neither vote nor let its state stand for the log.
-    fault: Option<Damaged>,
+    fault: Option<CorruptLog>,
     /// What owners of jobs tell all relays.
     broadcaster: Broadcaster,
     now: Micros,
@@ -143,15 +146,15 @@
     pub fn new(
         id: u64,
         incarnation: u64,
-        kept: &Kept,
-        times: Times,
+        kept: &PersistedLog,
+        times: FleetTiming,
         now: Micros,
-    ) -> Result<Voter, Damaged> {
-        let log = Log::read(kept)?;
+    ) -> Result<Voter, CorruptLog> {
+        let log = RaftLog::restore(kept)?;
         let applied = raft::Storage::first_index(&log).map_or(0, |first| first - 1);
         let state = match log.state() {
-            [] => State::default(),
-            bytes => State::read(bytes).ok_or(LATER)?,
+            [] => FleetState::default(),
+            bytes => FleetState::decode(bytes).ok_or(LATER)?,
         };
         let election = ELECTION + ELECTION_STEP * (id as usize % 8);
         let config = Config {
@@ -169,8 +172,8 @@
         };
         let quiet = slog::Logger::root(slog::Discard, slog::o!());
         let raw = RawNode::new(&config, log, &quiet)
-            .map_err(|_| Damaged("the log does not fit its voters"))?;
-        let founding = state.membership.founding();
+            .map_err(|_| CorruptLog("the log does not fit its voters"))?;
+        let founding = state.membership.is_founding();
         let founding = founding.then(|| Founding::new(id, incarnation, now));
         let (tick, injected) = (now, InjectedBugs::default());
         let (next, under_way, answers) = (Vec::new(), BTreeMap::new(), Vec::new());
@@ -224,21 +227,24 @@
     }
 
     /// Whether it leads, as far as it knows; and its term.
-    pub fn leads(&self) -> Option<u64> {
+    pub fn leader_term(&self) -> Option<u64> {
         (self.raw.raft.state == StateRole::Leader).then_some(self.raw.raft.term)
     }
 
     /// Why it must not vote any more, where the log says so: to be asked before anything that it has to do is done.
-    pub fn ended(&self) -> Option<Damaged> {
-        let gone =
-            self.founding.is_none() && self.state.membership.gone(self.id(), self.incarnation);
+    pub fn fatal_error(&self) -> Option<CorruptLog> {
+        let gone = self.founding.is_none()
+            && self
+                .state
+                .membership
+                .is_replaced(self.id(), self.incarnation);
         self.fault
             .clone()
-            .or(gone.then_some(Damaged("this voter was removed")))
+            .or(gone.then_some(CorruptLog("this voter was removed")))
     }
 
     /// What it has applied.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &FleetState {
         &self.state
     }
 
@@ -266,10 +272,10 @@
     pub fn step(
         &mut self,
         now: Micros,
-        from: From,
+        from: ReplyAddress,
         incarnation: u64,
         bytes: &[u8],
-    ) -> Result<(), Damaged> {
+    ) -> Result<(), CorruptLog> {
         self.now = now;
         let Ok(message) = raft::eraftpb::Message::parse_from_bytes(bytes) else {
             return Ok(());
@@ -277,11 +283,11 @@
         if self.founding.is_some() {
             return Ok(());
         }
-        if self.state.membership.gone(message.from, incarnation)
+        if self.state.membership.is_replaced(message.from, incarnation)
             && !self.injected.is(InjectedBug::TrustReborn)
         {
             self.answers
-                .push((from, Message::Gone(message.from, incarnation)));
+                .push((from, Message::NotAMember(message.from, incarnation)));
             return Ok(());
         }
         let current = message.term >= self.raw.raft.term;
@@ -289,7 +295,7 @@
         if current && message.get_msg_type() == MessageType::MsgHeartbeat {
             let end = raft::Storage::last_index(self.raw.store()).unwrap_or(0);
             if message.commit > end {
-                return Err(Damaged(
+                return Err(CorruptLog(
                     "entries that were answered for are not there any more",
                 ));
             }
@@ -300,19 +306,27 @@
     }
 
     /// A relay asks for its lease.
-    pub fn renew(&mut self, now: Micros, from: From, renew: Renew) {
+    pub fn handle_renew(&mut self, now: Micros, from: ReplyAddress, renew: RenewRequest) {
         self.now = now;
-        self.wait(Waiting::Renew(from, Box::new(renew)));
+        self.wait(Waiting::RenewRequest(from, Box::new(renew)));
     }
 
     /// Operators ask.
-    pub fn ask(&mut self, now: Micros, from: From, number: u64, ask: Ask) {
+    pub fn handle_operator_request(
+        &mut self,
+        now: Micros,
+        from: ReplyAddress,
+        number: u64,
+        ask: OperatorRequest,
+    ) {
         self.now = now;
-        if ask == Ask::Who {
-            let answer = Answer::Who(self.id(), self.incarnation);
-            return self.answers.push((from, Message::Answer(number, answer)));
+        if ask == OperatorRequest::Identity {
+            let answer = OperatorResponse::Identity(self.id(), self.incarnation);
+            return self
+                .answers
+                .push((from, Message::OperatorResponse(number, answer)));
         }
-        self.wait(Waiting::Ask(from, number, ask));
+        self.wait(Waiting::OperatorRequest(from, number, ask));
     }
 
     fn leader(&self) -> Option<u64> {
@@ -320,7 +334,7 @@
     }
 
     fn wait(&mut self, waiting: Waiting) {
-        if self.leads().is_some() && self.next.len() < WAITING {
+        if self.leader_term().is_some() && self.next.len() < WAITING {
             return self.next.push(waiting);
         }
         self.turn_away(waiting);
@@ -329,30 +343,33 @@
     fn turn_away(&mut self, waiting: Waiting) {
         let elsewhere = self.leader().filter(|leader| *leader != self.id());
         self.answers.push(match waiting {
-            Waiting::Renew(from, renew) => {
+            Waiting::RenewRequest(from, renew) => {
                 // With who votes: the leader may be one that the relay's operator file does not name.
-                let newer = renew.membership < self.state.membership.version;
+                let newer = renew.membership_version < self.state.membership.version;
                 let membership = newer.then(|| self.state.membership.clone());
-                let reply = Reply {
-                    elsewhere: Some(elsewhere),
+                let reply = RenewResponse {
+                    redirect: Some(elsewhere),
                     membership,
-                    ..Reply::to(&renew)
+                    ..RenewResponse::for_request(&renew)
                 };
-                (from, Message::Reply(reply))
+                (from, Message::RenewResponse(reply))
             }
-            Waiting::Ask(from, number, _) => {
+            Waiting::OperatorRequest(from, number, _) => {
                 let member = |number: u64| {
                     let address = self
                         .state
                         .membership
-                        .of
+                        .members
                         .get(&number)
                         .map(|member| member.address.clone());
                     (number, address.unwrap_or_default())
                 };
                 (
                     from,
-                    Message::Answer(number, Answer::Elsewhere(elsewhere.map(member))),
+                    Message::OperatorResponse(
+                        number,
+                        OperatorResponse::Redirect(elsewhere.map(member)),
+                    ),
                 )
             }
         });
@@ -364,8 +381,8 @@
             return;
         }
         // A leader that has nothing of its own term in the log yet cannot be confirmed.
-        if self.leads().is_none() || !self.raw.raft.commit_to_current_term() {
-            if self.leads().is_none() {
+        if self.leader_term().is_none() || !self.raw.raft.commit_to_current_term() {
+            if self.leader_term().is_none() {
                 std::mem::take(&mut self.next)
                     .into_iter()
                     .for_each(|waiting| self.turn_away(waiting));
@@ -388,35 +405,36 @@
 
     /// Answers what was confirmed.
     fn answer(&mut self, waiting: Waiting) {
-        if self.leads().is_none() {
+        if self.leader_term().is_none() {
             return self.turn_away(waiting);
         }
         match waiting {
-            Waiting::Renew(from, renew) => {
+            Waiting::RenewRequest(from, renew) => {
                 let reply = self.grant(*renew);
-                self.answers.push((from, Message::Reply(reply)));
+                self.answers.push((from, Message::RenewResponse(reply)));
             }
-            Waiting::Ask(from, number, ask) => {
+            Waiting::OperatorRequest(from, number, ask) => {
                 let answer = self.tell(ask);
-                self.answers.push((from, Message::Answer(number, answer)));
+                self.answers
+                    .push((from, Message::OperatorResponse(number, answer)));
             }
         }
     }
 
     /// What a relay gets. The relay may have refused the proposal, too.
-    fn grant(&mut self, renew: Renew) -> Reply {
+    fn grant(&mut self, renew: RenewRequest) -> RenewResponse {
         let (now, term) = (self.now, self.raw.raft.term);
-        let mut reply = Reply::to(&renew);
+        let mut reply = RenewResponse::for_request(&renew);
         let Some(leadership) = self
             .leadership
             .as_mut()
             .filter(|leadership| leadership.term == term)
         else {
-            reply.elsewhere = Some(None);
+            reply.redirect = Some(None);
             return reply;
         };
         if !leadership.relays.contains_key(&renew.relay) && leadership.relays.len() >= WAITING {
-            reply.elsewhere = Some(None);
+            reply.redirect = Some(None);
             return reply;
         }
         let known = leadership.relays.entry(renew.relay.clone()).or_default();
@@ -424,11 +442,13 @@
         (known.prepared, known.revoked) = (renew.prepared, renew.revoked);
         // One that is not reached by answers holds no lease, however often it asks: it once kept its jobs for as long as
         // it was deaf, and a change waited for it. From here on it is granted nothing until it has heard that.
-        known.unheard = known.unheard.filter(|(number, _)| *number > renew.heard);
+        known.unheard = known
+            .unheard
+            .filter(|(number, _)| *number > renew.last_seen_response);
         let deaf = known
             .unheard
-            .is_some_and(|(_, since)| now >= since + self.times.lease);
-        known.unheard.get_or_insert((renew.number, now));
+            .is_some_and(|(_, since)| now >= since + self.times.lease_duration);
+        known.unheard.get_or_insert((renew.sequence, now));
         let current = renew.epoch == self.state.policy.epoch;
         if !current {
             reply.policy = Some(self.state.policy.clone());
@@ -445,22 +465,24 @@
         else {
             return reply;
         };
-        if renew.membership < self.state.membership.version {
+        if renew.membership_version < self.state.membership.version {
             reply.membership = Some(self.state.membership.clone());
         }
         let mut refusal = None;
         match &self.state.phase {
-            Phase::Sealed(p) if !self.injected.is(InjectedBug::GrantClosed) => {
-                reply.close = Some(p.id)
+            ProposalPhase::Sealed(p) if !self.injected.is(InjectedBug::GrantClosed) => {
+                reply.revoke = Some(p.id)
             }
-            Phase::Preparing(p) if renew.refused.as_ref().is_some_and(|(id, _)| *id == p.id) => {
-                let why = renew.refused.map_or(String::new(), |(_, why)| why);
-                refusal = Some(Command::Refuse(p.id, renew.relay.name, why));
+            ProposalPhase::Preparing(p)
+                if renew.rejected.as_ref().is_some_and(|(id, _)| *id == p.id) =>
+            {
+                let why = renew.rejected.map_or(String::new(), |(_, why)| why);
+                refusal = Some(Command::Reject(p.id, renew.relay.name, why));
                 reply.grant = current.then_some(renew.epoch);
             }
             phase => {
                 reply.grant = current.then_some(renew.epoch);
-                if let Phase::Preparing(p) = phase {
+                if let ProposalPhase::Preparing(p) = phase {
                     reply.prepare = Some(p.clone()).filter(|p| renew.prepared != Some(p.id));
                 }
             }
@@ -477,14 +499,14 @@
         reply
     }
 
-    fn tell(&mut self, ask: Ask) -> Answer {
+    fn tell(&mut self, ask: OperatorRequest) -> OperatorResponse {
         let id = match ask {
-            Ask::Status => {
+            OperatorRequest::Status => {
                 let (leader, term, state) = (self.id(), self.raw.raft.term, self.state.clone());
                 let runs = |known: &Known| {
                     known
                         .granted
-                        .is_some_and(|at| self.now < self.times.lapsed_by(at))
+                        .is_some_and(|at| self.now < self.times.lease_expired_by(at))
                 };
                 let relays = self
                     .leadership
@@ -494,45 +516,53 @@
                     .map(|(relay, known)| (relay.clone(), runs(known), known.epoch))
                     .collect();
                 let (membership, idle) = (self.membership(), self.idle());
-                return Answer::Status(Box::new(Status {
+                return OperatorResponse::Status(Box::new(FleetStatus {
                     leader,
                     term,
                     state,
                     relays,
-                    membership,
-                    idle,
+                    voters: membership,
+                    unassigned_jobs: idle,
                 }));
             }
-            Ask::Token(name) => {
-                let token = self.state.jobs.of.get(&name).map_or(0, |job| job.token);
-                return Answer::Token(name, token);
+            OperatorRequest::Token(name) => {
+                let token = self
+                    .state
+                    .jobs
+                    .by_name
+                    .get(&name)
+                    .map_or(0, |job| job.token);
+                return OperatorResponse::Token(name, token);
+            }
+            OperatorRequest::Job(assignment) => return self.assignment_asked(assignment),
+            OperatorRequest::Identity => {
+                return OperatorResponse::Identity(self.id(), self.incarnation)
             }
-            Ask::Job(assignment) => return self.assignment_asked(assignment),
-            Ask::Who => return Answer::Who(self.id(), self.incarnation),
-            Ask::Member(change) => return self.reseat(&change),
-            Ask::Outcome(id) => id,
-            Ask::Propose(proposal) => {
+            OperatorRequest::Member(change) => return self.reseat(&change),
+            OperatorRequest::Outcome(id) => id,
+            OperatorRequest::Propose(proposal) => {
                 let id = proposal.id;
                 let known = self.state.outcome(id).is_some()
-                    || self.state.under_way().is_some_and(|p| p.id == id);
+                    || self.state.pending_proposal().is_some_and(|p| p.id == id);
                 if !known {
                     self.propose(&Command::Propose(proposal));
-                    return Answer::UnderWay("handed to the log".into(), Vec::new());
+                    return OperatorResponse::InProgress("handed to the log".into(), Vec::new());
                 }
                 id
             }
         };
         if let Some(outcome) = self.state.outcome(id) {
-            return Answer::Outcome(outcome.clone());
+            return OperatorResponse::Outcome(outcome.clone());
         }
         match &self.state.phase {
-            Phase::Preparing(p) if p.id == id => {
-                Answer::UnderWay("each relay checks and stores it".into(), self.waited_for())
-            }
-            Phase::Sealed(p) if p.id == id => {
-                Answer::UnderWay("waits until no lease runs".into(), self.waited_for())
+            ProposalPhase::Preparing(p) if p.id == id => OperatorResponse::InProgress(
+                "each relay checks and stores it".into(),
+                self.waited_for(),
+            ),
+            ProposalPhase::Sealed(p) if p.id == id => {
+                OperatorResponse::InProgress("waits until no lease runs".into(), self.waited_for())
             }
-            _ => Answer::Unknown,
+            _ => OperatorResponse::Unknown,
         }
     }
 
@@ -540,7 +570,7 @@
     /// else. Found by seed 18 of the virtual fleet: a newcomer never learnt the log. Also before it has committed anything
     /// of its term (seed 12345): it may be that very voter whose word is wanted for that.
     fn resend(&mut self) {
-        if self.leads().is_none() {
+        if self.leader_term().is_none() {
             return;
         }
         let waits = |progress: &raft::Progress| progress.state == raft::ProgressState::Snapshot;
@@ -570,7 +600,7 @@
     /// Whether all that ran before this leader came into leadership has run out.
     fn settled(&self, leadership: &Leadership) -> bool {
         self.injected.is(InjectedBug::ForgetPredecessor)
-            || self.now >= self.times.lapsed_by(leadership.since)
+            || self.now >= self.times.lease_expired_by(leadership.since)
     }
 
     /// Relays that may still hold a lease and have not done what the proposal wants of them.
@@ -581,12 +611,12 @@
         let runs = |known: &Known| {
             known
                 .granted
-                .is_some_and(|at| self.now < self.times.lapsed_by(at))
+                .is_some_and(|at| self.now < self.times.lease_expired_by(at))
         };
         let done = |known: &Known| match &self.state.phase {
-            Phase::Rest => true,
-            Phase::Preparing(p) => known.prepared == Some(p.id),
-            Phase::Sealed(p) => known.revoked == Some(p.id),
+            ProposalPhase::Idle => true,
+            ProposalPhase::Preparing(p) => known.prepared == Some(p.id),
+            ProposalPhase::Sealed(p) => known.revoked == Some(p.id),
         };
         let late = leadership
             .relays
@@ -602,7 +632,7 @@
     /// Carries the proposal under way a step further, where it leads and nothing is waited for.
     fn govern(&mut self) {
         let Some(term) = self
-            .leads()
+            .leader_term()
             .filter(|_| self.raw.raft.commit_to_current_term())
         else {
             self.leadership = None;
@@ -624,9 +654,9 @@
         self.promote();
         self.assignment();
         let at = match &self.state.phase {
-            Phase::Rest => None,
-            Phase::Preparing(p) => Some((p.id, false)),
-            Phase::Sealed(p) => Some((p.id, true)),
+            ProposalPhase::Idle => None,
+            ProposalPhase::Preparing(p) => Some((p.id, false)),
+            ProposalPhase::Sealed(p) => Some((p.id, true)),
         };
         let waited_for = self.waited_for();
         let (times, skip) = (self.times, self.injected.is(InjectedBug::SkipWait));
@@ -634,7 +664,7 @@
             return;
         };
         // Relays that are long gone are forgotten: their leases have run out.
-        let patience = times.patience + times.lapsed_by(0);
+        let patience = times.proposal_timeout + times.lease_expired_by(0);
         leadership
             .relays
             .retain(|_, known| now < known.seen + patience);
@@ -651,12 +681,12 @@
         let since = leadership.step.map_or(now, |(_, _, since)| since);
         let command = if closing {
             // Whoever holds a lease got it before it was closed, whatever this leader knows of that.
-            let lapsed = now >= times.lapsed_by(since);
+            let lapsed = now >= times.lease_expired_by(since);
             (waited_for.is_empty() || lapsed || skip).then_some(Command::Commit(id))
         } else if waited_for.is_empty() {
             Some(Command::Seal(id))
-        } else if now >= since + times.patience {
-            Some(Command::GiveUp(id, waited_for))
+        } else if now >= since + times.proposal_timeout {
+            Some(Command::TimeOut(id, waited_for))
         } else {
             None
         };
@@ -668,31 +698,31 @@
     }
 
     /// What is to be done now. To be called again until there is nothing: each call takes what the last one led to.
-    pub fn work(&mut self, now: Micros) -> Work {
+    pub fn ready(&mut self, now: Micros) -> Ready {
         self.now = now;
-        let mut work = Work::default();
+        let mut work = Ready::default();
         if self.founding.is_some() {
-            work.to_voters = self.introduce();
-            work.answers.append(&mut self.answers);
+            work.voter_messages = self.introduce();
+            work.replies.append(&mut self.answers);
             return work;
         }
-        work.store = self.met.take().unwrap_or_default();
+        work.persist = self.met.take().unwrap_or_default();
         if self.raw.has_ready() {
-            self.ready(&mut work);
+            self.process_raft_ready(&mut work);
         }
         self.confirm();
-        work.answers.append(&mut self.answers);
+        work.replies.append(&mut self.answers);
         work
     }
 
-    fn ready(&mut self, work: &mut Work) {
+    fn process_raft_ready(&mut self, work: &mut Ready) {
         let mut ready = self.raw.ready();
         let mut messages = ready.take_messages();
         if *ready.snapshot() != raft::eraftpb::Snapshot::default() {
             let snapshot = ready.snapshot().clone();
             self.raw.mut_store().install(&snapshot);
-            work.store.snapshot = Some(bytes(&snapshot));
-            match State::read(&snapshot.data) {
+            work.persist.snapshot = Some(bytes(&snapshot));
+            match FleetState::decode(&snapshot.data) {
                 Some(state) => self.state = state,
                 None => self.fault = Some(LATER),
             }
@@ -700,12 +730,12 @@
         self.apply(ready.take_committed_entries());
         if !ready.entries().is_empty() {
             let entries = ready.entries().clone();
-            work.store.entries = entries.iter().map(|e| (e.index, bytes(e))).collect();
+            work.persist.entries = entries.iter().map(|e| (e.index, bytes(e))).collect();
             self.raw.mut_store().append(&entries);
         }
         if let Some(vote) = ready.hs() {
             let vote = vote.clone();
-            work.store.vote = Some(bytes(&vote));
+            work.persist.hard_state = Some(bytes(&vote));
             self.raw.mut_store().set_vote(&vote);
         }
         let mut confirmed = Vec::new();
@@ -734,7 +764,7 @@
                 .map_or_else(|_| Default::default(), |s| s.hard_state);
             vote.commit = commit;
             self.raw.mut_store().set_vote(&vote);
-            work.store.vote = Some(bytes(&vote));
+            work.persist.hard_state = Some(bytes(&vote));
         }
         self.apply(light.take_committed_entries());
         self.raw.advance_apply();
@@ -742,7 +772,7 @@
         confirmed
             .into_iter()
             .for_each(|waiting| self.answer(waiting));
-        if self.leads().is_none() {
+        if self.leader_term().is_none() {
             let lost: Vec<Waiting> = std::mem::take(&mut self.under_way)
                 .into_values()
                 .flatten()
@@ -750,12 +780,12 @@
             lost.into_iter().for_each(|waiting| self.turn_away(waiting));
         }
         if self.fault.is_none()
-            && work.store.snapshot.is_none()
+            && work.persist.snapshot.is_none()
             && (self.membership_changed || self.raw.store().len() > COMPACT)
         {
             self.compact(work);
         }
-        work.to_voters = messages
+        work.voter_messages = messages
             .iter()
             .map(|m| (m.to, Message::Log(self.incarnation, bytes(m))))
             .collect();
@@ -779,14 +809,14 @@
         }
     }
 
-    fn compact(&mut self, work: &mut Work) {
+    fn compact(&mut self, work: &mut Ready) {
         let applied = self.raw.raft.raft_log.applied;
         let conf = self.raw.raft.prs().conf().to_conf_state();
         let stored = self
             .raw
             .mut_store()
             .compact(applied, &conf, wire::encode(&self.state));
-        (work.store.snapshot, work.store.compact) = (stored.snapshot, stored.compact);
+        (work.persist.snapshot, work.persist.compact_to) = (stored.snapshot, stored.compact_to);
         self.membership_changed = false;
     }
 }
--- a/crates/control/src/log/voter/jobs.rs
+++ b/crates/control/src/log/voter/jobs.rs
@@ -1,12 +1,14 @@
 //! Who has which job, as the leader decides it.
 
-use super::{From, Known, Leadership, Voter};
-use crate::jobs::assignment::{may_be_named, Assignment, Jobs, BATCH, MOST_JOBS};
-use crate::jobs::owner::STOPS;
+use super::{Known, Leadership, ReplyAddress, Voter};
+use crate::jobs::assignment::{
+    is_valid_job_name, Assignment, Jobs, MAX_ASSIGNMENTS_PER_BATCH, MAX_JOBS,
+};
+use crate::jobs::owner::RELAY_STOPS;
 use crate::log::state::Command;
 use crate::wire::message::{
-    kind_of, Answer, Message, OwnJobs, Poll, Publish, Relay, Renew, Reply, Skills, Submission,
-    Subscribe,
+    job_kind, AssignedJobs, JobCapabilities, Message, OperatorResponse, Poll, Publish, RelayId,
+    RenewRequest, RenewResponse, Submission, Subscribe,
 };
 use crate::{InjectedBug, Micros};
 
@@ -47,37 +49,37 @@
 pub(super) fn renewed(
     jobs: &Jobs,
     known: &mut Known,
-    renew: &Renew,
-    reply: &mut Reply,
+    renew: &RenewRequest,
+    reply: &mut RenewResponse,
     now: Micros,
 ) -> Vec<Assignment> {
-    reply.last = Some(jobs.last);
-    known.jobs = renew.jobs;
+    reply.last_token = Some(jobs.last_token);
+    known.jobs = renew.jobs_version;
     let mut assignments = Vec::new();
-    if let Some(version) = renew.jobs {
+    if let Some(version) = renew.jobs_version {
         known.leased = Some(now);
         if version < jobs.version {
             let checkpoint = |(name, token): (String, u64)| {
-                let job = jobs.of.get(&name).cloned().unwrap_or_default();
-                (name, token, job.step, job.checkpoint)
+                let job = jobs.by_name.get(&name).cloned().unwrap_or_default();
+                (name, token, job.checkpoint_step, job.checkpoint)
             };
             let of = jobs
                 .of_relay(&renew.relay)
                 .into_iter()
                 .map(checkpoint)
                 .collect();
-            reply.jobs = Some(OwnJobs {
+            reply.jobs = Some(AssignedJobs {
                 version: jobs.version,
-                of,
+                jobs: of,
             });
         }
         let new = |(name, token, _): &(String, u64, String)| {
-            jobs.of
+            jobs.by_name
                 .get(name)
                 .is_some_and(|job| job.token == *token && job.revoked_at.is_none())
         };
         let gives_up: Vec<_> = renew
-            .gives_up
+            .relinquished
             .iter()
             .filter(|gone| new(gone))
             .cloned()
@@ -85,18 +87,18 @@
         if !gives_up.is_empty() {
             assignments.push(Assignment::Revoke(gives_up));
         }
-        let opens = &renew.skills.opens;
+        let opens = &renew.capabilities.expected_jobs;
         // One that can never be opened would be handed to the log with each question.
         let new = opens
             .iter()
-            .filter(|name| may_be_named(name) && !jobs.of.contains_key(*name));
+            .filter(|name| is_valid_job_name(name) && !jobs.by_name.contains_key(*name));
         let new: Vec<String> = new.cloned().collect();
-        if !new.is_empty() && jobs.of.len() + new.len() <= MOST_JOBS {
+        if !new.is_empty() && jobs.by_name.len() + new.len() <= MAX_JOBS {
             assignments.push(Assignment::Open(new));
         }
-        known.skills = renew.skills.clone();
+        known.skills = renew.capabilities.clone();
         for (name, token, step, bytes) in &renew.checkpoints {
-            let at = jobs.of.get(name).map_or(0, |job| job.step);
+            let at = jobs.by_name.get(name).map_or(0, |job| job.checkpoint_step);
             if at + 1 == *step {
                 assignments.push(Assignment::Checkpoint(
                     name.clone(),
@@ -105,15 +107,18 @@
                     bytes.clone(),
                 ));
             }
-            reply.steps.push((name.clone(), at));
+            reply.checkpoint_steps.push((name.clone(), at));
         }
     }
     assignments
 }
 
 /// Relays that do jobs and may act on them now.
-fn workers(leadership: &Leadership, may_act: impl Fn(&Relay) -> bool) -> Vec<(Relay, Skills)> {
-    let works = |(relay, known): &(&Relay, &Known)| known.jobs.is_some() && may_act(relay);
+fn workers(
+    leadership: &Leadership,
+    may_act: impl Fn(&RelayId) -> bool,
+) -> Vec<(RelayId, JobCapabilities)> {
+    let works = |(relay, known): &(&RelayId, &Known)| known.jobs.is_some() && may_act(relay);
     let relays = leadership.relays.iter().filter(works);
     relays
         .map(|(relay, known)| (relay.clone(), known.skills.clone()))
@@ -122,44 +127,46 @@
 
 impl Voter {
     /// A relay follows this voter's updates.
-    pub fn subscribe(&mut self, now: Micros, from: From, follow: Subscribe) {
+    pub fn handle_subscribe(&mut self, now: Micros, from: ReplyAddress, follow: Subscribe) {
         self.now = now;
         let told = self
             .broadcaster
-            .subscribe(now, from, follow, &self.state.jobs);
+            .handle_subscribe(now, from, follow, &self.state.jobs);
         self.answers
             .extend(told.into_iter().map(|message| (from, message)));
     }
 
     /// A relay that follows asks what is new.
-    pub fn poll(&mut self, now: Micros, from: From, poll: Poll) {
+    pub fn handle_poll(&mut self, now: Micros, from: ReplyAddress, poll: Poll) {
         self.now = now;
-        let delivery = self.broadcaster.poll(now, from, poll, &self.state.jobs);
+        let delivery = self
+            .broadcaster
+            .handle_poll(now, from, poll, &self.state.jobs);
         self.answers
             .extend(delivery.map(|delivery| (from, Message::Delivery(delivery))));
     }
 
     /// An owner of an older build has an update for all relays.
-    pub fn publish(&mut self, now: Micros, from: From, publish: Publish) {
+    pub fn handle_publish(&mut self, now: Micros, from: ReplyAddress, publish: Publish) {
         self.now = now;
-        let told: Vec<(From, Message)> =
+        let told: Vec<(ReplyAddress, Message)> =
             self.broadcaster
-                .publish(now, from, publish, &self.state.jobs);
+                .handle_publish(now, from, publish, &self.state.jobs);
         self.answers.extend(told);
     }
 
     /// An owner has an update for all relays.
-    pub fn submit(&mut self, now: Micros, from: From, submission: Submission) {
+    pub fn handle_submission(&mut self, now: Micros, from: ReplyAddress, submission: Submission) {
         self.now = now;
-        let told: Vec<(From, Message)> =
+        let told: Vec<(ReplyAddress, Message)> =
             self.broadcaster
-                .submit(now, from, submission, &self.state.jobs);
+                .handle_submission(now, from, submission, &self.state.jobs);
         self.answers.extend(told);
     }
 
     /// A link has ended.
-    pub fn gone(&mut self, from: From) {
-        self.broadcaster.gone(from);
+    pub fn disconnected(&mut self, from: ReplyAddress) {
+        self.broadcaster.disconnected(from);
     }
 
     /// Owners have given these up by their own measure.
@@ -171,7 +178,7 @@
             let Assignment::Revoke(names) = assignment else {
                 continue;
             };
-            for (name, _, _) in names.iter().filter(|(.., why)| why != STOPS) {
+            for (name, _, _) in names.iter().filter(|(.., why)| why != RELAY_STOPS) {
                 leadership
                     .resting
                     .entry(name.clone())
@@ -187,15 +194,15 @@
             return Vec::new();
         };
         let settled = self.settled(leadership);
-        let leased = |relay: &Relay| {
+        let leased = |relay: &RelayId| {
             let leased = leadership.relays.get(relay).and_then(|known| known.leased);
-            leased.is_some_and(|at| now < self.times.lapsed_by(at))
+            leased.is_some_and(|at| now < self.times.lease_expired_by(at))
         };
         let workers = workers(leadership, leased);
         let mut idle = Vec::new();
-        for (name, job) in &self.state.jobs.of {
+        for (name, job) in &self.state.jobs.by_name {
             let gave_up = || {
-                job.gave_up
+                job.relinquished_by
                     .as_ref()
                     .map_or(String::new(), |(by, why)| format!("; {by}: {why}"))
             };
@@ -212,12 +219,12 @@
                     "nothing is heard of {}, whose lease may still run",
                     owner.name
                 ),
-                None if job.held => "it is held: 'fleet release' gives it free".into(),
+                None if job.paused => "it is held: 'fleet release' gives it free".into(),
                 None if !settled => "the leader is new and waits for leases of before".into(),
-                None if !workers.iter().any(|(_, skills)| skills.can(name)) => {
+                None if !workers.iter().any(|(_, skills)| skills.supports(name)) => {
                     format!(
                         "no relay that answers does jobs of kind '{}'",
-                        kind_of(name)
+                        job_kind(name)
                     )
                 }
                 None if leadership
@@ -238,27 +245,27 @@
     }
 
     /// What operators want of the jobs. What is so already is done, so the same may be asked again.
-    pub(super) fn assignment_asked(&mut self, assignment: Assignment) -> Answer {
-        let of = &self.state.jobs.of;
+    pub(super) fn assignment_asked(&mut self, assignment: Assignment) -> OperatorResponse {
+        let of = &self.state.jobs.by_name;
         let done = match &assignment {
             Assignment::Open(names) => names.iter().all(|name| of.contains_key(name)),
             Assignment::Close(name) => !of.contains_key(name),
             Assignment::Hold(name, held) => match of.get(name) {
-                Some(job) => job.held == *held,
-                None => return Answer::Job(Err(format!("there is no job '{name}'"))),
+                Some(job) => job.paused == *held,
+                None => return OperatorResponse::Job(Err(format!("there is no job '{name}'"))),
             },
             Assignment::Revoke(names) => names.iter().all(|(name, token, _)| {
                 of.get(name).is_none_or(|job| {
                     job.token != *token || job.revoked_at.is_some() || job.owner.is_none()
                 })
             }),
-            _ => return Answer::Job(Err("a leader decides that, or an owner".into())),
+            _ => return OperatorResponse::Job(Err("a leader decides that, or an owner".into())),
         };
         if done {
-            return Answer::Job(Ok(()));
+            return OperatorResponse::Job(Ok(()));
         }
         self.propose(&Command::Assignment(assignment));
-        Answer::UnderWay("handed to the log".into(), Vec::new())
+        OperatorResponse::InProgress("handed to the log".into(), Vec::new())
     }
 
     /// Frees jobs whose owners cannot act on them any more, gives those that nobody has, and takes some back where a relay
@@ -272,19 +279,19 @@
         let due = leadership
             .assigned
             .is_none_or(|(version, at)| version != jobs.version || now >= at + DEAL);
-        if jobs.of.is_empty() || !due {
+        if jobs.by_name.is_empty() || !due {
             return;
         }
         let settled = self.settled(leadership);
-        let may_act = |relay: &Relay| {
+        let may_act = |relay: &RelayId| {
             let leased = leadership.relays.get(relay).and_then(|known| known.leased);
-            !settled || leased.is_some_and(|at| now < times.lapsed_by(at))
+            !settled || leased.is_some_and(|at| now < times.lease_expired_by(at))
         };
         // Taken back first, freed after: from the entry that takes it back on, whoever renews its lease is told in the same
         // answer that it has the job no more, so what is judged here stays true until the next entry is in the log. Freed
         // at once, a job went to another while its owner had come back and renewed (seed 57 of the virtual fleet).
         let (mut free, mut back) = (Vec::new(), Vec::new());
-        for (name, job) in &jobs.of {
+        for (name, job) in &jobs.by_name {
             let Some(owner) = &job.owner else { continue };
             let known = leadership.relays.get(owner);
             // Whoever has heard of that version has said so after it stopped.
@@ -293,11 +300,12 @@
                     .and_then(|known| known.jobs)
                     .is_some_and(|version| version >= at)
             });
-            let silent = early && known.is_none_or(|known| now >= known.seen + times.renew);
+            let silent =
+                early && known.is_none_or(|known| now >= known.seen + times.renew_interval);
             let lapsed = silent || !may_act(owner);
             if job.revoked_at.is_some() && (stopped || lapsed) {
                 free.push((name.clone(), job.token));
-            } else if job.revoked_at.is_none() && (lapsed || job.held) {
+            } else if job.revoked_at.is_none() && (lapsed || job.paused) {
                 let why = if lapsed {
                     "nothing is heard of it"
                 } else {
@@ -305,7 +313,7 @@
                 };
                 back.push((name.clone(), job.token, why.to_string()));
             }
-            if free.len().max(back.len()) == BATCH {
+            if free.len().max(back.len()) == MAX_ASSIGNMENTS_PER_BATCH {
                 break;
             }
         }
--- a/crates/control/src/log/voter/members.rs
+++ b/crates/control/src/log/voter/members.rs
@@ -1,9 +1,9 @@
 //! Who votes, as its leader and each voter see it: founders that meet, newcomers that learn, and membership that change.
 
-use super::{From, Voter, LATER};
-use crate::log::membership::{Change, Verdict};
+use super::{ReplyAddress, Voter, LATER};
+use crate::log::membership::{ChangeDecision, MembershipChange};
 use crate::wire;
-use crate::wire::message::{Answer, Message};
+use crate::wire::message::{Message, OperatorResponse};
 use crate::{InjectedBug, Micros};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry};
@@ -31,12 +31,18 @@
 
 impl Voter {
     /// A founder has said which disk it has. Whoever is past the founding tells it the same, or that it is none.
-    pub fn founder(&mut self, now: Micros, from: From, number: u64, incarnation: u64) {
+    pub fn handle_founding(
+        &mut self,
+        now: Micros,
+        from: ReplyAddress,
+        number: u64,
+        incarnation: u64,
+    ) {
         self.now = now;
         let Some(founding) = &mut self.founding else {
             return self.answer_founder(from, number, incarnation);
         };
-        if self.state.membership.of.contains_key(&number) {
+        if self.state.membership.members.contains_key(&number) {
             founding.heard.insert(number, incarnation);
         }
         self.meet();
@@ -44,12 +50,12 @@
 
     /// Past the founding: says which disk this voter has, or that the other is none. Each is told the former once in a
     /// while only: another that is past the founding, too, answers in turn, and they would go on for good.
-    fn answer_founder(&mut self, from: From, number: u64, incarnation: u64) {
+    fn answer_founder(&mut self, from: ReplyAddress, number: u64, incarnation: u64) {
         let trusts = self.injected.is(InjectedBug::TrustReborn);
-        if self.state.membership.gone(number, incarnation) && !trusts {
+        if self.state.membership.is_replaced(number, incarnation) && !trusts {
             return self
                 .answers
-                .push((from, Message::Gone(number, incarnation)));
+                .push((from, Message::NotAMember(number, incarnation)));
         }
         let now = self.now;
         self.introduced.retain(|_, at| now < *at + INTRODUCE / 2);
@@ -69,26 +75,26 @@
         if self
             .state
             .membership
-            .of
+            .members
             .keys()
             .any(|number| !founding.heard.contains_key(number))
         {
             return;
         }
-        self.state.membership.met(&founding.heard);
+        self.state.membership.founders_met(&founding.heard);
         self.founding = None;
         self.met = Some(self.raw.mut_store().met(wire::encode(&self.state)));
     }
 
     /// Founders that have not been heard yet.
-    pub fn missing(&self) -> Vec<u64> {
+    pub fn missing_founders(&self) -> Vec<u64> {
         let Some(founding) = &self.founding else {
             return Vec::new();
         };
         let missing = self
             .state
             .membership
-            .of
+            .members
             .keys()
             .filter(|number| !founding.heard.contains_key(number));
         missing.copied().collect()
@@ -108,7 +114,7 @@
         let others = self
             .state
             .membership
-            .of
+            .members
             .keys()
             .filter(|number| **number != self.raw.raft.id);
         others.map(|number| (*number, own.clone())).collect()
@@ -152,18 +158,18 @@
     }
 
     /// Changes who votes, where that can be.
-    pub(super) fn reseat(&mut self, change: &Change) -> Answer {
+    pub(super) fn reseat(&mut self, change: &MembershipChange) -> OperatorResponse {
         let active: Vec<u64> = self
             .membership()
             .iter()
             .filter(|(_, active, _)| *active)
             .map(|(number, ..)| *number)
             .collect();
-        match self.state.membership.judge(change, &active) {
-            Verdict::Done => Answer::Member(Ok(())),
-            Verdict::Refused(why) => Answer::Member(Err(why)),
-            Verdict::UnderWay(what) => Answer::UnderWay(what, Vec::new()),
-            Verdict::Make if *change == Change::Remove(self.id()) => {
+        match self.state.membership.check(change, &active) {
+            ChangeDecision::Done => OperatorResponse::Member(Ok(())),
+            ChangeDecision::Rejected(why) => OperatorResponse::Member(Err(why)),
+            ChangeDecision::InProgress(what) => OperatorResponse::InProgress(what, Vec::new()),
+            ChangeDecision::Allowed if *change == MembershipChange::Remove(self.id()) => {
                 // Its successor removes it: a leader that removes itself would lead voters it is none of.
                 let membership = self.membership();
                 let others = membership.iter().filter(|(number, active, _)| {
@@ -174,26 +180,26 @@
                 if let Some((next, ..)) = others.min_by_key(|(_, _, behind)| *behind) {
                     self.raw.transfer_leader(*next);
                 }
-                Answer::UnderWay(
+                OperatorResponse::InProgress(
                     "the voter to be removed leads, and hands its leadership over".into(),
                     Vec::new(),
                 )
             }
-            Verdict::Make => {
+            ChangeDecision::Allowed => {
                 if self.may_reseat() {
                     self.hand_in(change);
                 }
-                Answer::UnderWay("handed to the log".into(), Vec::new())
+                OperatorResponse::InProgress("handed to the log".into(), Vec::new())
             }
         }
     }
 
     /// Hands a change of the membership to the log. While one is under way the library takes no other.
-    pub(super) fn hand_in(&mut self, change: &Change) {
+    pub(super) fn hand_in(&mut self, change: &MembershipChange) {
         let (kind, number) = match change {
-            Change::Add(number, ..) => (ConfChangeType::AddLearnerNode, *number),
-            Change::Promote(number) => (ConfChangeType::AddNode, *number),
-            Change::Remove(number) => (ConfChangeType::RemoveNode, *number),
+            MembershipChange::Add(number, ..) => (ConfChangeType::AddLearnerNode, *number),
+            MembershipChange::Promote(number) => (ConfChangeType::AddNode, *number),
+            MembershipChange::Remove(number) => (ConfChangeType::RemoveNode, *number),
         };
         let mut conf = ConfChange {
             node_id: number,
@@ -208,16 +214,16 @@
         let learner = self
             .state
             .membership
-            .of
+            .members
             .iter()
-            .find(|(_, member)| !member.votes)
+            .find(|(_, member)| !member.is_voter)
             .map(|(number, _)| *number);
         let Some(number) = learner else { return };
         let caught_up = self.raw.raft.prs().get(number).is_some_and(|progress| {
             progress.recent_active && progress.matched + BEHIND >= self.raw.raft.raft_log.committed
         });
         if caught_up && self.may_reseat() {
-            self.hand_in(&Change::Promote(number));
+            self.hand_in(&MembershipChange::Promote(number));
         }
     }
 
@@ -225,7 +231,7 @@
         let Ok(conf) = ConfChange::parse_from_bytes(&entry.data) else {
             return;
         };
-        let Some(change) = wire::decode::<Change>(&entry.context) else {
+        let Some(change) = wire::decode::<MembershipChange>(&entry.context) else {
             self.fault = Some(LATER);
             return;
         };
--- a/crates/control/src/wire/encoding.rs
+++ b/crates/control/src/wire/encoding.rs
@@ -44,14 +44,14 @@
 mod tests {
     use super::*;
     use crate::jobs::assignment::Assignment;
-    use crate::log::state::{Command, State, NEEDS};
-    use crate::wire::message::{Message, Renew};
+    use crate::log::state::{Command, FleetState, STATE_VERSION};
+    use crate::wire::message::{Message, RenewRequest};
     use serde::Deserialize;
 
     /// A question as an older and as a later build write it.
     #[derive(Serialize, Deserialize, Debug, PartialEq)]
     struct Older {
-        relay: crate::wire::message::Relay,
+        relay: crate::wire::message::RelayId,
         number: u64,
         epoch: u64,
     }
@@ -59,37 +59,37 @@
     #[derive(Serialize)]
     struct Later {
         #[serde(flatten)]
-        renew: Renew,
+        renew: RenewRequest,
         of_a_later_build: Vec<u64>,
     }
 
     #[test]
     fn builds_of_two_ages_understand_each_other() {
-        let renew = Renew {
-            number: 7,
+        let renew = RenewRequest {
+            sequence: 7,
             epoch: 3,
-            jobs: Some(4),
-            ..Renew::default()
+            jobs_version: Some(4),
+            ..RenewRequest::default()
         };
         let older: Older = decode(&encode(&renew)).unwrap();
         assert_eq!((older.number, older.epoch), (7, 3));
-        let read: Renew = decode(&encode(&older)).unwrap();
+        let read: RenewRequest = decode(&encode(&older)).unwrap();
         assert_eq!(
             read,
-            Renew {
-                number: 7,
+            RenewRequest {
+                sequence: 7,
                 epoch: 3,
-                ..Renew::default()
+                ..RenewRequest::default()
             }
         );
         let later = Later {
             renew: renew.clone(),
             of_a_later_build: vec![1],
         };
-        assert_eq!(decode::<Renew>(&encode(&later)), Some(renew));
-        let message = Message::Renew(Renew {
-            number: 7,
-            ..Renew::default()
+        assert_eq!(decode::<RenewRequest>(&encode(&later)), Some(renew));
+        let message = Message::RenewRequest(RenewRequest {
+            sequence: 7,
+            ..RenewRequest::default()
         });
         assert_ne!(encode_later(&message), encode(&message));
         assert_eq!(decode(&encode_later(&message)), Some(message));
@@ -107,14 +107,14 @@
 
     #[test]
     fn a_state_that_needs_a_later_build_says_so() {
-        let mut state = State::default();
+        let mut state = FleetState::default();
         assert_eq!(
-            state.needs, 0,
+            state.required_version, 0,
             "a fleet without jobs can go back to a build that knows none"
         );
         state.apply(Command::Assignment(Assignment::Open(vec!["a".into()])));
-        assert_eq!(State::read(&encode(&state)), Some(state.clone()));
-        state.needs = NEEDS + 1;
-        assert_eq!(State::read(&encode(&state)), None);
+        assert_eq!(FleetState::decode(&encode(&state)), Some(state.clone()));
+        state.required_version = STATE_VERSION + 1;
+        assert_eq!(FleetState::decode(&encode(&state)), None);
     }
 }
--- a/crates/control/src/wire/mac.rs
+++ b/crates/control/src/wire/mac.rs
@@ -10,54 +10,54 @@
 use sha2::Sha256;
 
 /// Format of the frames and messages. Fleets of two formats do not talk; the log says which relay is the other.
-pub const FORMAT: u8 = 2;
+pub const FRAME_FORMAT: u8 = 2;
 /// The longest frame, in bytes: a policy of the longest text, or a piece of the log, and some.
-pub const MOST: usize = 512 * 1024;
+pub const MAX_FRAME_BYTES: usize = 512 * 1024;
 const MAGIC: [u8; 3] = *b"JFC";
 const NUMBER: usize = 16;
 const TAG: usize = 32;
 const LENGTH: usize = 4;
 /// What a frame has beside its message, in bytes.
-pub const FRAME: usize = LENGTH + TAG;
+pub const FRAME_OVERHEAD: usize = LENGTH + TAG;
 /// What each side says first, in bytes: magic, format, fleet, number.
-pub const HELLO: usize = 3 + 1 + 8 + NUMBER + TAG;
+pub const HELLO_BYTES: usize = 3 + 1 + 8 + NUMBER + TAG;
 
 type Hash = Hmac<Sha256>;
 
 /// Why a connection cannot go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FrameError {
     /// It speaks something else.
-    Magic,
+    WrongProtocol,
     /// It speaks another format.
-    Format(u8),
+    WrongFormat(u8),
     /// It is of another fleet.
-    Fleet,
+    WrongFleet,
     /// It has none of the keys, or what it sends was changed, doubled or left out.
-    Key,
+    WrongKey,
     /// A frame is longer than any may be.
-    Length,
+    TooLong,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for FrameError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::Magic => write!(f, "does not speak the fleet's protocol"),
-            Fault::Format(n) => write!(
+            FrameError::WrongProtocol => write!(f, "does not speak the fleet's protocol"),
+            FrameError::WrongFormat(n) => write!(
                 f,
-                "speaks format {n}, this build {FORMAT}: upgrade the older one"
+                "speaks format {n}, this build {FRAME_FORMAT}: upgrade the older one"
             ),
-            Fault::Fleet => write!(f, "is of another fleet: compare fleet.id"),
-            Fault::Key => {
+            FrameError::WrongFleet => write!(f, "is of another fleet: compare fleet.id"),
+            FrameError::WrongKey => {
                 write!(f, "has none of this relay's keys, or sends what is not its own: compare fleet.keys")
             }
-            Fault::Length => write!(f, "sends a frame longer than {MOST} bytes"),
+            FrameError::TooLong => write!(f, "sends a frame longer than {MAX_FRAME_BYTES} bytes"),
         }
     }
 }
 
 /// One side of a connection.
-pub struct Session {
+pub struct FrameSession {
     keys: Vec<Vec<u8>>,
     key: usize,
     fleet: u64,
@@ -67,14 +67,14 @@
     sent: u64,
     got: u64,
     inbox: Vec<u8>,
-    out: Vec<u8>,
+    outgoing: Vec<u8>,
 }
 
-impl Session {
+impl FrameSession {
     /// The side that dials, or the one that is dialled. The first key seals, each opens; `number` must be random.
-    pub fn new(dials: bool, keys: Vec<Vec<u8>>, fleet: u64, number: [u8; NUMBER]) -> Session {
+    pub fn new(dials: bool, keys: Vec<Vec<u8>>, fleet: u64, number: [u8; NUMBER]) -> FrameSession {
         let (inbox, out) = (Vec::new(), Vec::new());
-        let mut session = Session {
+        let mut session = FrameSession {
             keys,
             key: 0,
             fleet,
@@ -84,7 +84,7 @@
             sent: 0,
             got: 0,
             inbox,
-            out,
+            outgoing: out,
         };
         if dials {
             session.hello();
@@ -93,13 +93,13 @@
     }
 
     /// Whether frames can be sent.
-    pub fn ready(&self) -> bool {
+    pub fn is_established(&self) -> bool {
         self.theirs.is_some()
     }
 
     /// What is to be written to the socket.
-    pub fn out(&mut self) -> &mut Vec<u8> {
-        &mut self.out
+    pub fn outgoing(&mut self) -> &mut Vec<u8> {
+        &mut self.outgoing
     }
 
     fn hash(&self, key: usize) -> Hash {
@@ -109,7 +109,7 @@
 
     fn hello(&mut self) {
         let mut hello = MAGIC.to_vec();
-        hello.push(FORMAT);
+        hello.push(FRAME_FORMAT);
         hello.extend_from_slice(&self.fleet.to_be_bytes());
         hello.extend_from_slice(&self.mine);
         let mut hash = self.hash(self.key);
@@ -117,27 +117,29 @@
         // Who answers shows that it has heard the number of whoever dialled.
         hash.update(&self.theirs.unwrap_or_default());
         hello.extend_from_slice(&hash.finalize().into_bytes());
-        self.out.extend_from_slice(&hello);
+        self.outgoing.extend_from_slice(&hello);
     }
 
-    fn heard(&mut self, hello: &[u8]) -> Result<(), Fault> {
+    fn heard(&mut self, hello: &[u8]) -> Result<(), FrameError> {
         if hello[..3] != MAGIC {
-            return Err(Fault::Magic);
+            return Err(FrameError::WrongProtocol);
         }
-        if hello[3] != FORMAT {
-            return Err(Fault::Format(hello[3]));
+        if hello[3] != FRAME_FORMAT {
+            return Err(FrameError::WrongFormat(hello[3]));
         }
         if hello[4..12] != self.fleet.to_be_bytes() {
-            return Err(Fault::Fleet);
+            return Err(FrameError::WrongFleet);
         }
-        let (said, tag) = hello.split_at(HELLO - TAG);
+        let (said, tag) = hello.split_at(HELLO_BYTES - TAG);
         let knows = |key: &usize| {
             let mut hash = self.hash(*key);
             hash.update(said);
             hash.update(&if self.dials { self.mine } else { [0; NUMBER] });
             hash.verify_slice(tag).is_ok()
         };
-        self.key = (0..self.keys.len()).find(knows).ok_or(Fault::Key)?;
+        self.key = (0..self.keys.len())
+            .find(knows)
+            .ok_or(FrameError::WrongKey)?;
         let mut theirs = [0; NUMBER];
         theirs.copy_from_slice(&said[12..]);
         self.theirs = Some(theirs);
@@ -161,7 +163,7 @@
 
     /// Puts a message into a frame. False where it is too long for one, or the other side has not answered yet.
     pub fn send(&mut self, body: &[u8]) -> bool {
-        if self.theirs.is_none() || body.len() + TAG > MOST {
+        if self.theirs.is_none() || body.len() + TAG > MAX_FRAME_BYTES {
             return false;
         }
         let tag = self
@@ -169,26 +171,26 @@
             .finalize()
             .into_bytes();
         self.sent += 1;
-        self.out
+        self.outgoing
             .extend_from_slice(&((body.len() + TAG) as u32).to_be_bytes());
-        self.out.extend_from_slice(body);
-        self.out.extend_from_slice(&tag);
+        self.outgoing.extend_from_slice(body);
+        self.outgoing.extend_from_slice(&tag);
         true
     }
 
     /// Takes what has come; the messages in it.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, Fault> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, FrameError> {
         self.inbox.extend_from_slice(bytes);
         let (mut at, mut messages) = (0, Vec::new());
         if self.theirs.is_none() {
             // Said as soon as it can be seen, not after a wait for the rest.
             if self.inbox.iter().zip(&MAGIC).any(|(a, b)| a != b) {
-                return Err(Fault::Magic);
+                return Err(FrameError::WrongProtocol);
             }
-            if self.inbox.len() < HELLO {
+            if self.inbox.len() < HELLO_BYTES {
                 return Ok(messages);
             }
-            let hello: Vec<u8> = self.inbox.drain(..HELLO).collect();
+            let hello: Vec<u8> = self.inbox.drain(..HELLO_BYTES).collect();
             self.heard(&hello)?;
         }
         loop {
@@ -199,8 +201,8 @@
             else {
                 break;
             };
-            if !(TAG..=MOST).contains(&length) {
-                return Err(Fault::Length);
+            if !(TAG..=MAX_FRAME_BYTES).contains(&length) {
+                return Err(FrameError::TooLong);
             }
             let Some(frame) = rest.get(LENGTH..LENGTH + length) else {
                 break;
@@ -208,7 +210,7 @@
             let (body, tag) = frame.split_at(length - TAG);
             self.tag(!self.dials, self.got, body)
                 .verify_slice(tag)
-                .map_err(|_| Fault::Key)?;
+                .map_err(|_| FrameError::WrongKey)?;
             self.got += 1;
             messages.push(body.to_vec());
             at += LENGTH + length;
@@ -226,19 +228,19 @@
         of.iter().map(|key| key.as_bytes().to_vec()).collect()
     }
 
-    fn pair(dials: &[&str], answers: &[&str]) -> (Session, Session) {
+    fn pair(dials: &[&str], answers: &[&str]) -> (FrameSession, FrameSession) {
         (
-            Session::new(true, keys(dials), 7, [1; 16]),
-            Session::new(false, keys(answers), 7, [2; 16]),
+            FrameSession::new(true, keys(dials), 7, [1; 16]),
+            FrameSession::new(false, keys(answers), 7, [2; 16]),
         )
     }
 
-    fn pass(from: &mut Session, to: &mut Session) -> Result<Vec<Vec<u8>>, Fault> {
-        let bytes = std::mem::take(from.out());
+    fn pass(from: &mut FrameSession, to: &mut FrameSession) -> Result<Vec<Vec<u8>>, FrameError> {
+        let bytes = std::mem::take(from.outgoing());
         to.feed(&bytes)
     }
 
-    fn greet(a: &mut Session, b: &mut Session) -> Result<(), Fault> {
+    fn greet(a: &mut FrameSession, b: &mut FrameSession) -> Result<(), FrameError> {
         pass(a, b)?;
         pass(b, a).map(drop)
     }
@@ -253,9 +255,15 @@
             let (mut a, mut b) = pair(dials, answers);
             assert!(!a.send(b"too early"));
             greet(&mut a, &mut b).unwrap();
-            assert!(a.ready() && b.ready() && a.send(b"one") && a.send(b"two") && b.send(b""));
+            assert!(
+                a.is_established()
+                    && b.is_established()
+                    && a.send(b"one")
+                    && a.send(b"two")
+                    && b.send(b"")
+            );
             let mut heard = Vec::new();
-            for byte in std::mem::take(a.out()) {
+            for byte in std::mem::take(a.outgoing()) {
                 heard.extend(b.feed(&[byte]).unwrap());
             }
             assert_eq!(heard, [b"one", b"two"]);
@@ -266,18 +274,18 @@
     #[test]
     fn strangers_are_told_apart() {
         let (mut a, mut b) = pair(&["a"], &["b"]);
-        assert_eq!(pass(&mut a, &mut b), Err(Fault::Key));
-        let mut other = Session::new(false, keys(&["a"]), 8, [2; 16]);
+        assert_eq!(pass(&mut a, &mut b), Err(FrameError::WrongKey));
+        let mut other = FrameSession::new(false, keys(&["a"]), 8, [2; 16]);
         let (mut a, _) = pair(&["a"], &["a"]);
-        assert_eq!(pass(&mut a, &mut other), Err(Fault::Fleet));
+        assert_eq!(pass(&mut a, &mut other), Err(FrameError::WrongFleet));
         let (mut a, mut b) = pair(&["a"], &["a"]);
-        a.out()[3] = 9;
-        assert_eq!(pass(&mut a, &mut b), Err(Fault::Format(9)));
+        a.outgoing()[3] = 9;
+        assert_eq!(pass(&mut a, &mut b), Err(FrameError::WrongFormat(9)));
         let (_, mut b) = pair(&["a"], &["a"]);
-        assert_eq!(b.feed(b"GET / HTTP"), Err(Fault::Magic));
+        assert_eq!(b.feed(b"GET / HTTP"), Err(FrameError::WrongProtocol));
         let (mut a, mut b) = pair(&["a"], &["a"]);
         greet(&mut a, &mut b).unwrap();
-        assert_eq!(b.feed(&u32::MAX.to_be_bytes()), Err(Fault::Length));
+        assert_eq!(b.feed(&u32::MAX.to_be_bytes()), Err(FrameError::TooLong));
     }
 
     #[test]
@@ -285,19 +293,19 @@
         let (mut a, mut b) = pair(&["a"], &["a"]);
         greet(&mut a, &mut b).unwrap();
         a.send(b"one");
-        let frame = std::mem::take(a.out());
+        let frame = std::mem::take(a.outgoing());
         assert_eq!(b.feed(&frame).unwrap(), [b"one"]);
-        assert_eq!(b.feed(&frame), Err(Fault::Key), "the same again");
+        assert_eq!(b.feed(&frame), Err(FrameError::WrongKey), "the same again");
         // On another connection, with the same hello before it.
-        let mut c = Session::new(false, keys(&["a"]), 7, [3; 16]);
+        let mut c = FrameSession::new(false, keys(&["a"]), 7, [3; 16]);
         let (mut d, _) = pair(&["a"], &["a"]);
         pass(&mut d, &mut c).unwrap();
-        assert_eq!(c.feed(&frame), Err(Fault::Key));
+        assert_eq!(c.feed(&frame), Err(FrameError::WrongKey));
         // One's own words sent back.
         let (mut a, mut b) = pair(&["a"], &["a"]);
         greet(&mut a, &mut b).unwrap();
         a.send(b"one");
-        let frame = std::mem::take(a.out());
-        assert_eq!(a.feed(&frame), Err(Fault::Key));
+        let frame = std::mem::take(a.outgoing());
+        assert_eq!(a.feed(&frame), Err(FrameError::WrongKey));
     }
 }
--- a/crates/control/src/wire/message.rs
+++ b/crates/control/src/wire/message.rs
@@ -1,10 +1,10 @@
 //! What relays say to each other.
 
 pub use crate::broadcast::message::{Delivery, Poll, Receipt, Submission};
-use crate::jobs::assignment::{Assignment, Token};
-use crate::log::membership::{Change, Membership, Number};
-use crate::log::state::{Outcome, Policy, Proposal, ProposalId, State};
-pub use crate::wire::relay::{kind_of, Relay, Skills};
+use crate::jobs::assignment::{Assignment, FencingToken};
+use crate::log::membership::{Membership, MembershipChange, VoterId};
+use crate::log::state::{FleetState, Policy, Proposal, ProposalId, ProposalOutcome};
+pub use crate::wire::relay::{job_kind, JobCapabilities, RelayId};
 use crate::{wire, Micros};
 use serde::{Deserialize, Serialize};
 
@@ -14,19 +14,21 @@
 }
 
 /// Where an answer goes: whatever the driver made of the sender.
-pub type From = u64;
+pub type ReplyAddress = u64;
 
 /// A relay asks for its lease, and says how far it is.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Renew {
+pub struct RenewRequest {
     /// Who asks.
-    pub relay: Relay,
+    pub relay: RelayId,
     /// Grows with each: an answer to an earlier one counts for nothing.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// The last of its questions to which it has heard a leader's answer.
     #[serde(skip_serializing_if = "is_default")]
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub last_seen_response: u64,
     /// The policy that it would admit clients under.
     #[serde(skip_serializing_if = "is_default")]
     pub epoch: u64,
@@ -35,25 +37,29 @@
     pub prepared: Option<ProposalId>,
     /// The proposal that it refuses, and why.
     #[serde(skip_serializing_if = "is_default")]
-    pub refused: Option<(ProposalId, String)>,
+    #[serde(rename = "refused")]
+    pub rejected: Option<(ProposalId, String)>,
     /// The proposal for which it has stopped admitting under the old policy.
     #[serde(rename = "yielded", skip_serializing_if = "is_default")]
     pub revoked: Option<ProposalId>,
     /// The version of the membership that it knows.
     #[serde(rename = "seats", skip_serializing_if = "is_default")]
-    pub membership: u64,
+    pub membership_version: u64,
     /// The version of its jobs that it knows, and acts by; none where it does no jobs.
     #[serde(skip_serializing_if = "is_default")]
-    pub jobs: Option<u64>,
+    #[serde(rename = "jobs")]
+    pub jobs_version: Option<u64>,
     /// Jobs that it gives up, and why: it does not act on them any more.
     #[serde(skip_serializing_if = "is_default")]
-    pub gives_up: Vec<(String, Token, String)>,
+    #[serde(rename = "gives_up")]
+    pub relinquished: Vec<(String, FencingToken, String)>,
     /// How far its jobs are: name, token, number and what it says.
     #[serde(skip_serializing_if = "is_default")]
-    pub checkpoints: Vec<(String, Token, u64, Vec<u8>)>,
+    pub checkpoints: Vec<(String, FencingToken, u64, Vec<u8>)>,
     /// What it can do, where it does jobs.
     #[serde(skip_serializing_if = "is_default")]
-    pub skills: Skills,
+    #[serde(rename = "skills")]
+    pub capabilities: JobCapabilities,
 }
 
 /// A relay follows a voter's updates, and says what owners of jobs have to know of it.
@@ -61,11 +67,13 @@
 #[serde(default)]
 pub struct Subscribe {
     /// Who follows.
-    pub relay: Relay,
+    pub relay: RelayId,
     /// Grows with each.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// The newest that it has of each job: token and number.
-    pub knows: Vec<(String, Token, u64)>,
+    #[serde(rename = "knows")]
+    pub known_updates: Vec<(String, FencingToken, u64)>,
     /// What owners of jobs of a kind have to know of it.
     #[serde(rename = "facts")]
     pub reports: Vec<Report>,
@@ -77,13 +85,14 @@
     pub zone: String,
     /// The tables that it has: job, token and version.
     #[serde(skip_serializing_if = "is_default")]
-    pub tables: Vec<(String, Token, u64)>,
+    pub tables: Vec<(String, FencingToken, u64)>,
     /// The version of its reports.
     #[serde(skip_serializing_if = "is_default")]
     pub reports_version: u64,
     /// An owner that follows another voter asks for the clock of this one.
     #[serde(skip_serializing_if = "is_default")]
-    pub asks_only: bool,
+    #[serde(rename = "asks_only")]
+    pub clock_only: bool,
 }
 
 /// What a relay says to the owners of jobs of a kind.
@@ -94,7 +103,8 @@
     pub kind: String,
     /// What it says, as that kind of job reads it.
     #[serde(with = "serde_bytes")]
-    pub body: Vec<u8>,
+    #[serde(rename = "body")]
+    pub payload: Vec<u8>,
 }
 
 /// What an owner says to all relays.
@@ -104,14 +114,16 @@
     /// The job, and the token under which it is said.
     pub job: String,
     /// See `job`.
-    pub token: Token,
+    pub token: FencingToken,
     /// Grows with each under one token.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// At most so old when it was sent on.
     pub age: Micros,
     /// What it says, as that kind of job reads it.
     #[serde(with = "serde_bytes")]
-    pub body: Vec<u8>,
+    #[serde(rename = "body")]
+    pub payload: Vec<u8>,
 }
 
 /// An owner hands a voter what is to be told to all relays.
@@ -124,7 +136,8 @@
     /// The last moment of the voter's clock that the voter has told this owner, and how long ago that was here.
     pub stamp: Micros,
     /// See `stamp`.
-    pub since: Micros,
+    #[serde(rename = "since")]
+    pub stamp_age: Micros,
 }
 
 /// What a voter tells a relay that follows it.
@@ -132,11 +145,14 @@
 #[serde(default)]
 pub struct Updates {
     /// The start of the process that it is for: numbers begin anew with each.
-    pub start: u64,
+    #[serde(rename = "start")]
+    pub incarnation: u64,
     /// The last question that it heard of the relay, and how long ago.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// See `number`.
-    pub since: Micros,
+    #[serde(rename = "since")]
+    pub request_age: Micros,
     /// The voter's clock.
     pub stamp: Micros,
     /// What owners say.
@@ -144,7 +160,7 @@
     pub updates: Vec<Update>,
     /// For owners: what relays say to their kinds of jobs, and how old that is at most.
     #[serde(rename = "facts")]
-    pub reports: Vec<(Relay, Micros, Vec<Report>)>,
+    pub reports: Vec<(RelayId, Micros, Vec<Report>)>,
     /// The protocol of updates that the voter speaks; zero for builds that know no deliveries.
     #[serde(skip_serializing_if = "is_default")]
     pub version: u32,
@@ -153,14 +169,17 @@
 /// What a voter says to that.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Reply {
+pub struct RenewResponse {
     /// The start of the process that it answers: numbers begin anew with each.
-    pub start: u64,
+    #[serde(rename = "start")]
+    pub incarnation: u64,
     /// The number of what it answers.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// Where the leader is thought to be, where this voter is none; nothing else is said then.
     #[serde(skip_serializing_if = "is_default")]
-    pub elsewhere: Option<Option<u64>>,
+    #[serde(rename = "elsewhere")]
+    pub redirect: Option<Option<u64>>,
     /// The lease: admit clients under this epoch.
     #[serde(skip_serializing_if = "is_default")]
     pub grant: Option<u64>,
@@ -172,45 +191,49 @@
     pub prepare: Option<Proposal>,
     /// Stop admitting clients under the policy that you have, for this proposal's sake.
     #[serde(skip_serializing_if = "is_default")]
-    pub close: Option<ProposalId>,
+    #[serde(rename = "close")]
+    pub revoke: Option<ProposalId>,
     /// Who votes, where the relay knows an older version.
     #[serde(rename = "seats", skip_serializing_if = "is_default")]
     pub membership: Option<Membership>,
     /// The relay's jobs, where it knows another version of them.
     #[serde(skip_serializing_if = "is_default")]
-    pub jobs: Option<OwnJobs>,
+    pub jobs: Option<AssignedJobs>,
     /// The number of the last checkpoint that the log has of each job that the question bears one of.
     #[serde(skip_serializing_if = "is_default")]
-    pub steps: Vec<(String, u64)>,
+    #[serde(rename = "steps")]
+    pub checkpoint_steps: Vec<(String, u64)>,
     /// The last token that was given; none where the voter does not lead.
     #[serde(skip_serializing_if = "is_default")]
-    pub last: Option<Token>,
+    #[serde(rename = "last")]
+    pub last_token: Option<FencingToken>,
 }
 
 /// What a relay has to do for the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct OwnJobs {
+pub struct AssignedJobs {
     /// Of all jobs.
     pub version: u64,
     /// Each with its token, and the number and text of its last checkpoint.
-    pub of: Vec<(String, Token, u64, Vec<u8>)>,
+    #[serde(rename = "of")]
+    pub jobs: Vec<(String, FencingToken, u64, Vec<u8>)>,
 }
 
-impl Reply {
+impl RenewResponse {
     /// One that says nothing yet.
-    pub fn to(renew: &Renew) -> Reply {
-        Reply {
-            start: renew.relay.start,
-            number: renew.number,
-            ..Reply::default()
+    pub fn for_request(renew: &RenewRequest) -> RenewResponse {
+        RenewResponse {
+            incarnation: renew.relay.incarnation,
+            sequence: renew.sequence,
+            ..RenewResponse::default()
         }
     }
 }
 
 /// What operators ask.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum OperatorRequest {
     /// Begin with this proposal, unless it is known already.
     Propose(Proposal),
     /// What became of it.
@@ -219,35 +242,39 @@
     Status,
     /// Change who votes.
     #[serde(rename = "Seat")]
-    Member(Change),
+    Member(MembershipChange),
     /// Change the jobs; what only a leader decides is refused.
     Job(Assignment),
     /// The token that a job has now.
     Token(String),
     /// Which voter this is, and the incarnation of its disk. Answered by any.
-    Who,
+    #[serde(rename = "Who")]
+    Identity,
 }
 
 /// What they are told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum OperatorResponse {
     /// Ask this voter, at that address where no operator file may name it; none where there is no leader just now.
-    Elsewhere(Option<(Number, String)>),
+    #[serde(rename = "Elsewhere")]
+    Redirect(Option<(VoterId, String)>),
     /// It is under way: how far, and which relays are waited for.
-    UnderWay(String, Vec<String>),
+    #[serde(rename = "UnderWay")]
+    InProgress(String, Vec<String>),
     /// What became of it.
-    Outcome(Outcome),
+    Outcome(ProposalOutcome),
     /// Nobody has heard of it.
     Unknown,
     /// How things stand.
-    Status(Box<Status>),
+    Status(Box<FleetStatus>),
     /// Who votes is as it was asked for, or why it cannot be.
     #[serde(rename = "Seat")]
     Member(Result<(), String>),
-    /// See [`Ask::Who`].
-    Who(Number, u64),
+    /// See [`OperatorRequest::Who`].
+    #[serde(rename = "Who")]
+    Identity(VoterId, u64),
     /// The job's name and the token that it has now; 0 for one that was never given.
-    Token(String, Token),
+    Token(String, FencingToken),
     /// The change is in the log, or was refused.
     Job(Result<(), String>),
 }
@@ -255,20 +282,21 @@
 /// How things stand with the fleet, as its leader knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Status {
+pub struct FleetStatus {
     /// The leader, and its term.
     pub leader: u64,
     /// See `leader`.
     pub term: u64,
     /// What the log says.
-    pub state: State,
+    pub state: FleetState,
     /// Relays that have asked for a lease of this leader: whether it still runs, their epoch, and what they refuse.
-    pub relays: Vec<(Relay, bool, u64)>,
+    pub relays: Vec<(RelayId, bool, u64)>,
     /// Each member's number, whether it was heard of lately, and how many entries it is behind.
     #[serde(rename = "seats")]
-    pub membership: Vec<(Number, bool, u64)>,
+    pub voters: Vec<(VoterId, bool, u64)>,
     /// Jobs that nobody may act on just now, and why.
-    pub idle: Vec<(String, String)>,
+    #[serde(rename = "idle")]
+    pub unassigned_jobs: Vec<(String, String)>,
 }
 
 /// Anything that one process says to another.
@@ -277,17 +305,22 @@
     /// The log's own, as its library writes it, with the incarnation of the sender's disk.
     Log(u64, #[serde(with = "serde_bytes")] Vec<u8>),
     /// A founder, and the incarnation of its disk: each has to have heard all others before it votes.
-    Founding(Number, u64),
+    Founding(VoterId, u64),
     /// Who says to be this voter, with a disk of that incarnation, is none (any more).
-    Gone(Number, u64),
-    /// See [`Renew`].
-    Renew(Renew),
-    /// See [`Reply`].
-    Reply(Reply),
-    /// See [`Ask`]; the number comes back with the answer.
-    Ask(u64, Ask),
-    /// See [`Answer`].
-    Answer(u64, Answer),
+    #[serde(rename = "Gone")]
+    NotAMember(VoterId, u64),
+    /// See [`RenewRequest`].
+    #[serde(rename = "Renew")]
+    RenewRequest(RenewRequest),
+    /// See [`RenewResponse`].
+    #[serde(rename = "Reply")]
+    RenewResponse(RenewResponse),
+    /// See [`OperatorRequest`]; the number comes back with the answer.
+    #[serde(rename = "Ask")]
+    OperatorRequest(u64, OperatorRequest),
+    /// See [`OperatorResponse`].
+    #[serde(rename = "Answer")]
+    OperatorResponse(u64, OperatorResponse),
     /// See [`Subscribe`].
     #[serde(rename = "Follow")]
     Subscribe(Subscribe),
@@ -309,7 +342,8 @@
     #[serde(rename = "R")]
     Receipt(Receipt),
     /// That job has a newer token: whoever published under an older one must stop.
-    Stale(String, Token),
+    #[serde(rename = "Stale")]
+    StaleToken(String, FencingToken),
 }
 
 impl Message {
@@ -332,15 +366,15 @@
         match self {
             Message::Log(..) => "log",
             Message::Founding(..) => "founding",
-            Message::Gone(..) => "gone",
-            Message::Renew(_) => "renew",
-            Message::Reply(_) => "reply",
-            Message::Ask(..) => "ask",
-            Message::Answer(..) => "answer",
+            Message::NotAMember(..) => "gone",
+            Message::RenewRequest(_) => "renew",
+            Message::RenewResponse(_) => "reply",
+            Message::OperatorRequest(..) => "ask",
+            Message::OperatorResponse(..) => "answer",
             Message::Subscribe(_) => "subscribe",
             Message::Updates(_) => "updates",
             Message::Publish(_) => "publish",
-            Message::Stale(..) => "stale",
+            Message::StaleToken(..) => "stale",
             Message::Poll(_) => "poll",
             Message::Delivery(_) => "delivery",
             Message::Submission(_) => "submission",
@@ -353,8 +387,8 @@
         matches!(
             self,
             Message::Log(..)
-                | Message::Renew(_)
-                | Message::Reply(_)
+                | Message::RenewRequest(_)
+                | Message::RenewResponse(_)
                 | Message::Subscribe(_)
                 | Message::Updates(_)
                 | Message::Publish(_)
--- a/crates/control/tests/founding.rs
+++ b/crates/control/tests/founding.rs
@@ -1,22 +1,22 @@
 //! Founders that meet: each hears of all others, and then they are silent about it.
 
-use jaspermoor_control::log::storage::{Kept, Log};
+use jaspermoor_control::log::storage::{PersistedLog, RaftLog};
 use jaspermoor_control::log::voter::Voter;
 use jaspermoor_control::wire::message::Message;
-use jaspermoor_control::Times;
+use jaspermoor_control::FleetTiming;
 
 const FOUNDERS: [u64; 2] = [1, 2];
 /// How long a message is on its way.
 const WAY: u64 = 1_000;
 
 fn founder(number: u64) -> Voter {
-    let stored = Log::found(&FOUNDERS).stored();
-    let kept = Kept {
-        vote: stored.vote,
+    let stored = RaftLog::for_new_fleet(&FOUNDERS).persist_all();
+    let kept = PersistedLog {
+        hard_state: stored.hard_state,
         snapshot: stored.snapshot,
         entries: Vec::new(),
     };
-    Voter::new(number, 10 * number, &kept, Times::default(), 0).unwrap()
+    Voter::new(number, 10 * number, &kept, FleetTiming::default(), 0).unwrap()
 }
 
 /// What a founder says to the others at that moment.
@@ -24,13 +24,18 @@
     voter.tick(now);
     let says =
         |(to, message): &(u64, Message)| matches!(message, Message::Founding(..)).then_some(*to);
-    voter.work(now).to_voters.iter().filter_map(says).collect()
+    voter
+        .ready(now)
+        .voter_messages
+        .iter()
+        .filter_map(says)
+        .collect()
 }
 
 /// Whether a voter answers another one's introduction.
 fn answers(voter: &mut Voter, now: u64, from: u64) -> bool {
-    voter.founder(now, from, from, 10 * from);
-    let answers = voter.work(now).answers;
+    voter.handle_founding(now, from, from, 10 * from);
+    let answers = voter.ready(now).replies;
     answers
         .iter()
         .any(|(to, message)| *to == from && matches!(message, Message::Founding(..)))
--- a/crates/control/tests/wire_names.rs
+++ b/crates/control/tests/wire_names.rs
@@ -3,10 +3,11 @@
 
 use ciborium::Value;
 use jaspermoor_control::jobs::assignment::{Assignment, Job, Jobs};
-use jaspermoor_control::log::membership::{Change, Membership};
-use jaspermoor_control::log::state::{Command, Phase, Proposal, State};
+use jaspermoor_control::log::membership::{Membership, MembershipChange};
+use jaspermoor_control::log::state::{Command, FleetState, Proposal, ProposalPhase};
 use jaspermoor_control::wire::message::{
-    Answer, Ask, Message, Publish, Renew, Reply, Status, Subscribe, Updates,
+    FleetStatus, Message, OperatorRequest, OperatorResponse, Publish, RenewRequest, RenewResponse,
+    Subscribe, Updates,
 };
 use serde::Serialize;
 
@@ -31,15 +32,15 @@
 #[test]
 fn names_of_builds_before_the_renaming_stay_on_the_wire_and_in_stored_files() {
     // Parts that have nothing to say may be left out, so these have something.
-    let renew = Renew {
+    let renew = RenewRequest {
         revoked: Some(1),
-        membership: 1,
-        ..Renew::default()
+        membership_version: 1,
+        ..RenewRequest::default()
     };
-    let reply = Reply {
-        close: Some(1),
+    let reply = RenewResponse {
+        revoke: Some(1),
         membership: Some(Membership::default()),
-        ..Reply::default()
+        ..RenewResponse::default()
     };
     let cases = [
         (names(&renew), vec!["yielded", "seats"]),
@@ -47,8 +48,8 @@
         (names(&Publish::default()), vec!["item"]),
         (names(&Updates::default()), vec!["items", "facts"]),
         (names(&Subscribe::default()), vec!["facts"]),
-        (names(&Status::default()), vec!["seats"]),
-        (names(&State::default()), vec!["seats"]),
+        (names(&FleetStatus::default()), vec!["seats"]),
+        (names(&FleetState::default()), vec!["seats"]),
         (names(&Job::default()), vec!["yields"]),
         (names(&Jobs::default()), vec!["of"]),
         (names(&Membership::default()), vec!["highest", "of"]),
@@ -57,8 +58,11 @@
             vec!["Follow"],
         ),
         (names(&Message::Updates(Updates::default())), vec!["News"]),
-        (names(&Ask::Member(Change::Promote(1))), vec!["Seat"]),
-        (names(&Answer::Member(Ok(()))), vec!["Seat"]),
+        (
+            names(&OperatorRequest::Member(MembershipChange::Promote(1))),
+            vec!["Seat"],
+        ),
+        (names(&OperatorResponse::Member(Ok(()))), vec!["Seat"]),
         (names(&Assignment::Assign(Vec::new())), vec!["Give"]),
         (names(&Assignment::Revoke(Vec::new())), vec!["Yield"]),
         (names(&Assignment::Release(Vec::new())), vec!["Free"]),
@@ -67,7 +71,10 @@
             vec!["Deal", "Open"],
         ),
         (names(&Command::Seal(1)), vec!["Close"]),
-        (names(&Phase::Sealed(Proposal::default())), vec!["Closing"]),
+        (
+            names(&ProposalPhase::Sealed(Proposal::default())),
+            vec!["Closing"],
+        ),
     ];
     for (written, expected) in cases {
         for name in expected {
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -13,7 +13,7 @@
 use crate::xmpp_client::{Broke, Login};
 use crate::xmpp_server::{Server, Setup};
 use hdrhistogram::Histogram;
-use jaspermoor::front::xmpp::frame::Unit;
+use jaspermoor::protocol::xmpp::frame::Unit;
 use rustls::{ServerConfig, ServerConnection};
 use std::error::Error;
 use std::fmt::Write as _;
--- a/crates/lab/src/faults/virtual_fleet.rs
+++ b/crates/lab/src/faults/virtual_fleet.rs
@@ -9,19 +9,20 @@
 use super::history::{Broken, Fact, Line, Moment};
 use jaspermoor_control::broadcast::subscriber::Subscriber;
 use jaspermoor_control::jobs::assignment::Assignment;
-use jaspermoor_control::jobs::fence::{Fence, Verdict};
-use jaspermoor_control::jobs::moves::Moving;
-use jaspermoor_control::jobs::owner::Owner;
+use jaspermoor_control::jobs::fence::{Fence, FenceDecision};
+use jaspermoor_control::jobs::moves::MigrationStatus;
+use jaspermoor_control::jobs::owner::JobOwner;
 use jaspermoor_control::jobs::worker::{WorkContext, Worker, WorkerCommand};
-use jaspermoor_control::lease::client::{Alone, Effect, LeaseClient};
-use jaspermoor_control::log::membership::{Change, Membership};
+use jaspermoor_control::lease::client::{LeaderlessMode, LeaseAction, LeaseClient};
+use jaspermoor_control::log::membership::{Membership, MembershipChange};
 use jaspermoor_control::log::state::{Policy, Proposal, ProposalId};
-use jaspermoor_control::log::storage::{Kept, Log, Stored};
+use jaspermoor_control::log::storage::{PersistBatch, PersistedLog, RaftLog};
 use jaspermoor_control::log::voter::Voter;
 use jaspermoor_control::wire::message::{
-    kind_of, Answer, Ask, Delivery, Message, Relay, Skills, Updates,
+    job_kind, Delivery, JobCapabilities, Message, OperatorRequest, OperatorResponse, RelayId,
+    Updates,
 };
-use jaspermoor_control::{InjectedBug, InjectedBugs, Micros, Times};
+use jaspermoor_control::{FleetTiming, InjectedBug, InjectedBugs, Micros};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -130,7 +131,7 @@
     voter: Option<Voter>,
     lease_client: Option<LeaseClient>,
     /// What its disk has: a log where it is a voter, and the disk's incarnation.
-    kept: Kept,
+    kept: PersistedLog,
     incarnation: u64,
     /// The voters that it knows.
     membership: Membership,
@@ -142,14 +143,14 @@
     doubts: Vec<Order>,
     /// What it does for the fleet as a relay does it, and its connections that wait to be moved.
     worker: Option<Worker>,
-    moving: Moving,
+    moving: MigrationStatus,
     /// The version of each table, by job and token, that it has had.
     versions: BTreeMap<(String, u64), u64>,
     /// When each backend's load that it knows was true, by the true time.
     loads: BTreeMap<u64, Moment>,
     policy: Policy,
     /// What it has not stored, though it should have: lost in a crash.
-    unstored: Vec<Stored>,
+    unstored: Vec<PersistBatch>,
     starts: u64,
     /// Stopped up to then; what comes meanwhile waits.
     stopped_until: Moment,
@@ -224,7 +225,7 @@
 
 struct World {
     play: Play,
-    times: Times,
+    times: FleetTiming,
     rng: ChaCha8Rng,
     now: Moment,
     order: u64,
@@ -266,14 +267,14 @@
 }
 
 /// Applies what is stored to a disk, as the relay's own store does.
-fn store(kept: &mut Kept, stored: Stored) {
+fn store(kept: &mut PersistedLog, stored: PersistBatch) {
     let index = |bytes: &Vec<u8>| entry_index(bytes);
-    if let Some(vote) = stored.vote {
-        kept.vote = Some(vote);
+    if let Some(vote) = stored.hard_state {
+        kept.hard_state = Some(vote);
     }
     if let Some(snapshot) = stored.snapshot {
         kept.snapshot = Some(snapshot);
-        match stored.compact {
+        match stored.compact_to {
             Some(to) => kept.entries.retain(|e| index(e) > to),
             None => kept.entries.clear(),
         }
@@ -310,9 +311,9 @@
     fn new(play: Play) -> World {
         World {
             play,
-            times: Times {
-                patience: 4_000_000,
-                ..Times::default()
+            times: FleetTiming {
+                proposal_timeout: 4_000_000,
+                ..FleetTiming::default()
             },
             rng: ChaCha8Rng::seed_from_u64(play.seed),
             now: 0,
@@ -353,11 +354,11 @@
     fn begin(&mut self) {
         let ids: Vec<u64> = (1..=self.play.voters as u64).collect();
         // Half of the allowed drift to either side of the true time.
-        let half = self.times.drift * 1_000 / 2;
+        let half = self.times.clock_drift_per_mille * 1_000 / 2;
         for n in 0..self.play.voters + self.play.observers {
-            let mut kept = Kept::default();
+            let mut kept = PersistedLog::default();
             if n < self.play.voters {
-                store(&mut kept, Log::found(&ids).stored());
+                store(&mut kept, RaftLog::for_new_fleet(&ids).persist_all());
             }
             let clock = (
                 self.rng.random_range(0..1 << 40),
@@ -374,9 +375,9 @@
                 fence: Fence::with_injected(InjectedBugs(self.play.bug)),
                 doubts: Vec::new(),
                 worker: None,
-                moving: Moving {
+                moving: MigrationStatus {
                     waiting: 200,
-                    ..Moving::default()
+                    ..MigrationStatus::default()
                 },
                 versions: BTreeMap::new(),
                 loads: BTreeMap::new(),
@@ -492,21 +493,26 @@
         p.starts += 1;
         // As long as a number that is drawn.
         let start = p.starts.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let relay = Relay {
+        let relay = RelayId {
             name: p.name.clone(),
-            start,
+            incarnation: start,
         };
-        let mut lease_client =
-            LeaseClient::new(relay, voters, p.policy.clone(), times, Alone::Refuse)
-                .with_injected(injected, local);
+        let mut lease_client = LeaseClient::new(
+            relay,
+            voters,
+            p.policy.clone(),
+            times,
+            LeaderlessMode::Reject,
+        )
+        .with_injected(injected, local);
         lease_client.learn_membership(&p.membership);
         let zone = format!("z{}", n % zones.max(1));
-        let skills = Skills {
-            opens,
+        let skills = JobCapabilities {
+            expected_jobs: opens,
             zone: zone.clone(),
-            ..Skills::default()
+            ..JobCapabilities::default()
         };
-        lease_client.works(Owner::with_injected(injected).skilled(skills));
+        lease_client.set_job_owner(JobOwner::with_injected(injected).with_capabilities(skills));
         let subscriber = Subscriber::new(lease_client.relay().clone()).in_zone(&zone);
         let subscriber = if is_older {
             subscriber.with_whole_updates()
@@ -515,15 +521,15 @@
         };
         p.worker = Some(Worker::new(subscriber).with_injected(injected));
         // Counted since the start of each process.
-        p.moving = Moving {
+        p.moving = MigrationStatus {
             waiting: p.moving.waiting,
-            ..Moving::default()
+            ..MigrationStatus::default()
         };
         p.lease_client = Some(lease_client);
         // A disk without a log is that of a relay that has no vote, or was lost.
         if p.kept.snapshot.is_some() {
             match Voter::new(n as u64 + 1, p.incarnation, &p.kept, times, local) {
-                Ok(voter) if voter.ended().is_some() => {}
+                Ok(voter) if voter.fatal_error().is_some() => {}
                 Ok(voter) => {
                     let voter = voter.with_injected(injected);
                     p.voter = Some(if is_older {
@@ -639,36 +645,36 @@
         };
         let moving = p.moving;
         let context = WorkContext {
-            columns: &["x0".to_string(), "active".to_string()],
-            listed: &|zone| backends(zone, zones, per_zone),
-            moves: &|| Some((moving, MOVES)),
+            report_columns: &["x0".to_string(), "active".to_string()],
+            endpoints_in_zone: &|zone| backends(zone, zones, per_zone),
+            migration_status: &|| Some((moving, MOVES)),
         };
         let commands = match heard {
             Some(Heard::Updates(voter, updates)) => {
-                worker.updates(local, voter, lease_client, context, updates)
+                worker.handle_updates(local, voter, lease_client, context, updates)
             }
             Some(Heard::Delivery(voter, delivery)) => {
-                worker.delivery(local, voter, lease_client, context, delivery)
+                worker.handle_delivery(local, voter, lease_client, context, delivery)
             }
-            None => worker.turn(local, lease_client, context),
+            None => worker.tick(local, lease_client, context),
         };
-        for (job, token) in worker.acts_on() {
+        for (job, token) in worker.active_jobs() {
             if let Some(table) = worker.table(job) {
                 let of = self.tables.entry((job.into(), token)).or_default();
                 of.entry(table.version()).or_insert_with(|| table.digest());
             }
         }
         let acts: Vec<(String, u64)> = worker
-            .acts_on()
+            .active_jobs()
             .map(|(name, token)| (name.into(), token))
             .collect();
         if commands
             .iter()
-            .any(|command| matches!(command, WorkerCommand::Act(..)))
+            .any(|command| matches!(command, WorkerCommand::SendAsOwner(..)))
         {
             for (job, token) in acts
                 .iter()
-                .filter(|(name, _)| DONE.contains(&kind_of(name)))
+                .filter(|(name, _)| DONE.contains(&job_kind(name)))
             {
                 self.write(Fact::Acted {
                     relay: format!("n{n}"),
@@ -679,20 +685,21 @@
         }
         for command in commands {
             match command {
-                WorkerCommand::Send(voter, message) | WorkerCommand::Act(voter, message) => {
+                WorkerCommand::Send(voter, message)
+                | WorkerCommand::SendAsOwner(voter, message) => {
                     self.send(n, voter as usize - 1, message);
                 }
-                WorkerCommand::Probe(server) => {
+                WorkerCommand::CheckHealth(server) => {
                     let report = self.rng.random_bool(0.9).then(|| self.probe(server));
                     self.processes[n]
                         .worker
                         .iter_mut()
-                        .for_each(|w| w.found(local, server, report.clone()));
+                        .for_each(|w| w.health_checked(local, server, report.clone()));
                 }
-                WorkerCommand::Loads(rows) => rows
+                WorkerCommand::LoadReports(rows) => rows
                     .iter()
                     .for_each(|(server, at, row)| self.word(n, *server, *at, row)),
-                WorkerCommand::Permit(upto) => {
+                WorkerCommand::PermitMigrations(upto) => {
                     let moving = &mut self.processes[n].moving;
                     moving.permitted = moving.permitted.max(upto);
                 }
@@ -708,9 +715,9 @@
             }
         }
         let moving = &mut self.processes[n].moving;
-        while moving.waiting > 0 && moving.made < moving.permitted {
-            (moving.waiting, moving.made, self.moves) =
-                (moving.waiting - 1, moving.made + 1, self.moves + 1);
+        while moving.waiting > 0 && moving.completed < moving.permitted {
+            (moving.waiting, moving.completed, self.moves) =
+                (moving.waiting - 1, moving.completed + 1, self.moves + 1);
         }
         let most = MOVES * (self.now / 1_000_000 + 2) * 102 / 100;
         if self.moves > most {
@@ -810,7 +817,7 @@
         let (offset, rate) = self.processes[n].clock;
         let here = offset + truth / 1_000 * rate / 1_000;
         // Clocks go in milliseconds here, and five readings of them are in a word's age; the rest is what they drift.
-        let slack = 6_000 + (self.now - truth) * self.times.drift / 1_000;
+        let slack = 6_000 + (self.now - truth) * self.times.clock_drift_per_mille / 1_000;
         if at > here + slack {
             let text = format!(
                 "n{n} took a report of {truth} us for one that is {} us younger",
@@ -865,7 +872,7 @@
         else {
             return;
         };
-        let names = owner.names().filter(|name| !DONE.contains(&kind_of(name)));
+        let names = owner.names().filter(|name| !DONE.contains(&job_kind(name)));
         let names: Vec<String> = names.map(String::from).collect();
         for job in names {
             // Some hundred orders a job and play.
@@ -885,7 +892,7 @@
             };
             match whim {
                 // Not near the end, where each job must have its owner.
-                0 if self.now < self.play.length => owner.give_up(&job, "it is of no use"),
+                0 if self.now < self.play.length => owner.relinquish(&job, "it is of no use"),
                 1..40 => drop(owner.checkpoint(&job, token.to_be_bytes().to_vec())),
                 _ => {}
             }
@@ -922,13 +929,13 @@
         let last = self.processes[to]
             .lease_client
             .as_ref()
-            .and_then(LeaseClient::tokens);
+            .and_then(LeaseClient::last_token);
         let p = &mut self.processes[to];
         if let Some(last) = last {
-            p.fence.floor(last);
+            p.fence.set_floor(last);
         }
-        match p.fence.take(&order.job, order.token) {
-            Verdict::Obey => {
+        match p.fence.check(&order.job, order.token) {
+            FenceDecision::Accept => {
                 self.seen.orders[0] += 1;
                 let (receiver, Order { job, token, .. }) = (self.processes[to].name.clone(), order);
                 self.write(Fact::Obeyed {
@@ -937,15 +944,15 @@
                     token,
                 });
             }
-            Verdict::Stale(highest) => {
+            FenceDecision::Stale(highest) => {
                 self.seen.orders[1] += 1;
                 for at in self.arrivals(to, order.from) {
                     self.later(at, Event::Stale(order.from, order.job.clone(), highest));
                 }
             }
             // As many as it can bear to wait; the rest is sent again by owners that hear nothing.
-            Verdict::Ask if p.doubts.len() < 64 => p.doubts.push(order),
-            Verdict::Ask => {}
+            FenceDecision::Unknown if p.doubts.len() < 64 => p.doubts.push(order),
+            FenceDecision::Unknown => {}
         }
     }
 
@@ -962,7 +969,7 @@
             .may_act(local, job)
             .is_some_and(|own| own.token < token)
         {
-            owner.give_up(job, "a receiver knows a newer token");
+            owner.relinquish(job, "a receiver knows a newer token");
         }
     }
 
@@ -978,7 +985,11 @@
             .collect();
         for job in jobs {
             for voter in 0..self.processes.len() {
-                self.send(n, voter, Message::Ask(RECEIVERS, Ask::Token(job.clone())));
+                self.send(
+                    n,
+                    voter,
+                    Message::OperatorRequest(RECEIVERS, OperatorRequest::Token(job.clone())),
+                );
             }
         }
     }
@@ -989,7 +1000,7 @@
         let Some(lease_client) = &self.processes[n].lease_client else {
             return;
         };
-        if !lease_client.admits(local) {
+        if !lease_client.may_admit(local) {
             return;
         }
         let epoch = lease_client.policy().epoch;
@@ -1010,7 +1021,7 @@
 
     fn arrives(&mut self, to: usize, from: usize, message: Message) {
         if to == OPERATORS {
-            if let Message::Answer(_, answer) = message {
+            if let Message::OperatorResponse(_, answer) = message {
                 self.told(answer);
             }
             return;
@@ -1032,9 +1043,9 @@
         let p = &mut self.processes[n];
         match (message, &mut p.voter, &mut p.lease_client) {
             (Message::Founding(number, incarnation), Some(voter), _) => {
-                voter.founder(local, from as u64, number, incarnation);
+                voter.handle_founding(local, from as u64, number, incarnation);
             }
-            (Message::Gone(number, incarnation), Some(voter), _)
+            (Message::NotAMember(number, incarnation), Some(voter), _)
                 if (number, incarnation) == (voter.id(), voter.incarnation()) =>
             {
                 p.voter = None;
@@ -1054,18 +1065,22 @@
                     });
                 }
             }
-            (Message::Renew(renew), Some(voter), _) => voter.renew(local, from as u64, renew),
-            (Message::Ask(number, ask), Some(voter), _) => {
-                voter.ask(local, from as u64, number, ask)
+            (Message::RenewRequest(renew), Some(voter), _) => {
+                voter.handle_renew(local, from as u64, renew)
+            }
+            (Message::OperatorRequest(number, ask), Some(voter), _) => {
+                voter.handle_operator_request(local, from as u64, number, ask)
             }
             (Message::Subscribe(follow), Some(voter), _) => {
-                voter.subscribe(local, from as u64, follow)
+                voter.handle_subscribe(local, from as u64, follow)
             }
             (Message::Publish(publish), Some(voter), _) => {
-                voter.publish(local, from as u64, publish)
+                voter.handle_publish(local, from as u64, publish)
+            }
+            (Message::Poll(poll), Some(voter), _) => voter.handle_poll(local, from as u64, poll),
+            (Message::Submission(of), Some(voter), _) => {
+                voter.handle_submission(local, from as u64, of)
             }
-            (Message::Poll(poll), Some(voter), _) => voter.poll(local, from as u64, poll),
-            (Message::Submission(of), Some(voter), _) => voter.submit(local, from as u64, of),
             (Message::Updates(updates), ..) => {
                 self.do_jobs(n, Some(Heard::Updates(from as u64 + 1, updates)))
             }
@@ -1079,26 +1094,26 @@
                 self.check_tables(n, &jobs);
             }
             (Message::Receipt(receipt), ..) => {
-                p.worker
-                    .iter_mut()
-                    .for_each(|worker| worker.receipt(local, from as u64 + 1, receipt.clone()));
+                p.worker.iter_mut().for_each(|worker| {
+                    worker.handle_receipt(local, from as u64 + 1, receipt.clone())
+                });
             }
-            (Message::Stale(job, token), _, Some(lease_client)) => {
+            (Message::StaleToken(job, token), _, Some(lease_client)) => {
                 p.worker
                     .iter_mut()
-                    .for_each(|worker| worker.stale(local, lease_client, &job, token));
+                    .for_each(|worker| worker.handle_stale_token(local, lease_client, &job, token));
             }
-            (Message::Answer(_, Answer::Token(job, token)), ..) => {
+            (Message::OperatorResponse(_, OperatorResponse::Token(job, token)), ..) => {
                 p.worker
                     .iter_mut()
-                    .for_each(|worker| worker.known(&job, token));
-                p.fence.known(&job, token);
+                    .for_each(|worker| worker.learn_token(&job, token));
+                p.fence.learn_token(&job, token);
                 let (known, wait): (Vec<Order>, _) =
                     p.doubts.drain(..).partition(|order| order.job == job);
                 p.doubts = wait;
                 known.into_iter().for_each(|order| self.order(n, order));
             }
-            (Message::Reply(reply), _, Some(lease_client)) => {
+            (Message::RenewResponse(reply), _, Some(lease_client)) => {
                 let check = |text: &str| {
                     if text.contains("bad") {
                         Err("a key that nobody knows".into())
@@ -1106,7 +1121,7 @@
                         Ok(())
                     }
                 };
-                let effects = lease_client.heard(local, reply, check);
+                let effects = lease_client.handle_response(local, reply, check);
                 self.carry_out(n, effects);
                 self.request(n);
             }
@@ -1114,18 +1129,18 @@
         }
     }
 
-    fn carry_out(&mut self, n: usize, effects: Vec<Effect>) {
+    fn carry_out(&mut self, n: usize, effects: Vec<LeaseAction>) {
         let local = self.local(n);
         for effect in effects {
             match effect {
-                Effect::Prepare(proposal) => {
+                LeaseAction::PersistProposal(proposal) => {
                     let again = self.processes[n]
                         .lease_client
                         .as_mut()
-                        .map(|lease_client| lease_client.prepared(local, proposal));
+                        .map(|lease_client| lease_client.proposal_persisted(local, proposal));
                     self.carry_out(n, again.into_iter().collect());
                 }
-                Effect::Adopt(policy) => {
+                LeaseAction::AdoptPolicy(policy) => {
                     let (relay, epoch, text) = (
                         self.processes[n].name.clone(),
                         policy.epoch,
@@ -1138,9 +1153,11 @@
                         .and_modify(|(_, last)| *last = now);
                     self.write(Fact::Holds { relay, epoch, text });
                 }
-                Effect::Membership(membership) => self.processes[n].membership = membership,
-                Effect::Send(voter, renew) => {
-                    self.send(n, voter as usize - 1, Message::Renew(*renew))
+                LeaseAction::PersistMembership(membership) => {
+                    self.processes[n].membership = membership
+                }
+                LeaseAction::SendRenew(voter, renew) => {
+                    self.send(n, voter as usize - 1, Message::RenewRequest(*renew))
                 }
             }
         }
@@ -1152,8 +1169,12 @@
             let Some(voter) = &mut self.processes[n].voter else {
                 return;
             };
-            let work = voter.work(local);
-            let (leads, id, removed) = (voter.leads(), voter.id(), voter.ended().is_some());
+            let work = voter.ready(local);
+            let (leads, id, removed) = (
+                voter.leader_term(),
+                voter.id(),
+                voter.fatal_error().is_some(),
+            );
             if let Some(term) = leads {
                 if self.leads.insert(id, term) != Some(term) {
                     self.write(Fact::Leads { voter: id, term });
@@ -1164,23 +1185,23 @@
             }
             let p = &mut self.processes[n];
             if self.play.bug == Some(InjectedBug::SkipStore) {
-                p.unstored.push(work.store);
+                p.unstored.push(work.persist);
                 // It is written some time; what came last is not.
                 if p.unstored.len() > 4 {
                     let stored = p.unstored.remove(0);
                     store(&mut p.kept, stored);
                 }
             } else {
-                store(&mut p.kept, work.store);
+                store(&mut p.kept, work.persist);
             }
             if removed {
                 self.processes[n].voter = None;
                 return;
             }
-            for (to, message) in work.to_voters {
+            for (to, message) in work.voter_messages {
                 self.send(n, to as usize - 1, message);
             }
-            for (to, message) in work.answers {
+            for (to, message) in work.replies {
                 self.send(n, to as usize, message);
             }
         }
@@ -1190,7 +1211,7 @@
         // Receivers of orders, which ask here for tokens, are the play's own.
         let is_of_play = matches!(
             message,
-            Message::Ask(RECEIVERS, _) | Message::Answer(RECEIVERS, _)
+            Message::OperatorRequest(RECEIVERS, _) | Message::OperatorResponse(RECEIVERS, _)
         );
         if to != OPERATORS && !is_of_play {
             self.seen.traffic.count(self.now, from, to, &message);
@@ -1299,7 +1320,7 @@
                     self.processes[*n]
                         .voter
                         .as_ref()
-                        .is_some_and(|v| v.leads().is_some())
+                        .is_some_and(|v| v.leader_term().is_some())
                 });
                 let n = leader.unwrap_or(n);
                 self.processes[n].stopped_until = until;
@@ -1320,7 +1341,7 @@
             return "no voter leads, and none is replaced".into();
         };
         // Not one more disk than the others can bear the loss of.
-        if known.of.values().any(|seat| !seat.votes) {
+        if known.members.values().any(|seat| !seat.is_voter) {
             return "a voter learns the log, and none is replaced".into();
         }
         let voters: Vec<u64> = known.voters().collect();
@@ -1338,10 +1359,10 @@
             self.kill(old);
             let p = &mut self.processes[old];
             // Its operator file names those that vote now, as the pages ask for.
-            (p.kept, p.policy, p.membership) = (Kept::default(), Policy::default(), known);
+            (p.kept, p.policy, p.membership) = (PersistedLog::default(), Policy::default(), known);
             if lost == 1 {
                 let ids: Vec<u64> = (1..=self.play.voters as u64).collect();
-                store(&mut p.kept, Log::found(&ids).stored());
+                store(&mut p.kept, RaftLog::for_new_fleet(&ids).persist_all());
                 (p.incarnation, p.reborn) = (p.incarnation + 100, true);
             }
             let at = self.now + self.rng.random_range(50_000..2_000_000);
@@ -1350,8 +1371,8 @@
         // Joins, and is started anew.
         self.kill(new);
         let p = &mut self.processes[new];
-        p.kept = Kept::default();
-        store(&mut p.kept, Log::joining().stored());
+        p.kept = PersistedLog::default();
+        store(&mut p.kept, RaftLog::for_joining_voter().persist_all());
         self.free += 1;
         self.replaced = Some((old, new));
         self.later(self.now, Event::Start(new));
@@ -1390,11 +1411,11 @@
             _ => {
                 let token = self
                     .leader()
-                    .and_then(|leader| leader.state().jobs.of.get(&name))
+                    .and_then(|leader| leader.state().jobs.by_name.get(&name))
                     .map_or(0, |job| job.token);
                 let deal = Assignment::Revoke(vec![(name, token, "operators hand it over".into())]);
                 for n in 0..self.processes.len() {
-                    let ask = Message::Ask(3, Ask::Job(deal.clone()));
+                    let ask = Message::OperatorRequest(3, OperatorRequest::Job(deal.clone()));
                     self.later(self.now, Event::Arrives(n, OPERATORS, Box::new(ask)));
                 }
             }
@@ -1410,7 +1431,7 @@
             .leader()
             .map(|leader| leader.state().jobs.clone())
             .unwrap_or_default();
-        let deal = match known.of.get(&some) {
+        let deal = match known.by_name.get(&some) {
             Some(job)
                 if self.play.faults && self.now < self.play.length && self.rng.random_bool(0.3) =>
             {
@@ -1419,7 +1440,7 @@
             _ => Assignment::Open(names),
         };
         for n in 0..self.processes.len() {
-            let ask = Message::Ask(3, Ask::Job(deal.clone()));
+            let ask = Message::OperatorRequest(3, OperatorRequest::Job(deal.clone()));
             self.later(self.now, Event::Arrives(n, OPERATORS, Box::new(ask)));
         }
     }
@@ -1427,8 +1448,8 @@
     fn leader(&self) -> Option<&Voter> {
         let voters = self.processes.iter().filter_map(|p| p.voter.as_ref());
         voters
-            .filter(|voter| voter.leads().is_some())
-            .max_by_key(|voter| voter.leads())
+            .filter(|voter| voter.leader_term().is_some())
+            .max_by_key(|voter| voter.leader_term())
     }
 
     fn operators(&mut self) {
@@ -1443,10 +1464,15 @@
             return;
         };
         let (goes, comes) = (old as u64 + 1, new as u64 + 1);
-        let votes = membership.of.get(&comes).is_some_and(|seat| seat.votes);
+        let votes = membership
+            .members
+            .get(&comes)
+            .is_some_and(|seat| seat.is_voter);
         let change = match votes {
-            false => Change::Add(comes, format!("n{new}"), self.processes[new].incarnation),
-            true if membership.of.contains_key(&goes) => Change::Remove(goes),
+            false => {
+                MembershipChange::Add(comes, format!("n{new}"), self.processes[new].incarnation)
+            }
+            true if membership.members.contains_key(&goes) => MembershipChange::Remove(goes),
             true => {
                 self.replaced = None;
                 if self.now > self.play.length {
@@ -1458,7 +1484,7 @@
             }
         };
         for n in 0..self.processes.len() {
-            let ask = Message::Ask(1, Ask::Member(change.clone()));
+            let ask = Message::OperatorRequest(1, OperatorRequest::Member(change.clone()));
             self.later(self.now, Event::Arrives(n, OPERATORS, Box::new(ask)));
         }
     }
@@ -1468,7 +1494,7 @@
         let old = self.proposals.len();
         let again = old > 0 && self.rng.random_bool(0.4);
         let ask = if again {
-            Ask::Outcome(self.proposals[self.rng.random_range(0..old)])
+            OperatorRequest::Outcome(self.proposals[self.rng.random_range(0..old)])
         } else {
             let id: ProposalId = self.rng.random();
             self.proposals.push(id);
@@ -1479,30 +1505,34 @@
             };
             let text = format!("{bad} {}", old + 1);
             self.texts.insert(text.clone(), (self.now, 0));
-            Ask::Propose(Proposal {
+            OperatorRequest::Propose(Proposal {
                 id,
-                base: 0,
+                base_epoch: 0,
                 text,
-                who: "operators".into(),
-                why: "a play".into(),
+                author: "operators".into(),
+                reason: "a play".into(),
             })
         };
         // Every voter is asked: the one that leads answers.
         for n in 0..self.processes.len() {
             self.later(
                 self.now,
-                Event::Arrives(n, OPERATORS, Box::new(Message::Ask(1, ask.clone()))),
+                Event::Arrives(
+                    n,
+                    OPERATORS,
+                    Box::new(Message::OperatorRequest(1, ask.clone())),
+                ),
             );
         }
     }
 
-    fn told(&mut self, answer: Answer) {
-        use jaspermoor_control::log::state::Outcome;
-        if let Answer::Outcome(outcome) = answer {
+    fn told(&mut self, answer: OperatorResponse) {
+        use jaspermoor_control::log::state::ProposalOutcome;
+        if let OperatorResponse::Outcome(outcome) = answer {
             let n = match &outcome {
-                Outcome::InForce(_) => 0,
-                Outcome::Refused(..) => 1,
-                Outcome::GivenUp(_) => 2,
+                ProposalOutcome::InForce(_) => 0,
+                ProposalOutcome::Rejected(..) => 1,
+                ProposalOutcome::TimedOut(_) => 2,
             };
             self.seen.outcomes[n] += 1;
         }
@@ -1536,10 +1566,10 @@
             .leader()
             .map(|leader| leader.state().jobs.clone())
             .unwrap_or_default();
-        self.seen.checkpoints = jobs.of.values().map(|job| job.step).sum();
-        self.seen.hands = jobs.last as usize;
+        self.seen.checkpoints = jobs.by_name.values().map(|job| job.checkpoint_step).sum();
+        self.seen.hands = jobs.last_token as usize;
         // Each job has an owner that may act on it, and one only.
-        for (name, job) in &jobs.of {
+        for (name, job) in &jobs.by_name {
             let owners = self.owners(name);
             // One may be on its way from one relay to another just now: by its own wish, or for balance.
             if owners.len() != 1 && job.owner.is_some() && job.revoked_at.is_none() {
@@ -1556,8 +1586,8 @@
         } else {
             0
         };
-        if jobs.of.len() != wanted {
-            let text = format!("{} of {wanted} jobs are there", jobs.of.len());
+        if jobs.by_name.len() != wanted {
+            let text = format!("{} of {wanted} jobs are there", jobs.by_name.len());
             self.seen.broken.push(Broken {
                 rule: "each job has its owner",
                 at: self.now,
@@ -1567,7 +1597,9 @@
         let states: Vec<(bool, u64)> = (0..self.processes.len())
             .map(|n| {
                 let lease_client = self.processes[n].lease_client.as_ref();
-                lease_client.map_or((false, 0), |h| (h.admits(self.local(n)), h.policy().epoch))
+                lease_client.map_or((false, 0), |h| {
+                    (h.may_admit(self.local(n)), h.policy().epoch)
+                })
             })
             .collect();
         self.seen.epoch = states.iter().map(|(_, epoch)| *epoch).max().unwrap_or(0);
--- a/crates/lab/src/faults_cli.rs
+++ b/crates/lab/src/faults_cli.rs
@@ -218,7 +218,7 @@
 fn injected(name: Option<&str>) -> Result<Option<InjectedBug>, Failure> {
     match name {
         None => Ok(None),
-        Some(name) => match InjectedBug::named(name) {
+        Some(name) => match InjectedBug::by_name(name) {
             Some(bug) => Ok(Some(bug)),
             None => {
                 Err(format!("no injected fault is named '{name}'; --bug list names them").into())
--- a/crates/lab/src/fleet/backend.rs
+++ b/crates/lab/src/fleet/backend.rs
@@ -4,7 +4,7 @@
 //! its capacity messages take longer, and beyond it work piles up.
 
 use super::scene::Scene;
-use jaspermoor::api::{Micros, ServerId};
+use jaspermoor::decisions::api::{EndpointId, Micros};
 use std::collections::BTreeMap;
 
 /// A backend never gets less of its cores than this for set-ups, however much else there is.
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 #[allow(missing_docs)]
 pub struct Backend {
-    pub id: ServerId,
+    pub id: EndpointId,
     pub zone: usize,
     /// Cores times speed: seconds of the yardstick's core a second.
     pub power: f64,
@@ -193,7 +193,7 @@
     }
 
     /// One that has not begun to serve; what it can do is the caller's to say.
-    pub fn new(id: ServerId, zone: usize) -> Backend {
+    pub fn new(id: EndpointId, zone: usize) -> Backend {
         Backend {
             id,
             zone,
--- a/crates/lab/src/fleet/books.rs
+++ b/crates/lab/src/fleet/books.rs
@@ -2,7 +2,7 @@
 //! anything or changes the world.
 
 use super::days::Site;
-use jaspermoor::api::Micros;
+use jaspermoor::decisions::api::Micros;
 
 /// Why a second that a client wanted was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/lab/src/fleet/experiment.rs
+++ b/crates/lab/src/fleet/experiment.rs
@@ -7,7 +7,7 @@
 use super::scene::Scene;
 use super::world::{Outcomes, Variant, World, STEP};
 use jaspermoor::cells::CellMap;
-use jaspermoor::Tuning;
+use jaspermoor::Parameters;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -137,13 +137,13 @@
 }
 
 /// Parameters set by name.
-pub fn tuning(set: &BTreeMap<String, f64>) -> Result<Tuning, String> {
-    let mut tuning = Tuning::default();
+pub fn tuning(set: &BTreeMap<String, f64>) -> Result<Parameters, String> {
+    let mut tuning = Parameters::default();
     for (name, value) in set {
         if tuning.get(name).is_none() {
             return Err(format!(
                 "'{name}' is no parameter; there are {}",
-                Tuning::NAMES.join(", ")
+                Parameters::NAMES.join(", ")
             ));
         }
         if !tuning.set(name, *value) {
--- a/crates/lab/src/fleet/policy.rs
+++ b/crates/lab/src/fleet/policy.rs
@@ -1,10 +1,11 @@
 //! Who decides in a relay of the model: the relay's own `Balancer`, the very code that serves, or chance, which is what
 //! a day's scores are held against.
 
-use jaspermoor::api::{
-    Action, Event, ListKind, MemberState, Micros, Outcome, RequestId, ServerId, Settings,
+use jaspermoor::decisions::api::{
+    Action, EndpointId, EndpointListKind, EndpointState, Event, Micros, Outcome, RequestId,
+    Settings,
 };
-use jaspermoor::{Balancer, Tuning};
+use jaspermoor::{Balancer, Parameters};
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Policy {
     /// The relay's, with these parameters.
-    Own(Box<Tuning>),
+    Own(Box<Parameters>),
     /// Any ready backend; another one after a failure, three times at most.
     Chance,
 }
@@ -31,9 +32,9 @@
     /// The decisions of a relay that has just started.
     pub fn new(policy: &Policy, settings: Settings, seed: u64) -> Decider {
         match policy {
-            Policy::Own(tuning) => {
-                Decider::Own(Box::new(Balancer::new(settings, seed).tuned(**tuning)))
-            }
+            Policy::Own(tuning) => Decider::Own(Box::new(
+                Balancer::new(settings, seed).with_parameters(**tuning),
+            )),
             Policy::Chance => Decider::Chance(Box::new(Chance {
                 settings,
                 rng: ChaCha8Rng::seed_from_u64(seed),
@@ -58,7 +59,7 @@
 pub struct Chance {
     settings: Settings,
     rng: ChaCha8Rng,
-    ready: BTreeSet<ServerId>,
+    ready: BTreeSet<EndpointId>,
     /// Requests that are owed an answer: until when, and how many attempts they had.
     pending: BTreeMap<RequestId, (Micros, u32)>,
     asked: bool,
@@ -67,40 +68,56 @@
 impl Chance {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Members { kind, members } => {
-                if matches!(kind, ListKind::Full | ListKind::Cached) {
+            Event::EndpointList {
+                kind,
+                endpoints: members,
+            } => {
+                if matches!(kind, EndpointListKind::Full | EndpointListKind::Cached) {
                     self.ready.clear();
                 }
                 for m in members {
                     match m.state {
-                        MemberState::Ready => self.ready.insert(m.server),
-                        _ => self.ready.remove(&m.server),
+                        EndpointState::Ready => self.ready.insert(m.id),
+                        _ => self.ready.remove(&m.id),
                     };
                 }
-                if kind == ListKind::Failed || !std::mem::replace(&mut self.asked, true) {
-                    out.push(Action::Timer(now + 500_000, 0));
+                if kind == EndpointListKind::WatchFailed
+                    || !std::mem::replace(&mut self.asked, true)
+                {
+                    out.push(Action::SetTimer {
+                        at: now + 500_000,
+                        token: 0,
+                    });
                 }
             }
-            Event::Timer(0) => out.push(Action::Watch(true)),
+            Event::Timer(0) => out.push(Action::WatchEndpointList(true)),
             Event::Timer(token) => {
                 let id = RequestId(token as u32);
                 if self.pending.remove(&id).is_some() {
-                    out.push(Action::Refuse(id, 0));
+                    out.push(Action::Reject {
+                        id: id,
+                        retry_after: 0,
+                    });
                 }
             }
             Event::Request(request) => {
-                let by = now + request.left;
+                let by = now + request.time_left;
                 self.pending.insert(request.id, (by, 0));
                 let last = by.saturating_sub(self.settings.tick);
-                out.push(Action::Timer(
-                    last.max(now + 1),
-                    1 << 32 | u64::from(request.id.0),
-                ));
+                out.push(Action::SetTimer {
+                    at: last.max(now + 1),
+                    token: 1 << 32 | u64::from(request.id.0),
+                });
                 self.send(request.id, out);
             }
-            Event::First { id, .. } | Event::Vanished(id) => drop(self.pending.remove(&id)),
-            Event::Outcome {
-                id, outcome, last, ..
+            Event::Connected { id, .. } | Event::ClientDisconnected(id) => {
+                drop(self.pending.remove(&id))
+            }
+            Event::AttemptEnded {
+                id,
+                outcome,
+                request_finished: last,
+                ..
             } if !last => match outcome {
                 Outcome::Reset => {
                     self.pending.remove(&id);
@@ -116,19 +133,22 @@
         let Some((until, tries)) = self.pending.get_mut(&id) else {
             return;
         };
-        let ready: Vec<ServerId> = self.ready.iter().copied().collect();
+        let ready: Vec<EndpointId> = self.ready.iter().copied().collect();
         match ready.choose(&mut self.rng) {
             Some(&server) if *tries < 3 => {
                 *tries += 1;
-                out.push(Action::Send {
+                out.push(Action::Attempt {
                     id,
-                    server,
-                    until: *until,
+                    endpoint: server,
+                    give_up_at: *until,
                 });
             }
             _ => {
                 self.pending.remove(&id);
-                out.push(Action::Refuse(id, 0));
+                out.push(Action::Reject {
+                    id: id,
+                    retry_after: 0,
+                });
             }
         }
     }
--- a/crates/lab/src/fleet/rules.rs
+++ b/crates/lab/src/fleet/rules.rs
@@ -3,7 +3,7 @@
 
 use super::days::Rules;
 use super::scene::micros;
-use jaspermoor::api::{MemberState, Micros};
+use jaspermoor::decisions::api::{EndpointState, Micros};
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
 
@@ -100,9 +100,9 @@
     }
 
     /// A relay has this list now.
-    pub fn listed(&mut self, now: Micros, relay: usize, list: &[Option<MemberState>]) {
+    pub fn listed(&mut self, now: Micros, relay: usize, list: &[Option<EndpointState>]) {
         for (backend, state) in list.iter().enumerate() {
-            if *state == Some(MemberState::Ready) {
+            if *state == Some(EndpointState::Ready) {
                 self.told.remove(&(relay, backend));
             } else {
                 self.told.entry((relay, backend)).or_insert(now);
@@ -117,7 +117,7 @@
         relay: usize,
         id: u32,
         two: bool,
-        state: Option<MemberState>,
+        state: Option<EndpointState>,
         backend: usize,
     ) {
         if two {
@@ -131,7 +131,7 @@
             .told
             .get(&(relay, backend))
             .is_some_and(|&told| now > told + self.grace);
-        if late && state != Some(MemberState::Ready) {
+        if late && state != Some(EndpointState::Ready) {
             self.broken(
                 "drain",
                 now,
--- a/crates/lab/src/fleet/scene.rs
+++ b/crates/lab/src/fleet/scene.rs
@@ -1,7 +1,9 @@
 //! What a seed draws from a day: a deployment with its figures fixed, and the troubles at their times.
 
 use super::days::{Day, Kind, Range, Trouble};
-use jaspermoor::api::{Class, Column, Effect, Micros, Settings, Weights, SECOND};
+use jaspermoor::decisions::api::{
+    Class, EndpointWeights, Idempotency, Micros, ReportColumn, Settings, SECOND,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal, Normal};
@@ -282,30 +284,35 @@
     pub fn settings(&self, zone: usize) -> Settings {
         let rules = &self.site.rules;
         let class = |s: &Sort| Class {
-            aim: s.aim,
+            setup_objective: s.aim,
             deadline: s.deadline,
-            effect: Effect::Safe,
-            message_aim: micros(s.message_aim),
+            idempotency: Idempotency::Idempotent,
+            message_objective: micros(s.message_aim),
         };
         Settings {
-            balancers: self.relays as u32,
+            balancer_count: self.relays as u32,
             zone: zone as u16,
             tick: 4_000,
             classes: self.sorts.iter().map(class).collect(),
-            list_on_request: true,
-            weights: Weights::Nominal,
+            polls_endpoint_list: true,
+            weights: EndpointWeights::Nominal,
             may_cancel: true,
-            may_probe: true,
+            may_check_health: true,
             max_attempts: rules.max_attempts,
-            dial_timeout: self.dial_timeout,
+            connect_timeout: self.dial_timeout,
             max_retry_after: micros(rules.max_retry_after_ms / 1_000.0),
-            columns: vec![Column::Other, Column::Active, Column::Other, Column::Load],
+            report_columns: vec![
+                ReportColumn::Other,
+                ReportColumn::Active,
+                ReportColumn::Other,
+                ReportColumn::Load,
+            ],
             drain_grace: micros(rules.drain_grace_ms / 1_000.0),
-            start_capacity: rules.start_share as f32,
-            warm_within: micros(rules.warm_within_s),
+            initial_capacity: rules.start_share as f32,
+            warm_up_time: micros(rules.warm_within_s),
             overload_factor: rules.fall_multiple as f32,
-            fall: micros(rules.fall_s),
-            ask_within: micros(rules.ask_within_s),
+            overload_window: micros(rules.fall_s),
+            max_poll_interval: micros(rules.ask_within_s),
             ..Settings::default()
         }
     }
