--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -9,11 +9,11 @@
 use super::policy::{Decider, Policy};
 use super::rules::{Break, Watchdog};
 use super::scene::{micros, speed, spread, Event as Trouble, Scene};
-use jaspermoor::api::{
-    Action, Event, ListKind, Member, MemberState, Micros, Outcome, Request, RequestId, ServerId,
-    SECOND,
-};
 use jaspermoor::cells::{CellMap, Placed};
+use jaspermoor::decisions::api::{
+    Action, EndpointId, EndpointListKind, EndpointState, Event, ListedEndpoint, Micros, Outcome,
+    Request, RequestId, SECOND,
+};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -97,7 +97,7 @@
     telling: bool,
     heard: Micros,
     /// What its list says of each backend.
-    list: Vec<Option<MemberState>>,
+    list: Vec<Option<EndpointState>>,
     noted: HashMap<usize, Micros>,
 }
 
@@ -170,7 +170,7 @@
         life: u32,
         ok: bool,
     },
-    Listed(usize, MemberState),
+    Listed(usize, EndpointState),
     Trouble(usize),
     Over(usize),
     Replace(Vec<usize>, Micros),
@@ -240,19 +240,19 @@
     made: u64,
     handled: u64,
     backends: Vec<Backend>,
-    by_id: BTreeMap<ServerId, usize>,
+    by_id: BTreeMap<EndpointId, usize>,
     clients: Vec<Client>,
     relays: Vec<Relay>,
     group_keys: Vec<u64>,
     group_weights: Vec<f64>,
     /// What discovery shows, in the order of its changes.
-    shown: Vec<Option<MemberState>>,
+    shown: Vec<Option<EndpointState>>,
     /// Of each zone, where the fleet has load watches.
     watches: Vec<Watch>,
     log: Vec<usize>,
     call_free: Micros,
     call_rate: f64,
-    held_news: Vec<(usize, MemberState)>,
+    held_news: Vec<(usize, EndpointState)>,
     late_lists: bool,
     cut: Option<usize>,
     lost_answers: f64,
@@ -318,7 +318,7 @@
                 watching: false,
                 telling: false,
                 heard: 0,
-                list: vec![Some(MemberState::Ready); scene.backends],
+                list: vec![Some(EndpointState::Ready); scene.backends],
                 noted: HashMap::new(),
             })
             .collect();
@@ -327,7 +327,7 @@
             .map(|n| ((n + 1) as f64).powf(-scene.group_zipf))
             .collect();
         let groups = scene.groups;
-        let shown = vec![Some(MemberState::Ready); scene.backends];
+        let shown = vec![Some(EndpointState::Ready); scene.backends];
         let (calls, zones_of) = (scene.calls_per_s, scene.zones);
         let sorts = scene.sorts.len();
         let mut world = World {
@@ -524,7 +524,14 @@
         self.relays[relay].pending.insert(id.0, pending);
         self.hold(client, relay, id.0, backend);
         let server = self.backends[backend].id;
-        self.tell(relay, part, Event::Open(request, server));
+        self.tell(
+            relay,
+            part,
+            Event::Adopted {
+                request: request,
+                endpoint: server,
+            },
+        );
     }
 
     /// A new client that comes now: its group, zone, class, load and life.
@@ -581,29 +588,29 @@
             .map(|_| Decider::new(&self.variant.policy, settings.clone(), self.rng.random()))
             .collect();
         self.relays[relay].parts = parts;
-        let members: Vec<Member> = (0..self.backends.len())
+        let members: Vec<ListedEndpoint> = (0..self.backends.len())
             .filter_map(|n| self.member(relay, n))
             .collect();
-        self.spread_news(relay, ListKind::Cached, members);
+        self.spread_news(relay, EndpointListKind::Cached, members);
     }
 
     /// What a relay's list says of a backend.
-    fn member(&self, relay: usize, n: usize) -> Option<Member> {
+    fn member(&self, relay: usize, n: usize) -> Option<ListedEndpoint> {
         let state = (*self.relays[relay].list.get(n)?)?;
         let b = &self.backends[n];
         let started = b.started;
-        Some(Member {
-            server: b.id,
+        Some(ListedEndpoint {
+            id: b.id,
             zone: b.zone as u16,
             cell: 0,
             state,
             size: b.size as f32,
-            started,
+            started_at: started,
         })
     }
 
     /// The cell of a backend.
-    fn part_of(&self, server: ServerId) -> usize {
+    fn part_of(&self, server: EndpointId) -> usize {
         if self.variant.cells.len() <= 1 {
             0
         } else {
@@ -611,14 +618,21 @@
         }
     }
 
-    fn spread_news(&mut self, relay: usize, kind: ListKind, members: Vec<Member>) {
+    fn spread_news(&mut self, relay: usize, kind: EndpointListKind, members: Vec<ListedEndpoint>) {
         let parts = self.relays[relay].parts.len();
-        let mut news: Vec<Vec<Member>> = vec![Vec::new(); parts];
+        let mut news: Vec<Vec<ListedEndpoint>> = vec![Vec::new(); parts];
         for member in members {
-            news[self.part_of(member.server).min(parts - 1)].push(member);
+            news[self.part_of(member.id).min(parts - 1)].push(member);
         }
         for (part, members) in news.into_iter().enumerate() {
-            self.tell(relay, part, Event::Members { kind, members });
+            self.tell(
+                relay,
+                part,
+                Event::EndpointList {
+                    kind,
+                    endpoints: members,
+                },
+            );
         }
     }
 
@@ -636,12 +650,22 @@
         let life = self.relays[relay].life;
         for action in todo.drain(..) {
             match action {
-                Action::Send { id, server, until } => self.send(relay, id.0, server, until),
-                Action::Refuse(id, wait) => self.answer(relay, id.0, Some(wait)),
+                Action::Attempt {
+                    id,
+                    endpoint: server,
+                    give_up_at: until,
+                } => self.send(relay, id.0, server, until),
+                Action::Reject {
+                    id: id,
+                    retry_after: wait,
+                } => self.answer(relay, id.0, Some(wait)),
                 Action::Fail(id) => self.answer(relay, id.0, None),
-                Action::Move(id) => self.move_client(relay, id.0),
-                Action::Cancel(id, _) => self.call_off(relay, part, id.0),
-                Action::Timer(at, token) => {
+                Action::Migrate(id) => self.move_client(relay, id.0),
+                Action::CancelAttempt { id: id, attempt: _ } => self.call_off(relay, part, id.0),
+                Action::SetTimer {
+                    at: at,
+                    token: token,
+                } => {
                     let at = at.max(self.now + 1);
                     self.at(
                         at,
@@ -653,10 +677,10 @@
                         },
                     );
                 }
-                Action::Probe(server) => self.probe(relay, part, server),
+                Action::CheckHealth(server) => self.probe(relay, part, server),
                 // What the first balancer hears of the watch they all hear.
-                Action::Watch(true) if part == 0 => self.call(relay),
-                Action::Watch(_) | Action::Log(_) => {}
+                Action::WatchEndpointList(true) if part == 0 => self.call(relay),
+                Action::WatchEndpointList(_) | Action::Log(_) => {}
             }
         }
     }
@@ -668,10 +692,10 @@
         Request {
             id: RequestId(r.next),
             class: c.sort,
-            key: c.key,
+            client_key: c.key,
             group: self.group_keys[c.group],
-            left: self.scene.sorts[c.sort].deadline,
-            again: c.again,
+            time_left: self.scene.sorts[c.sort].deadline,
+            returning: c.again,
             ..Request::default()
         }
     }
@@ -763,7 +787,7 @@
             relay,
             self.relays[relay].life,
             id,
-            self.now + request.left + slack,
+            self.now + request.time_left + slack,
         );
         self.tell(relay, part, Event::Request(request));
     }
@@ -777,7 +801,7 @@
             .map(|cell| {
                 let list = &self.relays[relay].list;
                 self.backends.iter().enumerate().any(|(n, b)| {
-                    self.part_of(b.id) == cell && list.get(n) == Some(&Some(MemberState::Ready))
+                    self.part_of(b.id) == cell && list.get(n) == Some(&Some(EndpointState::Ready))
                 })
             })
             .collect();
@@ -841,7 +865,7 @@
         };
         p.answered = true;
         let (part, out) = (p.part, p.out.take());
-        self.tell(relay, part, Event::Vanished(RequestId(id)));
+        self.tell(relay, part, Event::ClientDisconnected(RequestId(id)));
         if let Some((_, backend, _)) = out {
             self.ended(relay, id, backend, Outcome::Cancelled, true);
         }
@@ -852,7 +876,7 @@
         match self.clients[client].state {
             State::Up(relay, id, backend) => {
                 self.release(client, backend);
-                self.ended(relay, id, backend, Outcome::Ok, true);
+                self.ended(relay, id, backend, Outcome::Success, true);
                 self.relays[relay].pending.remove(&id);
             }
             State::Asking(relay, id) if id > 0 => self.vanish(relay, id),
@@ -877,7 +901,7 @@
 
     // Attempts.
 
-    fn send(&mut self, relay: usize, id: u32, server: ServerId, until: Micros) {
+    fn send(&mut self, relay: usize, id: u32, server: EndpointId, until: Micros) {
         let Some(&backend) = self.by_id.get(&server) else {
             return;
         };
@@ -963,7 +987,11 @@
         let b = &self.backends[backend];
         let fails = b.errors > 0.0 && self.rng.random_bool(b.errors.min(1.0));
         if fails || !self.backends[backend].room(&self.scene) {
-            let outcome = Some(if fails { Outcome::Error } else { Outcome::Full });
+            let outcome = Some(if fails {
+                Outcome::Error
+            } else {
+                Outcome::Rejected
+            });
             return self.later(
                 micros(way),
                 Ev::Answer {
@@ -1074,10 +1102,10 @@
         self.tell(
             relay,
             part,
-            Event::First {
+            Event::Connected {
                 id: RequestId(id),
-                server,
-                took,
+                endpoint: server,
+                elapsed: took,
             },
         );
     }
@@ -1113,11 +1141,11 @@
         self.tell(
             relay,
             part,
-            Event::Outcome {
+            Event::AttemptEnded {
                 id,
-                server,
+                endpoint: server,
                 outcome,
-                last,
+                request_finished: last,
                 report: Vec::new(),
             },
         );
@@ -1243,7 +1271,7 @@
             return;
         };
         for backend in 0..self.backends.len() {
-            let ready = self.relays[owner].list.get(backend) == Some(&Some(MemberState::Ready));
+            let ready = self.relays[owner].list.get(backend) == Some(&Some(EndpointState::Ready));
             if self.backends[backend].zone != zone || !ready {
                 continue;
             }
@@ -1299,15 +1327,15 @@
         self.tell(
             relay,
             part,
-            Event::Probed {
-                server,
-                outcome: Outcome::Ok,
+            Event::HealthCheck {
+                endpoint: server,
+                outcome: Outcome::Success,
                 report,
             },
         );
     }
 
-    fn probe(&mut self, relay: usize, part: usize, server: ServerId) {
+    fn probe(&mut self, relay: usize, part: usize, server: EndpointId) {
         let Some(&backend) = self.by_id.get(&server) else {
             return;
         };
@@ -1363,15 +1391,15 @@
             None
         };
         let (outcome, report) = match report {
-            Some(report) => (Outcome::Ok, report),
+            Some(report) => (Outcome::Success, report),
             None => (Outcome::ConnectFailed, Vec::new()),
         };
         let server = self.backends[backend].id;
         self.tell(
             relay,
             part,
-            Event::Probed {
-                server,
+            Event::HealthCheck {
+                endpoint: server,
                 outcome,
                 report,
             },
@@ -1417,24 +1445,24 @@
             return;
         }
         if !ok {
-            return self.spread_news(relay, ListKind::Failed, Vec::new());
+            return self.spread_news(relay, EndpointListKind::WatchFailed, Vec::new());
         }
         (r.watching, r.version, r.heard) = (true, self.log.len(), self.now);
         r.list = self.shown.clone();
-        let members: Vec<Member> = (0..self.backends.len())
+        let members: Vec<ListedEndpoint> = (0..self.backends.len())
             .filter_map(|n| self.member(relay, n))
             .collect();
         self.watchdog
             .listed(self.now, relay, &self.relays[relay].list);
-        self.spread_news(relay, ListKind::Full, members);
+        self.spread_news(relay, EndpointListKind::Full, members);
     }
 
     /// Discovery learns of a backend; relays that watch hear of it soon.
-    fn listed(&mut self, backend: usize, state: MemberState) {
+    fn listed(&mut self, backend: usize, state: EndpointState) {
         if self.late_lists {
             return self.held_news.push((backend, state));
         }
-        self.shown[backend] = (state != MemberState::Gone).then_some(state);
+        self.shown[backend] = (state != EndpointState::Removed).then_some(state);
         self.log.push(backend);
         for relay in 0..self.relays.len() {
             let r = &mut self.relays[relay];
@@ -1465,14 +1493,14 @@
                 None if was.is_some() => {
                     let b = &self.backends[n];
                     let (server, zone) = (b.id, b.zone as u16);
-                    let state = MemberState::Gone;
-                    members.push(Member {
-                        server,
+                    let state = EndpointState::Removed;
+                    members.push(ListedEndpoint {
+                        id: server,
                         zone,
                         cell: 0,
                         state,
                         size: 1.0,
-                        started: b.started,
+                        started_at: b.started,
                     });
                 }
                 None => {}
@@ -1480,7 +1508,7 @@
         }
         self.watchdog
             .listed(self.now, relay, &self.relays[relay].list);
-        self.spread_news(relay, ListKind::Delta, members);
+        self.spread_news(relay, EndpointListKind::Delta, members);
     }
 
     // Backends.
@@ -1506,7 +1534,10 @@
         }
         let now = self.now;
         self.backends[backend].starts(now);
-        self.later(self.scene.list_add, Ev::Listed(backend, MemberState::Ready));
+        self.later(
+            self.scene.list_add,
+            Ev::Listed(backend, EndpointState::Ready),
+        );
     }
 
     fn replace(&mut self, old: usize, leave: Micros) {
@@ -1514,7 +1545,7 @@
             return;
         }
         self.backends[old].runs = Runs::Draining;
-        self.listed(old, MemberState::Draining);
+        self.listed(old, EndpointState::Draining);
         // It sends its clients away little by little, and is gone then.
         let held: Vec<(u64, usize)> = self.backends[old]
             .held
@@ -1534,7 +1565,7 @@
         self.shown.push(None);
         self.later(
             self.scene.list_add,
-            Ev::Listed(self.backends.len() - 1, MemberState::Ready),
+            Ev::Listed(self.backends.len() - 1, EndpointState::Ready),
         );
     }
 
@@ -1710,7 +1741,7 @@
                 for &backend in &all {
                     self.backend_dies(backend, runs);
                     if notice < until.saturating_sub(now) {
-                        self.later(notice, Ev::Listed(backend, MemberState::Gone));
+                        self.later(notice, Ev::Listed(backend, EndpointState::Removed));
                     }
                 }
                 self.touched[n] = all;
@@ -1743,7 +1774,7 @@
                     if self.scene.list_notice < until.saturating_sub(now) {
                         self.later(
                             self.scene.list_notice,
-                            Ev::Listed(backend, MemberState::Gone),
+                            Ev::Listed(backend, EndpointState::Removed),
                         );
                     }
                 }
@@ -1854,7 +1885,10 @@
             self.books.falls += 1;
             self.watchdog.fell(now, n);
             self.backend_dies(n, Runs::Down);
-            self.later(self.scene.list_notice, Ev::Listed(n, MemberState::Gone));
+            self.later(
+                self.scene.list_notice,
+                Ev::Listed(n, EndpointState::Removed),
+            );
         }
         for client in drops {
             self.books.dropped += 1;
@@ -1969,7 +2003,15 @@
                 *noted = self.now;
                 let part = r.pending.get(&id).map_or(0, |p| p.part);
                 let server = self.backends[backend].id;
-                self.tell(relay, part, Event::DelayNote(RequestId(id), server, took));
+                self.tell(
+                    relay,
+                    part,
+                    Event::DelaySample {
+                        id: RequestId(id),
+                        endpoint: server,
+                        delay: took,
+                    },
+                );
             }
         }
     }
@@ -2070,7 +2112,7 @@
                 .for_each(|backend| self.replace(backend, leave)),
             Ev::Gone(backend) => {
                 self.backend_dies(backend, Runs::Down);
-                self.listed(backend, MemberState::Gone);
+                self.listed(backend, EndpointState::Removed);
             }
             Ev::SendAway(client, turn) => self.send_away(client, turn),
             Ev::RelayStops(relay) => self.relay_stops(relay),
@@ -2107,7 +2149,7 @@
 fn backend(scene: &Scene, zone: usize, rng: &mut ChaCha8Rng) -> Backend {
     let shares: Vec<f64> = scene.machines.iter().map(|m| m.share).collect();
     let machine = &scene.machines[weighted(&shares, rng)];
-    let mut b = Backend::new(ServerId(rng.random()), zone);
+    let mut b = Backend::new(EndpointId(rng.random()), zone);
     b.cores = machine.cores;
     b.power = machine.cores * speed(machine, rng);
     // As registered: by its kind, not by what this one machine does.
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -4,7 +4,7 @@
 
 /// A rule's verdict.
 #[derive(Clone, Debug)]
-pub struct Verdict {
+pub struct Decision {
     /// The rule.
     pub rule: &'static str,
     /// What was counted.
@@ -15,12 +15,12 @@
 
 /// The verdicts of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Verdicts(pub Vec<Verdict>);
+pub struct Verdicts(pub Vec<Decision>);
 
 impl Verdicts {
     /// Adds a rule that holds where a count is 0.
     pub fn none(&mut self, rule: &'static str, count: usize, of: impl fmt::Display) {
-        self.0.push(Verdict {
+        self.0.push(Decision {
             rule,
             seen: format!("{count} of {of}"),
             held: count == 0,
@@ -29,7 +29,7 @@
 
     /// Adds a rule.
     pub fn add(&mut self, rule: &'static str, seen: impl fmt::Display, held: bool) {
-        self.0.push(Verdict {
+        self.0.push(Decision {
             rule,
             seen: seen.to_string(),
             held,
--- a/crates/lab/src/scale/hollow/prober.rs
+++ b/crates/lab/src/scale/hollow/prober.rs
@@ -1,7 +1,7 @@
 //! Stands in for the thread that serves clients where an owner wants backends probed: each is answered at once, with the
 //! same load.
 
-use jaspermoor::load::LoadBook;
+use jaspermoor::load::LoadReportCache;
 use jaspermoor::sys::boottime;
 use std::sync::mpsc::{channel, Sender};
 use std::sync::{Arc, Mutex};
@@ -15,13 +15,13 @@
 /// Answers probes of all hollow relays of this process.
 #[derive(Clone)]
 pub struct Prober {
-    wanted: Arc<Mutex<Sender<Arc<LoadBook>>>>,
+    wanted: Arc<Mutex<Sender<Arc<LoadReportCache>>>>,
 }
 
 impl Prober {
     /// Starts its thread, which lasts as long as the process.
     pub fn start() -> Prober {
-        let (wanted, books) = channel::<Arc<LoadBook>>();
+        let (wanted, books) = channel::<Arc<LoadReportCache>>();
         thread::spawn(move || books.iter().for_each(|book| answer(&book)));
         Prober {
             wanted: Arc::new(Mutex::new(wanted)),
@@ -29,10 +29,10 @@
     }
 
     /// Answers the probes that are wanted in this book from now on.
-    pub fn serve(&self, book: &Arc<LoadBook>) {
+    pub fn serve(&self, book: &Arc<LoadReportCache>) {
         // Held weakly: the book would keep itself.
         let (prober, book_of) = (self.clone(), Arc::downgrade(book));
-        book.wakes_prober(Arc::new(move || {
+        book.set_checker_waker(Arc::new(move || {
             if let Some(book) = book_of.upgrade() {
                 let _ = jaspermoor::sys::lock(&prober.wanted).send(book);
             }
@@ -40,8 +40,8 @@
     }
 }
 
-fn answer(book: &LoadBook) {
-    while let Some(server) = book.wanted() {
-        book.found(server, boottime(), Some(REPORT.to_vec()));
+fn answer(book: &LoadReportCache) {
+    while let Some(server) = book.next_check() {
+        book.check_finished(server, boottime(), Some(REPORT.to_vec()));
     }
 }
--- a/crates/lab/src/scale/hollow/relay.rs
+++ b/crates/lab/src/scale/hollow/relay.rs
@@ -7,12 +7,12 @@
 use crate::scale::process::time_of_thread;
 use crate::scale::record::{Amount, Traffic};
 use crossbeam_channel::bounded;
-use jaspermoor::api::{Member, MemberState, Settings};
 use jaspermoor::config::listing::{server_id, Endpoint};
 use jaspermoor::config::operator::{self, FleetVoter};
 use jaspermoor::config::policy::Rules;
-use jaspermoor::decide::{Decisions, Orders};
-use jaspermoor::load::LoadBook;
+use jaspermoor::decision_service::{DecisionService, Hooks};
+use jaspermoor::decisions::api::{EndpointState, ListedEndpoint, Settings};
+use jaspermoor::load::LoadReportCache;
 use jaspermoor::net::fleet::{Fleet, Handle, JobResources, Setup};
 use jaspermoor::ops::metrics::Metrics;
 use jaspermoor::ops::traffic::Direction;
@@ -31,7 +31,7 @@
 /// See the module's text.
 pub struct HollowRelay {
     /// What it is told about admission.
-    pub decisions: Arc<Decisions>,
+    pub decisions: Arc<DecisionService>,
     /// Its figures.
     pub metrics: Arc<Metrics>,
     handle: Handle,
@@ -105,13 +105,13 @@
 }
 
 /// Decisions that nobody asks for a backend.
-fn decisions() -> Arc<Decisions> {
+fn decisions() -> Arc<DecisionService> {
     let (probe, _) = bounded(1);
-    let orders = Orders {
-        watch: Box::new(|_| ()),
-        probe,
+    let orders = Hooks {
+        watch_endpoint_list: Box::new(|_| ()),
+        check_health: probe,
     };
-    Decisions::new(Settings::default(), 1, Vec::new(), orders)
+    DecisionService::new(Settings::default(), 1, Vec::new(), orders)
 }
 
 fn setup(name: &str, options: &FleetOptions) -> Setup {
@@ -126,7 +126,7 @@
         keys: PathBuf::new(),
         voter: None,
         voters: options.voters.iter().map(voter).collect(),
-        alone: operator::Alone::Refuse,
+        alone: operator::LeaderlessMode::Refuse,
         lease_ms: options.lease_ms,
         patience_ms: options.patience_ms,
         jobs: operator::Jobs {
@@ -149,7 +149,7 @@
     directory: &Arc<Directory>,
     prober: &Prober,
 ) -> JobResources {
-    let book = Arc::<LoadBook>::default();
+    let book = Arc::<LoadReportCache>::default();
     prober.serve(&book);
     JobResources {
         directory: directory.clone(),
@@ -165,13 +165,13 @@
 pub fn directory(options: &FleetOptions) -> Arc<Directory> {
     let directory = Arc::<Directory>::default();
     let entry = |(name, addr, zone): &(String, _, u16)| {
-        let member = Member {
-            server: server_id(name),
+        let member = ListedEndpoint {
+            id: server_id(name),
             zone: (*zone).min(ZONES.len() as u16 - 1),
             cell: 0,
-            state: MemberState::Ready,
+            state: EndpointState::Ready,
             size: 1.0,
-            started: None,
+            started_at: None,
         };
         (
             Endpoint {
--- a/crates/lab/src/scale/hollow/watch.rs
+++ b/crates/lab/src/scale/hollow/watch.rs
@@ -45,7 +45,7 @@
 /// Whether a relay admits clients, and under which epoch: only where the epoch was the same before and after the look.
 pub fn admits(relay: &HollowRelay) -> Option<u64> {
     let epoch = relay.metrics.control.epoch.load(Relaxed);
-    let admits = relay.decisions.admits();
+    let admits = relay.decisions.may_admit();
     let same = relay.metrics.control.epoch.load(Relaxed) == epoch;
     // Before its thread has run for the first time there is no epoch to compare.
     (admits && same && relay.metrics.control.on.load(Relaxed)).then_some(epoch)
--- a/crates/lab/src/sim/poison.rs
+++ b/crates/lab/src/sim/poison.rs
@@ -2,8 +2,8 @@
 //! what does the confinement cost where nothing is wrong?
 
 use super::world::{Plan, Report, Served, World};
-use jaspermoor::api::SECOND;
 use jaspermoor::cells::CellMap;
+use jaspermoor::decisions::api::SECOND;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Mutex;
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -1,11 +1,11 @@
 //! The model: servers with speeds, warm-up, group costs and ends; a list that is seconds late; clients that come,
 //! stay, retry and come back; relays that share nothing.
 
-use jaspermoor::api::{
-    Action, Class, Column, Effect, Event, ListKind, Member, MemberState, Micros, Outcome, Request,
-    RequestId, ServerId, Settings, SECOND,
-};
 use jaspermoor::cells::{CellMap, Placed};
+use jaspermoor::decisions::api::{
+    Action, Class, EndpointId, EndpointListKind, EndpointState, Event, Idempotency, ListedEndpoint,
+    Micros, Outcome, ReportColumn, Request, RequestId, Settings, SECOND,
+};
 use jaspermoor::Balancer;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -82,7 +82,7 @@
 }
 
 struct Server {
-    id: ServerId,
+    id: EndpointId,
     zone: u16,
     /// Mean loads that it bears when warm.
     capacity: f64,
@@ -159,7 +159,7 @@
     queue: BTreeMap<(Micros, u64), Ev>,
     made: u64,
     servers: Vec<Server>,
-    by_id: BTreeMap<ServerId, usize>,
+    by_id: BTreeMap<EndpointId, usize>,
     clients: Vec<Client>,
     relays: Vec<Relay>,
     sites: Vec<Served>,
@@ -172,23 +172,23 @@
 
 fn settings(relays: usize) -> Settings {
     let class = Class {
-        aim: SECOND / 2,
+        setup_objective: SECOND / 2,
         deadline: 2 * SECOND,
-        effect: Effect::Safe,
-        message_aim: SECOND / 10,
+        idempotency: Idempotency::Idempotent,
+        message_objective: SECOND / 10,
     };
     Settings {
-        balancers: relays as u32,
+        balancer_count: relays as u32,
         classes: vec![class],
-        may_probe: true,
+        may_check_health: true,
         max_attempts: 6,
         max_retry_after: SECOND,
-        columns: vec![Column::Load],
+        report_columns: vec![ReportColumn::Load],
         drain_grace: SECOND / 4,
-        start_capacity: COLD as f32,
-        warm_within: WARM_WITHIN,
+        initial_capacity: COLD as f32,
+        warm_up_time: WARM_WITHIN,
         overload_factor: OVERLOAD as f32,
-        fall: FALL,
+        overload_window: FALL,
         ..Settings::default()
     }
 }
@@ -199,7 +199,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
         let servers: Vec<Server> = (0..plan.servers)
             .map(|n| Server {
-                id: ServerId(rng.random()),
+                id: EndpointId(rng.random()),
                 zone: (n % 3) as u16,
                 capacity: 4.0 * rng.random_range(0.9..1.6) * 17.0,
                 up: Some(0),
@@ -312,38 +312,38 @@
         }
     }
 
-    fn member(&self, server: usize) -> Member {
+    fn member(&self, server: usize) -> ListedEndpoint {
         let s = &self.servers[server];
         let state = if s.up.is_some() {
-            MemberState::Ready
+            EndpointState::Ready
         } else {
-            MemberState::Gone
+            EndpointState::Removed
         };
-        Member {
-            server: s.id,
+        ListedEndpoint {
+            id: s.id,
             zone: s.zone,
             cell: 0,
             state,
             size: 1.0,
-            started: s.started,
+            started_at: s.started,
         }
     }
 
     /// A relay gets the list as it is.
     fn list(&mut self, relay: usize) {
-        let all: Vec<Member> = (0..self.servers.len()).map(|n| self.member(n)).collect();
+        let all: Vec<ListedEndpoint> = (0..self.servers.len()).map(|n| self.member(n)).collect();
         for part in 0..self.relays[relay].parts.len() {
-            let own = |m: &&Member| {
-                m.state == MemberState::Ready && self.plan.cells.of_server(m.server) == part
+            let own = |m: &&ListedEndpoint| {
+                m.state == EndpointState::Ready && self.plan.cells.of_server(m.id) == part
             };
-            let members: Vec<Member> = all.iter().filter(own).cloned().collect();
+            let members: Vec<ListedEndpoint> = all.iter().filter(own).cloned().collect();
             self.relays[relay].usable[part] = !members.is_empty();
             self.tell(
                 relay,
                 part,
-                Event::Members {
-                    kind: ListKind::Full,
-                    members,
+                Event::EndpointList {
+                    kind: EndpointListKind::Full,
+                    endpoints: members,
                 },
             );
         }
@@ -356,7 +356,11 @@
         let _ = self.relays[relay].parts[part].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, server, .. } => {
+                Action::Attempt {
+                    id,
+                    endpoint: server,
+                    ..
+                } => {
                     let server = self.by_id[&server];
                     let delay = self.rng.random_range(300..900);
                     self.later(
@@ -369,14 +373,20 @@
                         },
                     );
                 }
-                Action::Refuse(id, wait) => self.refuse(relay, part, id, wait),
+                Action::Reject {
+                    id: id,
+                    retry_after: wait,
+                } => self.refuse(relay, part, id, wait),
                 Action::Fail(id) => self.refuse(relay, part, id, 0),
-                Action::Move(id) => self.move_away(relay, part, id),
-                Action::Timer(at, token) => {
+                Action::Migrate(id) => self.move_away(relay, part, id),
+                Action::SetTimer {
+                    at: at,
+                    token: token,
+                } => {
                     let after = at.saturating_sub(self.now).max(1);
                     self.later(after, Ev::Timer(relay, part, token));
                 }
-                Action::Probe(server) => {
+                Action::CheckHealth(server) => {
                     let server = self.by_id[&server];
                     let delay = self.rng.random_range(1_000..3_000);
                     self.later(
@@ -388,7 +398,7 @@
                         },
                     );
                 }
-                Action::Cancel(..) | Action::Watch(_) | Action::Log(_) => {}
+                Action::CancelAttempt { .. } | Action::WatchEndpointList(_) | Action::Log(_) => {}
             }
         }
     }
@@ -459,11 +469,11 @@
         self.tell(
             relay,
             part,
-            Event::Outcome {
+            Event::AttemptEnded {
                 id,
-                server,
+                endpoint: server,
                 outcome,
-                last: true,
+                request_finished: true,
                 report: Vec::new(),
             },
         );
@@ -513,11 +523,11 @@
                     return self.tell(
                         relay,
                         part,
-                        Event::Outcome {
+                        Event::AttemptEnded {
                             id,
-                            server,
-                            outcome: Outcome::Full,
-                            last: false,
+                            endpoint: server,
+                            outcome: Outcome::Rejected,
+                            request_finished: false,
                             report,
                         },
                     );
@@ -544,7 +554,7 @@
             Ev::Timer(relay, part, token) => self.tell(relay, part, Event::Timer(token)),
             Ev::Leave(client, turn) => {
                 if self.clients[client].turn == turn {
-                    self.end(client, Outcome::Ok);
+                    self.end(client, Outcome::Success);
                     let rest = self.rng.random_range(50_000..SECOND);
                     let turn = self.clients[client].turn;
                     self.later(rest, Ev::Come(client, turn));
@@ -559,14 +569,14 @@
                 let id = self.servers[server].id;
                 let noise = self.rng.random_range(0.92..1.08);
                 let (outcome, report) = match self.servers[server].up {
-                    Some(_) => (Outcome::Ok, vec![(self.ratio(server) * noise) as f32]),
+                    Some(_) => (Outcome::Success, vec![(self.ratio(server) * noise) as f32]),
                     None => (Outcome::ConnectFailed, Vec::new()),
                 };
                 self.tell(
                     relay,
                     part,
-                    Event::Probed {
-                        server: id,
+                    Event::HealthCheck {
+                        endpoint: id,
                         outcome,
                         report,
                     },
@@ -628,10 +638,10 @@
         let request = Request {
             id,
             class: 0,
-            key: client as u64 + 1,
+            client_key: client as u64 + 1,
             group: site,
-            left: 2 * SECOND,
-            again,
+            time_left: 2 * SECOND,
+            returning: again,
             ..Request::default()
         };
         self.tell(relay, part, Event::Request(request));
@@ -649,11 +659,11 @@
             return self.tell(
                 relay,
                 part,
-                Event::Outcome {
+                Event::AttemptEnded {
                     id,
-                    server: to,
+                    endpoint: to,
                     outcome: Outcome::Cancelled,
-                    last: true,
+                    request_finished: true,
                     report: Vec::new(),
                 },
             );
@@ -662,11 +672,11 @@
             return self.tell(
                 relay,
                 part,
-                Event::Outcome {
+                Event::AttemptEnded {
                     id,
-                    server: to,
+                    endpoint: to,
                     outcome: Outcome::ConnectFailed,
-                    last: false,
+                    request_finished: false,
                     report: Vec::new(),
                 },
             );
@@ -685,10 +695,10 @@
         self.tell(
             relay,
             part,
-            Event::First {
+            Event::Connected {
                 id,
-                server: to,
-                took: 4_000,
+                endpoint: to,
+                elapsed: 4_000,
             },
         );
         self.tell_load(client);
@@ -702,7 +712,15 @@
         // A mean load is a seventeenth of a core.
         let load = (self.load_of(client) * SECOND as f64 / 17.0) as f32;
         let server = self.servers[server].id;
-        self.tell(relay, part, Event::LoadNote(id, server, load));
+        self.tell(
+            relay,
+            part,
+            Event::LoadSample {
+                id: id,
+                endpoint: server,
+                load: load,
+            },
+        );
     }
 
     /// Loads, service and falls, five times a second.
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -1,6 +1,6 @@
 //! A blocking XML stream for the stand-ins, under TLS or not.
 
-use jaspermoor::front::xmpp::frame::{Bounds, Framer, Unit};
+use jaspermoor::protocol::xmpp::frame::{Bounds, Framer, Unit};
 use rustls::{ClientConfig, ClientConnection, ServerConfig, ServerConnection, StreamOwned};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
--- a/crates/lab/src/xmpp_server.rs
+++ b/crates/lab/src/xmpp_server.rs
@@ -4,7 +4,7 @@
 use crate::scram::{Hash, Server as Scram};
 use crate::stream::Stream;
 use base64::prelude::{Engine, BASE64_STANDARD};
-use jaspermoor::front::xmpp::frame::{
+use jaspermoor::protocol::xmpp::frame::{
     Element, Unit, NS_CLIENT, NS_SASL, NS_SM, NS_STREAMS, NS_TLS,
 };
 use rustls::ServerConfig;
--- a/src/bin/jaspermoor-simhost.rs
+++ b/src/bin/jaspermoor-simhost.rs
@@ -1,7 +1,7 @@
 //! Hosts many instances of the decision module on the bench's wire: batches come in on standard
 //! input, one reply each goes out on standard output. The instances share nothing.
 
-use jaspermoor::api::{Action, Event};
+use jaspermoor::decisions::api::{Action, Event};
 use jaspermoor::wire::{self, Record, Reply, WireError};
 use jaspermoor::Balancer;
 use std::collections::BTreeMap;
--- a/src/cells/map.rs
+++ b/src/cells/map.rs
@@ -1,7 +1,7 @@
 //! The map of cells: looked up for each placement, made anew at each reload.
 
-use crate::api::{Member, MemberState, ServerId};
 use crate::config::operator::{self, OperatorError, OperatorFile};
+use crate::decisions::api::{EndpointId, EndpointState, ListedEndpoint};
 use std::collections::BTreeMap;
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -80,7 +80,7 @@
     /// The cell of each slot of sites.
     slots: Vec<u8>,
     pins: BTreeMap<u64, usize>,
-    named: BTreeMap<ServerId, usize>,
+    named: BTreeMap<EndpointId, usize>,
     no_server: NoServer,
     least: usize,
     most: usize,
@@ -253,7 +253,7 @@
     }
 
     /// A server's cell; no other server changes it.
-    pub fn of_server(&self, server: ServerId) -> usize {
+    pub fn of_server(&self, server: EndpointId) -> usize {
         let by_hash = || {
             (0..self.cells.len())
                 .max_by_key(|n| (score(&self.cells[*n], server.0), *n))
@@ -307,11 +307,11 @@
     }
 
     /// What is wrong with the cells of this list.
-    pub fn faults(&self, members: &[Member]) -> Vec<Fault> {
+    pub fn faults(&self, members: &[ListedEndpoint]) -> Vec<Fault> {
         let here = |cell: usize| {
             members
                 .iter()
-                .filter(move |m| m.state != MemberState::Gone && self.of_server(m.server) == cell)
+                .filter(move |m| m.state != EndpointState::Removed && self.of_server(m.id) == cell)
         };
         let several = members.iter().any(|m| m.zone != members[0].zone);
         let mut faults = Vec::new();
@@ -332,12 +332,12 @@
     }
 
     /// All cells, a line each, and what is wrong with them.
-    pub fn show(&self, members: &[(String, Member)]) -> Vec<String> {
+    pub fn show(&self, members: &[(String, ListedEndpoint)]) -> Vec<String> {
         let mut lines = Vec::new();
         for (n, cell) in self.cells.iter().enumerate() {
             let servers: Vec<&str> = members
                 .iter()
-                .filter(|(_, m)| self.of_server(m.server) == n)
+                .filter(|(_, m)| self.of_server(m.id) == n)
                 .map(|(id, _)| id.as_str())
                 .collect();
             let slots = self
@@ -355,7 +355,7 @@
                 servers.join(" ")
             ));
         }
-        let all: Vec<Member> = members.iter().map(|(_, m)| m.clone()).collect();
+        let all: Vec<ListedEndpoint> = members.iter().map(|(_, m)| m.clone()).collect();
         lines.extend(
             self.faults(&all)
                 .iter()
@@ -365,7 +365,7 @@
     }
 
     /// Why a site is where it is, in a few lines.
-    pub fn explain(&self, site: u64, members: &[(String, Member)]) -> Vec<String> {
+    pub fn explain(&self, site: u64, members: &[(String, ListedEndpoint)]) -> Vec<String> {
         let (cell, why) = self.home(site);
         let name = self.name(cell);
         let mut lines = vec![match why {
@@ -384,7 +384,7 @@
         }
         let servers: Vec<&str> = members
             .iter()
-            .filter(|(_, m)| m.state != MemberState::Gone && self.of_server(m.server) == cell)
+            .filter(|(_, m)| m.state != EndpointState::Removed && self.of_server(m.id) == cell)
             .map(|(id, _)| id.as_str())
             .collect();
         lines.push(format!(
@@ -405,7 +405,7 @@
     }
 
     /// What another map would change: the share of sites by hash, in percent, and each server and pin by name.
-    pub fn plan(&self, new: &CellMap, members: &[(String, Member)]) -> Vec<String> {
+    pub fn plan(&self, new: &CellMap, members: &[(String, ListedEndpoint)]) -> Vec<String> {
         let changed = (0..SLOTS)
             .filter(|n| self.name(self.slots[*n].into()) != new.name(new.slots[*n].into()));
         let share = 100.0 * changed.count() as f64 / SLOTS as f64;
@@ -414,8 +414,8 @@
         )];
         for (id, member) in members {
             let (from, to) = (
-                self.name(self.of_server(member.server)),
-                new.name(new.of_server(member.server)),
+                self.name(self.of_server(member.id)),
+                new.name(new.of_server(member.id)),
             );
             if from != to {
                 lines.push(format!("server {id}: {from} to {to}"));
@@ -431,7 +431,7 @@
                 lines.push(format!("site {site:016x}: {from} to {to}"));
             }
         }
-        let all: Vec<Member> = members.iter().map(|(_, m)| m.clone()).collect();
+        let all: Vec<ListedEndpoint> = members.iter().map(|(_, m)| m.clone()).collect();
         lines.extend(
             new.faults(&all)
                 .iter()
@@ -454,14 +454,14 @@
         CellMap::new(names.iter().map(cell).collect(), no_server, 2, 60)
     }
 
-    fn member(n: u64, zone: u16) -> Member {
-        Member {
-            server: ServerId(n),
+    fn member(n: u64, zone: u16) -> ListedEndpoint {
+        ListedEndpoint {
+            id: EndpointId(n),
             zone,
             cell: 0,
-            state: MemberState::Ready,
+            state: EndpointState::Ready,
             size: 1.0,
-            started: None,
+            started_at: None,
         }
     }
 
@@ -493,8 +493,8 @@
         assert!((1_700..3_300).contains(&moved), "{moved} of 10000");
         for server in 0..1_000 {
             let (from, to) = (
-                three.of_server(ServerId(server)),
-                four.of_server(ServerId(server)),
+                three.of_server(EndpointId(server)),
+                four.of_server(EndpointId(server)),
             );
             assert!(from == to || to == 3);
         }
@@ -513,7 +513,7 @@
             (2.4..3.7).contains(&(f64::from(counts[1]) / f64::from(counts[0]))),
             "{counts:?}"
         );
-        assert!((0..100).any(|server| map.of_server(ServerId(server)) == 2));
+        assert!((0..100).any(|server| map.of_server(EndpointId(server)) == 2));
     }
 
     #[test]
@@ -550,8 +550,10 @@
     #[test]
     fn cells_too_small_too_large_or_in_one_zone_are_named() {
         let mut map = map(&FOUR[..2], NoServer::Refuse);
-        map.named = (0..5).map(|n| (ServerId(n), usize::from(n > 0))).collect();
-        let members: Vec<Member> = (0..5).map(|n| member(n, u16::from(n == 0))).collect();
+        map.named = (0..5)
+            .map(|n| (EndpointId(n), usize::from(n > 0)))
+            .collect();
+        let members: Vec<ListedEndpoint> = (0..5).map(|n| member(n, u16::from(n == 0))).collect();
         assert_eq!(
             map.faults(&members),
             [Fault::Small("a".into(), 1), Fault::OneZone("b".into(), 0)]
@@ -564,7 +566,7 @@
     fn a_plan_names_what_would_move_and_an_explanation_says_why() {
         let old = map(&FOUR[..3], NoServer::Borrow(4));
         let mut new = old.clone();
-        let (site, server) = (0x5c, ServerId(9));
+        let (site, server) = (0x5c, EndpointId(9));
         let to = (old.home(site).0 + 1) % 3;
         new.pins.insert(site, to);
         new.named.insert(server, (old.of_server(server) + 1) % 3);
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -8,8 +8,8 @@
 
 pub use map::{site_key, CellMap, Fault, Home, NoServer, Placed};
 
-use crate::api::{Micros, SECOND};
 use crate::config::operator::{OperatorError, OperatorFile};
+use crate::decisions::api::{Micros, SECOND};
 use std::sync::Arc;
 
 /// The most connections that may be moved a second: more than any fleet of these bears.
--- a/src/cli/cells.rs
+++ b/src/cli/cells.rs
@@ -2,10 +2,10 @@
 
 use super::{env, Failure};
 use argh::FromArgs;
-use jaspermoor::api::Member;
 use jaspermoor::cells::{site_key, Cells};
 use jaspermoor::config::operator::OperatorFile;
 use jaspermoor::config::Config;
+use jaspermoor::decisions::api::ListedEndpoint;
 use std::path::{Path, PathBuf};
 
 /// Shows cells, says why a site is where it is, and what another file would change.
@@ -63,7 +63,7 @@
         ("BALANCER_CONFIG", Some(path)) => Some(path.clone()),
         _ => env(key),
     })?;
-    let members: Vec<(String, Member)> = config
+    let members: Vec<(String, ListedEndpoint)> = config
         .known
         .iter()
         .map(|(endpoint, member)| (endpoint.name.clone(), member.clone()))
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -8,8 +8,8 @@
 use jaspermoor::config::operator::OperatorFile;
 use jaspermoor::net::fleet::{random_number, Setup};
 use jaspermoor::platform::ledger::Ledger;
-use jaspermoor_control::log::membership::Change;
-use jaspermoor_control::wire::message::{Answer, Ask};
+use jaspermoor_control::log::membership::MembershipChange;
+use jaspermoor_control::wire::message::{OperatorRequest, OperatorResponse};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -155,25 +155,36 @@
         What::Add(add) => change(&mut voters, add_of(add.number, add.address), asked.json)?,
         What::Remove(remove) => change(
             &mut voters,
-            |_| Ok(Change::Remove(remove.number)),
+            |_| Ok(MembershipChange::Remove(remove.number)),
             asked.json,
         )?,
         What::Replace(replace) => {
             change(&mut voters, add_of(replace.by, replace.address), asked.json)?;
-            change(&mut voters, |_| Ok(Change::Remove(replace.old)), asked.json)?;
+            change(
+                &mut voters,
+                |_| Ok(MembershipChange::Remove(replace.old)),
+                asked.json,
+            )?;
         }
     }
     Ok(())
 }
 
 /// The newcomer itself says which disk it has: a wrong address or number is found before anything is changed.
-fn add_of(number: u64, address: SocketAddr) -> impl FnOnce(&mut Voters) -> Result<Change, Failure> {
+fn add_of(
+    number: u64,
+    address: SocketAddr,
+) -> impl FnOnce(&mut Voters) -> Result<MembershipChange, Failure> {
     move |voters| loop {
-        let said = match voters.one(address, &Ask::Who) {
-            Ok(Answer::Who(who, incarnation)) if who == number => {
-                return Ok(Change::Add(number, address.to_string(), incarnation))
+        let said = match voters.one(address, &OperatorRequest::Identity) {
+            Ok(OperatorResponse::Identity(who, incarnation)) if who == number => {
+                return Ok(MembershipChange::Add(
+                    number,
+                    address.to_string(),
+                    incarnation,
+                ))
             }
-            Ok(Answer::Who(who, _)) => {
+            Ok(OperatorResponse::Identity(who, _)) => {
                 return Err(format!("at {address} is voter {who}, not {number}").into())
             }
             Ok(other) => format!("an answer to something else: {other:?}"),
@@ -191,21 +202,23 @@
 
 fn change(
     voters: &mut Voters,
-    wanted: impl FnOnce(&mut Voters) -> Result<Change, Failure>,
+    wanted: impl FnOnce(&mut Voters) -> Result<MembershipChange, Failure>,
     json: bool,
 ) -> Result<(), Failure> {
     let change = wanted(voters)?;
     let (what, number) = match &change {
-        Change::Add(number, ..) | Change::Promote(number) => ("votes", *number),
-        Change::Remove(number) => ("is removed", *number),
+        MembershipChange::Add(number, ..) | MembershipChange::Promote(number) => ("votes", *number),
+        MembershipChange::Remove(number) => ("is removed", *number),
     };
-    let ask = Ask::Member(change);
+    let ask = OperatorRequest::Member(change);
     let mut said = String::new();
     loop {
         match voters.ask(&ask)? {
-            Answer::Member(Ok(())) => break,
-            Answer::Member(Err(why)) => return Err(format!("voter {number}: {why}").into()),
-            Answer::UnderWay(news, _) => {
+            OperatorResponse::Member(Ok(())) => break,
+            OperatorResponse::Member(Err(why)) => {
+                return Err(format!("voter {number}: {why}").into())
+            }
+            OperatorResponse::InProgress(news, _) => {
                 if news != said && !json {
                     eprintln!("voter {number}: {news}");
                 }
@@ -235,15 +248,15 @@
 
 fn list(voters: &mut Voters, json: bool) -> Result<(), Failure> {
     let status = voters.status()?;
-    for (number, active, behind) in &status.membership {
+    for (number, active, behind) in &status.voters {
         let seat = status
             .state
             .membership
-            .of
+            .members
             .get(number)
             .cloned()
             .unwrap_or_default();
-        let state = match (*number == status.leader, seat.votes, active) {
+        let state = match (*number == status.leader, seat.is_voter, active) {
             (true, ..) => "leads",
             (_, _, false) => "does not answer",
             (_, true, true) => "votes",
@@ -269,7 +282,7 @@
     if !json {
         println!(
             "the next number to give is {}",
-            status.state.membership.highest + 1
+            status.state.membership.highest_id + 1
         );
     }
     Ok(())
--- a/src/cli/jobs.rs
+++ b/src/cli/jobs.rs
@@ -5,7 +5,7 @@
 use super::Failure;
 use argh::FromArgs;
 use jaspermoor_control::jobs::assignment::{Assignment, Job};
-use jaspermoor_control::wire::message::{Answer, Ask, Status};
+use jaspermoor_control::wire::message::{FleetStatus, OperatorRequest, OperatorResponse};
 use std::time::{Duration, Instant};
 
 /// Pause between two looks at how far a change is.
@@ -61,10 +61,10 @@
         status
             .state
             .jobs
-            .of
+            .by_name
             .iter()
             .for_each(|(name, job)| show(name, job, &status, json));
-        if status.state.jobs.of.is_empty() && !json {
+        if status.state.jobs.by_name.is_empty() && !json {
             println!(
                 "the fleet has no jobs: [fleet.jobs] in the relays' operator files says which there are"
             );
@@ -91,7 +91,7 @@
             job.token,
             job.owner.as_ref().map(|owner| owner.name.clone()),
         );
-        if job.held {
+        if job.paused {
             return Err(
                 format!("{} is held: 'fleet release {}' first", self.name, self.name).into(),
             );
@@ -114,7 +114,7 @@
         known(&voters.status()?, &self.name)?;
         deal(voters, Assignment::Hold(self.name.clone(), true))?;
         await_job(voters, &self.name, json, |job| {
-            job.held && job.owner.is_none()
+            job.paused && job.owner.is_none()
         })
     }
 }
@@ -125,13 +125,13 @@
         known(&voters.status()?, &self.name)?;
         deal(voters, Assignment::Hold(self.name.clone(), false))?;
         await_job(voters, &self.name, json, |job| {
-            !job.held && job.owner.is_some()
+            !job.paused && job.owner.is_some()
         })
     }
 }
 
-fn known<'a>(status: &'a Status, name: &str) -> Result<&'a Job, Failure> {
-    let jobs = &status.state.jobs.of;
+fn known<'a>(status: &'a FleetStatus, name: &str) -> Result<&'a Job, Failure> {
+    let jobs = &status.state.jobs.by_name;
     jobs.get(name).ok_or_else(|| {
         let names: Vec<&str> = jobs.keys().map(String::as_str).collect();
         let there = if names.is_empty() {
@@ -143,15 +143,15 @@
     })
 }
 
-fn why(name: &str, status: &Status) -> Option<String> {
+fn why(name: &str, status: &FleetStatus) -> Option<String> {
     status
-        .idle
+        .unassigned_jobs
         .iter()
         .find(|(of, _)| of == name)
         .map(|(_, why)| why.clone())
 }
 
-fn show(name: &str, job: &Job, status: &Status, json: bool) {
+fn show(name: &str, job: &Job, status: &FleetStatus, json: bool) {
     let owner = job.owner.as_ref().map_or("", |owner| owner.name.as_str());
     let why = why(name, status).unwrap_or_default();
     if json {
@@ -159,8 +159,8 @@
             ("job", name.to_string()),
             ("owner", owner.to_string()),
             ("token", job.token.to_string()),
-            ("step", job.step.to_string()),
-            ("held", job.held.to_string()),
+            ("step", job.checkpoint_step.to_string()),
+            ("held", job.paused.to_string()),
             ("why", why),
         ];
         return println!("{}", json_object(&fields));
@@ -173,18 +173,18 @@
     };
     println!(
         "{name:<24} {owner:<20} token {:<6} step {:<6}{why}",
-        job.token, job.step
+        job.token, job.checkpoint_step
     );
 }
 
 /// Hands it to the log, and asks until it is there.
 fn deal(voters: &mut Voters, deal: Assignment) -> Result<(), Failure> {
-    let ask = Ask::Job(deal);
+    let ask = OperatorRequest::Job(deal);
     loop {
         match voters.ask(&ask)? {
-            Answer::Job(Ok(())) => return Ok(()),
-            Answer::Job(Err(why)) => return Err(why.into()),
-            Answer::UnderWay(..) => {}
+            OperatorResponse::Job(Ok(())) => return Ok(()),
+            OperatorResponse::Job(Err(why)) => return Err(why.into()),
+            OperatorResponse::InProgress(..) => {}
             other => return Err(format!("an answer to something else: {other:?}").into()),
         }
         if Instant::now() >= voters.until {
--- a/src/cli/policy.rs
+++ b/src/cli/policy.rs
@@ -6,8 +6,10 @@
 use jaspermoor::config::operator::OperatorFile;
 use jaspermoor::config::policy;
 use jaspermoor::net::fleet::{random_number, Setup};
-use jaspermoor_control::log::state::{Outcome, Phase, Policy, Proposal, ProposalId};
-use jaspermoor_control::wire::message::{Answer, Ask};
+use jaspermoor_control::log::state::{
+    Policy, Proposal, ProposalId, ProposalOutcome, ProposalPhase,
+};
+use jaspermoor_control::wire::message::{OperatorRequest, OperatorResponse};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
@@ -39,7 +41,7 @@
     Status(StatusOf),
     History(History),
     Rollback(Rollback),
-    Outcome(OutcomeOf),
+    ProposalOutcome(OutcomeOf),
 }
 
 /// Checks a policy's file as this build does, without asking anybody.
@@ -115,7 +117,7 @@
 /// Proposes, then asks until it is decided. Says what is waited for.
 fn propose(voters: &mut Voters, proposal: Proposal, json: bool) -> Result<(), Failure> {
     let (id, mut said) = (proposal.id, String::from("nobody has heard of it"));
-    let ask = Ask::Propose(proposal);
+    let ask = OperatorRequest::Propose(proposal);
     loop {
         let unknown = |why: &str| -> Failure {
             let id = name(id);
@@ -128,8 +130,8 @@
             )));
         }
         match voters.ask(&ask).map_err(|e| unknown(&e.to_string()))? {
-            Answer::Outcome(outcome) => return report(id, &outcome, json),
-            Answer::UnderWay(step, relays) => {
+            OperatorResponse::Outcome(outcome) => return report(id, &outcome, json),
+            OperatorResponse::InProgress(step, relays) => {
                 let news = match relays.as_slice() {
                     [] => step,
                     relays => format!("{step}; waited for: {}", relays.join(", ")),
@@ -157,11 +159,11 @@
 }
 
 /// Says what became of a proposal. What did not take hold is a failure.
-fn report(id: ProposalId, outcome: &Outcome, json: bool) -> Result<(), Failure> {
+fn report(id: ProposalId, outcome: &ProposalOutcome, json: bool) -> Result<(), Failure> {
     let (word, text) = match outcome {
-        Outcome::InForce(epoch) => ("in-force", format!("in force, epoch {epoch}")),
-        Outcome::Refused(by, why) => ("refused", format!("refused by {by}: {why}")),
-        Outcome::GivenUp(relays) => (
+        ProposalOutcome::InForce(epoch) => ("in-force", format!("in force, epoch {epoch}")),
+        ProposalOutcome::Rejected(by, why) => ("refused", format!("refused by {by}: {why}")),
+        ProposalOutcome::TimedOut(relays) => (
             "given-up",
             format!("given up; no answer of {}", relays.join(", ")),
         ),
@@ -198,7 +200,7 @@
     let digest = policy::digest(&policy.text);
     format!(
         "epoch {:<4} {digest}  {:<12} {}",
-        policy.epoch, policy.who, policy.why
+        policy.epoch, policy.author, policy.reason
     )
 }
 
@@ -241,10 +243,10 @@
             .unwrap_or_else(|| "unknown".into());
         Ok(Proposal {
             id,
-            base,
+            base_epoch: base,
             text,
-            who,
-            why,
+            author: who,
+            reason: why,
         })
     };
     match asked.what {
@@ -273,11 +275,11 @@
             let proposal = made(old.text.clone(), None, why, state.policy.epoch, None)?;
             propose(&mut voters, proposal, asked.json)
         }
-        What::Outcome(of) => {
+        What::ProposalOutcome(of) => {
             let id = read_name(&of.id)?;
-            match voters.ask(&Ask::Outcome(id))? {
-                Answer::Outcome(outcome) => report(id, &outcome, asked.json),
-                Answer::UnderWay(step, relays) => {
+            match voters.ask(&OperatorRequest::Outcome(id))? {
+                OperatorResponse::Outcome(outcome) => report(id, &outcome, asked.json),
+                OperatorResponse::InProgress(step, relays) => {
                     println!(
                         "{}: under way, {step}; waited for: {}",
                         name(id),
@@ -321,19 +323,19 @@
             }
             println!("{}", line(&status.state.policy));
             match &status.state.phase {
-                Phase::Rest => println!("no change under way"),
-                Phase::Preparing(p) => {
+                ProposalPhase::Idle => println!("no change under way"),
+                ProposalPhase::Preparing(p) => {
                     println!(
                         "under way: {} by {}: each relay checks and stores it",
                         name(p.id),
-                        p.who
+                        p.author
                     )
                 }
-                Phase::Sealed(p) => {
+                ProposalPhase::Sealed(p) => {
                     println!(
                         "under way: {} by {}: waits until no lease runs",
                         name(p.id),
-                        p.who
+                        p.author
                     )
                 }
             }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -3,13 +3,13 @@
 use super::{env, Failure};
 use argh::FromArgs;
 use crossbeam_channel::bounded;
-use jaspermoor::api::{Column, ListKind, Member};
 use jaspermoor::cells::Cells;
 use jaspermoor::config::operator::OperatorFile;
 use jaspermoor::config::policy::{self, Rules};
 use jaspermoor::config::Config;
-use jaspermoor::decide::{Decisions, Orders};
-use jaspermoor::load::LoadBook;
+use jaspermoor::decision_service::{DecisionService, Hooks};
+use jaspermoor::decisions::api::{EndpointListKind, ListedEndpoint, ReportColumn};
+use jaspermoor::load::LoadReportCache;
 use jaspermoor::log::{self, log, Format};
 use jaspermoor::net::core::{Core, Xmpp};
 use jaspermoor::net::engine::{Engine, Speaks};
@@ -77,7 +77,7 @@
             .map_err(|e| format!("listen: cannot listen on {}: {e}", config.listen))?,
     };
     let (address, listener) = (listener.addr()?, Arc::new(listener));
-    let upkeep = if config.settings.list_on_request {
+    let upkeep = if config.settings.polls_endpoint_list {
         Upkeep::Asked
     } else {
         Upkeep::Standing
@@ -91,16 +91,19 @@
     for problem in &config.known_problems {
         log(&format!("known: an entry was left out: {problem}"));
     }
-    let cached: Vec<Member> = config
+    let cached: Vec<ListedEndpoint> = config
         .known
         .iter()
         .map(|(_, member)| member.clone())
         .collect();
-    let decisions = Decisions::new(
+    let decisions = DecisionService::new(
         config.settings.clone(),
         config.seed,
         cached,
-        Orders { watch, probe },
+        Hooks {
+            watch_endpoint_list: watch,
+            check_health: probe,
+        },
     );
     // Before the first request: no site is placed by another map.
     let tuning = operator
@@ -108,7 +111,7 @@
         .map(policy::tuning)
         .transpose()?
         .unwrap_or_default();
-    decisions.policy(cells.clone(), tuning);
+    decisions.apply_policy(cells.clone(), tuning);
     let mut fleet = match operator.as_ref().map(Setup::of).transpose()?.flatten() {
         // Before the first client: until it has a lease nobody is admitted.
         Some(setup) => Some(Fleet::open(
@@ -127,7 +130,7 @@
         .and_then(|file| file.operator.fleet.as_ref())
         .map(|fleet| fleet.jobs);
     if let (Some(fleet), Some(jobs)) = (&mut fleet, jobs) {
-        let book = Arc::new(LoadBook::default());
+        let book = Arc::new(LoadReportCache::default());
         if jobs.load_watch {
             engine.watch(book.clone());
         }
@@ -136,7 +139,8 @@
             zones: config.names.zones.clone(),
             columns: config.names.columns.clone(),
             zone: config.settings.zone,
-            probes: config.settings.may_probe && config.settings.columns.contains(&Column::Load),
+            probes: config.settings.may_check_health
+                && config.settings.report_columns.contains(&ReportColumn::Load),
             book,
         });
     }
@@ -307,12 +311,13 @@
     core.adopt_xmpp(xmpp);
     // A fleet's policy is not replaced by this relay's own file.
     if operator.is_none_or(|file| file.operator.fleet.is_none()) {
-        core.decisions.policy(cells, tuning);
+        core.decisions.apply_policy(cells, tuning);
     }
     *config = new;
     let moved = source.relocate(config.discovery);
-    if moved && config.settings.list_on_request {
-        core.decisions.members(ListKind::Moved, Vec::new());
+    if moved && config.settings.polls_endpoint_list {
+        core.decisions
+            .update_endpoints(EndpointListKind::Relocated, Vec::new());
     }
     core.metrics.loads.fetch_add(1, Relaxed);
     let (name, at, classes) = (
--- a/src/cli/voters.rs
+++ b/src/cli/voters.rs
@@ -2,8 +2,8 @@
 
 use super::Failure;
 use jaspermoor::net::fleet::{random_number, Setup};
-use jaspermoor_control::wire::mac::Session;
-use jaspermoor_control::wire::message::{Answer, Ask, Message, Status};
+use jaspermoor_control::wire::mac::FrameSession;
+use jaspermoor_control::wire::message::{FleetStatus, Message, OperatorRequest, OperatorResponse};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -42,17 +42,17 @@
     }
 
     /// What the leader answers.
-    pub fn ask(&mut self, ask: &Ask) -> Result<Answer, Failure> {
+    pub fn ask(&mut self, ask: &OperatorRequest) -> Result<OperatorResponse, Failure> {
         let mut last = String::from("none was asked");
         while Instant::now() < self.until {
             for _ in 0..self.known.len() {
                 let (number, address) = self.known[self.at % self.known.len()];
                 match self.one(address, ask) {
-                    Ok(Answer::Elsewhere(Some((leader, address)))) => {
+                    Ok(OperatorResponse::Redirect(Some((leader, address)))) => {
                         last = format!("voter {leader} should lead");
                         self.at = self.place(leader, &address).unwrap_or(self.at + 1);
                     }
-                    Ok(Answer::Elsewhere(None)) => {
+                    Ok(OperatorResponse::Redirect(None)) => {
                         last = "no voter leads: a majority of them must be up and reach each other"
                             .into();
                         self.at += 1;
@@ -79,18 +79,22 @@
     }
 
     /// What the one at that address answers, whether it leads or not.
-    pub fn one(&self, addr: SocketAddr, ask: &Ask) -> Result<Answer, Failure> {
+    pub fn one(
+        &self,
+        addr: SocketAddr,
+        ask: &OperatorRequest,
+    ) -> Result<OperatorResponse, Failure> {
         let mut socket = TcpStream::connect_timeout(&addr, ANSWER)?;
         socket.set_read_timeout(Some(ANSWER))?;
         socket.set_write_timeout(Some(ANSWER))?;
-        let mut session = Session::new(
+        let mut session = FrameSession::new(
             true,
             self.setup.keys.clone(),
             self.setup.id(),
             random_number(),
         );
-        socket.write_all(session.out())?;
-        session.out().clear();
+        socket.write_all(session.outgoing())?;
+        session.outgoing().clear();
         let (mut piece, mut asked, end) = (vec![0; 64 * 1024], false, Instant::now() + ANSWER);
         loop {
             let n = socket.read(&mut piece)?;
@@ -101,22 +105,22 @@
                 .feed(&piece[..n])
                 .map_err(|fault| fault.to_string())?;
             for message in messages {
-                if let Some(Message::Answer(1, answer)) = Message::decode(&message) {
+                if let Some(Message::OperatorResponse(1, answer)) = Message::decode(&message) {
                     return Ok(answer);
                 }
             }
-            if session.ready() && !std::mem::replace(&mut asked, true) {
-                session.send(&Message::Ask(1, ask.clone()).encode());
-                socket.write_all(session.out())?;
-                session.out().clear();
+            if session.is_established() && !std::mem::replace(&mut asked, true) {
+                session.send(&Message::OperatorRequest(1, ask.clone()).encode());
+                socket.write_all(session.outgoing())?;
+                session.outgoing().clear();
             }
         }
     }
 
     /// How things stand.
-    pub fn status(&mut self) -> Result<Status, Failure> {
-        match self.ask(&Ask::Status)? {
-            Answer::Status(status) => Ok(*status),
+    pub fn status(&mut self) -> Result<FleetStatus, Failure> {
+        match self.ask(&OperatorRequest::Status)? {
+            OperatorResponse::Status(status) => Ok(*status),
             other => Err(format!("an answer to something else: {other:?}").into()),
         }
     }
--- a/src/config/listing.rs
+++ b/src/config/listing.rs
@@ -1,6 +1,6 @@
 //! The list of backends as discovery and the configuration write it.
 
-use crate::api::{Member, MemberState, Micros, ServerId};
+use crate::decisions::api::{EndpointId, EndpointState, ListedEndpoint, Micros};
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use std::net::SocketAddr;
@@ -25,17 +25,17 @@
     /// Whether it names all backends, or the changed ones only.
     pub full: bool,
     /// The entries that could be read.
-    pub servers: Vec<(Endpoint, Member)>,
+    pub servers: Vec<(Endpoint, ListedEndpoint)>,
     /// What is wrong with the others.
     pub problems: Vec<String>,
 }
 
 /// The number of a backend: the same at every relay, for the same id (FNV-1a).
-pub fn server_id(name: &str) -> ServerId {
+pub fn server_id(name: &str) -> EndpointId {
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
     });
-    ServerId(hash)
+    EndpointId(hash)
 }
 
 /// Refuses JSON that is nested too deeply.
@@ -86,7 +86,7 @@
     Ok(listing)
 }
 
-fn entry(value: &Value, zones: &[String]) -> Result<(Endpoint, Member), String> {
+fn entry(value: &Value, zones: &[String]) -> Result<(Endpoint, ListedEndpoint), String> {
     let word = |key: &str| {
         value
             .get(key)
@@ -95,9 +95,9 @@
     };
     let name = word("id")?.to_string();
     let state = match word("state")? {
-        "active" => MemberState::Ready,
-        "leaving" => MemberState::Draining,
-        "left" => MemberState::Gone,
+        "active" => EndpointState::Ready,
+        "leaving" => EndpointState::Draining,
+        "left" => EndpointState::Removed,
         other => return Err(format!("state: '{other}' is not known")),
     };
     let addr = word("addr")?
@@ -113,8 +113,8 @@
         .and_then(|v| v.cast_f64())
         .unwrap_or(0.0);
     let started: Micros = crate::wire::micros(started).ok_or("started_ms: is not a time")?;
-    let member = Member {
-        server: server_id(&name),
+    let member = ListedEndpoint {
+        id: server_id(&name),
         zone: zone as u16,
         cell: value.get("cell").and_then(|v| v.as_u64()).unwrap_or(0) as u16,
         state,
@@ -122,7 +122,7 @@
             .get("weight")
             .and_then(|v| v.cast_f64())
             .unwrap_or(1.0) as f32,
-        started: (started > 0).then_some(started),
+        started_at: (started > 0).then_some(started),
     };
     Ok((Endpoint { name, addr }, member))
 }
@@ -165,7 +165,7 @@
             let (endpoint, member) = &listing.servers[0];
             assert_eq!((listing.servers.len(), endpoint.name.as_str()), (1, "s-1"));
             assert_eq!(
-                (member.zone, member.cell, member.started),
+                (member.zone, member.cell, member.started_at),
                 (1, 3, Some(7_000))
             );
         }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -5,7 +5,7 @@
 pub mod operator;
 pub mod policy;
 
-use crate::api::{Class, Member, Micros, Settings};
+use crate::decisions::api::{Class, ListedEndpoint, Micros, Settings};
 use crate::wire;
 use listing::Endpoint;
 use simd_json::prelude::*;
@@ -158,7 +158,7 @@
     /// The version of the list as it was last known.
     pub known_version: u64,
     /// The list as it was last known.
-    pub known: Vec<(Endpoint, Member)>,
+    pub known: Vec<(Endpoint, ListedEndpoint)>,
     /// What is wrong with entries of it that were left out: it was not written by hand.
     pub known_problems: Vec<String>,
     /// The settings of the decisions.
@@ -217,11 +217,11 @@
             ("settings.az", old.zone == now.zone),
             (
                 "settings.membership_mode",
-                old.list_on_request == now.list_on_request,
+                old.polls_endpoint_list == now.polls_endpoint_list,
             ),
             (
                 "settings.family_info.mode",
-                old.passes_through == now.passes_through,
+                old.forwards_packets == now.forwards_packets,
             ),
         ];
         let fixed = same
@@ -229,8 +229,9 @@
             .filter(|(_, same)| !same)
             .map(|&(key, _)| key)
             .collect();
-        (now.zone, now.list_on_request) = (old.zone, old.list_on_request);
-        (now.passes_through, now.columns) = (old.passes_through, old.columns.clone());
+        (now.zone, now.polls_endpoint_list) = (old.zone, old.polls_endpoint_list);
+        (now.forwards_packets, now.report_columns) =
+            (old.forwards_packets, old.report_columns.clone());
         let classes = std::mem::replace(&mut now.classes, old.classes.clone());
         new.classes = self
             .classes
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -67,7 +67,7 @@
     pub voters: Vec<FleetVoter>,
     /// What a relay does that hears from no leader.
     #[serde(default)]
-    pub alone: Alone,
+    pub alone: LeaderlessMode,
     /// How long a relay may admit clients after it asked for its lease.
     #[serde(default = "lease_ms")]
     pub lease_ms: u64,
@@ -124,7 +124,7 @@
 /// What a relay does that hears from no leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Alone {
+pub enum LeaderlessMode {
     /// It refuses new clients.
     #[default]
     Refuse,
--- a/src/config/policy.rs
+++ b/src/config/policy.rs
@@ -6,7 +6,7 @@
 
 use crate::cells::Cells;
 use crate::config::operator::{OperatorError, OperatorFile};
-use crate::logic::Tuning;
+use crate::decisions::Parameters;
 use std::path::Path;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -16,16 +16,16 @@
     /// Cells and pins.
     pub cells: Cells,
     /// Parameters of the decisions.
-    pub tuning: Tuning,
+    pub tuning: Parameters,
 }
 
 /// Parameters of an operator file, or of a policy, checked.
-pub fn tuning(file: &OperatorFile) -> Result<Tuning, OperatorError> {
-    let mut tuning = Tuning::default();
+pub fn tuning(file: &OperatorFile) -> Result<Parameters, OperatorError> {
+    let mut tuning = Parameters::default();
     for (name, value) in &file.operator.parameters {
         let key = format!("parameters.{name}");
-        if !Tuning::NAMES.contains(&name.as_str()) || of_a_later_build(name) {
-            let known = Tuning::NAMES.join(", ");
+        if !Parameters::NAMES.contains(&name.as_str()) || of_a_later_build(name) {
+            let known = Parameters::NAMES.join(", ");
             return Err(file.error(
                 &key,
                 format!("no parameter has this name; there are {known}"),
--- a/src/decide.rs
+++ b/src/decision_service/mod.rs
@@ -2,12 +2,12 @@
 //! timers. One lock owns the balancer, its clock and its timers. What stands before it (the line
 //! protocol today) sees neither events nor actions, and nothing here knows what that is.
 
-use crate::api::{
-    Action, Event, ListKind, Member, MemberState, Micros, Outcome, Request, RequestId, ServerId,
-    Settings, SECOND,
-};
 use crate::cells::{Cells, Placed};
-use crate::logic::{Balancer, Tuning};
+use crate::decisions::api::{
+    Action, EndpointId, EndpointListKind, EndpointState, Event, ListedEndpoint, Micros, Outcome,
+    Request, RequestId, Settings, SECOND,
+};
+use crate::decisions::{Balancer, Parameters};
 use crate::sys::{boottime, Wake};
 use crossbeam_channel::{bounded, Receiver, Sender, TryRecvError};
 use std::cmp::Reverse;
@@ -23,38 +23,38 @@
 
 /// What is to be done next for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// Make this attempt, and stop waiting for it at the stated time.
     Attempt {
         /// Where to.
-        server: ServerId,
+        endpoint: EndpointId,
         /// When to stop waiting.
-        until: Micros,
+        give_up_at: Micros,
         /// Which attempt of the request it is, from 0.
         number: u16,
     },
     /// Final: a further try is harmless after this wait (0: no advice).
-    Refuse(Micros),
+    Reject(Micros),
     /// Final: failed, nothing is promised.
     Fail,
     /// Nothing is owed any more.
-    Gone,
+    Withdrawn,
 }
 
 /// What the decisions can ask of a request or connection that is under way. Called with no lock
 /// held; must not block.
-pub trait Flow: Send + Sync {
+pub trait RequestHandle: Send + Sync {
     /// A verdict waits on its pick. Who blocks there need not hear of it.
-    fn verdict(&self) {}
+    fn decision_ready(&self) {}
     /// Stop waiting for this attempt.
-    fn give_up(&self, attempt: u16);
+    fn cancel_attempt(&self, attempt: u16);
     /// End the open connection politely.
-    fn relocate(&self);
+    fn migrate(&self);
 }
 
 /// News of an open connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum ConnectionSample {
     /// Its load now: work in microseconds a second.
     Load(f32),
     /// How long messages take at its server.
@@ -62,30 +62,30 @@
 }
 
 /// Where orders go that concern no single request. Neither may block.
-pub struct Orders {
+pub struct Hooks {
     /// Subscribe to the list of servers, once more after each that failed, or stop. Called with the lock held.
-    pub watch: Box<dyn Fn(bool) + Send>,
+    pub watch_endpoint_list: Box<dyn Fn(bool) + Send>,
     /// Probe this server.
-    pub probe: Sender<ServerId>,
+    pub check_health: Sender<EndpointId>,
 }
 
 /// What is counted of one cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CellFigures {
+pub struct CellMetrics {
     /// Its name.
     pub name: String,
     /// Its listed servers, and whether one of them may be sent anything.
-    pub servers: usize,
+    pub endpoints: usize,
     /// See `servers`.
     pub usable: bool,
     /// Requests and connections that it has.
-    pub holds: u32,
+    pub in_flight: u32,
     /// Those of them that it lends room to.
     pub borrowed: u32,
     /// Requests that came up, were refused, and have failed since the start.
-    pub up: u64,
+    pub connected: u64,
     /// See `up`.
-    pub refused: u64,
+    pub rejected: u64,
     /// See `up`.
     pub failed: u64,
 }
@@ -95,9 +95,9 @@
     at: usize,
     request: Request,
     borrowed: bool,
-    verdicts: Sender<Verdict>,
-    flow: Arc<dyn Flow>,
-    server: ServerId,
+    verdicts: Sender<Decision>,
+    flow: Arc<dyn RequestHandle>,
+    server: EndpointId,
     attempts: u16,
     answered: bool,
 }
@@ -106,7 +106,7 @@
 struct Part {
     name: String,
     balancer: Balancer,
-    figures: CellFigures,
+    figures: CellMetrics,
 }
 
 /// The timer that is no balancer's: the next move of a connection whose site has another cell.
@@ -120,10 +120,10 @@
     cells: Cells,
     seed: u64,
     settings: Settings,
-    tuning: Tuning,
+    tuning: Parameters,
     /// The list as last told, with the part of each server.
-    members: BTreeMap<ServerId, (Member, usize)>,
-    by_hand: BTreeSet<ServerId>,
+    members: BTreeMap<EndpointId, (ListedEndpoint, usize)>,
+    by_hand: BTreeSet<EndpointId>,
     /// Connections that are to be moved to their site's new cell, and whether a timer is set for the next.
     moves: VecDeque<RequestId>,
     moving: bool,
@@ -135,41 +135,46 @@
     entries: BTreeMap<RequestId, Entry>,
     timers: BinaryHeap<Reverse<(Micros, usize, u64)>>,
     actions: Vec<Action>,
-    orders: Orders,
+    orders: Hooks,
 }
 
 /// What is left to do once the lock is free.
 enum Call {
-    Verdict(Arc<dyn Flow>),
-    GiveUp(Arc<dyn Flow>, u16),
-    Relocate(Arc<dyn Flow>),
+    Decision(Arc<dyn RequestHandle>),
+    GiveUp(Arc<dyn RequestHandle>, u16),
+    Relocate(Arc<dyn RequestHandle>),
     Log(String),
 }
 
 /// The one owner of the balancer.
-pub struct Decisions {
+pub struct DecisionService {
     inner: Mutex<Inner>,
     sooner: Condvar,
     /// Called where the first timer has become another one.
     wake: OnceLock<Wake>,
     started: Instant,
     epoch: Micros,
-    /// Up to when clients may be admitted, by [`boottime`]; see [`Decisions::lease`].
+    /// Up to when clients may be admitted, by [`boottime`]; see [`DecisionService::lease`].
     lease: AtomicU64,
 }
 
 /// A lease without an end: no fleet has a say.
 const FOREVER: Micros = Micros::MAX;
 /// What a client is told that comes while no lease runs: it is renewed or another policy is in force within that.
-const NO_LEASE_WAIT: Micros = SECOND / 4;
+const NO_LEASE_RETRY_AFTER: Micros = SECOND / 4;
 
-impl Decisions {
+impl DecisionService {
     /// Decisions with these settings; `cached` is the list as last known.
-    pub fn new(settings: Settings, seed: u64, cached: Vec<Member>, orders: Orders) -> Arc<Self> {
+    pub fn new(
+        settings: Settings,
+        seed: u64,
+        cached: Vec<ListedEndpoint>,
+        orders: Hooks,
+    ) -> Arc<Self> {
         let epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let decisions = Arc::new(Decisions {
+        let decisions = Arc::new(DecisionService {
             inner: Mutex::new(Inner {
                 parts: vec![Part::new(
                     Cells::default().map.name(0),
@@ -180,7 +185,7 @@
                 cells: Cells::default(),
                 seed,
                 settings,
-                tuning: Tuning::default(),
+                tuning: Parameters::default(),
                 members: BTreeMap::new(),
                 by_hand: BTreeSet::new(),
                 moves: VecDeque::new(),
@@ -200,13 +205,13 @@
             epoch: epoch.as_micros() as Micros,
             lease: AtomicU64::new(FOREVER),
         });
-        decisions.members(ListKind::Cached, cached);
+        decisions.update_endpoints(EndpointListKind::Cached, cached);
         decisions
     }
 
     /// From now on this is called where an earlier timer is set: for a driver that waits elsewhere than in
-    /// [`Decisions::tick`]. Once.
-    pub fn wakes(&self, wake: Wake) {
+    /// [`DecisionService::tick`]. Once.
+    pub fn set_waker(&self, wake: Wake) {
         let _ = self.wake.set(wake);
     }
 
@@ -216,30 +221,30 @@
     }
 
     /// Time left until a moment.
-    pub fn left(&self, until: Micros) -> Duration {
+    pub fn time_until(&self, until: Micros) -> Duration {
         Duration::from_micros(until.saturating_sub(self.now()))
     }
 
     /// New clients are admitted up to that moment of [`boottime`], which counts the time that the machine slept.
-    pub fn lease(&self, until: Micros) {
+    pub fn set_admission_lease(&self, until: Micros) {
         self.lease.store(until, SeqCst);
     }
 
     /// Whether a new client may be placed at this moment: looked at right before each placement, and before the first
     /// byte of each attempt, so that a process which was stopped meanwhile sends nothing under a policy of before.
-    pub fn admits(&self) -> bool {
+    pub fn may_admit(&self) -> bool {
         let until = self.lease.load(SeqCst);
         until == FOREVER || boottime() < until
     }
 
     /// Another policy holds from now on, as one: no placement falls between its parts.
-    pub fn policy(&self, cells: Cells, tuning: Tuning) {
+    pub fn apply_policy(&self, cells: Cells, tuning: Parameters) {
         self.act(self.lock(), |inner, now, calls| {
             inner.tuning = tuning;
             inner
                 .parts
                 .iter_mut()
-                .for_each(|part| part.balancer.tune(tuning));
+                .for_each(|part| part.balancer.set_parameters(tuning));
             inner.adopt_cells(cells, now, calls);
         });
     }
@@ -279,9 +284,9 @@
             .for_each(|wake| wake());
         for call in calls {
             match call {
-                Call::Verdict(flow) => flow.verdict(),
-                Call::GiveUp(flow, attempt) => flow.give_up(attempt),
-                Call::Relocate(flow) => flow.relocate(),
+                Call::Decision(flow) => flow.decision_ready(),
+                Call::GiveUp(flow, attempt) => flow.cancel_attempt(attempt),
+                Call::Relocate(flow) => flow.migrate(),
                 Call::Log(line) => crate::log::log(&line),
             }
         }
@@ -289,14 +294,14 @@
 
     /// Takes a request (its id is given here) and blocks until it is known what to do with it. The
     /// id is handed to `taken` before the wait, so that the request can be called off meanwhile.
-    pub fn pick(
+    pub fn submit(
         &self,
         request: Request,
-        flow: Arc<dyn Flow>,
+        flow: Arc<dyn RequestHandle>,
         taken: impl FnOnce(RequestId),
-    ) -> Pick {
+    ) -> PendingDecision {
         let mut inner = self.lock();
-        let placed = if self.admits() {
+        let placed = if self.may_admit() {
             Some(inner.place(request.group))
         } else {
             None
@@ -309,7 +314,7 @@
         let home = inner.by_cell[inner.cells.map.home(request.group).0];
         let (id, verdicts) = inner.admit(
             flow,
-            ServerId::default(),
+            EndpointId::default(),
             false,
             at.unwrap_or(home),
             &request,
@@ -328,16 +333,21 @@
                 let wait = if placed.is_some() {
                     inner.cells.retry_after
                 } else {
-                    NO_LEASE_WAIT
+                    NO_LEASE_RETRY_AFTER
                 };
-                inner.finish(id, Verdict::Refuse(wait), calls);
+                inner.finish(id, Decision::Reject(wait), calls);
             }),
         }
-        Pick { id, verdicts }
+        PendingDecision { id, verdicts }
     }
 
     /// Takes a connection that was open at a server before this process started.
-    pub fn adopt(&self, request: Request, server: ServerId, flow: Arc<dyn Flow>) -> RequestId {
+    pub fn adopt_connection(
+        &self,
+        request: Request,
+        server: EndpointId,
+        flow: Arc<dyn RequestHandle>,
+    ) -> RequestId {
         let mut inner = self.lock();
         let at = inner.part_of(server);
         let (id, _) = inner.admit(flow, server, true, at, &request);
@@ -351,7 +361,10 @@
             inner.handle(
                 at,
                 now,
-                Event::Open(Request { id, ..request }, server),
+                Event::Adopted {
+                    request: Request { id, ..request },
+                    endpoint: server,
+                },
                 calls,
             );
         });
@@ -360,20 +373,28 @@
 
     /// The attempt's connection is up. False if the request has had its final answer meanwhile: the
     /// attempt must then be dropped.
-    pub fn up(&self, id: RequestId, took: Micros) -> bool {
+    pub fn connected(&self, id: RequestId, took: Micros) -> bool {
         let mut inner = self.lock();
         let Some(entry) = inner.entries.get_mut(&id).filter(|e| !e.answered) else {
             return false;
         };
         entry.answered = true;
         let (server, at) = (entry.server, entry.at);
-        inner.parts[at].figures.up += 1;
-        self.feed(inner, at, Event::First { id, server, took });
+        inner.parts[at].figures.connected += 1;
+        self.feed(
+            inner,
+            at,
+            Event::Connected {
+                id,
+                endpoint: server,
+                elapsed: took,
+            },
+        );
         true
     }
 
     /// Reports how an attempt ended that did not come up; its verdict follows on the pick.
-    pub fn report(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
+    pub fn attempt_failed(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
         let inner = self.lock();
         let Some(entry) = inner.entries.get(&id) else {
             return;
@@ -382,18 +403,18 @@
         self.feed(
             inner,
             at,
-            Event::Outcome {
+            Event::AttemptEnded {
                 id,
-                server,
+                endpoint: server,
                 outcome,
-                last,
+                request_finished: last,
                 report,
             },
         );
     }
 
     /// Reports the end of a connection that was up; nothing more follows.
-    pub fn end(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
+    pub fn connection_ended(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
         let mut inner = self.lock();
         let Some(entry) = inner.dismiss(id) else {
             return;
@@ -401,11 +422,11 @@
         self.feed(
             inner,
             entry.at,
-            Event::Outcome {
+            Event::AttemptEnded {
                 id,
-                server: entry.server,
+                endpoint: entry.server,
                 outcome,
-                last: true,
+                request_finished: true,
                 report,
             },
         );
@@ -413,72 +434,87 @@
 
     /// The client has left before its answer. Nothing more is owed; an attempt still out must be
     /// reported all the same.
-    pub fn vanish(&self, id: RequestId) {
+    pub fn client_disconnected(&self, id: RequestId) {
         let mut inner = self.lock();
         let Some(entry) = inner.entries.get_mut(&id).filter(|e| !e.answered) else {
             return;
         };
         entry.answered = true;
-        let _ = entry.verdicts.try_send(Verdict::Gone);
+        let _ = entry.verdicts.try_send(Decision::Withdrawn);
         let (at, flow) = (entry.at, entry.flow.clone());
         self.act(inner, |inner, now, calls| {
-            calls.push(Call::Verdict(flow));
-            inner.handle(at, now, Event::Vanished(id), calls);
+            calls.push(Call::Decision(flow));
+            inner.handle(at, now, Event::ClientDisconnected(id), calls);
         });
     }
 
     /// Whether a request is still owed its answer.
-    pub fn owed(&self, id: RequestId) -> bool {
+    pub fn awaits_answer(&self, id: RequestId) -> bool {
         self.lock().entries.get(&id).is_some_and(|e| !e.answered)
     }
 
     /// A request's answer is owed by then, where it was owed later: this process stops.
-    pub fn hurry(&self, id: RequestId, by: Micros) {
+    pub fn shorten_deadline(&self, id: RequestId, by: Micros) {
         let inner = self.lock();
         let Some(at) = inner.entries.get(&id).filter(|e| !e.answered).map(|e| e.at) else {
             return;
         };
-        self.feed(inner, at, Event::Hurry(id, by));
+        self.feed(
+            inner,
+            at,
+            Event::ShortenDeadline {
+                id: id,
+                deadline: by,
+            },
+        );
     }
 
     /// How many listed servers are avoided now.
-    pub fn avoided(&self) -> usize {
+    pub fn unavailable_endpoints(&self) -> usize {
         let now = self.now();
         self.lock()
             .parts
             .iter()
-            .map(|part| part.balancer.avoided(now))
+            .map(|part| part.balancer.unavailable_endpoints(now))
             .sum()
     }
 
     /// Forgets a request that has had its final verdict.
-    pub fn forget(&self, id: RequestId) {
+    pub fn remove(&self, id: RequestId) {
         self.lock().dismiss(id);
     }
 
     /// Passes on news of an open connection.
-    pub fn note(&self, id: RequestId, note: Note) {
+    pub fn record_sample(&self, id: RequestId, note: ConnectionSample) {
         let inner = self.lock();
         let Some(entry) = inner.entries.get(&id) else {
             return;
         };
         let at = entry.at;
         let event = match note {
-            Note::Load(load) => Event::LoadNote(id, entry.server, load),
-            Note::Delay(took) => Event::DelayNote(id, entry.server, took),
+            ConnectionSample::Load(load) => Event::LoadSample {
+                id: id,
+                endpoint: entry.server,
+                load: load,
+            },
+            ConnectionSample::Delay(took) => Event::DelaySample {
+                id: id,
+                endpoint: entry.server,
+                delay: took,
+            },
         };
         self.feed(inner, at, event);
     }
 
     /// Passes on what a probe found.
-    pub fn probed(&self, server: ServerId, outcome: Outcome, report: Vec<f32>) {
+    pub fn health_checked(&self, server: EndpointId, outcome: Outcome, report: Vec<f32>) {
         let inner = self.lock();
         let at = inner.part_of(server);
         self.feed(
             inner,
             at,
-            Event::Probed {
-                server,
+            Event::HealthCheck {
+                endpoint: server,
                 outcome,
                 report,
             },
@@ -486,14 +522,14 @@
     }
 
     /// Passes on news of the fleet: to each cell those of its own servers.
-    pub fn members(&self, kind: ListKind, members: Vec<Member>) {
+    pub fn update_endpoints(&self, kind: EndpointListKind, members: Vec<ListedEndpoint>) {
         self.act(self.lock(), |inner, now, calls| {
             inner.list(kind, members, now, calls)
         });
     }
 
     /// New settings hold from now on.
-    pub fn settings(&self, settings: Settings) {
+    pub fn update_settings(&self, settings: Settings) {
         self.act(self.lock(), |inner, now, calls| {
             inner.settings = settings.clone();
             for at in 0..inner.parts.len() {
@@ -503,7 +539,7 @@
     }
 
     /// Staff have taken a server out, or called it back.
-    pub fn by_hand(&self, server: ServerId, out_of_use: bool) {
+    pub fn set_manual_ejection(&self, server: EndpointId, out_of_use: bool) {
         let mut inner = self.lock();
         if out_of_use {
             inner.by_hand.insert(server);
@@ -512,24 +548,31 @@
         }
         inner.count_servers();
         let at = inner.part_of(server);
-        self.feed(inner, at, Event::ByHand(server, out_of_use));
+        self.feed(
+            inner,
+            at,
+            Event::ManualEjection {
+                endpoint: server,
+                ejected: out_of_use,
+            },
+        );
     }
 
     /// Other cells hold from now on. Servers that change theirs drain in the old one; connections whose site has
     /// another are moved little by little, each once.
-    pub fn cells(&self, cells: Cells) {
+    pub fn update_cells(&self, cells: Cells) {
         self.act(self.lock(), |inner, now, calls| {
             inner.adopt_cells(cells, now, calls)
         });
     }
 
     /// From now on a connection is moved to its site's new cell only where the fleet has permitted one more.
-    pub fn pace_moves(&self) {
+    pub fn pace_migrations(&self) {
         self.lock().permitted.get_or_insert(0);
     }
 
     /// So many moves may have been made since the start. A lower number than before changes nothing.
-    pub fn permit(&self, upto: u64) {
+    pub fn permit_migrations(&self, upto: u64) {
         self.act(self.lock(), |inner, now, _| {
             inner.permitted = inner.permitted.map(|before| before.max(upto));
             inner.next_move(now);
@@ -538,7 +581,7 @@
 
     /// How the fleet's moves are here, where it paces them: connections that wait, moves made and permitted since the
     /// start, and how many a second the whole fleet may make.
-    pub fn moving(&self) -> Option<(u64, u64, u64, u64)> {
+    pub fn migration_status(&self) -> Option<(u64, u64, u64, u64)> {
         let inner = self.lock();
         let rate = SECOND / inner.cells.move_pause.max(1);
         inner
@@ -547,7 +590,7 @@
     }
 
     /// What is counted of each cell, and how many connections still wait to be moved to another one.
-    pub fn cell_figures(&self) -> (Vec<CellFigures>, usize) {
+    pub fn cell_metrics(&self) -> (Vec<CellMetrics>, usize) {
         let mut inner = self.lock();
         inner.count_servers();
         let figures = inner
@@ -559,7 +602,7 @@
     }
 
     /// Fires the timers that are due and sleeps until the next one, or until an earlier one is set.
-    pub fn tick(&self) {
+    pub fn fire_timers_and_sleep(&self) {
         let (inner, due) = self.fired();
         let wait = due.map_or(IDLE, |at| {
             Duration::from_micros(at.saturating_sub(self.now())).min(IDLE)
@@ -568,7 +611,7 @@
     }
 
     /// Fires the timers that are due; when the next one is.
-    pub fn fire(&self) -> Option<Micros> {
+    pub fn fire_timers(&self) -> Option<Micros> {
         self.fired().1
     }
 
@@ -589,33 +632,33 @@
 }
 
 /// A request that waits for its verdicts.
-pub struct Pick {
+pub struct PendingDecision {
     /// The request's id.
     pub id: RequestId,
-    verdicts: Receiver<Verdict>,
+    verdicts: Receiver<Decision>,
 }
 
-impl Pick {
+impl PendingDecision {
     /// Blocks until the next verdict.
-    pub fn verdict(&self) -> Verdict {
-        self.verdicts.recv().unwrap_or(Verdict::Gone)
+    pub fn wait(&self) -> Decision {
+        self.verdicts.recv().unwrap_or(Decision::Withdrawn)
     }
 
     /// The next verdict, where there is one.
-    pub fn try_verdict(&self) -> Option<Verdict> {
+    pub fn try_next(&self) -> Option<Decision> {
         match self.verdicts.try_recv() {
             Ok(verdict) => Some(verdict),
             Err(TryRecvError::Empty) => None,
-            Err(TryRecvError::Disconnected) => Some(Verdict::Gone),
+            Err(TryRecvError::Disconnected) => Some(Decision::Withdrawn),
         }
     }
 }
 
 impl Part {
     fn new(name: &str, settings: Settings, seed: u64) -> Part {
-        let figures = CellFigures {
+        let figures = CellMetrics {
             name: name.into(),
-            ..CellFigures::default()
+            ..CellMetrics::default()
         };
         Part {
             name: name.into(),
@@ -628,12 +671,12 @@
 impl Inner {
     fn admit(
         &mut self,
-        flow: Arc<dyn Flow>,
-        server: ServerId,
+        flow: Arc<dyn RequestHandle>,
+        server: EndpointId,
         answered: bool,
         at: usize,
         request: &Request,
-    ) -> (RequestId, Receiver<Verdict>) {
+    ) -> (RequestId, Receiver<Decision>) {
         let (verdicts, mailbox) = bounded(MAILBOX);
         self.next_id = self.next_id.wrapping_add(1);
         while self.entries.contains_key(&RequestId(self.next_id)) {
@@ -658,7 +701,7 @@
                 answered,
             },
         );
-        self.parts[at].figures.holds += 1;
+        self.parts[at].figures.in_flight += 1;
         (id, mailbox)
     }
 
@@ -666,7 +709,7 @@
     fn dismiss(&mut self, id: RequestId) -> Option<Entry> {
         let entry = self.entries.remove(&id)?;
         let figures = &mut self.parts[entry.at].figures;
-        figures.holds -= 1;
+        figures.in_flight -= 1;
         figures.borrowed -= u32::from(entry.borrowed);
         Some(entry)
     }
@@ -676,7 +719,7 @@
         if self.cells.map.is_empty() {
             return Placed::At(0);
         }
-        let each = |of: fn(&CellFigures) -> u32| -> Vec<u32> {
+        let each = |of: fn(&CellMetrics) -> u32| -> Vec<u32> {
             self.by_cell
                 .iter()
                 .map(|at| of(&self.parts[*at].figures))
@@ -695,7 +738,7 @@
     }
 
     /// A server's part, as listed; as the map has it where it is not.
-    fn part_of(&self, server: ServerId) -> usize {
+    fn part_of(&self, server: EndpointId) -> usize {
         let listed = self.members.get(&server).map(|(_, at)| *at);
         listed.unwrap_or_else(|| self.by_cell[self.cells.map.of_server(server)])
     }
@@ -703,32 +746,47 @@
     /// Counts each cell's servers anew.
     fn count_servers(&mut self) {
         for part in &mut self.parts {
-            (part.figures.servers, part.figures.usable) = (0, false);
+            (part.figures.endpoints, part.figures.usable) = (0, false);
         }
         for (server, (member, at)) in &self.members {
             let figures = &mut self.parts[*at].figures;
-            figures.servers += 1;
-            figures.usable |= member.state == MemberState::Ready && !self.by_hand.contains(server);
+            figures.endpoints += 1;
+            figures.usable |=
+                member.state == EndpointState::Ready && !self.by_hand.contains(server);
         }
     }
 
-    fn list(&mut self, kind: ListKind, members: Vec<Member>, now: Micros, calls: &mut Vec<Call>) {
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
+    fn list(
+        &mut self,
+        kind: EndpointListKind,
+        members: Vec<ListedEndpoint>,
+        now: Micros,
+        calls: &mut Vec<Call>,
+    ) {
+        if matches!(kind, EndpointListKind::Full | EndpointListKind::Cached) {
             self.members.clear();
         }
-        let mut news: Vec<Vec<Member>> = vec![Vec::new(); self.parts.len()];
+        let mut news: Vec<Vec<ListedEndpoint>> = vec![Vec::new(); self.parts.len()];
         for member in members {
-            let at = self.part_of(member.server);
+            let at = self.part_of(member.id);
             match member.state {
-                MemberState::Gone => drop(self.members.remove(&member.server)),
-                _ => drop(self.members.insert(member.server, (member.clone(), at))),
+                EndpointState::Removed => drop(self.members.remove(&member.id)),
+                _ => drop(self.members.insert(member.id, (member.clone(), at))),
             }
             news[at].push(member);
         }
         self.count_servers();
         // Each hears of each list, also of one that names none of its servers: that it came is news too.
         for (at, members) in news.into_iter().enumerate() {
-            self.handle(at, now, Event::Members { kind, members }, calls);
+            self.handle(
+                at,
+                now,
+                Event::EndpointList {
+                    kind,
+                    endpoints: members,
+                },
+                calls,
+            );
         }
     }
 
@@ -752,7 +810,7 @@
                             .iter_mut()
                             .last()
                             .into_iter()
-                            .for_each(|part| part.balancer.tune(self.tuning));
+                            .for_each(|part| part.balancer.set_parameters(self.tuning));
                         self.parts.len() - 1
                     })
             })
@@ -760,7 +818,7 @@
         self.cells = cells;
         let stay = self.take_along(now, calls);
         // A new part begins with the list as it is; others hear what has changed.
-        let mut news: Vec<Vec<Member>> = vec![Vec::new(); self.parts.len()];
+        let mut news: Vec<Vec<ListedEndpoint>> = vec![Vec::new(); self.parts.len()];
         let mut banned = Vec::new();
         for (server, (member, at)) in &mut self.members {
             let to = self.by_cell[self.cells.map.of_server(*server)];
@@ -769,13 +827,13 @@
                     banned.push((*at, *server));
                 }
                 // Where nothing stands there is nothing to drain.
-                let holds = self.parts[*at].figures.holds > 0;
+                let holds = self.parts[*at].figures.in_flight > 0;
                 let state = if holds {
-                    MemberState::Draining
+                    EndpointState::Draining
                 } else {
-                    MemberState::Gone
+                    EndpointState::Removed
                 };
-                news[*at].push(Member {
+                news[*at].push(ListedEndpoint {
                     state,
                     ..member.clone()
                 });
@@ -786,26 +844,58 @@
         self.count_servers();
         for (at, members) in news.into_iter().enumerate() {
             let kind = if at < known {
-                ListKind::Delta
+                EndpointListKind::Delta
             } else {
-                ListKind::Full
+                EndpointListKind::Full
             };
-            self.handle(at, now, Event::Members { kind, members }, calls);
+            self.handle(
+                at,
+                now,
+                Event::EndpointList {
+                    kind,
+                    endpoints: members,
+                },
+                calls,
+            );
         }
         // A ban goes with its server: the call back will not reach the old cell, to which it may come again.
         for (at, server) in banned {
-            self.handle(at, now, Event::ByHand(server, false), calls);
+            self.handle(
+                at,
+                now,
+                Event::ManualEjection {
+                    endpoint: server,
+                    ejected: false,
+                },
+                calls,
+            );
         }
         for server in self.by_hand.clone() {
             let at = self.part_of(server);
-            self.handle(at, now, Event::ByHand(server, true), calls);
+            self.handle(
+                at,
+                now,
+                Event::ManualEjection {
+                    endpoint: server,
+                    ejected: true,
+                },
+                calls,
+            );
         }
         for id in stay {
             let Some(entry) = self.entries.get(&id) else {
                 continue;
             };
             let (at, server, request) = (entry.at, entry.server, entry.request.clone());
-            self.handle(at, now, Event::Open(request, server), calls);
+            self.handle(
+                at,
+                now,
+                Event::Adopted {
+                    request: request,
+                    endpoint: server,
+                },
+                calls,
+            );
         }
         // Whoever stands elsewhere than its site lives now. Borrowed ones as well: their time there is over.
         let (map, by_cell) = (&self.cells.map, &self.by_cell);
@@ -844,14 +934,14 @@
             let (from, server, borrowed) =
                 (entry.at, entry.server, std::mem::take(&mut entry.borrowed));
             entry.at = *to;
-            self.parts[from].figures.holds -= 1;
+            self.parts[from].figures.in_flight -= 1;
             self.parts[from].figures.borrowed -= u32::from(borrowed);
-            self.parts[*to].figures.holds += 1;
-            let event = Event::Outcome {
+            self.parts[*to].figures.in_flight += 1;
+            let event = Event::AttemptEnded {
                 id: *id,
-                server,
+                endpoint: server,
                 outcome: Outcome::Cancelled,
-                last: true,
+                request_finished: true,
                 report: Vec::new(),
             };
             self.handle(from, now, event, calls);
@@ -903,8 +993,12 @@
 
     fn carry_out(&mut self, part: usize, action: Action, calls: &mut Vec<Call>) {
         match action {
-            Action::Send { id, server, until } => {
-                let cold_budget = self.parts[part].balancer.cold_budget(server);
+            Action::Attempt {
+                id,
+                endpoint: server,
+                give_up_at: until,
+            } => {
+                let cold_budget = self.parts[part].balancer.warm_up_budget(server);
                 let listed = self.members.get(&server).map(|(member, _)| member);
                 tracing::debug!(server = server.0, ?cold_budget, ?listed, "send");
                 let Some(e) = self.entries.get_mut(&id) else {
@@ -913,30 +1007,39 @@
                 let number = e.attempts;
                 e.attempts += 1;
                 e.server = server;
-                let _ = e.verdicts.try_send(Verdict::Attempt {
-                    server,
-                    until,
+                let _ = e.verdicts.try_send(Decision::Attempt {
+                    endpoint: server,
+                    give_up_at: until,
                     number,
                 });
-                calls.push(Call::Verdict(e.flow.clone()));
+                calls.push(Call::Decision(e.flow.clone()));
             }
-            Action::Refuse(id, wait) => self.finish(id, Verdict::Refuse(wait), calls),
-            Action::Fail(id) => self.finish(id, Verdict::Fail, calls),
-            Action::Cancel(id, attempt) => {
+            Action::Reject {
+                id: id,
+                retry_after: wait,
+            } => self.finish(id, Decision::Reject(wait), calls),
+            Action::Fail(id) => self.finish(id, Decision::Fail, calls),
+            Action::CancelAttempt {
+                id: id,
+                attempt: attempt,
+            } => {
                 let flow = self.entries.get(&id).map(|e| e.flow.clone());
                 calls.extend(flow.map(|f| Call::GiveUp(f, attempt)));
             }
-            Action::Move(id) => {
+            Action::Migrate(id) => {
                 let flow = self.entries.get(&id).map(|e| e.flow.clone());
                 calls.extend(flow.map(Call::Relocate));
             }
-            Action::Timer(at, token) => self.timers.push(Reverse((at, part, token))),
+            Action::SetTimer {
+                at: at,
+                token: token,
+            } => self.timers.push(Reverse((at, part, token))),
             // There is one watch; what the first balancer hears of it they all hear, and so it asks for all.
-            Action::Watch(on) if part == 0 => (self.orders.watch)(on),
-            Action::Watch(_) => {}
-            Action::Probe(server) => {
+            Action::WatchEndpointList(on) if part == 0 => (self.orders.watch_endpoint_list)(on),
+            Action::WatchEndpointList(_) => {}
+            Action::CheckHealth(server) => {
                 // A prober that is behind must not be waited for: the probe has failed.
-                if self.orders.probe.try_send(server).is_err() {
+                if self.orders.check_health.try_send(server).is_err() {
                     calls.push(Call::Log(
                         "decide: a probe was dropped, the prober is behind".into(),
                     ));
@@ -946,21 +1049,21 @@
         }
     }
 
-    fn finish(&mut self, id: RequestId, verdict: Verdict, calls: &mut Vec<Call>) {
+    fn finish(&mut self, id: RequestId, verdict: Decision, calls: &mut Vec<Call>) {
         let Some(e) = self.entries.get_mut(&id).filter(|e| !e.answered) else {
             return;
         };
         e.answered = true;
         let figures = &mut self.parts[e.at].figures;
         match verdict {
-            Verdict::Refuse(_) => figures.refused += 1,
-            Verdict::Fail => figures.failed += 1,
-            Verdict::Attempt { .. } | Verdict::Gone => {}
+            Decision::Reject(_) => figures.rejected += 1,
+            Decision::Fail => figures.failed += 1,
+            Decision::Attempt { .. } | Decision::Withdrawn => {}
         }
         let _ = e.verdicts.try_send(verdict);
-        calls.push(Call::Verdict(e.flow.clone()));
+        calls.push(Call::Decision(e.flow.clone()));
     }
 }
 
 /// The longest that a request may ask for.
-pub const LONGEST: Micros = 3600 * SECOND;
+pub const MAX_REQUEST_DEADLINE: Micros = 3600 * SECOND;
--- a/src/logic.rs
+++ b/src/decisions/mod.rs
@@ -1,16 +1,22 @@
-//! The decisions of jaspermoor. Their interface (settings, events, actions) is in src/api.rs.
+//! The decisions of jaspermoor. Their interface (settings, events, actions) is in src/decisions/api.rs.
 //! The rule is RJ-CH, "Revisiting Consistent Hashing with Bounded Loads" (Chen, Coleman, Shrivastava):
 //! a key goes to the owner of slot h(key, 0), then h(key, 1), and so on, until a server is under its cap.
 
-use crate::api::{
-    Action, Class, Column, Effect, Event, Group, ListKind, Member, MemberState, Micros, Outcome,
-    Request, RequestId, ServerId, Settings, Unknown, Weights, SECOND,
+pub mod api;
+pub mod parameters;
+pub mod random;
+pub mod ring;
+
+use api::{
+    Action, Class, DeduplicationScope, EndpointId, EndpointListKind, EndpointState,
+    EndpointWeights, Event, Idempotency, ListedEndpoint, Micros, Outcome, ReportColumn, Request,
+    RequestId, Settings, UnknownId, SECOND,
 };
-use crate::random::Random;
-use crate::slots::{fraction, home_key, own_key, Ring};
+use random::Random;
+use ring::{fraction, home_key, own_key, Ring};
 use std::collections::{BTreeMap, BTreeSet};
 
-crate::tuning! { Tuning {
+crate::parameters! { Parameters {
 /// Points of a server of usual size: they even out the arcs (the virtual bins); headroom over the mean
 /// (ε) of the own counts: they are small, and groups sit together; bound on the jumps of one placement.
 points: f32 = 48.0; epsilon: f32 = 2.0; jumps: u32 = 16;
@@ -72,7 +78,7 @@
 
 #[derive(Default)]
 struct Server {
-    id: ServerId,
+    id: EndpointId,
     zone: u16,
     cell: u16,
     size: f32,
@@ -118,9 +124,9 @@
     phase: Phase,
     answered: bool,
     moving: bool,
-    server: ServerId,
+    server: EndpointId,
     sent_at: Micros,
-    tried: Vec<ServerId>,
+    tried: Vec<EndpointId>,
     wakes: Micros,
     /// Whether an attempt has begun; the first that may have run: when it was sent, to which zone and cell.
     begun: bool,
@@ -132,13 +138,13 @@
 pub struct Balancer {
     settings: Settings,
     /// Its parameters.
-    t: Tuning,
+    t: Parameters,
     rng: Random,
     now: Micros,
     servers: Vec<Server>,
-    index: BTreeMap<ServerId, usize>,
+    index: BTreeMap<EndpointId, usize>,
     ready: Vec<usize>,
-    by_hand: BTreeSet<ServerId>,
+    by_hand: BTreeSet<EndpointId>,
     ready_ring: Ring,
     known_ring: Ring,
     sizes: f32,
@@ -170,11 +176,11 @@
             admitted: 1.0,
             ..Balancer::default()
         };
-        balancer.tuned(Tuning::default())
+        balancer.with_parameters(Parameters::default())
     }
 
     /// The same with other parameters: for experiments.
-    pub fn tuned(self, t: Tuning) -> Self {
+    pub fn with_parameters(self, t: Parameters) -> Self {
         Balancer {
             retries: t.retry_saved,
             t,
@@ -183,33 +189,52 @@
     }
 
     /// Other parameters hold from now on.
-    pub fn tune(&mut self, t: Tuning) {
+    pub fn set_parameters(&mut self, t: Parameters) {
         self.t = t;
     }
 
     /// Takes one event and adds what is to be done. One that names something unknown changes nothing.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Out) -> Result<(), Unknown> {
+    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Out) -> Result<(), UnknownId> {
         self.now = now;
         match event {
-            Event::Members { kind, members } => self.members(kind, members, out),
+            Event::EndpointList {
+                kind,
+                endpoints: members,
+            } => self.members(kind, members, out),
             Event::Settings(settings) => self.settings = settings,
-            Event::ByHand(server, out_of_use) => self.by_hand(server, out_of_use, out),
+            Event::ManualEjection {
+                endpoint: server,
+                ejected: out_of_use,
+            } => self.by_hand(server, out_of_use, out),
             Event::Request(request) => self.arrived(request, out),
-            Event::Open(request, server) => self.open(request, server, out),
-            Event::First { id, .. } => return self.first(id, out),
-            Event::DelayNote(id, server, took) => return self.delay(id, server, took, out),
-            Event::Outcome {
-                id, outcome, last, ..
+            Event::Adopted {
+                request: request,
+                endpoint: server,
+            } => self.open(request, server, out),
+            Event::Connected { id, .. } => return self.first(id, out),
+            Event::DelaySample {
+                id: id,
+                endpoint: server,
+                delay: took,
+            } => return self.delay(id, server, took, out),
+            Event::AttemptEnded {
+                id,
+                outcome,
+                request_finished: last,
+                ..
             } => return self.ended(id, outcome, last, out),
-            Event::Vanished(id) => self.vanished(id),
-            Event::Hurry(id, by) => self.hurry(id, by, out),
+            Event::ClientDisconnected(id) => self.vanished(id),
+            Event::ShortenDeadline {
+                id: id,
+                deadline: by,
+            } => self.hurry(id, by, out),
             Event::Timer(token) => self.timer(token, out),
-            Event::Probed {
-                server,
+            Event::HealthCheck {
+                endpoint: server,
                 outcome,
                 report,
             } => self.probed(server, outcome, &report, out),
-            Event::LoadNote(..) | Event::Peer(..) => {}
+            Event::LoadSample { .. } | Event::Gossip { .. } => {}
         }
         Ok(())
     }
@@ -223,15 +248,18 @@
             .unwrap_or_default()
     }
 
-    fn members(&mut self, kind: ListKind, members: Vec<Member>, out: &mut Out) {
+    fn members(&mut self, kind: EndpointListKind, members: Vec<ListedEndpoint>, out: &mut Out) {
         // Who has not asked within `ask_within` counts as told: no turn may be longer.
-        let within = self.settings.ask_within.max(2);
-        let share = self.t.ask_share * u64::from(self.settings.balancers.max(1));
+        let within = self.settings.max_poll_interval.max(2);
+        let share = self.t.ask_share * u64::from(self.settings.balancer_count.max(1));
         let share = share.min(within / 2).min(self.t.ask_most);
-        if matches!(kind, ListKind::Failed | ListKind::Silent) {
+        if matches!(
+            kind,
+            EndpointListKind::WatchFailed | EndpointListKind::WatchTimedOut
+        ) {
             // A failed call or a dropped subscription: ask anew, and not in step with the others.
             self.watching = false;
-            let most = if kind == ListKind::Silent {
+            let most = if kind == EndpointListKind::WatchTimedOut {
                 self.t.ask_soon
             } else {
                 self.t.ask_most
@@ -241,30 +269,33 @@
                 .min(most)
                 .max(8);
             self.ask_failures += 1;
-            out.push(Action::Timer(
-                self.now + self.rng.range(wait / 8..wait),
-                TIMER_ASK,
-            ));
+            out.push(Action::SetTimer {
+                at: self.now + self.rng.range(wait / 8..wait),
+                token: TIMER_ASK,
+            });
             return;
         }
-        let moved = kind == ListKind::Moved;
+        let moved = kind == EndpointListKind::Relocated;
         // A backoff for the old place says nothing of the new one.
         self.watching &= !moved;
-        if kind != ListKind::Cached {
+        if kind != EndpointListKind::Cached {
             self.ask_failures = 0;
         }
-        if moved || (kind == ListKind::Cached && self.settings.list_on_request) {
+        if moved || (kind == EndpointListKind::Cached && self.settings.polls_endpoint_list) {
             // Who knows no server has nothing to serve from meanwhile.
             let turn = if members.is_empty() && self.ready.is_empty() {
                 1
             } else {
                 share
             };
-            out.push(Action::Timer(self.now + self.rng.range(0..turn), TIMER_ASK));
+            out.push(Action::SetTimer {
+                at: self.now + self.rng.range(0..turn),
+                token: TIMER_ASK,
+            });
         }
         let mut left = Vec::new();
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
-            let named: BTreeSet<ServerId> = members.iter().map(|m| m.server).collect();
+        if matches!(kind, EndpointListKind::Full | EndpointListKind::Cached) {
+            let named: BTreeSet<EndpointId> = members.iter().map(|m| m.id).collect();
             for i in 0..self.servers.len() {
                 if !named.contains(&self.servers[i].id) {
                     self.leave(i, &mut left);
@@ -281,25 +312,25 @@
         }
     }
 
-    fn member(&mut self, m: Member, left: &mut Vec<ServerId>) {
-        if m.state == MemberState::Gone && !self.index.contains_key(&m.server) {
+    fn member(&mut self, m: ListedEndpoint, left: &mut Vec<EndpointId>) {
+        if m.state == EndpointState::Removed && !self.index.contains_key(&m.id) {
             return;
         }
-        let i = self.entry(m.server);
-        if m.started != self.servers[i].started {
+        let i = self.entry(m.id);
+        if m.started_at != self.servers[i].started {
             // The same id with a new start is a cold process: its past says nothing. The balancers' turns
             // there are spread evenly: left to chance, many come at once.
-            let turn = self.settings.number as f32 * GOLDEN_RATIO + fraction(m.server.0, 0);
+            let turn = self.settings.balancer_index as f32 * GOLDEN_RATIO + fraction(m.id.0, 0);
             self.forget(i, turn.fract());
         }
-        let listed = m.state == MemberState::Ready;
-        let ready = listed && !self.by_hand.contains(&m.server);
+        let listed = m.state == EndpointState::Ready;
+        let ready = listed && !self.by_hand.contains(&m.id);
         if !ready {
             self.leave(i, left);
         }
         let s = &mut self.servers[i];
-        (s.listed, s.ready, s.gone) = (listed, ready, m.state == MemberState::Gone);
-        (s.zone, s.cell, s.started) = (m.zone, m.cell, m.started);
+        (s.listed, s.ready, s.gone) = (listed, ready, m.state == EndpointState::Removed);
+        (s.zone, s.cell, s.started) = (m.zone, m.cell, m.started_at);
         s.size = if m.size.is_finite() && m.size > 0.0 {
             m.size
         } else {
@@ -307,7 +338,7 @@
         };
     }
 
-    fn entry(&mut self, id: ServerId) -> usize {
+    fn entry(&mut self, id: EndpointId) -> usize {
         let next = self.servers.len();
         let i = *self.index.entry(id).or_insert(next);
         if i == next {
@@ -321,7 +352,7 @@
         i
     }
 
-    fn leave(&mut self, i: usize, left: &mut Vec<ServerId>) {
+    fn leave(&mut self, i: usize, left: &mut Vec<EndpointId>) {
         let s = &mut self.servers[i];
         if s.ready {
             (s.ready, s.told) = (false, self.now);
@@ -369,7 +400,7 @@
 
     /// Staff take a server out, or call it back. They restart it meanwhile, so its past says nothing: it is
     /// cold from the start that the list tells, or from now. Each balancer uses it soon, not all at once.
-    fn by_hand(&mut self, server: ServerId, out_of_use: bool, out: &mut Out) {
+    fn by_hand(&mut self, server: EndpointId, out_of_use: bool, out: &mut Out) {
         let changed = if out_of_use {
             self.by_hand.insert(server)
         } else {
@@ -399,14 +430,14 @@
         // The unit is a power of two, so that one server more or less does not change all points.
         let unit = (sizes / n.max(1) as f32).log2().round().exp2();
         // Live sizes change all the time: homes must not move with them.
-        let nominal = self.settings.weights == Weights::Nominal;
+        let nominal = self.settings.weights == EndpointWeights::Nominal;
         for s in &mut self.servers {
             let size = if nominal { s.size / unit } else { 1.0 };
             let points = (self.t.points * size)
                 .round()
                 .clamp(1.0, 8.0 * self.t.points) as u32;
             // Only what passes through arrives mid-flow and looks for its holder.
-            let known = self.settings.passes_through && !s.gone;
+            let known = self.settings.forwards_packets && !s.gone;
             let new = (
                 if s.ready { points } else { 0 },
                 if known { points } else { 0 },
@@ -440,7 +471,8 @@
     /// each costs its servers anew. First homes come before second ones: they hardly depend on estimates.
     fn plan(&self) -> Homes {
         let mut homes = Homes::new();
-        let cost = self.t.group_cost / (self.held as f32 * self.settings.balancers as f32).max(1.0);
+        let cost =
+            self.t.group_cost / (self.held as f32 * self.settings.balancer_count as f32).max(1.0);
         let groups = self.ready.len().max(self.seen.len()) as f32;
         // A cold server counts for what it can do by now, or it gets more homes than it can take (id5986d).
         let able: Vec<f32> = self
@@ -532,17 +564,18 @@
             return 1.0;
         };
         let age = self.now.saturating_sub(started) as f32;
-        let start = self.settings.start_capacity;
-        (start + (1.0 - start) * age / (self.settings.warm_within as f32).max(1.0)).min(1.0)
+        let start = self.settings.initial_capacity;
+        (start + (1.0 - start) * age / (self.settings.warm_up_time as f32).max(1.0)).min(1.0)
     }
 
     /// What the rule lets all balancers send to a cold server within its time, if reports tell; two more are
     /// left to chance. Capacity is a rate: with it a server that warms evenly is full at the end.
-    pub fn cold_budget(&self, id: ServerId) -> Option<f32> {
+    pub fn warm_up_budget(&self, id: EndpointId) -> Option<f32> {
         let s = self.index.get(&id).map(|&i| &self.servers[i])?;
         let fills_in =
-            self.settings.warm_within as f32 * (1.0 + self.settings.start_capacity) / 2.0;
-        let capacity = s.size / self.unit * self.warmth(s) * self.settings.fall as f32 / fills_in;
+            self.settings.warm_up_time as f32 * (1.0 + self.settings.initial_capacity) / 2.0;
+        let capacity =
+            s.size / self.unit * self.warmth(s) * self.settings.overload_window as f32 / fills_in;
         let allowed = self.settings.overload_factor * capacity;
         (self.unit > 0.0 && self.warmth(s) < 1.0).then(|| allowed + 2.0 * allowed.sqrt())
     }
@@ -551,16 +584,19 @@
     fn credited(&mut self, i: usize) -> bool {
         let (warmth, size) = (self.warmth(&self.servers[i]), self.servers[i].size);
         // Half: what is kept from one span of the rule's time is spent together with what the next one earns.
-        let share =
-            self.t.slow_fill / 2.0 / self.settings.balancers as f32 / self.settings.fall as f32;
-        let blind = self.t.slow_start * self.mean(size) * warmth / self.settings.warm_within as f32;
+        let share = self.t.slow_fill
+            / 2.0
+            / self.settings.balancer_count as f32
+            / self.settings.overload_window as f32;
+        let blind =
+            self.t.slow_start * self.mean(size) * warmth / self.settings.warm_up_time as f32;
         let pace = self
-            .cold_budget(self.servers[i].id)
+            .warm_up_budget(self.servers[i].id)
             .map_or(blind, |budget| share * budget);
         let s = &mut self.servers[i];
         let (earned, keep) = (
             s.credit + self.now.saturating_sub(s.credit_at) as f32 * pace,
-            pace * self.settings.fall as f32,
+            pace * self.settings.overload_window as f32,
         );
         // What is not used within the rule's time is lost: hundreds had saved up one each, and came at once.
         let lapsed = if keep < 1.0 {
@@ -575,7 +611,7 @@
     fn failed(&mut self, i: usize, outcome: Outcome) {
         let jitter = self.rng.range(0..self.t.eject);
         let s = &mut self.servers[i];
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             // Turned away: the cap was too high here, whatever the count says.
             s.cut_at = Some(self.now);
             return;
@@ -593,19 +629,19 @@
     fn delay(
         &mut self,
         id: RequestId,
-        server: ServerId,
+        server: EndpointId,
         took: Micros,
         out: &mut Out,
-    ) -> Result<(), Unknown> {
+    ) -> Result<(), UnknownId> {
         let aims = self
             .settings
             .classes
             .iter()
-            .map(|c| c.message_aim)
+            .map(|c| c.message_objective)
             .filter(|&aim| aim > 0);
         let share = took as f32 / aims.min().unwrap_or(SECOND / 10) as f32;
-        let i = *self.index.get(&server).ok_or(Unknown::Server(server))?;
-        self.pending.get(&id).ok_or(Unknown::Request(id))?;
+        let i = *self.index.get(&server).ok_or(UnknownId::Endpoint(server))?;
+        self.pending.get(&id).ok_or(UnknownId::Request(id))?;
         // Some are slow without much to do: while there is known to be room, only late messages count.
         let room = self
             .load(&self.servers[i])
@@ -650,7 +686,9 @@
     }
 
     fn probe(&mut self, out: &mut Out) {
-        if !self.settings.may_probe || !self.settings.columns.contains(&Column::Load) {
+        if !self.settings.may_check_health
+            || !self.settings.report_columns.contains(&ReportColumn::Load)
+        {
             return;
         }
         let n = self.ready.len().max(1);
@@ -658,16 +696,16 @@
         out.extend(
             self.ready
                 .get(self.probes % n)
-                .map(|&i| Action::Probe(self.servers[i].id)),
+                .map(|&i| Action::CheckHealth(self.servers[i].id)),
         );
-        let wait = self.t.probe_every * u64::from(self.settings.balancers.max(3)) / n as u64;
-        out.push(Action::Timer(
-            self.now + wait / 2 + self.rng.range(0..wait),
-            TIMER_PROBE,
-        ));
+        let wait = self.t.probe_every * u64::from(self.settings.balancer_count.max(3)) / n as u64;
+        out.push(Action::SetTimer {
+            at: self.now + wait / 2 + self.rng.range(0..wait),
+            token: TIMER_PROBE,
+        });
     }
 
-    fn probed(&mut self, server: ServerId, outcome: Outcome, report: &[f32], out: &mut Out) {
+    fn probed(&mut self, server: EndpointId, outcome: Outcome, report: &[f32], out: &mut Out) {
         let Some(&i) = self.index.get(&server) else {
             return;
         };
@@ -690,10 +728,11 @@
 
     /// Probes those of a request's first servers whose load is not known; whether it waits for the answers.
     fn look(&mut self, p: &Pending, out: &mut Out) -> bool {
-        let told = self.settings.may_probe && self.settings.columns.contains(&Column::Load);
+        let told = self.settings.may_check_health
+            && self.settings.report_columns.contains(&ReportColumn::Load);
         if !told
             || !p.tried.is_empty()
-            || self.now + p.request.left >= p.deadline + self.t.look_wait
+            || self.now + p.request.time_left >= p.deadline + self.t.look_wait
         {
             return false;
         }
@@ -718,7 +757,7 @@
                 .is_none_or(|at| self.now >= at + self.t.look_wait)
             {
                 s.looked_at = Some(self.now);
-                out.push(Action::Probe(s.id));
+                out.push(Action::CheckHealth(s.id));
             }
         }
         !list.is_empty()
@@ -727,18 +766,26 @@
     fn reported(&mut self, i: usize, report: &[f32], out: &mut Out) {
         let value = |kind| {
             report
-                .get(self.settings.columns.iter().position(|&c| c == kind)?)
+                .get(
+                    self.settings
+                        .report_columns
+                        .iter()
+                        .position(|&c| c == kind)?,
+                )
                 .copied()
         };
-        let Some(load) = value(Column::Load) else {
+        let Some(load) = value(ReportColumn::Load) else {
             return;
         };
         let s = &mut self.servers[i];
         let news = load != s.load || s.load_at.is_none();
         // A report was made some time ago: half of what was sent since the last one is not in it.
         s.since = if news { s.since / 2.0 } else { s.since };
-        (s.load, s.active, s.load_at) =
-            (load, value(Column::Active).unwrap_or(0.0), Some(self.now));
+        (s.load, s.active, s.load_at) = (
+            load,
+            value(ReportColumn::Active).unwrap_or(0.0),
+            Some(self.now),
+        );
         let (mut work, mut sizes, mut warm_work, mut warm_active) =
             (0.0, f32::MIN_POSITIVE, 0.0, 0.0);
         for s in self
@@ -771,13 +818,13 @@
         let fresh = s
             .load_at
             .is_some_and(|at| self.now < at + self.t.report_stale);
-        let all = (self.settings.balancers as f32 / 3.0).max(1.0);
+        let all = (self.settings.balancer_count as f32 / 3.0).max(1.0);
         fresh.then(|| s.load + s.since * all * self.unit / s.size / self.warmth(s))
     }
 
     fn place(&mut self, p: &Pending) -> Option<usize> {
         let (own, key) = (own_key(&p.request), home_key(&p.request));
-        let mid_flow = p.request.mid_flow && p.tried.is_empty();
+        let mid_flow = p.request.established && p.tried.is_empty();
         let first = mid_flow
             .then(|| self.holder(key, own))
             .flatten()
@@ -895,28 +942,31 @@
     fn lawful(&mut self, i: usize, p: &Pending) -> bool {
         let s = &self.servers[i];
         let new = s.ready && !p.tried.contains(&s.id);
-        let same = match (p.ran, p.class.effect) {
+        let same = match (p.ran, p.class.idempotency) {
             (None, _)
             | (
                 _,
-                Effect::Safe
-                | Effect::Keyed {
-                    group: Group::All, ..
+                Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DeduplicationScope::All,
+                    ..
                 },
             ) => true,
             (
                 Some((_, zone, _)),
-                Effect::Keyed {
-                    group: Group::Zone, ..
+                Idempotency::Keyed {
+                    scope: DeduplicationScope::Zone,
+                    ..
                 },
             ) => s.zone == zone,
             (
                 Some((_, _, cell)),
-                Effect::Keyed {
-                    group: Group::Cell, ..
+                Idempotency::Keyed {
+                    scope: DeduplicationScope::Cell,
+                    ..
                 },
             ) => s.cell == cell,
-            (Some(_), Effect::Unsafe) => false,
+            (Some(_), Idempotency::NonIdempotent) => false,
         };
         new && same && self.credited(i)
     }
@@ -972,7 +1022,7 @@
     }
 
     /// How many listed servers get nothing new now, as the list, hands or their health say.
-    pub fn avoided(&self, now: Micros) -> usize {
+    pub fn unavailable_endpoints(&self, now: Micros) -> usize {
         self.servers
             .iter()
             .filter(|s| !s.gone && (!s.ready || now < s.ejected_until))
@@ -980,10 +1030,10 @@
     }
 
     fn arrived(&mut self, request: Request, out: &mut Out) {
-        if !request.again {
+        if !request.returning {
             self.count(request.group);
         }
-        let deadline = self.now + request.left;
+        let deadline = self.now + request.time_left;
         self.owed_by(request.id, deadline, out);
         self.advance(
             Pending {
@@ -1001,7 +1051,10 @@
         let last = deadline
             .saturating_sub(self.settings.tick)
             .max(self.now + 1);
-        out.push(Action::Timer(last, TIMER_DEADLINE | u64::from(id.0)));
+        out.push(Action::SetTimer {
+            at: last,
+            token: TIMER_DEADLINE | u64::from(id.0),
+        });
     }
 
     fn hurry(&mut self, id: RequestId, by: Micros, out: &mut Out) {
@@ -1018,13 +1071,16 @@
 
     fn stands(&mut self, i: usize, id: RequestId, out: &mut Out) {
         let s = &self.servers[i];
-        if !self.settings.passes_through && !s.ready && !s.gone {
+        if !self.settings.forwards_packets && !s.ready && !s.gone {
             let at = self.now + self.rng.range(0..self.t.move_span);
-            out.push(Action::Timer(at, TIMER_MOVE | u64::from(id.0)));
+            out.push(Action::SetTimer {
+                at,
+                token: TIMER_MOVE | u64::from(id.0),
+            });
         }
     }
 
-    fn open(&mut self, request: Request, server: ServerId, out: &mut Out) {
+    fn open(&mut self, request: Request, server: EndpointId, out: &mut Out) {
         self.count(request.group);
         let i = self.entry(server);
         self.take(i);
@@ -1054,23 +1110,23 @@
         // once it is spent, an attempt has all the time there is and is the last.
         let spare = (p.tried.len() as u32 + 1) < self.settings.max_attempts && self.retries >= 2.0;
         // Not so short that a server which is merely slow loses its work, unless it is the last.
-        let share = (p.class.aim as f32 * self.t.attempt_share) as Micros;
+        let share = (p.class.setup_objective as f32 * self.t.attempt_share) as Micros;
         let until = if spare {
             p.deadline.min(self.now + share.max(self.settings.tick))
         } else {
             p.deadline
         };
         // The window counts to the first byte: that comes once the dial is over.
-        let begins = self.now + self.settings.tick + self.settings.dial_timeout;
-        let may_repeat = match (p.ran, p.class.effect) {
-            (None, _) | (_, Effect::Safe) => true,
-            (Some((sent, ..)), Effect::Keyed { window, .. }) => begins < sent + window,
-            (Some(_), Effect::Unsafe) => false,
+        let begins = self.now + self.settings.tick + self.settings.connect_timeout;
+        let may_repeat = match (p.ran, p.class.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some((sent, ..)), Idempotency::Keyed { window, .. }) => begins < sent + window,
+            (Some(_), Idempotency::NonIdempotent) => false,
         };
         let late = self.now >= p.deadline.saturating_sub(self.settings.tick);
         let spent =
             p.tried.len() as u32 >= self.settings.max_attempts || (p.begun && self.retries < 1.0);
-        if late || spent || !may_repeat || (self.shed(&p.request) && !p.request.mid_flow) {
+        if late || spent || !may_repeat || (self.shed(&p.request) && !p.request.established) {
             return self.answer(&mut p, out);
         }
         let found = if self.look(&p, out) {
@@ -1090,19 +1146,19 @@
             (s.due, s.credit, s.since) = (None, s.credit - 1.0, s.since + 1.0);
             (p.phase, p.server, p.sent_at) = (Phase::Out, s.id, self.now);
             p.tried.push(s.id);
-            out.push(Action::Send {
+            out.push(Action::Attempt {
                 id: p.request.id,
-                server: s.id,
-                until,
+                endpoint: s.id,
+                give_up_at: until,
             });
         } else if p.tried.is_empty() {
             // One timer at a time, however many probes let it look again meanwhile.
             if p.wakes <= self.now {
                 p.wakes = self.now + self.t.look_wait;
-                out.push(Action::Timer(
-                    p.wakes,
-                    TIMER_HOLD | u64::from(p.request.id.0),
-                ));
+                out.push(Action::SetTimer {
+                    at: p.wakes,
+                    token: TIMER_HOLD | u64::from(p.request.id.0),
+                });
             }
         } else {
             return self.answer(&mut p, out);
@@ -1116,10 +1172,10 @@
         }
         let maybe_ran = p.ran.is_some() || p.phase == Phase::Out;
         let repeats = matches!(
-            p.class.effect,
-            Effect::Safe
-                | Effect::Keyed {
-                    group: Group::All,
+            p.class.idempotency,
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DeduplicationScope::All,
                     ..
                 }
         );
@@ -1128,14 +1184,17 @@
         let wait =
             ((self.t.retry_after as f32 * spread) as Micros).min(self.settings.max_retry_after);
         out.push(if repeats || !maybe_ran {
-            Action::Refuse(id, wait)
+            Action::Reject {
+                id: id,
+                retry_after: wait,
+            }
         } else {
             Action::Fail(id)
         });
     }
 
-    fn first(&mut self, id: RequestId, out: &mut Out) -> Result<(), Unknown> {
-        let p = self.pending.get_mut(&id).ok_or(Unknown::Request(id))?;
+    fn first(&mut self, id: RequestId, out: &mut Out) -> Result<(), UnknownId> {
+        let p = self.pending.get_mut(&id).ok_or(UnknownId::Request(id))?;
         if p.phase == Phase::Out && !p.answered {
             (p.phase, p.answered) = (Phase::Up, true);
         }
@@ -1152,20 +1211,20 @@
         outcome: Outcome,
         last: bool,
         out: &mut Out,
-    ) -> Result<(), Unknown> {
+    ) -> Result<(), UnknownId> {
         let waits = self
             .pending
             .get(&id)
             .is_some_and(|p| p.phase != Phase::Held);
         let Some(mut p) = self.pending.remove(&id).filter(|_| waits) else {
-            return Err(Unknown::Request(id));
+            return Err(UnknownId::Request(id));
         };
         let i = self.entry(p.server);
         self.servers[i].held -= 1;
         self.held -= 1;
         match outcome {
-            Outcome::Ok => (self.servers[i].strikes, self.servers[i].ejections) = (0, 0),
-            Outcome::Moot => {
+            Outcome::Success => (self.servers[i].strikes, self.servers[i].ejections) = (0, 0),
+            Outcome::NotAttempted => {
                 self.retries = (self.retries + f32::from(p.begun)).min(self.t.retry_saved)
             }
             Outcome::Cancelled => {}
@@ -1175,8 +1234,8 @@
         if last || p.answered {
             return Ok(());
         }
-        (p.phase, p.begun) = (Phase::Held, p.begun || outcome != Outcome::Moot);
-        if !outcome.never_ran() && p.ran.is_none() {
+        (p.phase, p.begun) = (Phase::Held, p.begun || outcome != Outcome::NotAttempted);
+        if !outcome.proves_not_executed() && p.ran.is_none() {
             p.ran = Some((p.sent_at, self.servers[i].zone, self.servers[i].cell));
         }
         match outcome {
@@ -1202,7 +1261,10 @@
                     return;
                 };
                 if !p.answered && p.phase == Phase::Out && self.settings.may_cancel {
-                    out.push(Action::Cancel(id, p.tried.len() as u16 - 1));
+                    out.push(Action::CancelAttempt {
+                        id,
+                        attempt: p.tried.len() as u16 - 1,
+                    });
                 }
                 self.answer(&mut p, out);
                 if p.phase != Phase::Held {
@@ -1222,7 +1284,7 @@
             }
             TIMER_MOVE => self.relocate(id, out),
             TIMER_ASK if !std::mem::replace(&mut self.watching, true) => {
-                out.push(Action::Watch(true))
+                out.push(Action::WatchEndpointList(true))
             }
             TIMER_PROBE => self.probe(out),
             _ => {}
@@ -1238,7 +1300,7 @@
             return;
         };
         p.moving = true;
-        out.push(Action::Move(id));
+        out.push(Action::Migrate(id));
     }
 
     /// Which connection leaves a strained server: one turned away now, or with its group's homes elsewhere. A
@@ -1251,7 +1313,7 @@
         };
         let here =
             |p: &&Pending| p.server == self.servers[i].id && p.phase == Phase::Up && !p.moving;
-        let first = |p: &&Pending| self.planned() || !p.request.again;
+        let first = |p: &&Pending| self.planned() || !p.request.returning;
         let mut candidates = self.pending.values().filter(here).filter(first);
         let found = candidates.find(|p| self.shed(&p.request) || stray(&p.request));
         found
@@ -1259,16 +1321,19 @@
             .map(|p| p.request.id)
     }
 
-    fn evacuate(&mut self, server: ServerId, share: f32, out: &mut Out) {
+    fn evacuate(&mut self, server: EndpointId, share: f32, out: &mut Out) {
         for p in self
             .pending
             .values()
             .filter(|p| p.server == server && p.phase == Phase::Up)
         {
             let at = self.now + self.rng.range(0..self.t.move_span);
-            let first = self.planned() || !p.request.again;
+            let first = self.planned() || !p.request.returning;
             if share >= 1.0 || (first && fraction(own_key(&p.request), at) < share) {
-                out.push(Action::Timer(at, TIMER_MOVE | u64::from(p.request.id.0)));
+                out.push(Action::SetTimer {
+                    at,
+                    token: TIMER_MOVE | u64::from(p.request.id.0),
+                });
             }
         }
     }
--- a/src/tuning.rs
+++ b/src/decisions/parameters.rs
@@ -5,7 +5,7 @@
 
 /// Declares a struct of parameters: its fields, their defaults, and a way to set one by its name.
 #[macro_export]
-macro_rules! tuning {
+macro_rules! parameters {
     ($struct:ident { $($(#[$doc:meta])* $name:ident: $kind:ty = $value:expr;)* }) => {
         /// Parameters; what they are by default is in force wherever no experiment says otherwise.
         #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/slots.rs
+++ b/src/decisions/ring.rs
@@ -1,6 +1,6 @@
 //! The slot array of RJ-CH and its hashes, which never change: all balancers must agree.
 
-use crate::api::{Request, ServerId};
+use crate::decisions::api::{EndpointId, Request};
 use std::collections::BTreeMap;
 
 /// Slots of the array (m): the points of a thousand servers seldom collide.
@@ -31,7 +31,7 @@
 
 /// What tells a client from others of its group.
 pub fn own_key(q: &Request) -> u64 {
-    match q.key {
+    match q.client_key {
         0 => u64::from(q.id.0) | 1 << 63,
         key => key,
     }
@@ -48,11 +48,11 @@
 /// the server's that hashes lower, so that the order of the list does not matter. A server's coming or going
 /// touches its own points and no others, whatever the size of the fleet.
 #[derive(Default)]
-pub struct Ring(BTreeMap<(usize, u64, u32), ServerId>);
+pub struct Ring(BTreeMap<(usize, u64, u32), EndpointId>);
 
 impl Ring {
     /// Gives a server `to` points in place of `from`.
-    pub fn lay(&mut self, id: ServerId, from: u32, to: u32) {
+    pub fn lay(&mut self, id: EndpointId, from: u32, to: u32) {
         // Inverted: a key that equals a server's id must not jump along that server's own points.
         let place = |point: u32| (slot(!id.0, point), mix(id.0), point);
         (to..from).for_each(|point| _ = self.0.remove(&place(point)));
@@ -60,7 +60,7 @@
     }
 
     /// The owner of the slot of h(key, jump).
-    pub fn owner(&self, key: u64, jump: u32) -> Option<ServerId> {
+    pub fn owner(&self, key: u64, jump: u32) -> Option<EndpointId> {
         let next = self.0.range((slot(key, jump), 0, 0)..).next();
         next.or_else(|| self.0.first_key_value()).map(|(_, id)| *id)
     }
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -4,15 +4,15 @@
 //! Guards against: an attempt that is still out when the next begins (its socket is closed before it says how it
 //! ended), a first byte to a backend that has left meanwhile, and one silent machine holding up everybody else.
 
-use crate::api::{Micros, Outcome, RequestId, ServerId};
 use crate::config::listing::Endpoint;
-use crate::front::buffer::Buffer;
-use crate::front::{Exchange, Order, Passage, Step};
+use crate::decisions::api::{EndpointId, Micros, Outcome, RequestId};
 use crate::log::log;
 use crate::net::core::Core;
 use crate::net::link::Link;
 use crate::net::poll::{dial, is_local, Interest};
 use crate::net::session::Session;
+use crate::protocol::buffer::Buffer;
+use crate::protocol::{Exchange, Order, Passage, Step};
 use crate::sys::timed_out;
 use socket2::SockRef;
 use std::net::TcpStream;
@@ -70,7 +70,7 @@
 
 /// One attempt of a session's request.
 pub struct Attempt {
-    server: ServerId,
+    server: EndpointId,
     /// When to stop waiting.
     until: Micros,
     /// Its number among those of the request.
@@ -95,7 +95,7 @@
     /// One that has not begun.
     pub fn new(
         order: &dyn Order,
-        server: ServerId,
+        server: EndpointId,
         until: Micros,
         number: u16,
         now: Micros,
@@ -182,7 +182,7 @@
         if g.session.called_off(self.number) {
             // Before the dial nothing has begun: the retry budget has its share back.
             return failed(if self.seeks() {
-                Outcome::Moot
+                Outcome::NotAttempted
             } else {
                 Outcome::Cancelled
             });
@@ -216,7 +216,7 @@
             return if adopted && now < self.until {
                 None
             } else {
-                failed(Outcome::Moot)
+                failed(Outcome::NotAttempted)
             };
         };
         let most = if adopted {
@@ -225,7 +225,7 @@
             g.core.terms().dial_timeout.as_micros() as Micros
         };
         if now >= self.until || most == 0 {
-            return failed(Outcome::Moot);
+            return failed(Outcome::NotAttempted);
         }
         let mut addr = endpoint.addr;
         if let Some(port) = g.core.port(g.order.front()) {
@@ -241,7 +241,7 @@
                     g.session.name(),
                     self.name()
                 ));
-                return failed(Outcome::Moot);
+                return failed(Outcome::NotAttempted);
             }
             Err(_) => return failed(Outcome::ConnectFailed),
         };
@@ -272,7 +272,7 @@
                 return failed(match (self.asked, self.said) {
                     (true, _) => Outcome::Timeout,
                     (false, true) => Outcome::ConnectFailed,
-                    (false, false) => Outcome::Moot,
+                    (false, false) => Outcome::NotAttempted,
                 });
             }
             let link = self.link.as_mut()?;
@@ -312,11 +312,11 @@
             let new = matches!(step, Step::Ask(_) | Step::Say(_) | Step::Secure(_));
             let may = || {
                 core.directory.takes_new(self.server)
-                    && core.decisions.owed(g.id)
-                    && core.decisions.admits()
+                    && core.decisions.awaits_answer(g.id)
+                    && core.decisions.may_admit()
             };
             if new && !adopted && !may() {
-                return failed(Outcome::Moot);
+                return failed(Outcome::NotAttempted);
             }
             match step {
                 Step::Read => {}
@@ -330,7 +330,7 @@
                 }
                 Step::Secure(domain) => {
                     let Some(tls) = core.xmpp().and_then(|xmpp| xmpp.tls.client(&domain)) else {
-                        return failed(Outcome::Moot);
+                        return failed(Outcome::NotAttempted);
                     };
                     self.said = true;
                     self.link.as_mut()?.secure(tls);
@@ -382,19 +382,19 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::api::{Member, MemberState};
     use crate::config::Config;
-    use crate::decide::{Decisions, Orders};
-    use crate::front::line::Greeting;
-    use crate::front::{Greeter, Next};
+    use crate::decision_service::{DecisionService, Hooks};
+    use crate::decisions::api::{EndpointState, ListedEndpoint};
     use crate::net::poll::{Events, Poller};
     use crate::platform::directory::Directory;
+    use crate::protocol::line::Greeting;
+    use crate::protocol::{Greeter, Next};
     use crossbeam_channel::bounded;
     use std::io::Read;
     use std::net::{SocketAddr, TcpListener};
     use std::time::Duration;
 
-    const SERVER: ServerId = ServerId(1);
+    const SERVER: EndpointId = EndpointId(1);
     const MINUTE: Micros = 60_000_000;
 
     struct Setup {
@@ -405,7 +405,7 @@
     }
 
     /// A session before a backend in that state at that address, with this longest dial.
-    fn setup(addr: SocketAddr, state: MemberState, at: &str, dial_ms: f64) -> Setup {
+    fn setup(addr: SocketAddr, state: EndpointState, at: &str, dial_ms: f64) -> Setup {
         let settings = include_str!("../../tests/data/settings.json").replace(
             "\"dial_timeout\": 250.0",
             &format!("\"dial_timeout\": {dial_ms:.3}"),
@@ -414,17 +414,25 @@
             r#"{{"listen":"{addr}","discovery":"{addr}","seed":"1","settings":{settings}}}"#
         );
         let config = Config::parse(text.into_bytes(), &|_| None).unwrap();
-        let member = |state| Member {
-            server: SERVER,
+        let member = |state| ListedEndpoint {
+            id: SERVER,
             zone: 0,
             cell: 0,
             state,
             size: 1.0,
-            started: None,
+            started_at: None,
         };
         let (watch, (probe, _)) = (Box::new(|_| ()), bounded(1));
-        let cached = vec![member(MemberState::Ready)];
-        let decisions = Decisions::new(config.settings.clone(), 1, cached, Orders { watch, probe });
+        let cached = vec![member(EndpointState::Ready)];
+        let decisions = DecisionService::new(
+            config.settings.clone(),
+            1,
+            cached,
+            Hooks {
+                watch_endpoint_list: watch,
+                check_health: probe,
+            },
+        );
         let directory = Arc::new(Directory::default());
         directory.update(
             true,
@@ -485,7 +493,7 @@
                     watched = Some(interest);
                 }
                 poller.wait(
-                    self.core.decisions.left(attempt.due()),
+                    self.core.decisions.time_until(attempt.due()),
                     &mut events,
                     &mut ready,
                 );
@@ -504,19 +512,22 @@
     /// byte may go out on the new connection.
     #[test]
     fn nothing_is_sent_after_the_dial_to_a_backend_that_leaves_or_for_a_request_that_is_answered() {
-        for (state, answered) in [(MemberState::Draining, false), (MemberState::Ready, true)] {
+        for (state, answered) in [
+            (EndpointState::Draining, false),
+            (EndpointState::Ready, true),
+        ] {
             let (listener, addr) = listener();
             let s = setup(addr, state, "", 10_000.0);
-            let pick = s
-                .core
-                .decisions
-                .pick(s.order.request().clone(), s.session.clone(), |_| {});
+            let pick =
+                s.core
+                    .decisions
+                    .submit(s.order.request().clone(), s.session.clone(), |_| {});
             if answered {
-                s.core.decisions.vanish(pick.id);
+                s.core.decisions.client_disconnected(pick.id);
             }
             let result = s.drive(pick.id, s.attempt(MINUTE));
             assert!(
-                matches!(result, Err((Outcome::Moot, _))),
+                matches!(result, Err((Outcome::NotAttempted, _))),
                 "{state:?} {answered}"
             );
             // Its socket is closed by now: the next attempt may begin.
@@ -530,11 +541,11 @@
     #[test]
     fn the_wait_for_an_adopted_connection_ends() {
         let (_listener, addr) = listener();
-        let s = setup(addr, MemberState::Ready, ",at=s-1", 10_000.0);
-        let id = s
-            .core
-            .decisions
-            .adopt(s.order.request().clone(), SERVER, s.session.clone());
+        let s = setup(addr, EndpointState::Ready, ",at=s-1", 10_000.0);
+        let id =
+            s.core
+                .decisions
+                .adopt_connection(s.order.request().clone(), SERVER, s.session.clone());
         assert!(matches!(
             s.drive(id, s.attempt(300_000)),
             Err((Outcome::Timeout, _))
@@ -545,20 +556,20 @@
     #[test]
     fn an_adopted_connection_waits_for_the_list_that_names_its_backend() {
         let (_listener, addr) = listener();
-        let s = setup(addr, MemberState::Gone, ",at=s-1", 10_000.0);
-        let id = s
-            .core
-            .decisions
-            .adopt(s.order.request().clone(), SERVER, s.session.clone());
+        let s = setup(addr, EndpointState::Removed, ",at=s-1", 10_000.0);
+        let id =
+            s.core
+                .decisions
+                .adopt_connection(s.order.request().clone(), SERVER, s.session.clone());
         let mut attempt = s.attempt(MINUTE);
         assert!(attempt.go(s.ground(id), false).is_none() && attempt.seeks());
-        let member = Member {
-            server: SERVER,
+        let member = ListedEndpoint {
+            id: SERVER,
             zone: 0,
             cell: 0,
-            state: MemberState::Ready,
+            state: EndpointState::Ready,
             size: 1.0,
-            started: None,
+            started_at: None,
         };
         s.core.directory.update(
             false,
@@ -583,11 +594,11 @@
         held.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
         let refusing = held.local_addr().unwrap().as_socket().unwrap();
-        let s = setup(refusing, MemberState::Ready, "", 10_000.0);
+        let s = setup(refusing, EndpointState::Ready, "", 10_000.0);
         let pick = s
             .core
             .decisions
-            .pick(s.order.request().clone(), s.session.clone(), |_| {});
+            .submit(s.order.request().clone(), s.session.clone(), |_| {});
         assert!(matches!(
             s.drive(pick.id, s.attempt(MINUTE)),
             Err((Outcome::ConnectFailed, _))
@@ -597,11 +608,11 @@
         let (full, addr) = listener();
         socket2::SockRef::from(&full).listen(0).unwrap();
         let _waiting: Vec<TcpStream> = (0..3).map(|_| dial(addr).unwrap()).collect();
-        let s = setup(addr, MemberState::Ready, "", 20.0);
+        let s = setup(addr, EndpointState::Ready, "", 20.0);
         let pick = s
             .core
             .decisions
-            .pick(s.order.request().clone(), s.session.clone(), |_| {});
+            .submit(s.order.request().clone(), s.session.clone(), |_| {});
         assert!(matches!(
             s.drive(pick.id, s.attempt(MINUTE)),
             Err((Outcome::ConnectFailed, _))
@@ -611,11 +622,11 @@
         // that was held up once went on with a dial whose time was over.
         for told in [false, true] {
             let (listener, addr) = listener();
-            let s = setup(addr, MemberState::Ready, "", 1.0);
-            let pick = s
-                .core
-                .decisions
-                .pick(s.order.request().clone(), s.session.clone(), |_| {});
+            let s = setup(addr, EndpointState::Ready, "", 1.0);
+            let pick =
+                s.core
+                    .decisions
+                    .submit(s.order.request().clone(), s.session.clone(), |_| {});
             let mut attempt = s.attempt(MINUTE);
             assert!(attempt.go(s.ground(pick.id), false).is_none());
             let (mut backend, _) = listener.accept().unwrap();
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -1,13 +1,13 @@
 //! The side of the clients: a request is let in, has its verdicts carried out, and gets its answer or its connection.
 
-use crate::api::{Micros, Outcome, Request};
 use crate::config::listing::server_id;
-use crate::decide::{Flow, Verdict};
-use crate::front::{Answer, Cause, Order};
+use crate::decision_service::{Decision, RequestHandle};
+use crate::decisions::api::{Micros, Outcome, Request};
 use crate::net::admit::{Denied, Idle};
 use crate::net::attempt::{Attempt, Failed, Ground, Up, ADOPT};
 use crate::net::conn::{Backend, Conn, Phase, Placing};
 use crate::net::session::{Account, Session};
+use crate::protocol::{Answer, Cause, Order};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
@@ -36,7 +36,7 @@
         }
         let (answer, reason) = match idle.request(order.name()) {
             Ok(place) => {
-                let keys = (order.request().key, order.request().group);
+                let keys = (order.request().client_key, order.request().group);
                 let finishes = order.finishes();
                 self.session = Some(Session::new(&core.woken, keys, place, finishes, None));
                 self.phase = Phase::Placing;
@@ -61,16 +61,16 @@
         // Where this process stops, the answer is owed before it ends.
         let stop_by = core.stop_by.load(Relaxed);
         let asked = &Request {
-            left: order.request().left.min(stop_by.saturating_sub(now)),
+            time_left: order.request().time_left.min(stop_by.saturating_sub(now)),
             ..order.request().clone()
         };
-        let flow: Arc<dyn Flow> = session.clone();
+        let flow: Arc<dyn RequestHandle> = session.clone();
         let name = session.name();
-        tracing::debug!(id = %name, group = asked.group, key = asked.key, again = asked.again, "request");
+        tracing::debug!(id = %name, group = asked.group, key = asked.client_key, again = asked.returning, "request");
         let (id, pick, attempt, server, answer_by) = match order.at() {
             Some(at) => {
                 let server = server_id(at);
-                let id = core.decisions.adopt(asked.clone(), server, flow);
+                let id = core.decisions.adopt_connection(asked.clone(), server, flow);
                 if let Some(account) = &mut self.account {
                     (account.backend, account.attempts) = (at.to_string(), 1);
                 }
@@ -85,10 +85,10 @@
             }
             None => {
                 // Whoever waits is owed its answer by then; what went before the request is the client's own time.
-                let answer_by = now + asked.left;
+                let answer_by = now + asked.time_left;
                 let pick = core
                     .decisions
-                    .pick(asked.clone(), flow, |id| session.takes_id(id));
+                    .submit(asked.clone(), flow, |id| session.takes_id(id));
                 (pick.id, Some(pick), None, Default::default(), answer_by)
             }
         };
@@ -112,7 +112,7 @@
             p.answer_by = p.answer_by.min(by);
             p.attempt.iter_mut().for_each(|attempt| attempt.hurry(by));
             if p.pick.is_some() {
-                self.core.decisions.hurry(p.id, by);
+                self.core.decisions.shorten_deadline(p.id, by);
             }
         }
     }
@@ -149,17 +149,17 @@
                 continue;
             }
             let verdict = match &p.pick {
-                Some(pick) => pick.try_verdict(),
-                None => Some(Verdict::Gone),
+                Some(pick) => pick.try_next(),
+                None => Some(Decision::Withdrawn),
             };
             let (answer, reason) = match verdict {
                 None => {
                     self.placing = Some(p);
                     return;
                 }
-                Some(Verdict::Attempt {
-                    server,
-                    until,
+                Some(Decision::Attempt {
+                    endpoint: server,
+                    give_up_at: until,
                     number,
                 }) => {
                     if let Some(account) = &mut self.account {
@@ -175,14 +175,14 @@
                     self.placing = Some(p);
                     continue;
                 }
-                Some(Verdict::Refuse(wait)) => (
+                Some(Decision::Reject(wait)) => (
                     Some(Answer::Refused(wait.min(self.core.terms().max_retry_after))),
                     "refused",
                 ),
-                Some(Verdict::Fail) => (Some(Answer::Failed(p.cause)), "failed"),
-                Some(Verdict::Gone) => (None, "client-gave-up"),
+                Some(Decision::Fail) => (Some(Answer::Failed(p.cause)), "failed"),
+                Some(Decision::Withdrawn) => (None, "client-gave-up"),
             };
-            self.core.decisions.forget(p.id);
+            self.core.decisions.remove(p.id);
             let words = answer.map_or(Vec::new(), |answer| p.order.words(answer));
             self.finish(answer, words, reason);
         }
@@ -196,7 +196,7 @@
         session.is_up(result.is_ok());
         match (result, p.pick.is_some()) {
             (Ok(up), false) => return self.stand(*p, up),
-            (Ok(up), true) if decisions.up(p.id, self.now().saturating_sub(began)) => {
+            (Ok(up), true) if decisions.connected(p.id, self.now().saturating_sub(began)) => {
                 return self.stand(*p, up)
             }
             (Ok(up), true) => {
@@ -204,7 +204,7 @@
                 drop(up);
                 session.release();
                 session.is_up(false);
-                decisions.report(p.id, Outcome::Cancelled, Vec::new());
+                decisions.attempt_failed(p.id, Outcome::Cancelled, Vec::new());
             }
             (Err((outcome, report)), true) => {
                 p.cause = if outcome == Outcome::Timeout {
@@ -212,10 +212,10 @@
                 } else {
                     Cause::Broke
                 };
-                decisions.report(p.id, outcome, report);
+                decisions.attempt_failed(p.id, outcome, report);
             }
             (Err((outcome, report)), false) => {
-                decisions.end(p.id, outcome, report);
+                decisions.connection_ended(p.id, outcome, report);
                 let answer = Answer::Failed(Cause::Broke);
                 return self.finish(Some(answer), p.order.words(answer), "not-adopted");
             }
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -4,16 +4,16 @@
 //! It passes through the phases below in their order. What it does in each is in a file of its own: `greet` hears the
 //! request, `client` has it placed, `forward` passes on what comes once it is up, `part` ends it.
 
-use crate::api::{Micros, Outcome, Request, RequestId, ServerId};
-use crate::decide::Pick;
-use crate::front::buffer::{Buffer, MAX_LINE};
-use crate::front::{Cause, Greeter, Order, Passage};
+use crate::decision_service::PendingDecision;
+use crate::decisions::api::{EndpointId, Micros, Outcome, Request, RequestId};
 use crate::net::admit::{Idle, GRACE};
 use crate::net::attempt::Attempt;
 use crate::net::core::Core;
 use crate::net::link::Link;
 use crate::net::poll::{Interest, Poller, Ready};
 use crate::net::session::{Account, Session};
+use crate::protocol::buffer::{Buffer, MAX_LINE};
+use crate::protocol::{Cause, Greeter, Order, Passage};
 use std::net::TcpStream;
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
     pub link: Link,
     /// The connection as the decisions know it.
     pub id: RequestId,
-    pub server: ServerId,
+    pub server: EndpointId,
     pub passage: Box<dyn Passage>,
 }
 
@@ -77,9 +77,9 @@
     pub order: Box<dyn Order>,
     pub id: RequestId,
     /// The decisions' verdicts; none where the connection was open before the start.
-    pub pick: Option<Pick>,
+    pub pick: Option<PendingDecision>,
     pub attempt: Option<Attempt>,
-    pub server: ServerId,
+    pub server: EndpointId,
     /// What it has failed of.
     pub cause: Cause,
     /// When the client is owed its answer.
@@ -206,7 +206,7 @@
     pub fn standing_request(class: usize, (key, group): (u64, u64)) -> Request {
         Request {
             class,
-            key,
+            client_key: key,
             group,
             ..Request::default()
         }
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -1,17 +1,17 @@
 //! What all connections of a relay share.
 
-use crate::api::Micros;
 use crate::config::operator::{OperatorError, OperatorFile};
 use crate::config::Config;
-use crate::decide::Decisions;
-use crate::front::line::note::Notes;
-use crate::front::xmpp::terms;
-use crate::front::Rules;
+use crate::decision_service::DecisionService;
+use crate::decisions::api::Micros;
 use crate::net::admit::Admission;
 use crate::net::session::Woken;
 use crate::net::tls::Tls;
 use crate::ops::metrics::Metrics;
 use crate::platform::directory::Directory;
+use crate::protocol::line::note::Notes;
+use crate::protocol::xmpp::terms;
+use crate::protocol::Rules;
 use crate::sys::lock;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
@@ -34,7 +34,7 @@
                 classes: config.classes.clone(),
                 names: config.names.clone(),
             }),
-            dial_timeout: Duration::from_micros(config.settings.dial_timeout),
+            dial_timeout: Duration::from_micros(config.settings.connect_timeout),
             max_retry_after: config.settings.max_retry_after,
         }
     }
@@ -99,7 +99,7 @@
 /// What all connections share.
 pub struct Core {
     /// The decisions.
-    pub decisions: Arc<Decisions>,
+    pub decisions: Arc<DecisionService>,
     /// The backends' addresses.
     pub directory: Arc<Directory>,
     terms: Mutex<Arc<Terms>>,
@@ -122,7 +122,11 @@
 
 impl Core {
     /// What the connections of a relay with this configuration share.
-    pub fn new(config: &Config, decisions: Arc<Decisions>, directory: Arc<Directory>) -> Arc<Core> {
+    pub fn new(
+        config: &Config,
+        decisions: Arc<DecisionService>,
+        directory: Arc<Directory>,
+    ) -> Arc<Core> {
         let metrics = Arc::new(Metrics::default());
         metrics.show(&config.classes.names());
         Arc::new(Core {
@@ -153,7 +157,7 @@
     /// client can ask for it.
     pub fn adopt_settings(&self, config: &Config) {
         self.metrics.show(&config.classes.names());
-        self.decisions.settings(config.settings.clone());
+        self.decisions.update_settings(config.settings.clone());
         *lock(&self.terms) = Arc::new(Terms::of(config));
     }
 
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -8,11 +8,10 @@
 //! Guards against: a silent machine that holds up others (nothing here blocks), a crowd at the listener that holds up
 //! those who are served (a turn takes in so many), and an event that is taken for another socket's (see `conn`).
 
-use crate::api::{Micros, Outcome, ServerId};
 use crate::config::listing::server_id;
 use crate::config::Names;
-use crate::front::line::Lines;
-use crate::load::LoadBook;
+use crate::decisions::api::{EndpointId, Micros, Outcome};
+use crate::load::LoadReportCache;
 use crate::log::log;
 use crate::net::conn::{Backend, Conn, Phase, NUMBER_SHIFT};
 use crate::net::core::Core;
@@ -24,6 +23,7 @@
 use crate::net::session::{Account, Session};
 use crate::platform::probe::{self, Probe, PROBES};
 use crate::platform::takeover::{HandoverListener, Older, Passed, Rest, Successor};
+use crate::protocol::line::Lines;
 use crate::sys::{boottime, timed_out, Wake};
 use crossbeam_channel::Receiver;
 use std::collections::{BTreeMap, BTreeSet};
@@ -127,9 +127,9 @@
     handovers: Option<HandoverListener>,
     older: BTreeMap<u64, Older>,
     next_older: u64,
-    orders: Receiver<ServerId>,
+    orders: Receiver<EndpointId>,
     /// What the fleet's load watch knows, where there is one.
-    book: Option<Arc<LoadBook>>,
+    book: Option<Arc<LoadReportCache>>,
     names: Names,
     probes: BTreeMap<u64, Probe>,
     next_probe: u64,
@@ -142,10 +142,10 @@
 
 impl Engine {
     /// One that serves nobody yet; `orders` are the probes that the decisions ask for.
-    pub fn new(core: Arc<Core>, names: Names, orders: Receiver<ServerId>) -> io::Result<Engine> {
+    pub fn new(core: Arc<Core>, names: Names, orders: Receiver<EndpointId>) -> io::Result<Engine> {
         let poller = Poller::new()?;
         let wake = poller.wake();
-        core.decisions.wakes(wake.clone());
+        core.decisions.set_waker(wake.clone());
         core.directory.wakes(wake.clone());
         core.woken.wakes(wake.clone());
         let looked = core.decisions.now();
@@ -197,8 +197,8 @@
     }
 
     /// Probes for the fleet's load watch, and takes what it knows in place of own probes.
-    pub fn watch(&mut self, book: Arc<LoadBook>) {
-        book.wakes_prober(self.handle.wake.clone());
+    pub fn watch(&mut self, book: Arc<LoadReportCache>) {
+        book.set_checker_waker(self.handle.wake.clone());
         self.book = Some(book);
     }
 
@@ -218,7 +218,7 @@
         self.core.open.store(true, Relaxed);
         let (mut events, mut ready) = (Events::default(), Vec::new());
         loop {
-            let timer = self.core.decisions.fire();
+            let timer = self.core.decisions.fire_timers();
             // One look at the clock for all of a turn: it has cost more than the rest of an idle one.
             let now = self.core.decisions.now();
             self.woken();
@@ -432,19 +432,22 @@
 
     /// The next probe that is to be made, and whether it is for the load watch. Where what the watch knows is as good,
     /// the decisions are told that.
-    fn ordered(&mut self) -> Option<(ServerId, bool)> {
+    fn ordered(&mut self) -> Option<(EndpointId, bool)> {
         for _ in 0..TURN {
             let Ok(server) = self.orders.try_recv() else {
                 break;
             };
             let directory = &self.core.directory;
             let book = self.book.as_ref().filter(|_| directory.takes_new(server));
-            match book.and_then(|book| book.fresh(server, boottime())) {
-                Some(report) => self.probed(server, false, Outcome::Ok, report),
+            match book.and_then(|book| book.fresh_report(server, boottime())) {
+                Some(report) => self.probed(server, false, Outcome::Success, report),
                 None => return Some((server, false)),
             }
         }
-        self.book.as_ref()?.wanted().map(|server| (server, true))
+        self.book
+            .as_ref()?
+            .next_check()
+            .map(|server| (server, true))
     }
 
     fn start_probes(&mut self) {
@@ -458,7 +461,7 @@
                 .endpoint(server)
                 .filter(|_| directory.takes_new(server))
             else {
-                self.probed(server, watch, Outcome::Moot, Vec::new());
+                self.probed(server, watch, Outcome::NotAttempted, Vec::new());
                 continue;
             };
             let now = self.core.decisions.now();
@@ -474,7 +477,9 @@
                     self.probes.insert(n, probe);
                 }
                 // For want of a descriptor or a port: it says nothing of the backend.
-                Err(e) if is_local(&e) => self.probed(server, watch, Outcome::Moot, Vec::new()),
+                Err(e) if is_local(&e) => {
+                    self.probed(server, watch, Outcome::NotAttempted, Vec::new())
+                }
                 Err(_) => self.probed(server, watch, Outcome::ConnectFailed, Vec::new()),
             }
         }
@@ -501,16 +506,16 @@
         self.probed(server, watch, outcome, report);
     }
 
-    fn probed(&self, server: ServerId, watch: bool, outcome: Outcome, report: Vec<f32>) {
+    fn probed(&self, server: EndpointId, watch: bool, outcome: Outcome, report: Vec<f32>) {
         tracing::debug!(server = server.0, watch, ?outcome, ?report, "probe");
         if let Some(book) = self.book.as_ref().filter(|_| watch) {
-            return book.found(
+            return book.check_finished(
                 server,
                 boottime(),
-                (outcome == Outcome::Ok).then_some(report),
+                (outcome == Outcome::Success).then_some(report),
             );
         }
-        self.core.decisions.probed(server, outcome, report);
+        self.core.decisions.health_checked(server, outcome, report);
     }
 
     // Other processes of this relay.
@@ -595,9 +600,11 @@
             .index(&handover.class)
             .unwrap_or(0);
         let server = server_id(&handover.backend);
-        let id = core
-            .decisions
-            .adopt(Conn::standing_request(class, keys), server, session.clone());
+        let id = core.decisions.adopt_connection(
+            Conn::standing_request(class, keys),
+            server,
+            session.clone(),
+        );
         // Only lines go from one process to another.
         let backend = Backend {
             link: Link::plain(backend),
@@ -721,7 +728,7 @@
         standing
             .iter()
             .take(share)
-            .for_each(|(_, session)| crate::decide::Flow::relocate(&**session));
+            .for_each(|(_, session)| crate::decision_service::RequestHandle::migrate(&**session));
         // Whoever rests is sent away, and whoever has begun to ask has some time: nobody else would hear them.
         let rests =
             |conn: &Conn| conn.rests() || (now > LAST_REQUESTS && conn.phase == Phase::Hearing);
@@ -750,10 +757,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::api::{Member, MemberState};
     use crate::config::listing::Endpoint;
     use crate::config::Config;
-    use crate::decide::{Decisions, Orders};
+    use crate::decision_service::{DecisionService, Hooks};
+    use crate::decisions::api::{EndpointState, ListedEndpoint};
     use crate::platform::directory::Directory;
     use crossbeam_channel::{bounded, Sender};
     use std::io::{ErrorKind, Read, Write};
@@ -772,7 +779,7 @@
     }
 
     /// An engine that serves nobody, listening stand-ins for its backends, and where probes are ordered.
-    fn probing(backends: usize) -> (Engine, Vec<TcpListener>, Sender<ServerId>) {
+    fn probing(backends: usize) -> (Engine, Vec<TcpListener>, Sender<EndpointId>) {
         let listeners: Vec<TcpListener> = (0..backends)
             .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
             .collect();
@@ -785,21 +792,21 @@
         );
         let config = Config::parse(text.into_bytes(), &|_| None).unwrap();
         let listed = |(n, listener): (usize, &TcpListener)| {
-            let server = ServerId(n as u64);
+            let server = EndpointId(n as u64);
             let endpoint = Endpoint {
                 name: format!("s-{n}"),
                 addr: listener.local_addr().unwrap(),
             };
-            let state = MemberState::Ready;
+            let state = EndpointState::Ready;
             (
                 endpoint,
-                Member {
-                    server,
+                ListedEndpoint {
+                    id: server,
                     zone: 0,
                     cell: 0,
                     state,
                     size: 1.0,
-                    started: None,
+                    started_at: None,
                 },
             )
         };
@@ -809,11 +816,14 @@
             &listeners.iter().enumerate().map(listed).collect::<Vec<_>>(),
         );
         let (watch, (probe, _)) = (Box::new(|_| ()), bounded(1));
-        let decisions = Decisions::new(
+        let decisions = DecisionService::new(
             config.settings.clone(),
             1,
             Vec::new(),
-            Orders { watch, probe },
+            Hooks {
+                watch_endpoint_list: watch,
+                check_health: probe,
+            },
         );
         let (order, orders) = bounded(16);
         let names = Names {
@@ -840,29 +850,35 @@
     #[test]
     fn what_the_fleets_watch_told_stands_for_a_probe_and_what_it_wants_is_probed() {
         let (mut engine, listeners, order) = probing(3);
-        let book = Arc::new(LoadBook::default());
+        let book = Arc::new(LoadReportCache::default());
         // Young for as long as the test may take.
-        book.tell([(ServerId(0), boottime() + 3_600_000_000, vec![0.5])]);
+        book.insert([(EndpointId(0), boottime() + 3_600_000_000, vec![0.5])]);
         engine.watch(book.clone());
         let handle = engine.handle();
         // Both are there before it begins: in their order.
-        order.send(ServerId(0)).unwrap();
-        order.send(ServerId(1)).unwrap();
+        order.send(EndpointId(0)).unwrap();
+        order.send(EndpointId(1)).unwrap();
         let serving = std::thread::spawn(move || engine.run());
         drop(probed(&listeners[1]));
         assert_eq!(
             listeners[0].accept().unwrap_err().kind(),
             ErrorKind::WouldBlock
         );
-        assert_eq!((book.spared.load(Relaxed), book.made.load(Relaxed)), (1, 1));
-        book.want([ServerId(2)]);
+        assert_eq!(
+            (
+                book.checks_avoided.load(Relaxed),
+                book.checks_sent.load(Relaxed)
+            ),
+            (1, 1)
+        );
+        book.request_checks([EndpointId(2)]);
         probed(&listeners[2])
             .write_all(b"PONG x0=0.25\r\n")
             .unwrap();
-        let found = until(|| book.take().pop());
-        assert_eq!((found.0, found.2), (ServerId(2), Some(vec![0.25])));
+        let found = until(|| book.take_results().pop());
+        assert_eq!((found.0, found.2), (EndpointId(2), Some(vec![0.25])));
         assert_eq!(
-            book.fresh(ServerId(2), found.1),
+            book.fresh_report(EndpointId(2), found.1),
             Some(vec![0.25]),
             "its own relay knows it at once"
         );
@@ -879,7 +895,7 @@
         let handle = engine.handle();
         let serving = std::thread::spawn(move || engine.run());
         let ask = |n: usize| {
-            order.send(ServerId(n as u64)).unwrap();
+            order.send(EndpointId(n as u64)).unwrap();
             (handle.wake)();
             probed(&listeners[n])
         };
--- a/src/net/fleet/jobs.rs
+++ b/src/net/fleet/jobs.rs
@@ -1,20 +1,20 @@
 //! What this relay does for the fleet, and what it needs for that.
 
 use super::{Fleet, LOCAL};
-use crate::api::ServerId;
 use crate::config::operator;
-use crate::decide::Decisions;
-use crate::load::LoadBook;
+use crate::decision_service::DecisionService;
+use crate::decisions::api::EndpointId;
+use crate::load::LoadReportCache;
 use crate::log::log;
 use crate::platform::directory::Directory;
 use crate::sys::boottime;
 use jaspermoor_control::broadcast::subscriber::Subscriber;
-use jaspermoor_control::jobs::assignment::may_be_named;
+use jaspermoor_control::jobs::assignment::is_valid_job_name;
 use jaspermoor_control::jobs::load_watch;
-use jaspermoor_control::jobs::moves::{self, Moving};
-use jaspermoor_control::jobs::owner::Owner;
+use jaspermoor_control::jobs::moves::{self, MigrationStatus};
+use jaspermoor_control::jobs::owner::JobOwner;
 use jaspermoor_control::jobs::worker::{WorkContext, Worker, WorkerCommand};
-use jaspermoor_control::wire::message::{Message, Skills};
+use jaspermoor_control::wire::message::{JobCapabilities, Message};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
     /// Whether its settings let it probe, and backends tell their load then.
     pub probes: bool,
     /// What the load watch knows.
-    pub book: Arc<LoadBook>,
+    pub book: Arc<LoadReportCache>,
 }
 
 impl JobResources {
@@ -47,8 +47,8 @@
     }
 
     /// What this relay can do for the fleet.
-    fn skills(&self, jobs: operator::Jobs) -> Skills {
-        let mut skills = Skills::default();
+    fn skills(&self, jobs: operator::Jobs) -> JobCapabilities {
+        let mut skills = JobCapabilities::default();
         if jobs.load_watch && self.probes {
             skills.kinds.push(load_watch::KIND.into());
             let named = self
@@ -56,15 +56,15 @@
                 .iter()
                 .map(|zone| format!("{}/{zone}", load_watch::KIND));
             let (may, cannot): (Vec<String>, Vec<String>) =
-                named.partition(|name| may_be_named(name));
+                named.partition(|name| is_valid_job_name(name));
             for name in cannot {
                 log(&format!("fleet.jobs.load_watch: no job can be named '{name}': a shorter name of the zone is wanted"));
             }
-            skills.opens.extend(may);
+            skills.expected_jobs.extend(may);
         }
         if jobs.paced_moves {
             skills.kinds.push(moves::KIND.into());
-            skills.opens.push(moves::KIND.into());
+            skills.expected_jobs.push(moves::KIND.into());
         }
         skills.zone = self
             .zones
@@ -90,21 +90,22 @@
         if skills.kinds.is_empty() {
             return;
         }
-        resources.book.wakes_teller(self.poller.wake());
+        resources.book.set_publisher_waker(self.poller.wake());
         if jobs.paced_moves {
-            self.decisions.pace_moves();
+            self.decisions.pace_migrations();
         }
         #[cfg(not(feature = "injected-bugs"))]
-        let owner = Owner::default();
+        let owner = JobOwner::default();
         #[cfg(feature = "injected-bugs")]
-        let owner = Owner::with_injected(super::injected());
+        let owner = JobOwner::with_injected(super::injected());
         let subscriber = Subscriber::new(self.lease_client.relay().clone()).in_zone(&skills.zone);
         let subscriber = if jobs.compact_updates {
             subscriber
         } else {
             subscriber.with_whole_updates()
         };
-        self.lease_client.works(owner.skilled(skills));
+        self.lease_client
+            .set_job_owner(owner.with_capabilities(skills));
         let worker = Worker::new(subscriber);
         #[cfg(feature = "injected-bugs")]
         let worker = worker.with_injected(super::injected());
@@ -117,35 +118,35 @@
             return;
         };
         let now = boottime();
-        for (server, at, report) in resources.book.take() {
-            worker.found(at, server.0, report);
+        for (server, at, report) in resources.book.take_results() {
+            worker.health_checked(at, server.0, report);
         }
         let (decisions, paced) = (&self.decisions, self.setup.fleet.jobs.paced_moves);
         let context = WorkContext {
-            columns: &resources.columns,
-            listed: &|zone| resources.of_zone(zone),
-            moves: &|| moving(decisions).filter(|_| paced),
+            report_columns: &resources.columns,
+            endpoints_in_zone: &|zone| resources.of_zone(zone),
+            migration_status: &|| moving(decisions).filter(|_| paced),
         };
-        let commands = worker.turn(now, &mut self.lease_client, context);
+        let commands = worker.tick(now, &mut self.lease_client, context);
         let figures = &self.metrics.control;
         figures.works.store(true, Relaxed);
-        figures.obeyed.store(worker.obeyed, Relaxed);
-        figures.refused.store(worker.refused, Relaxed);
+        figures.obeyed.store(worker.updates_accepted, Relaxed);
+        figures.refused.store(worker.updates_rejected, Relaxed);
         figures
             .spared
-            .store(resources.book.spared.load(Relaxed), Relaxed);
+            .store(resources.book.checks_avoided.load(Relaxed), Relaxed);
         figures
             .made
-            .store(resources.book.made.load(Relaxed), Relaxed);
+            .store(resources.book.checks_sent.load(Relaxed), Relaxed);
         // Told by name only where it has changed: a turn is short.
         let mut told = crate::sys::lock(&figures.jobs);
         if !told
             .iter()
             .map(|(name, token)| (name.as_str(), *token))
-            .eq(worker.acts_on())
+            .eq(worker.active_jobs())
         {
             *told = worker
-                .acts_on()
+                .active_jobs()
                 .map(|(name, token)| (name.to_string(), token))
                 .collect();
         }
@@ -164,20 +165,20 @@
             return;
         };
         let context = WorkContext {
-            columns: &resources.columns,
-            listed: &|_| Vec::new(),
-            moves: &|| None,
+            report_columns: &resources.columns,
+            endpoints_in_zone: &|_| Vec::new(),
+            migration_status: &|| None,
         };
         let now = boottime();
         let commands = match message {
             Message::Updates(updates) => {
-                worker.updates(now, voter, &self.lease_client, context, updates)
+                worker.handle_updates(now, voter, &self.lease_client, context, updates)
             }
             Message::Delivery(delivery) => {
-                worker.delivery(now, voter, &self.lease_client, context, delivery)
+                worker.handle_delivery(now, voter, &self.lease_client, context, delivery)
             }
             Message::Receipt(receipt) => {
-                worker.receipt(now, voter, receipt);
+                worker.handle_receipt(now, voter, receipt);
                 return;
             }
             _ => return,
@@ -189,30 +190,30 @@
         for command in commands {
             match command {
                 WorkerCommand::Send(voter, message) => self.send_to_voter(voter, message),
-                WorkerCommand::Act(voter, message) => {
+                WorkerCommand::SendAsOwner(voter, message) => {
                     // The worst moment to be stopped: the lease was looked at, the order is not sent.
                     #[cfg(feature = "injected-bugs")]
                     fail::fail_point!("before-order");
                     self.send_to_voter(voter, message);
                 }
-                WorkerCommand::Probe(server) => {
+                WorkerCommand::CheckHealth(server) => {
                     if let Some((_, resources)) = &self.work {
-                        resources.book.want([ServerId(server)]);
+                        resources.book.request_checks([EndpointId(server)]);
                     }
                 }
-                WorkerCommand::Loads(rows) => {
+                WorkerCommand::LoadReports(rows) => {
                     let Some((_, resources)) = &self.work else {
                         continue;
                     };
-                    resources.book.forget(boottime(), |server| {
+                    resources.book.evict(boottime(), |server| {
                         resources.directory.endpoint(server).is_some()
                     });
-                    resources.book.tell(
+                    resources.book.insert(
                         rows.into_iter()
-                            .map(|(server, at, row)| (ServerId(server), at, row)),
+                            .map(|(server, at, row)| (EndpointId(server), at, row)),
                     );
                 }
-                WorkerCommand::Permit(upto) => self.decisions.permit(upto),
+                WorkerCommand::PermitMigrations(upto) => self.decisions.permit_migrations(upto),
                 WorkerCommand::Log(line) => log(&line),
             }
         }
@@ -220,12 +221,12 @@
 }
 
 /// How the fleet's moves are here, and how many a second there may be in the whole fleet.
-fn moving(decisions: &Decisions) -> Option<(Moving, u64)> {
-    let (waiting, made, permitted, rate) = decisions.moving()?;
+fn moving(decisions: &DecisionService) -> Option<(MigrationStatus, u64)> {
+    let (waiting, made, permitted, rate) = decisions.migration_status()?;
     Some((
-        Moving {
+        MigrationStatus {
             waiting,
-            made,
+            completed: made,
             permitted,
         },
         rate,
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -1,11 +1,11 @@
 //! What the lease client wants done: policies and voters that are stored, leases that the decisions are told of.
 
 use super::Fleet;
-use crate::api::Micros;
 use crate::config::policy;
+use crate::decisions::api::Micros;
 use crate::log::log;
 use crate::sys::boottime;
-use jaspermoor_control::lease::client::Effect;
+use jaspermoor_control::lease::client::LeaseAction;
 use jaspermoor_control::log::membership::Membership;
 use jaspermoor_control::log::state::Policy;
 use jaspermoor_control::log::voter::Voter;
@@ -18,7 +18,7 @@
     pub(super) fn publish(&mut self) {
         let now = boottime();
         let until = self.until(now);
-        self.decisions.lease(until);
+        self.decisions.set_admission_lease(until);
         let admits = now < until;
         if std::mem::replace(&mut self.admits, admits) != admits {
             let epoch = self.lease_client.policy().epoch;
@@ -29,7 +29,11 @@
             };
             log(&format!("fleet: {what}, policy of epoch {epoch}"));
         }
-        let missing = self.voter.as_ref().map(Voter::missing).unwrap_or_default();
+        let missing = self
+            .voter
+            .as_ref()
+            .map(Voter::missing_founders)
+            .unwrap_or_default();
         if missing != self.missing {
             if !missing.is_empty() {
                 let names: Vec<String> = missing.iter().map(u64::to_string).collect();
@@ -40,7 +44,7 @@
             }
             self.missing = missing;
         }
-        let leads = self.voter.as_ref().and_then(Voter::leads);
+        let leads = self.voter.as_ref().and_then(Voter::leader_term);
         let figures = &self.metrics.control;
         figures
             .epoch
@@ -65,19 +69,21 @@
         if self.foreign {
             0
         } else {
-            self.lease_client.until(now)
+            self.lease_client.admit_until(now)
         }
     }
 
-    pub(super) fn carry_out(&mut self, effects: Vec<Effect>) {
+    pub(super) fn carry_out(&mut self, effects: Vec<LeaseAction>) {
         // A lease that has ended ends before the words that say so.
-        self.decisions.lease(self.until(boottime()));
+        self.decisions.set_admission_lease(self.until(boottime()));
         for effect in effects {
             match effect {
-                Effect::Send(voter, renew) => self.send_to_voter(voter, Message::Renew(*renew)),
-                Effect::Adopt(policy) => self.adopt(&policy),
-                Effect::Membership(membership) => self.seat(membership),
-                Effect::Prepare(proposal) => {
+                LeaseAction::SendRenew(voter, renew) => {
+                    self.send_to_voter(voter, Message::RenewRequest(*renew))
+                }
+                LeaseAction::AdoptPolicy(policy) => self.adopt(&policy),
+                LeaseAction::PersistMembership(membership) => self.seat(membership),
+                LeaseAction::PersistProposal(proposal) => {
                     let stored = self
                         .ledger
                         .as_ref()
@@ -87,7 +93,7 @@
                         log(&format!("fleet: a proposal cannot be stored: {e}"));
                         continue;
                     }
-                    let effect = self.lease_client.prepared(boottime(), proposal);
+                    let effect = self.lease_client.proposal_persisted(boottime(), proposal);
                     self.carry_out(vec![effect]);
                 }
             }
@@ -121,17 +127,17 @@
                     "fleet: the policy of epoch {epoch} is not understood, clients are refused: {e}"
                 ));
                 self.foreign = true;
-                return self.decisions.lease(0);
+                return self.decisions.set_admission_lease(0);
             }
         };
         self.foreign = false;
-        self.decisions.policy(rules.cells, rules.tuning);
+        self.decisions.apply_policy(rules.cells, rules.tuning);
         log(&format!(
             "fleet: policy of epoch {} ({}) in force, by {}: {}",
             policy.epoch,
             policy::digest(&policy.text),
-            policy.who,
-            policy.why
+            policy.author,
+            policy.reason
         ));
     }
 }
