--- a/src/net/fleet/link.rs
+++ b/src/net/fleet/link.rs
@@ -1,10 +1,10 @@
 //! One link to another process of the fleet: its socket, its session, and the messages that wait for it.
 
-use crate::api::Micros;
+use crate::decisions::api::Micros;
 use crate::net::poll::{Interest, Poller};
 use crate::ops::traffic::{Direction, Traffic};
 use crate::sys::{boottime, timed_out};
-use jaspermoor_control::wire::mac::{Fault, Session, FRAME, HELLO};
+use jaspermoor_control::wire::mac::{FrameError, FrameSession, FRAME_OVERHEAD, HELLO_BYTES};
 use jaspermoor_control::wire::message::Message;
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -28,7 +28,7 @@
     /// It broke.
     Broke,
     /// What came is not a message of this fleet.
-    Fault(Fault),
+    FrameError(FrameError),
     /// Its queue is full of what must not be left out.
     QueueFull,
     /// It stood, but took nothing.
@@ -40,7 +40,7 @@
 /// See the module's text.
 pub(super) struct Link {
     pub(super) socket: TcpStream,
-    session: Session,
+    session: FrameSession,
     /// The voter that was dialled; none for a link that came in.
     pub(super) voter: Option<u64>,
     connecting: bool,
@@ -53,7 +53,7 @@
 
 impl Link {
     /// One whose dial has begun.
-    pub(super) fn dialled(socket: TcpStream, session: Session, voter: u64) -> Link {
+    pub(super) fn dialled(socket: TcpStream, session: FrameSession, voter: u64) -> Link {
         let watched = Interest {
             read: false,
             write: true,
@@ -67,7 +67,7 @@
     }
 
     /// One that came in.
-    pub(super) fn accepted(socket: TcpStream, session: Session) -> Link {
+    pub(super) fn accepted(socket: TcpStream, session: FrameSession) -> Link {
         Link::new(
             socket,
             session,
@@ -79,7 +79,7 @@
         )
     }
 
-    fn new(socket: TcpStream, session: Session, watched: Interest) -> Link {
+    fn new(socket: TcpStream, session: FrameSession, watched: Interest) -> Link {
         let (queue, blocked) = (VecDeque::new(), None);
         Link {
             socket,
@@ -138,17 +138,21 @@
         if self.connecting {
             return Ok(());
         }
-        while self.session.ready() && self.session.out().len() < UNSENT {
+        while self.session.is_established() && self.session.outgoing().len() < UNSENT {
             let Some(message) = self.queue.pop_front() else {
                 break;
             };
             let bytes = message.encode();
             if self.session.send(&bytes) {
-                traffic.count(Direction::Sent, message.kind(), bytes.len() + FRAME);
+                traffic.count(
+                    Direction::Sent,
+                    message.kind(),
+                    bytes.len() + FRAME_OVERHEAD,
+                );
             }
         }
         let written = self.write()?;
-        let waits = !self.session.out().is_empty();
+        let waits = !self.session.outgoing().is_empty();
         self.blocked = match (waits, written) {
             (false, _) => None,
             (true, 0) => self.blocked.or_else(|| Some(boottime())),
@@ -168,7 +172,7 @@
 
     /// Writes bytes until the socket takes no more; how many it took.
     fn write(&mut self) -> Result<usize, LinkEnd> {
-        let out = self.session.out();
+        let out = self.session.outgoing();
         let mut written = 0;
         while written < out.len() {
             match (&self.socket).write(&out[written..]) {
@@ -193,15 +197,22 @@
             }
             Err(_) => return Err(LinkEnd::Broke),
         };
-        let knew = self.session.ready();
-        let frames = self.session.feed(&piece[..n]).map_err(LinkEnd::Fault)?;
-        if !knew && self.session.ready() {
-            traffic.count(Direction::Sent, HELLO_KIND, HELLO);
-            traffic.count(Direction::Received, HELLO_KIND, HELLO);
+        let knew = self.session.is_established();
+        let frames = self
+            .session
+            .feed(&piece[..n])
+            .map_err(LinkEnd::FrameError)?;
+        if !knew && self.session.is_established() {
+            traffic.count(Direction::Sent, HELLO_KIND, HELLO_BYTES);
+            traffic.count(Direction::Received, HELLO_KIND, HELLO_BYTES);
         }
         let decoded = |bytes: &Vec<u8>| {
             let message = Message::decode(bytes)?;
-            traffic.count(Direction::Received, message.kind(), bytes.len() + FRAME);
+            traffic.count(
+                Direction::Received,
+                message.kind(),
+                bytes.len() + FRAME_OVERHEAD,
+            );
             Some(message)
         };
         Ok(frames.iter().filter_map(decoded).collect())
--- a/src/net/fleet/links.rs
+++ b/src/net/fleet/links.rs
@@ -2,12 +2,12 @@
 
 use super::link::{Link, LinkEnd};
 use super::{random_number, Fleet, LISTEN, LOCAL};
-use crate::api::Micros;
+use crate::decisions::api::Micros;
 use crate::log::log;
 use crate::net::poll::{dial, Ready};
 use crate::sys::boottime;
 use jaspermoor_control::log::membership::Membership;
-use jaspermoor_control::wire::mac::Session;
+use jaspermoor_control::wire::mac::FrameSession;
 use jaspermoor_control::wire::message::Message;
 use std::net::{SocketAddr, TcpListener};
 
@@ -49,8 +49,8 @@
         Some(token)
     }
 
-    fn session(&self, dials: bool) -> Session {
-        Session::new(
+    fn session(&self, dials: bool) -> FrameSession {
+        FrameSession::new(
             dials,
             self.setup.keys.clone(),
             self.setup.id(),
@@ -69,7 +69,7 @@
             .map(|v| v.address);
         let seat = |membership: &Membership| {
             membership
-                .of
+                .members
                 .get(&voter)
                 .and_then(|seat| seat.address.parse().ok())
         };
@@ -110,7 +110,7 @@
             return;
         };
         if let Some(voter) = &mut self.voter {
-            voter.gone(token);
+            voter.disconnected(token);
         }
         if let Some((own, _)) = link.voter.and_then(|voter| self.voters.get_mut(&voter)) {
             *own = None;
@@ -178,7 +178,7 @@
         let messages = match link.read(&self.metrics.control.traffic) {
             Ok(messages) => messages,
             Err(end) => {
-                if let LinkEnd::Fault(fault) = &end {
+                if let LinkEnd::FrameError(fault) = &end {
                     let peer = link
                         .socket
                         .peer_addr()
--- a/src/net/fleet/messages.rs
+++ b/src/net/fleet/messages.rs
@@ -5,8 +5,8 @@
 use crate::log::log;
 use crate::platform::ledger::LedgerError;
 use crate::sys::boottime;
-use jaspermoor_control::log::storage::Stored;
-use jaspermoor_control::wire::message::{Answer, Message, Reply};
+use jaspermoor_control::log::storage::PersistBatch;
+use jaspermoor_control::wire::message::{Message, OperatorResponse, RenewResponse};
 use std::path::Path;
 
 impl Fleet {
@@ -24,27 +24,27 @@
     /// Takes one message. One for a voter that this relay is none of is left aside.
     fn take(&mut self, from: u64, message: Message) {
         match message {
-            Message::Reply(reply) => self.take_reply(reply),
+            Message::RenewResponse(reply) => self.take_reply(reply),
             Message::Updates(_) | Message::Delivery(_) | Message::Receipt(_) => {
                 self.hear_updates(from, message)
             }
-            Message::Stale(job, token) => self.take_stale(&job, token),
-            Message::Answer(_, Answer::Token(job, token)) => {
+            Message::StaleToken(job, token) => self.take_stale(&job, token),
+            Message::OperatorResponse(_, OperatorResponse::Token(job, token)) => {
                 if let Some((worker, _)) = &mut self.work {
-                    worker.known(&job, token);
+                    worker.learn_token(&job, token);
                 }
             }
             message => self.take_for_voter(from, message),
         }
     }
 
-    fn take_reply(&mut self, reply: Reply) {
+    fn take_reply(&mut self, reply: RenewResponse) {
         let check = |text: &str| {
             policy::read(Path::new("policy"), text)
                 .map(drop)
                 .map_err(|e| e.to_string())
         };
-        let effects = self.lease_client.heard(boottime(), reply, check);
+        let effects = self.lease_client.handle_response(boottime(), reply, check);
         self.carry_out(effects);
         self.publish();
     }
@@ -54,7 +54,7 @@
             log(&format!(
                 "fleet: {job} has token {token} by now: it acts on it no more"
             ));
-            worker.stale(boottime(), &mut self.lease_client, job, token);
+            worker.handle_stale_token(boottime(), &mut self.lease_client, job, token);
         }
     }
 
@@ -62,8 +62,10 @@
         let now = boottime();
         let Some(voter) = &mut self.voter else { return };
         match message {
-            Message::Founding(number, incarnation) => voter.founder(now, from, number, incarnation),
-            Message::Gone(number, incarnation)
+            Message::Founding(number, incarnation) => {
+                voter.handle_founding(now, from, number, incarnation)
+            }
+            Message::NotAMember(number, incarnation)
                 if number == voter.id() && incarnation == voter.incarnation() =>
             {
                 let remedy = "another under a new number may take its place";
@@ -78,12 +80,14 @@
                     self.give_up_vote(&format!("the ledger: {}: {remedy}", damaged.0));
                 }
             }
-            Message::Renew(renew) => voter.renew(now, from, renew),
-            Message::Ask(number, ask) => voter.ask(now, from, number, ask),
-            Message::Subscribe(subscribe) => voter.subscribe(now, from, subscribe),
-            Message::Publish(publish) => voter.publish(now, from, publish),
-            Message::Poll(poll) => voter.poll(now, from, poll),
-            Message::Submission(submission) => voter.submit(now, from, submission),
+            Message::RenewRequest(renew) => voter.handle_renew(now, from, renew),
+            Message::OperatorRequest(number, ask) => {
+                voter.handle_operator_request(now, from, number, ask)
+            }
+            Message::Subscribe(subscribe) => voter.handle_subscribe(now, from, subscribe),
+            Message::Publish(publish) => voter.handle_publish(now, from, publish),
+            Message::Poll(poll) => voter.handle_poll(now, from, poll),
+            Message::Submission(submission) => voter.handle_submission(now, from, submission),
             _ => {}
         }
     }
@@ -93,22 +97,22 @@
         let Some(voter) = &mut self.voter else {
             return false;
         };
-        let work = voter.work(boottime());
-        if let Some(why) = voter.ended() {
+        let work = voter.ready(boottime());
+        if let Some(why) = voter.fatal_error() {
             self.end_vote(why.0);
             return false;
         }
         if work.is_empty() {
             return false;
         }
-        if let Err(e) = self.store(&work.store) {
+        if let Err(e) = self.store(&work.persist) {
             self.give_up_vote(&e.to_string());
             return false;
         }
-        for (voter, message) in work.to_voters {
+        for (voter, message) in work.voter_messages {
             self.send_to_voter(voter, message);
         }
-        for (to, message) in work.answers {
+        for (to, message) in work.replies {
             if to == LOCAL {
                 self.inbox.push_back((LOCAL, message));
             } else {
@@ -118,7 +122,7 @@
         true
     }
 
-    fn store(&self, stored: &Stored) -> Result<(), LedgerError> {
+    fn store(&self, stored: &PersistBatch) -> Result<(), LedgerError> {
         #[cfg(feature = "injected-bugs")]
         if super::injected().is(jaspermoor_control::InjectedBug::SkipStore) {
             return Ok(());
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -20,21 +20,21 @@
 pub use jobs::JobResources;
 pub use setup::Setup;
 
-use crate::api::Micros;
 use crate::config::operator;
 use crate::config::policy::{self, Rules};
-use crate::decide::Decisions;
+use crate::decision_service::DecisionService;
+use crate::decisions::api::Micros;
 use crate::log::log;
 use crate::net::poll::{Events, Poller};
 use crate::ops::metrics::Metrics;
 use crate::platform::ledger::Ledger;
 use crate::sys::{boottime, Wake};
 use jaspermoor_control::jobs::worker::Worker;
-use jaspermoor_control::lease::client::{Alone, LeaseClient};
+use jaspermoor_control::lease::client::{LeaderlessMode, LeaseClient};
 use jaspermoor_control::log::membership::Membership;
 use jaspermoor_control::log::state::Policy;
 use jaspermoor_control::log::voter::Voter;
-use jaspermoor_control::wire::message::{Message, Relay};
+use jaspermoor_control::wire::message::{Message, RelayId};
 use link::Link;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpListener;
@@ -44,7 +44,7 @@
 use std::time::Duration;
 
 /// The longest wait between two turns.
-const LONGEST_WAIT: Micros = crate::api::SECOND;
+const LONGEST_WAIT: Micros = crate::decisions::api::SECOND;
 /// The token of the listening socket, and of the first link.
 const LISTEN: u64 = 1;
 const FIRST_LINK: u64 = 16;
@@ -89,7 +89,7 @@
     setup: Setup,
     name: String,
     own: Rules,
-    decisions: Arc<Decisions>,
+    decisions: Arc<DecisionService>,
     poller: Poller,
     listener: Option<TcpListener>,
     links: BTreeMap<u64, Link>,
@@ -126,7 +126,7 @@
         setup: Setup,
         name: &str,
         own: Rules,
-        decisions: Arc<Decisions>,
+        decisions: Arc<DecisionService>,
     ) -> Result<Fleet, Box<dyn std::error::Error>> {
         // For as long as the process runs.
         #[cfg(feature = "injected-bugs")]
@@ -140,13 +140,13 @@
         let poller = Poller::new()?;
         let mut start = [0; 8];
         start.copy_from_slice(&random_number()[..8]);
-        let relay = Relay {
+        let relay = RelayId {
             name: name.into(),
-            start: u64::from_be_bytes(start),
+            incarnation: u64::from_be_bytes(start),
         };
         let alone = match setup.fleet.alone {
-            operator::Alone::Refuse => Alone::Refuse,
-            operator::Alone::Serve => Alone::Serve,
+            operator::LeaderlessMode::Refuse => LeaderlessMode::Reject,
+            operator::LeaderlessMode::Serve => LeaderlessMode::Serve,
         };
         let (mut ledger, mut kept, mut retry) = (None, Policy::default(), None);
         match Ledger::open(&setup.directory, &setup.owner()) {
@@ -161,7 +161,7 @@
         let mut foreign = false;
         if kept.epoch > 0 {
             match policy::read(Path::new("policy"), &kept.text) {
-                Ok(rules) => decisions.policy(rules.cells, rules.tuning),
+                Ok(rules) => decisions.apply_policy(rules.cells, rules.tuning),
                 Err(e) => {
                     log(&format!(
                         "fleet: the policy of epoch {} is not understood by this build: {e}",
@@ -180,7 +180,11 @@
         let now = boottime();
         #[cfg(feature = "injected-bugs")]
         let lease_client = lease_client.with_injected(injected(), now);
-        decisions.lease(if foreign { 0 } else { lease_client.until(now) });
+        decisions.set_admission_lease(if foreign {
+            0
+        } else {
+            lease_client.admit_until(now)
+        });
         let handle = Handle {
             stop: Arc::default(),
             end: Arc::default(),
@@ -247,8 +251,13 @@
             .voter
             .as_ref()
             .map(|_| now + self.setup.times().tick / 2);
-        let worker = self.work.as_ref().map(|(worker, _)| worker.due());
-        let due = [Some(self.lease_client.due()), voter, worker, self.retry];
+        let worker = self.work.as_ref().map(|(worker, _)| worker.next_tick());
+        let due = [
+            Some(self.lease_client.next_tick()),
+            voter,
+            worker,
+            self.retry,
+        ];
         due.into_iter()
             .flatten()
             .fold(now + LONGEST_WAIT, Micros::min)
@@ -273,7 +282,7 @@
         self.carry_out(effect.into_iter().collect());
         self.work();
         if self.handle.stop.load(Relaxed) && !std::mem::replace(&mut self.stopped, true) {
-            let effect = self.lease_client.stop_work(now);
+            let effect = self.lease_client.release_jobs(now);
             self.carry_out(effect.into_iter().collect());
         }
         self.do_jobs();
@@ -287,5 +296,5 @@
 #[cfg(feature = "injected-bugs")]
 fn injected() -> jaspermoor_control::InjectedBugs {
     let name = std::env::var("JASPERMOOR_INJECTED_BUG").unwrap_or_default();
-    jaspermoor_control::InjectedBugs(jaspermoor_control::InjectedBug::named(&name))
+    jaspermoor_control::InjectedBugs(jaspermoor_control::InjectedBug::by_name(&name))
 }
--- a/src/net/fleet/setup.rs
+++ b/src/net/fleet/setup.rs
@@ -2,7 +2,7 @@
 
 use crate::config::operator::{self, OperatorError, OperatorFile};
 use crate::platform::ledger;
-use jaspermoor_control::Times;
+use jaspermoor_control::FleetTiming;
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use xxhash_rust::xxh3::xxh3_64;
@@ -68,13 +68,13 @@
     }
 
     /// Its times.
-    pub fn times(&self) -> Times {
+    pub fn times(&self) -> FleetTiming {
         let lease = self.fleet.lease_ms * 1_000;
-        Times {
-            lease,
-            renew: lease / 4,
-            patience: self.fleet.patience_ms * 1_000,
-            ..Times::default()
+        FleetTiming {
+            lease_duration: lease,
+            renew_interval: lease / 4,
+            proposal_timeout: self.fleet.patience_ms * 1_000,
+            ..FleetTiming::default()
         }
     }
 }
--- a/src/net/fleet/tests.rs
+++ b/src/net/fleet/tests.rs
@@ -2,9 +2,9 @@
 
 use super::setup::KEY_LEAST;
 use super::*;
-use crate::api::Settings;
 use crate::config::operator::FleetVoter;
-use crate::decide::Orders;
+use crate::decision_service::Hooks;
+use crate::decisions::api::Settings;
 use crossbeam_channel::bounded;
 use std::path::PathBuf;
 
@@ -20,7 +20,7 @@
         keys: PathBuf::new(),
         voter: None,
         voters: vec![voter],
-        alone: operator::Alone::Serve,
+        alone: operator::LeaderlessMode::Serve,
         lease_ms: 2_000,
         patience_ms: 10_000,
         jobs,
@@ -43,7 +43,15 @@
             compact_updates: false,
         };
         let (watch, (probe, _)) = (Box::new(|_| ()), bounded(1));
-        let decisions = Decisions::new(Settings::default(), 1, Vec::new(), Orders { watch, probe });
+        let decisions = DecisionService::new(
+            Settings::default(),
+            1,
+            Vec::new(),
+            Hooks {
+                watch_endpoint_list: watch,
+                check_health: probe,
+            },
+        );
         let mut fleet =
             Fleet::open(setup(dir.path(), jobs), "n1", Rules::default(), decisions).unwrap();
         let (zones, columns) = (vec!["a".into(), "b".repeat(90)], vec!["x0".into()]);
@@ -56,9 +64,12 @@
             probes,
             book,
         });
-        let mut renew = jaspermoor_control::wire::message::Renew::default();
-        fleet.lease_client.owner()?.fill(&mut renew);
-        Some((renew.skills.kinds.join(" "), renew.skills.opens.join(" ")))
+        let mut renew = jaspermoor_control::wire::message::RenewRequest::default();
+        fleet.lease_client.owner()?.fill_request(&mut renew);
+        Some((
+            renew.capabilities.kinds.join(" "),
+            renew.capabilities.expected_jobs.join(" "),
+        ))
     };
     let some = |kinds: &str, opens: &str| Some((kinds.to_string(), opens.to_string()));
     assert_eq!(kinds(false, false, true), None);
@@ -79,7 +90,15 @@
     let dir = tempfile::tempdir().unwrap();
     let setup = setup(dir.path(), operator::Jobs::default());
     let (watch, (probe, _)) = (Box::new(|_| ()), bounded(1));
-    let decisions = Decisions::new(Settings::default(), 1, Vec::new(), Orders { watch, probe });
+    let decisions = DecisionService::new(
+        Settings::default(),
+        1,
+        Vec::new(),
+        Hooks {
+            watch_endpoint_list: watch,
+            check_health: probe,
+        },
+    );
     let open = || Fleet::open(setup.clone(), "n1", Rules::default(), decisions.clone()).unwrap();
     let policy = |epoch, text: &str| Policy {
         epoch,
@@ -87,15 +106,15 @@
         ..Policy::default()
     };
     let mut fleet = open();
-    assert!(decisions.admits());
+    assert!(decisions.may_admit());
     fleet.adopt(&policy(1, "[of_a_later_build]"));
     fleet.publish();
-    assert!(!decisions.admits());
+    assert!(!decisions.may_admit());
     // Nor after a restart, with that policy on its disk.
     drop(fleet);
     let mut fleet = open();
-    assert!(!decisions.admits());
+    assert!(!decisions.may_admit());
     fleet.adopt(&policy(2, "[parameters]\nepsilon = 1.5"));
     fleet.publish();
-    assert!(decisions.admits());
+    assert!(decisions.may_admit());
 }
--- a/src/net/fleet/voting.rs
+++ b/src/net/fleet/voting.rs
@@ -1,8 +1,8 @@
 //! This relay's vote: it begins with the ledger, and ends where the ledger can no longer be relied on.
 
 use super::{Fleet, LISTEN};
-use crate::api::Micros;
 use crate::config::operator::FleetVoter;
+use crate::decisions::api::Micros;
 use crate::log::log;
 use crate::net::poll::Interest;
 use crate::platform::ledger::Ledger;
@@ -45,7 +45,7 @@
         };
         #[cfg(feature = "injected-bugs")]
         let voter = voter.with_injected(super::injected());
-        if let Some(why) = voter.ended() {
+        if let Some(why) = voter.fatal_error() {
             log(&format!("fleet: {}; voter {number} does not vote", why.0));
             return Ok(());
         }
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -4,15 +4,15 @@
 //! continues a process that is over its share of the processor, and each time all of them wake: with 300
 //! threads the waking alone kept the process over its share for good, and lines were held back for seconds.
 
-use crate::api::{Micros, Outcome};
-use crate::front::buffer::{Buffer, MAX_LINE};
-use crate::front::{Away, News, Parting};
+use crate::decisions::api::{Micros, Outcome};
 use crate::log::log;
 use crate::net::attempt::reset;
 use crate::net::conn::{end, Backend, Conn, End, Phase, LINGER};
 use crate::net::poll::hung_up;
 use crate::net::session::{Account, Session};
 use crate::platform::takeover::{self, Handover, Successor};
+use crate::protocol::buffer::{Buffer, MAX_LINE};
+use crate::protocol::{Away, News, Parting};
 use crate::sys::timed_out;
 use std::io::{self, ErrorKind, Read};
 use std::net::Shutdown;
@@ -91,7 +91,9 @@
         // The sockets stay with this value until they are no longer waited for (see `settle`): they live on
         // in the other process, and would go on waking this one.
         self.phase = Phase::Done;
-        self.core.decisions.end(id, Outcome::Cancelled, Vec::new());
+        self.core
+            .decisions
+            .connection_ended(id, Outcome::Cancelled, Vec::new());
         Ok(())
     }
 
@@ -170,7 +172,7 @@
             .as_ref()
             .and_then(|session| session.client_has_ended())
         {
-            self.core.decisions.vanish(id);
+            self.core.decisions.client_disconnected(id);
         }
         self.place(false);
     }
@@ -329,7 +331,7 @@
                             .core
                             .notes
                             .read(server, id, self.core.decisions.now(), x);
-                        self.core.decisions.note(id, note);
+                        self.core.decisions.record_sample(id, note);
                     }
                     News::Heard => self.hear_back(),
                     News::Farewell(outcome, report, reason) => {
@@ -484,7 +486,9 @@
             if !passage.portable() {
                 self.core.metrics.xmpp.sessions.fetch_sub(1, Relaxed);
             }
-            self.core.decisions.end(id, end.outcome, end.report);
+            self.core
+                .decisions
+                .connection_ended(id, end.outcome, end.report);
         }
         if let Some(account) = self.account.take() {
             // It was owed an answer, and what it has had now was a failure's.
--- a/src/net/greet.rs
+++ b/src/net/greet.rs
@@ -3,15 +3,15 @@
 //! Guards against: a client that says nothing, half a line, or floods; a TLS handshake that stalls. Each costs a
 //! place and no thread, and holds up nobody.
 
-use crate::api::Micros;
-use crate::front::line::Greeting;
-use crate::front::xmpp::greeting;
-use crate::front::{Greeter, Next, Short};
+use crate::decisions::api::Micros;
 use crate::log::log;
 use crate::net::admit::Idle;
 use crate::net::conn::{Conn, Hearing, Phase, LINGER_SHORT};
 use crate::net::core::Core;
 use crate::net::session::Account;
+use crate::protocol::line::Greeting;
+use crate::protocol::xmpp::greeting;
+use crate::protocol::{Greeter, Next, Short};
 use crate::sys::timed_out;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -1,6 +1,6 @@
 //! One side of a connection: its socket, and TLS where it stands between the socket and the protocol.
 
-use crate::front::buffer::Buffer;
+use crate::protocol::buffer::Buffer;
 use crate::sys::timed_out;
 use rustls::Connection;
 use std::io::{self, ErrorKind, Read, Write};
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -1,8 +1,8 @@
 //! A request or connection under way, as those see it who may end it from another thread: the decisions, which may
 //! have an attempt given up or a client moved. What they say is kept here, and the thread that serves is woken.
 
-use crate::api::RequestId;
-use crate::decide::Flow;
+use crate::decision_service::RequestHandle;
+use crate::decisions::api::RequestId;
 use crate::net::admit::Place;
 use crate::ops::metrics::Tally;
 use crate::sys::{lock, Wake};
@@ -62,12 +62,12 @@
     place: Place,
 }
 
-impl Flow for Session {
-    fn verdict(&self) {
+impl RequestHandle for Session {
+    fn decision_ready(&self) {
         self.has_news();
     }
 
-    fn give_up(&self, attempt: u16) {
+    fn cancel_attempt(&self, attempt: u16) {
         {
             let mut state = lock(&self.state);
             state.called_off = state.called_off.max(attempt + 1);
@@ -75,7 +75,7 @@
         self.has_news();
     }
 
-    fn relocate(&self) {
+    fn migrate(&self) {
         let mut state = lock(&self.state);
         if let (true, Some(backend)) = (state.up && !state.moving, &state.backend) {
             if !self.finishes {
--- a/src/ops/admin.rs
+++ b/src/ops/admin.rs
@@ -4,7 +4,7 @@
 //! when all are taken the caller that has had one for longest gives it up.
 
 use crate::config::listing::server_id;
-use crate::decide::Decisions;
+use crate::decision_service::DecisionService;
 use crate::log::log;
 use crate::ops::bans::Bans;
 use crate::ops::metrics::{Fleet, Metrics};
@@ -176,7 +176,7 @@
 /// What staff ask about and act on.
 pub struct Staffed {
     /// The decisions.
-    pub decisions: Arc<Decisions>,
+    pub decisions: Arc<DecisionService>,
     /// The backends' addresses.
     pub directory: Arc<Directory>,
     /// What is counted.
@@ -213,7 +213,9 @@
             if out_of_use { "out" } else { "back" }
         ));
         self.staffed.directory.by_hand(server_id(id), out_of_use);
-        self.staffed.decisions.by_hand(server_id(id), out_of_use);
+        self.staffed
+            .decisions
+            .set_manual_ejection(server_id(id), out_of_use);
     }
 
     /// Takes a backend out, or calls it back. Two calls for the same are one.
@@ -315,16 +317,18 @@
     fn serve(&mut self, call: &Call) -> Answer {
         match call {
             // Whoever may admit nobody is not ready: a front must not send its clients there.
-            Call::Ready if self.staffed.open.load(Relaxed) && self.staffed.decisions.admits() => {
+            Call::Ready
+                if self.staffed.open.load(Relaxed) && self.staffed.decisions.may_admit() =>
+            {
                 answer(200, "ready")
             }
             Call::Ready => answer(503, "takes no clients"),
             Call::Backend(id, out_of_use) => self.by_hand(id, *out_of_use),
             Call::Counters => {
-                let (cells, moves) = self.staffed.decisions.cell_figures();
+                let (cells, moves) = self.staffed.decisions.cell_metrics();
                 let (known, skipped) = (
                     self.staffed.directory.known(),
-                    self.staffed.decisions.avoided(),
+                    self.staffed.decisions.unavailable_endpoints(),
                 );
                 let fleet = Fleet {
                     known,
--- a/src/ops/metrics.rs
+++ b/src/ops/metrics.rs
@@ -2,7 +2,7 @@
 //! rendered in one place, in the text form that scrapers read.
 
 use super::traffic::{Count, Direction, Traffic};
-use crate::decide::CellFigures;
+use crate::decision_service::CellMetrics;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -91,7 +91,7 @@
     /// Those of them that the relay avoids now, by hand or by choice.
     pub skipped: usize,
     /// Each cell; one alone is not shown.
-    pub cells: Vec<CellFigures>,
+    pub cells: Vec<CellMetrics>,
     /// Connections that wait to be moved to their site's cell.
     pub moves: usize,
 }
@@ -286,14 +286,14 @@
 
 /// The figures of cells. Their number is bounded by that of cells.
 fn by_cell(text: &mut String, fleet: &Fleet) {
-    type Figure = fn(&CellFigures) -> u64;
+    type Figure = fn(&CellMetrics) -> u64;
     let figures: [(&str, &str, Figure); 7] = [
-        ("cell_servers", "gauge", |c| c.servers as u64),
+        ("cell_servers", "gauge", |c| c.endpoints as u64),
         ("cell_usable", "gauge", |c| c.usable.into()),
-        ("cell_in_progress", "gauge", |c| c.holds.into()),
+        ("cell_in_progress", "gauge", |c| c.in_flight.into()),
         ("cell_borrowed", "gauge", |c| c.borrowed.into()),
-        ("cell_up_total", "counter", |c| c.up),
-        ("cell_refused_total", "counter", |c| c.refused),
+        ("cell_up_total", "counter", |c| c.connected),
+        ("cell_refused_total", "counter", |c| c.rejected),
         ("cell_failed_total", "counter", |c| c.failed),
     ];
     // Writing to a text cannot fail.
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -1,7 +1,7 @@
 //! Where the backends are, and which of them may be sent something new: looked up before each attempt.
 
-use crate::api::{Member, MemberState, ServerId};
 use crate::config::listing::Endpoint;
+use crate::decisions::api::{EndpointId, EndpointState, ListedEndpoint};
 use crate::sys::Wake;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -10,25 +10,25 @@
 /// Where the backends are, and which of them may be sent something new.
 #[derive(Default)]
 pub struct Directory {
-    servers: Mutex<BTreeMap<ServerId, (Endpoint, MemberState, u16)>>,
+    servers: Mutex<BTreeMap<EndpointId, (Endpoint, EndpointState, u16)>>,
     /// Those that staff have taken out, listed or not.
-    by_hand: Mutex<BTreeSet<ServerId>>,
+    by_hand: Mutex<BTreeSet<EndpointId>>,
     /// How often the list has changed.
     version: AtomicU64,
     wake: OnceLock<Wake>,
 }
 
 impl Directory {
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<ServerId, (Endpoint, MemberState, u16)>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<EndpointId, (Endpoint, EndpointState, u16)>> {
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn bans(&self) -> MutexGuard<'_, BTreeSet<ServerId>> {
+    fn bans(&self) -> MutexGuard<'_, BTreeSet<EndpointId>> {
         self.by_hand.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Staff have taken a backend out, or called it back.
-    pub fn by_hand(&self, server: ServerId, out_of_use: bool) {
+    pub fn by_hand(&self, server: EndpointId, out_of_use: bool) {
         if out_of_use {
             self.bans().insert(server);
         } else {
@@ -37,15 +37,15 @@
     }
 
     /// Takes over a list. What is gone is forgotten: machines that are replaced have new ids.
-    pub fn update(&self, full: bool, servers: &[(Endpoint, Member)]) {
+    pub fn update(&self, full: bool, servers: &[(Endpoint, ListedEndpoint)]) {
         let mut known = self.lock();
         if full {
             known.clear();
         }
         for (endpoint, member) in servers {
             match member.state {
-                MemberState::Gone => drop(known.remove(&member.server)),
-                state => drop(known.insert(member.server, (endpoint.clone(), state, member.zone))),
+                EndpointState::Removed => drop(known.remove(&member.id)),
+                state => drop(known.insert(member.id, (endpoint.clone(), state, member.zone))),
             }
         }
         drop(known);
@@ -54,7 +54,7 @@
     }
 
     /// A backend's name and address.
-    pub fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
+    pub fn endpoint(&self, server: EndpointId) -> Option<Endpoint> {
         self.lock()
             .get(&server)
             .map(|(endpoint, ..)| endpoint.clone())
@@ -66,19 +66,19 @@
     }
 
     /// Whether something new may go there.
-    pub fn takes_new(&self, server: ServerId) -> bool {
+    pub fn takes_new(&self, server: EndpointId) -> bool {
         let ready = self
             .lock()
             .get(&server)
-            .is_some_and(|&(_, state, _)| state == MemberState::Ready);
+            .is_some_and(|&(_, state, _)| state == EndpointState::Ready);
         ready && !self.bans().contains(&server)
     }
 
     /// The backends of a zone, by its place in the settings, to which something new may go.
-    pub fn of_zone(&self, zone: u16) -> Vec<ServerId> {
+    pub fn of_zone(&self, zone: u16) -> Vec<EndpointId> {
         let bans = self.bans().clone();
-        let ready = |(_, state, of): &(Endpoint, MemberState, u16)| {
-            *state == MemberState::Ready && *of == zone
+        let ready = |(_, state, of): &(Endpoint, EndpointState, u16)| {
+            *state == EndpointState::Ready && *of == zone
         };
         let known = self.lock();
         let of = known
--- a/src/platform/discovery.rs
+++ b/src/platform/discovery.rs
@@ -4,10 +4,10 @@
 //! elsewhere (the wanted state is one value, not a queue of edges), and calls that together take longer than the time
 //! after which a change counts as told.
 
-use crate::api::{ListKind, Member};
 use crate::config::listing::{listing, shallow, Endpoint};
 use crate::config::Names;
-use crate::decide::Decisions;
+use crate::decision_service::DecisionService;
+use crate::decisions::api::{EndpointListKind, ListedEndpoint};
 use crate::log::log;
 use crate::platform::answer::{Answer, Piece};
 use crate::platform::directory::Directory;
@@ -206,7 +206,7 @@
     /// What is told to the network.
     pub directory: &'a Directory,
     /// What is told to the decisions.
-    pub decisions: &'a Decisions,
+    pub decisions: &'a DecisionService,
     /// The version of the list that is held; 0 where none is.
     pub version: u64,
 }
@@ -267,11 +267,11 @@
                     }
                     if self.source.upkeep == Upkeep::Asked {
                         let kind = if fault.silent {
-                            ListKind::Silent
+                            EndpointListKind::WatchTimedOut
                         } else {
-                            ListKind::Failed
+                            EndpointListKind::WatchFailed
                         };
-                        self.decisions.members(kind, Vec::new());
+                        self.decisions.update_endpoints(kind, Vec::new());
                     }
                 }
             }
@@ -347,7 +347,7 @@
             log(&format!("discovery: an entry was left out: {problem}"));
         }
         let (version, entries) = (listing.version, listing.servers.len());
-        let said = |(endpoint, member): &(Endpoint, Member)| {
+        let said = |(endpoint, member): &(Endpoint, ListedEndpoint)| {
             format!("{} {:?}", endpoint.name, member.state)
         };
         let named: Vec<String> = listing.servers.iter().take(NAMED).map(said).collect();
@@ -359,11 +359,11 @@
         // The network first: it checks against this list once more, right before a first byte goes out.
         self.directory.update(listing.full, &listing.servers);
         let kind = if listing.full {
-            ListKind::Full
+            EndpointListKind::Full
         } else {
-            ListKind::Delta
+            EndpointListKind::Delta
         };
-        self.decisions.members(
+        self.decisions.update_endpoints(
             kind,
             listing
                 .servers
--- a/src/platform/ledger.rs
+++ b/src/platform/ledger.rs
@@ -7,7 +7,7 @@
 
 use jaspermoor_control::log::membership::Membership;
 use jaspermoor_control::log::state::{Policy, Proposal};
-use jaspermoor_control::log::storage::{Kept, Log, Stored};
+use jaspermoor_control::log::storage::{PersistBatch, PersistedLog, RaftLog};
 use jaspermoor_control::wire;
 use redb::{Database, DatabaseError, ReadableTable, TableDefinition};
 use std::fmt;
@@ -56,13 +56,13 @@
 type Facts<'a> = redb::Table<'a, &'static str, &'static [u8]>;
 type Entries<'a> = redb::Table<'a, u64, &'static [u8]>;
 
-fn put(facts: &mut Facts, entries: &mut Entries, stored: &Stored) -> Result<(), Failure> {
-    if let Some(vote) = &stored.vote {
+fn put(facts: &mut Facts, entries: &mut Entries, stored: &PersistBatch) -> Result<(), Failure> {
+    if let Some(vote) = &stored.hard_state {
         facts.insert("vote", vote.as_slice())?;
     }
     if let Some(snapshot) = &stored.snapshot {
         facts.insert("snapshot", snapshot.as_slice())?;
-        let to = stored.compact.unwrap_or(u64::MAX);
+        let to = stored.compact_to.unwrap_or(u64::MAX);
         entries.retain(|index, _| index > to)?;
     }
     if let Some((first, _)) = stored.entries.first() {
@@ -142,16 +142,16 @@
         voters: &[u64],
         incarnation: u64,
     ) -> Result<(), LedgerError> {
-        Ledger::make(dir, owner, &Log::found(voters), incarnation)
+        Ledger::make(dir, owner, &RaftLog::for_new_fleet(voters), incarnation)
     }
 
     /// Makes the ledger of a voter that joins a fleet.
     pub fn join(dir: &Path, owner: &Owner, incarnation: u64) -> Result<(), LedgerError> {
-        Ledger::make(dir, owner, &Log::joining(), incarnation)
+        Ledger::make(dir, owner, &RaftLog::for_joining_voter(), incarnation)
     }
 
     /// One write: a crash leaves none, or all of it. A relay that had no vote keeps the policy that it serves under.
-    fn make(dir: &Path, owner: &Owner, log: &Log, incarnation: u64) -> Result<(), LedgerError> {
+    fn make(dir: &Path, owner: &Owner, log: &RaftLog, incarnation: u64) -> Result<(), LedgerError> {
         let ledger = Ledger::at(dir.join(FILE))?;
         let before = Owner {
             voter: 0,
@@ -166,7 +166,7 @@
         ledger.write("found", |facts, entries| {
             facts.insert("owner", owner.bytes().as_slice())?;
             facts.insert("incarnation", &incarnation.to_be_bytes()[..])?;
-            put(facts, entries, &log.stored())
+            put(facts, entries, &log.persist_all())
         })
     }
 
@@ -267,7 +267,7 @@
     }
 
     /// What the log had stored.
-    pub fn kept(&self) -> Result<Kept, LedgerError> {
+    pub fn kept(&self) -> Result<PersistedLog, LedgerError> {
         let read = || -> Result<Vec<Vec<u8>>, Failure> {
             let table = self.db.begin_read()?.open_table(ENTRIES)?;
             let mut entries = Vec::new();
@@ -277,15 +277,15 @@
             Ok(entries)
         };
         let entries = read().map_err(|e| self.error(e))?;
-        Ok(Kept {
-            vote: self.fact("vote")?,
+        Ok(PersistedLog {
+            hard_state: self.fact("vote")?,
             snapshot: self.fact("snapshot")?,
             entries,
         })
     }
 
     /// Stores what the log has to store.
-    pub fn store(&self, stored: &Stored) -> Result<(), LedgerError> {
+    pub fn store(&self, stored: &PersistBatch) -> Result<(), LedgerError> {
         self.write("store", |facts, entries| put(facts, entries, stored))
     }
 
@@ -361,16 +361,16 @@
             let ledger = Ledger::open(dir.path(), &one).unwrap();
             let entry = |n: u64| (n, vec![n as u8]);
             ledger
-                .store(&Stored {
+                .store(&PersistBatch {
                     entries: vec![entry(2), entry(3), entry(4)],
-                    ..Stored::default()
+                    ..PersistBatch::default()
                 })
                 .unwrap();
             // A new leader's entry takes the place of two.
-            let stored = Stored {
-                vote: Some(vec![9]),
+            let stored = PersistBatch {
+                hard_state: Some(vec![9]),
                 entries: vec![(3, vec![33])],
-                ..Stored::default()
+                ..PersistBatch::default()
             };
             ledger.store(&stored).unwrap();
             ledger
@@ -387,7 +387,7 @@
         let ledger = Ledger::open(dir.path(), &one).unwrap();
         let kept = ledger.kept().unwrap();
         assert_eq!(
-            (kept.vote, kept.entries),
+            (kept.hard_state, kept.entries),
             (Some(vec![9]), vec![vec![2], vec![33]])
         );
         assert_eq!(
@@ -397,10 +397,10 @@
             ),
             (4, 77)
         );
-        let stored = Stored {
+        let stored = PersistBatch {
             snapshot: Some(vec![7]),
-            compact: Some(2),
-            ..Stored::default()
+            compact_to: Some(2),
+            ..PersistBatch::default()
         };
         ledger.store(&stored).unwrap();
         assert_eq!(ledger.kept().unwrap().entries, [[33]]);
@@ -427,9 +427,9 @@
             ),
             (44, 3)
         );
-        assert!(Log::read(&ledger.kept().unwrap()).is_ok_and(|log| log.is_empty()));
+        assert!(RaftLog::restore(&ledger.kept().unwrap()).is_ok_and(|log| log.is_empty()));
         assert!(ledger.membership().unwrap().is_none());
-        let seats = Membership::found(&[4]);
+        let seats = Membership::for_new_fleet(&[4]);
         ledger.seat(&seats).unwrap();
         assert_eq!(ledger.membership().unwrap(), Some(seats));
     }
--- a/src/platform/probe.rs
+++ b/src/platform/probe.rs
@@ -1,9 +1,9 @@
 //! Probes: `STATS` on a connection of its own, when the decisions ask for one, as a machine that never waits.
 
-use crate::api::{Micros, Outcome, ServerId};
 use crate::config::Names;
-use crate::front::buffer::{trim, Buffer};
-use crate::front::line::words::report;
+use crate::decisions::api::{EndpointId, Micros, Outcome};
+use crate::protocol::buffer::{trim, Buffer};
+use crate::protocol::line::words::report;
 use crate::sys::timed_out;
 use std::io::Write;
 use std::net::TcpStream;
@@ -25,7 +25,7 @@
 /// A probe that is out.
 pub struct Probe {
     /// The server that it asks.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// Whether it is made for the fleet's load watch, not for this relay's decisions.
     pub watch: bool,
     /// Its socket; the dial was begun when the probe was.
@@ -40,7 +40,7 @@
 impl Probe {
     /// A probe whose dial has begun.
     pub fn new(
-        server: ServerId,
+        server: EndpointId,
         watch: bool,
         stream: TcpStream,
         now: Micros,
@@ -99,7 +99,7 @@
     let text = String::from_utf8_lossy(line);
     let (word, rest) = text.split_once(' ').unwrap_or((&text, ""));
     let outcome = if word == "PONG" {
-        Outcome::Ok
+        Outcome::Success
     } else {
         Outcome::Error
     };
--- a/src/front/line/mod.rs
+++ b/src/protocol/line/mod.rs
@@ -3,9 +3,9 @@
 pub mod note;
 pub mod words;
 
-use crate::api::{Micros, Outcome, Request};
-use crate::front::buffer::{trim, Buffer, TooLong, MAX_LINE};
-use crate::front::{
+use crate::decisions::api::{Micros, Outcome, Request};
+use crate::protocol::buffer::{trim, Buffer, TooLong, MAX_LINE};
+use crate::protocol::{
     Answer, Away, Exchange, Fault, Greeter, News, Next, Order, Passage, Passed, Rules, Short, Step,
 };
 use std::sync::Arc;
@@ -159,7 +159,7 @@
         };
         match told(trim(answer), &self.rules.names) {
             Told::Up => Step::Up,
-            Told::Busy(report) => Step::Not(Outcome::Full, report),
+            Told::Busy(report) => Step::Not(Outcome::Rejected, report),
             Told::Err(report) => Step::Not(Outcome::Error, report),
             Told::Move => Step::Not(Outcome::Cancelled, Vec::new()),
             other => Step::Nonsense(format!("{other:?}")),
@@ -220,7 +220,7 @@
             heard |= !matches!(told, Told::Load(_));
             match told {
                 Told::Load(x) => news.push(News::Load(x)),
-                Told::Bye(report) => news.push(News::Farewell(Outcome::Ok, report, "served")),
+                Told::Bye(report) => news.push(News::Farewell(Outcome::Success, report, "served")),
                 Told::Move => {
                     news.push(News::Farewell(Outcome::Cancelled, Vec::new(), "sent-away"))
                 }
--- a/src/front/line/note.rs
+++ b/src/protocol/line/note.rs
@@ -6,8 +6,8 @@
 //! 502.3, 556.4, 526.0 ... within half a millisecond of the full second. Echoed lines show nothing
 //! of it: they came back at once all the while. So the steady beat is what tells a delay from a load.
 
-use crate::api::{Micros, RequestId, ServerId, SECOND};
-use crate::decide::Note;
+use crate::decision_service::ConnectionSample;
+use crate::decisions::api::{EndpointId, Micros, RequestId, SECOND};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
 
@@ -31,14 +31,14 @@
 /// What was heard lately from each backend, by this relay.
 #[derive(Default)]
 pub struct Notes {
-    heard: Mutex<BTreeMap<ServerId, Vec<Heard>>>,
+    heard: Mutex<BTreeMap<EndpointId, Vec<Heard>>>,
 }
 
 impl Notes {
     /// Reads `LOAD x`, heard at `now` on that connection.
-    pub fn read(&self, server: ServerId, on: RequestId, now: Micros, x: f32) -> Note {
+    pub fn read(&self, server: EndpointId, on: RequestId, now: Micros, x: f32) -> ConnectionSample {
         if x > LONGEST_DELAY {
-            return Note::Load(x);
+            return ConnectionSample::Load(x);
         }
         let mut all = self.heard.lock().unwrap_or_else(PoisonError::into_inner);
         all.retain(|_, heard| {
@@ -62,9 +62,9 @@
             });
         }
         if delay {
-            Note::Delay((x * 1000.0) as Micros)
+            ConnectionSample::Delay((x * 1000.0) as Micros)
         } else {
-            Note::Load(x)
+            ConnectionSample::Load(x)
         }
     }
 }
@@ -107,11 +107,11 @@
         for case in cases {
             let notes = Notes::default();
             for &(at, on, x, delay) in *case {
-                let note = notes.read(ServerId(9), RequestId(on), ms(50_000 + at), x);
+                let note = notes.read(EndpointId(9), RequestId(on), ms(50_000 + at), x);
                 let expected = if delay {
-                    Note::Delay((x * 1000.0) as Micros)
+                    ConnectionSample::Delay((x * 1000.0) as Micros)
                 } else {
-                    Note::Load(x)
+                    ConnectionSample::Load(x)
                 };
                 assert_eq!(note, expected, "{case:?} at {at}");
             }
--- a/src/front/line/words.rs
+++ b/src/protocol/line/words.rs
@@ -1,8 +1,8 @@
 //! The words of the line protocol: what is read from lines and written into them.
 
-use crate::api::{Micros, Request};
 use crate::config::{Classes, Names};
-use crate::decide::LONGEST;
+use crate::decision_service::MAX_REQUEST_DEADLINE;
+use crate::decisions::api::{Micros, Request};
 use std::ops::Range;
 
 /// The longest id of a connection.
@@ -80,7 +80,7 @@
     let mut open = Open {
         name: name.to_string(),
         request: Request {
-            key: word64(key).ok_or("bad-key")?,
+            client_key: word64(key).ok_or("bad-key")?,
             ..Request::default()
         },
         at: None,
@@ -103,13 +103,15 @@
                 let ms = decimal(value)
                     .filter(|ms| *ms <= LONGEST_WAIT)
                     .ok_or("bad-wait")?;
-                q.left = crate::wire::micros(ms).ok_or("bad-wait")?.min(LONGEST);
+                q.time_left = crate::wire::micros(ms)
+                    .ok_or("bad-wait")?
+                    .min(MAX_REQUEST_DEADLINE);
                 open.wait = Some(at + 2..at + field.len());
             }
             "g" => q.group = word64(value).ok_or("bad-group")?,
             "r" | "again" => match value {
                 "0" => {}
-                "1" => q.again = true,
+                "1" => q.returning = true,
                 _ => return Err("bad-flag"),
             },
             "h" if decimal(value).is_none() => return Err("bad-hint"),
@@ -121,7 +123,7 @@
     }
     q.class = class.ok_or("no-class")?;
     if open.wait.is_none() {
-        q.left = classes.deadline(q.class);
+        q.time_left = classes.deadline(q.class);
     }
     Ok(Opening::Open(open))
 }
@@ -221,10 +223,10 @@
         let request = |class, key, group, left, again| {
             Ok(Request {
                 class,
-                key,
+                client_key: key,
                 group,
-                left,
-                again,
+                time_left: left,
+                returning: again,
                 ..Request::default()
             })
         };
@@ -241,7 +243,7 @@
             ),
             (
                 b"OPEN 9b 7f c=chat,d=4294967295,again=0",
-                request(0, 0x7f, 0, LONGEST, false),
+                request(0, 0x7f, 0, MAX_REQUEST_DEADLINE, false),
             ),
             (
                 b"OPEN 9b 7f c=chat,d=5,again=1,h=12.5,new=x",
@@ -253,7 +255,7 @@
             ),
             (
                 b"OPEN 9b ffffffffffffffff c=chat,d=4294967",
-                request(0, u64::MAX, 0, LONGEST, false),
+                request(0, u64::MAX, 0, MAX_REQUEST_DEADLINE, false),
             ),
             (b"OPEN 9b 7f c=chat,d=4294967296", Err("bad-wait")),
             (
--- a/src/front/mod.rs
+++ b/src/protocol/mod.rs
@@ -17,8 +17,8 @@
 pub mod line;
 pub mod xmpp;
 
-use crate::api::{Micros, Outcome, Request};
 use crate::config::{Classes, Names};
+use crate::decisions::api::{Micros, Outcome, Request};
 use buffer::Buffer;
 use std::sync::Arc;
 
--- a/src/front/xmpp/exchange.rs
+++ b/src/protocol/xmpp/exchange.rs
@@ -9,9 +9,9 @@
 use super::jid::Jid;
 use super::passage::Stanzas;
 use super::terms::{Security, Terms};
-use crate::api::{Micros, Outcome};
-use crate::front::buffer::Buffer;
-use crate::front::{Exchange, Passage, Step};
+use crate::decisions::api::{Micros, Outcome};
+use crate::protocol::buffer::Buffer;
+use crate::protocol::{Exchange, Passage, Step};
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -107,7 +107,7 @@
             At::Answer if e.ns == NS_SASL => match e.name.as_str() {
                 // "Try again later", RFC 6120, 6.5.13: the server did not look at it, so another may.
                 "failure" if e.child(NS_SASL, "temporary-auth-failure").is_some() => {
-                    Step::Not(Outcome::Full, Vec::new())
+                    Step::Not(Outcome::Rejected, Vec::new())
                 }
                 "challenge" | "success" | "failure" => Step::Up,
                 _ => Step::Nonsense(format!("<{}/>", e.name)),
@@ -122,7 +122,7 @@
     let condition = e.children.first().map_or("", |c| c.name.as_str());
     match condition {
         "resource-constraint" | "system-shutdown" | "see-other-host" => {
-            Step::Not(Outcome::Full, Vec::new())
+            Step::Not(Outcome::Rejected, Vec::new())
         }
         _ => Step::Not(Outcome::Error, Vec::new()),
     }
@@ -201,7 +201,7 @@
         }
         c if c == Condition::InternalServerError.name() => (Outcome::Error, "server-error"),
         // A second session of the same address, a policy, ...: the server has served it as it meant to.
-        _ => (Outcome::Ok, "served"),
+        _ => (Outcome::Success, "served"),
     }
 }
 
@@ -305,7 +305,7 @@
         let head = header(&[]);
         let error = |c: &str| super::super::stream_error("stream:stream", c, "", "");
         let (full, later, wrong) = (
-            Step::Not(Outcome::Full, Vec::new()),
+            Step::Not(Outcome::Rejected, Vec::new()),
             sasl("failure|<temporary-auth-failure/></failure>"),
             sasl("failure|<not-authorized/></failure>"),
         );
@@ -313,7 +313,7 @@
             (vec![head.clone() + &error("resource-constraint")], full),
             (
                 vec![head.clone() + OFFER, error("system-shutdown")],
-                Step::Not(Outcome::Full, Vec::new()),
+                Step::Not(Outcome::Rejected, Vec::new()),
             ),
             (
                 vec![head.clone() + OFFER, error("internal-server-error")],
@@ -321,7 +321,7 @@
             ),
             (
                 vec![head.clone() + OFFER, later],
-                Step::Not(Outcome::Full, Vec::new()),
+                Step::Not(Outcome::Rejected, Vec::new()),
             ),
             (vec![head.clone() + OFFER, wrong], Step::Up),
             (
--- a/src/front/xmpp/greeting.rs
+++ b/src/protocol/xmpp/greeting.rs
@@ -8,9 +8,9 @@
 use super::jid::{self, Jid};
 use super::terms::Terms;
 use super::{error, header, stream_error, NS_RELAY, TAG};
-use crate::api::{Micros, Request};
-use crate::front::buffer::Buffer;
-use crate::front::{Answer, Cause, Exchange, Greeter, Next, Order, Rules, Short};
+use crate::decisions::api::{Micros, Request};
+use crate::protocol::buffer::Buffer;
+use crate::protocol::{Answer, Cause, Exchange, Greeter, Next, Order, Rules, Short};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use std::sync::Arc;
 
--- a/src/front/xmpp/passage.rs
+++ b/src/protocol/xmpp/passage.rs
@@ -9,8 +9,8 @@
 use super::frame::{Bounds, Condition, Element, Framer, Unit, NS_SASL, NS_SM, NS_STREAMS};
 use super::terms::Terms;
 use super::{error, header, stream_error, NS_RELAY, TAG};
-use crate::api::{Micros, Outcome};
-use crate::front::{Away, Fault, News, Parting, Passage, Passed, Rules};
+use crate::decisions::api::{Micros, Outcome};
+use crate::protocol::{Away, Fault, News, Parting, Passage, Passed, Rules};
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -121,7 +121,7 @@
                 news.push(News::Answered(false));
                 news.push(News::Over(
                     format!("</{TAG}>").into_bytes(),
-                    Outcome::Ok,
+                    Outcome::Success,
                     "sasl-failure",
                 ));
                 Ok(true)
@@ -162,7 +162,7 @@
                     return Ok(false);
                 }
                 self.stage = Stage::Over;
-                news.push(News::Farewell(Outcome::Ok, Vec::new(), "served"));
+                news.push(News::Farewell(Outcome::Success, Vec::new(), "served"));
                 Ok(true)
             }
         }
@@ -316,8 +316,8 @@
     use super::super::exchange::Attempt;
     use super::super::jid::Jid;
     use super::*;
-    use crate::front::buffer::Buffer;
-    use crate::front::{Exchange, Step};
+    use crate::protocol::buffer::Buffer;
+    use crate::protocol::{Exchange, Step};
 
     const OFFER: &str = "<stream:features><mechanisms xmlns='urn:ietf:params:xml:ns:xmpp-sasl'>\
         <mechanism>PLAIN</mechanism></mechanisms></stream:features>";
@@ -409,7 +409,7 @@
             &news[..],
             [
                 News::Answered(false),
-                News::Over(_, Outcome::Ok, "sasl-failure")
+                News::Over(_, Outcome::Success, "sasl-failure")
             ]
         ));
         // A server that breaks the negotiation off has not answered: the relay does.
@@ -450,7 +450,10 @@
                 down(&mut *p, text.as_bytes(), step, &mut news).unwrap(),
                 text
             );
-            assert_eq!(news, [News::Farewell(Outcome::Ok, Vec::new(), "served")]);
+            assert_eq!(
+                news,
+                [News::Farewell(Outcome::Success, Vec::new(), "served")]
+            );
         }
         for half in 1..text.find("</s:").unwrap() {
             let (mut p, mut news) = (open(7), Vec::new());
@@ -539,7 +542,7 @@
     fn the_server_s_last_words_say_how_it_ended() {
         for (condition, outcome) in [
             ("system-shutdown", Outcome::Cancelled),
-            ("conflict", Outcome::Ok),
+            ("conflict", Outcome::Success),
             ("internal-server-error", Outcome::Error),
         ] {
             let (mut p, mut news) = (open(30), Vec::new());
--- a/src/front/xmpp/terms.rs
+++ b/src/protocol/xmpp/terms.rs
@@ -3,10 +3,10 @@
 
 use super::frame::Bounds;
 use super::jid::{self, Jid};
-use crate::api::{Micros, Request, SECOND};
 use crate::cells::site_key;
 use crate::config::operator::{self, OperatorError, OperatorFile, Xmpp};
 use crate::config::Classes;
+use crate::decisions::api::{Micros, Request, SECOND};
 
 /// What a session's group is: the sessions of one group are kept together, since a server pays for each group
 /// that it holds any of.
@@ -322,12 +322,12 @@
         };
         Some(Request {
             class,
-            key: site_key(&jid.bare()),
+            client_key: site_key(&jid.bare()),
             group: group.map_or(0, |group| site_key(&group)),
-            left: rule
+            time_left: rule
                 .deadline
                 .unwrap_or_else(|| classes.deadline(class))
-                .min(crate::decide::LONGEST),
+                .min(crate::decision_service::MAX_REQUEST_DEADLINE),
             ..Request::default()
         })
     }
@@ -380,10 +380,10 @@
             request("ali.site7@a.example/fix1").unwrap(),
             request("zia.site7@A.example").unwrap(),
         );
-        assert_eq!((one.class, one.left), (1, 900_000));
-        assert_eq!((two.class, two.left), (0, 3_000_000));
+        assert_eq!((one.class, one.time_left), (1, 900_000));
+        assert_eq!((two.class, two.time_left), (0, 3_000_000));
         assert_eq!(one.group, two.group);
-        assert_ne!(one.key, two.key);
+        assert_ne!(one.client_key, two.client_key);
         assert_ne!(request("ali.site7@c.example").unwrap().group, one.group);
         // A class that the settings do not have.
         assert_eq!(request("ali@b.example"), None);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,9 +1,10 @@
 //! Codec of the bench's wire: frames, records, the JSON settings, and the translation of both to
 //! and from [`crate::api`]. It decides nothing.
 
-use crate::api::{
-    Action, Class, Column, Effect, Event, Group, ListKind, Member, MemberState, Micros, Outcome,
-    Request, RequestId, ServerId, Settings, Weights,
+use crate::decisions::api::{
+    Action, Class, DeduplicationScope, EndpointId, EndpointListKind, EndpointState,
+    EndpointWeights, Event, Idempotency, ListedEndpoint, Micros, Outcome, ReportColumn, Request,
+    RequestId, Settings,
 };
 use simd_json::owned::Object;
 use simd_json::prelude::*;
@@ -97,9 +98,11 @@
         })
     }
 
-    fn server(&mut self) -> Result<ServerId, WireError> {
+    fn server(&mut self) -> Result<EndpointId, WireError> {
         let a: [u8; 6] = self.array("server")?;
-        Ok(ServerId(a.iter().fold(0, |id, &b| id << 8 | u64::from(b))))
+        Ok(EndpointId(
+            a.iter().fold(0, |id, &b| id << 8 | u64::from(b)),
+        ))
     }
 
     /// A count that what is left of the record can hold, at `width` bytes an item.
@@ -254,8 +257,8 @@
             };
             q.class = usize::from(r.u8("profile")?);
             q.tenant = r.u32("team")?;
-            q.key = r.u64("affinity")?;
-            q.left = r.time("budget")?;
+            q.client_key = r.u64("affinity")?;
+            q.time_left = r.time("budget")?;
             r.take(8, "estimate")?;
             q.group = r.u64("channel")?;
             flags(&mut q, r.u8("opts")?);
@@ -266,7 +269,11 @@
             let took = r.time("took")?;
             let server = r.server()?;
             r.u16("attempt")?;
-            Event::First { id, server, took }
+            Event::Connected {
+                id,
+                endpoint: server,
+                elapsed: took,
+            }
         }
         1040 => {
             let id = RequestId(r.u32("ref")?);
@@ -275,22 +282,22 @@
             r.u16("attempt")?;
             let last = r.u8("last")? != 0;
             r.time("took")?;
-            Event::Outcome {
+            Event::AttemptEnded {
                 id,
-                server,
+                endpoint: server,
                 outcome,
-                last,
+                request_finished: last,
                 report: r.report()?,
             }
         }
-        1050 => Event::Vanished(RequestId(r.u32("ref")?)),
+        1050 => Event::ClientDisconnected(RequestId(r.u32("ref")?)),
         1060 => Event::Timer(r.u64("nonce")?),
         1070 => {
             let server = r.server()?;
             let outcome = outcome(r)?;
             r.time("took")?;
-            Event::Probed {
-                server,
+            Event::HealthCheck {
+                endpoint: server,
                 outcome,
                 report: r.report()?,
             }
@@ -299,7 +306,10 @@
             let from = r.u32("author")?;
             let n = usize::from(r.u16("body count")?);
             let n = r.count(n, 1, "body")?;
-            Event::Peer(from, r.take(n, "body")?.to_vec())
+            Event::Gossip {
+                from,
+                payload: r.take(n, "body")?.to_vec(),
+            }
         }
         1100 => {
             let mut q = Request {
@@ -308,13 +318,16 @@
             };
             r.take(8, "estimate")?;
             q.tenant = r.u32("team")?;
-            q.left = r.time("budget")?;
+            q.time_left = r.time("budget")?;
             q.class = usize::from(r.u8("profile")?);
-            q.key = r.u64("affinity")?;
+            q.client_key = r.u64("affinity")?;
             q.group = r.u64("channel")?;
             let server = r.server()?;
             flags(&mut q, r.u8("opts")?);
-            Event::Open(q, server)
+            Event::Adopted {
+                request: q,
+                endpoint: server,
+            }
         }
         _ => {
             let id = RequestId(r.u32("ref")?);
@@ -323,8 +336,16 @@
             let topic = r.u8("topic")?;
             let server = r.server()?;
             match topic {
-                1 => Event::LoadNote(id, server, x),
-                2 => Event::DelayNote(id, server, micros(f64::from(x)).unwrap_or(0)),
+                1 => Event::LoadSample {
+                    id: id,
+                    endpoint: server,
+                    load: x,
+                },
+                2 => Event::DelaySample {
+                    id,
+                    endpoint: server,
+                    delay: micros(f64::from(x)).unwrap_or(0),
+                },
                 _ => return Ok(None),
             }
         }
@@ -333,21 +354,21 @@
 }
 
 fn flags(q: &mut Request, bits: u8) {
-    q.again = bits & (2 | 16) != 0;
-    q.mid_flow = bits & 8 != 0;
+    q.returning = bits & (2 | 16) != 0;
+    q.established = bits & 8 != 0;
 }
 
 fn outcome(r: &mut Reader) -> Result<Outcome, WireError> {
     let at = r.at;
     Ok(match r.u8("reason")? {
-        0 => Outcome::Ok,
+        0 => Outcome::Success,
         13 => Outcome::Error,
-        8 => Outcome::Full,
+        8 => Outcome::Rejected,
         4 => Outcome::Timeout,
         14 => Outcome::ConnectFailed,
         10 => Outcome::Reset,
         1 => Outcome::Cancelled,
-        9 => Outcome::Moot,
+        9 => Outcome::NotAttempted,
         n => return wrong(at, format!("no outcome has the code {n}")),
     })
 }
@@ -356,10 +377,10 @@
     r.u64("version")?;
     let at = r.at;
     let kind = match r.u8("kind")? {
-        0 => ListKind::Delta,
-        1 => ListKind::Full,
-        2 => ListKind::Cached,
-        3 => ListKind::Failed,
+        0 => EndpointListKind::Delta,
+        1 => EndpointListKind::Full,
+        2 => EndpointListKind::Cached,
+        3 => EndpointListKind::WatchFailed,
         n => return wrong(at, format!("no list has the kind {n}")),
     };
     let n = r.u32("members_list count")? as usize;
@@ -372,24 +393,27 @@
         let cell = r.u16("cell")?;
         let at = r.at;
         let state = match r.u8("lifecycle")? {
-            0 => MemberState::Gone,
-            1 => MemberState::Ready,
-            2 => MemberState::Draining,
+            0 => EndpointState::Removed,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
             n => return wrong(at, format!("no server has the state {n}")),
         };
         let size = r.f32("size")?;
         let started = r.time("started_at")?;
         let started = (started > 0).then_some(started);
-        members.push(Member {
-            server,
+        members.push(ListedEndpoint {
+            id: server,
             zone,
             cell,
             state,
             size,
-            started,
+            started_at: started,
         });
     }
-    Ok(Event::Members { kind, members })
+    Ok(Event::EndpointList {
+        kind,
+        endpoints: members,
+    })
 }
 
 /// A reply as it is put together.
@@ -430,15 +454,15 @@
     pub fn action(&mut self, instance: u32, action: &Action) {
         let time = |t: Micros| millis(t).to_be_bytes();
         let id = |id: RequestId| id.0.to_be_bytes();
-        let address = |s: ServerId| -> [u8; 6] {
+        let address = |s: EndpointId| -> [u8; 6] {
             let b = s.0.to_be_bytes();
             [b[2], b[3], b[4], b[5], b[6], b[7]]
         };
         match action {
-            Action::Send {
+            Action::Attempt {
                 id: request,
-                server,
-                until,
+                endpoint: server,
+                give_up_at: until,
             } => {
                 self.record(
                     instance,
@@ -446,19 +470,24 @@
                     &[&id(*request), &address(*server), &time(*until)],
                 );
             }
-            Action::Cancel(request, attempt) => {
+            Action::CancelAttempt {
+                id: request,
+                attempt: attempt,
+            } => {
                 self.record(instance, 1040, &[&id(*request), &attempt.to_be_bytes()]);
             }
-            Action::Refuse(request, wait) => {
-                self.record(instance, 1070, &[&id(*request), &time(*wait)])
-            }
+            Action::Reject {
+                id: request,
+                retry_after: wait,
+            } => self.record(instance, 1070, &[&id(*request), &time(*wait)]),
             Action::Fail(request) => self.record(instance, 1110, &[&id(*request)]),
-            Action::Move(request) => self.record(instance, 1020, &[&id(*request)]),
-            Action::Timer(at, token) => {
-                self.record(instance, 1030, &[&time(*at), &token.to_be_bytes()])
-            }
-            Action::Probe(server) => self.record(instance, 1050, &[&address(*server)]),
-            Action::Watch(on) => self.record(instance, 1060, &[&[u8::from(*on)]]),
+            Action::Migrate(request) => self.record(instance, 1020, &[&id(*request)]),
+            Action::SetTimer {
+                at: at,
+                token: token,
+            } => self.record(instance, 1030, &[&time(*at), &token.to_be_bytes()]),
+            Action::CheckHealth(server) => self.record(instance, 1050, &[&address(*server)]),
+            Action::WatchEndpointList(on) => self.record(instance, 1060, &[&[u8::from(*on)]]),
             Action::Log(line) => self.text(instance, 1090, line),
         }
     }
@@ -628,18 +657,18 @@
     for (i, value) in top.list("grades")?.iter().enumerate() {
         let c = Section::of(value, &format!("grades[{i}]"))?;
         let group = match c.word("group")? {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
+            "all" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Cell,
             _ => return c.bad("group", "is none of 'all', 'zone' and 'cell'"),
         };
         let effect = match c.word("idempotency")? {
-            "safe" => Effect::Safe,
-            "keyed" => Effect::Keyed {
-                group,
+            "safe" => Idempotency::Idempotent,
+            "keyed" => Idempotency::Keyed {
+                scope: group,
                 window: c.time("window", 0.0)?,
             },
-            "unsafe" => Effect::Unsafe,
+            "unsafe" => Idempotency::NonIdempotent,
             _ => return c.bad("idempotency", "is none of 'safe', 'keyed' and 'unsafe'"),
         };
         let message_aim = match message_aims.get(i).map(|v| v.cast_f64().and_then(micros)) {
@@ -654,10 +683,10 @@
         };
         let aim = c.time("goal_time", 0.001)?;
         classes.push(Class {
-            aim,
+            setup_objective: aim,
             deadline: c.time("deadline", 0.001)?,
-            effect,
-            message_aim,
+            idempotency: effect,
+            message_objective: message_aim,
         });
     }
     if classes.is_empty() {
@@ -669,9 +698,9 @@
         _ => return top.bad("membership_mode", "is neither 'pushed' nor 'on_request'"),
     };
     let weights = match top.word("weights")? {
-        "none" => Weights::None,
-        "nominal" | "rough" => Weights::Nominal,
-        "live" => Weights::Live,
+        "none" => EndpointWeights::None,
+        "nominal" | "rough" => EndpointWeights::Nominal,
+        "live" => EndpointWeights::Live,
         _ => {
             return top.bad(
                 "weights",
@@ -682,9 +711,9 @@
     let mut columns = Vec::new();
     for value in report.list("columns")? {
         columns.push(match value.as_str() {
-            Some("x0") if has("report_x0").is_some() => Column::Load,
-            Some("active") => Column::Active,
-            Some(_) => Column::Other,
+            Some("x0") if has("report_x0").is_some() => ReportColumn::Load,
+            Some("active") => ReportColumn::Active,
+            Some(_) => ReportColumn::Other,
             None => return report.bad("columns", "holds something that is not a word"),
         });
     }
@@ -695,29 +724,29 @@
         0
     };
     Ok(Settings {
-        balancers,
-        number,
+        balancer_count: balancers,
+        balancer_index: number,
         zone: top.whole("az", 0, zones - 1)? as u16,
         tick: top.time("tick", 0.001)?,
-        passes_through,
+        forwards_packets: passes_through,
         classes,
-        list_on_request,
+        polls_endpoint_list: list_on_request,
         weights,
         may_cancel: limits.flag("cancel")?,
-        may_probe: limits.flag("probes")?,
+        may_check_health: limits.flag("probes")?,
         max_attempts: limits.whole("max_attempts", 1, 1 << 16)? as u32,
-        dial_timeout: limits.time("dial_timeout", 0.0)?,
+        connect_timeout: limits.time("dial_timeout", 0.0)?,
         max_retry_after: if retry_after {
             limits.time("max_retry_after", 0.0)?
         } else {
             0
         },
-        columns,
+        report_columns: columns,
         drain_grace: rules.time("drain_grace", 0.0)?,
-        start_capacity: rules.number("start_capacity", 0.0, 1.0)? as f32,
-        warm_within: rules.time("warm_within", 0.0)?,
+        initial_capacity: rules.number("start_capacity", 0.0, 1.0)? as f32,
+        warm_up_time: rules.time("warm_within", 0.0)?,
         overload_factor: rules.number("overload_factor", 0.0, 1e6)? as f32,
-        fall: rules.time("fall", 0.0)?,
-        ask_within,
+        overload_window: rules.time("fall", 0.0)?,
+        max_poll_interval: ask_within,
     })
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use jaspermoor::api::*;
-use jaspermoor::random::Random;
+use jaspermoor::decisions::api::*;
+use jaspermoor::decisions::random::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -117,7 +117,7 @@
 
 struct Connection {
     relay: usize,
-    server: ServerId,
+    server: EndpointId,
     load: f32,
     group: u64,
     since: Micros,
@@ -131,7 +131,7 @@
     now: Micros,
     relays: Vec<Proxy>,
     timers: BinaryHeap<Reverse<(Micros, usize, u64)>>,
-    backends: BTreeMap<ServerId, Backend>,
+    backends: BTreeMap<EndpointId, Backend>,
     open: BTreeMap<u32, Connection>,
     /// Clients that come then.
     clients: BinaryHeap<Reverse<Micros>>,
@@ -143,13 +143,13 @@
 impl<'a> World<'a> {
     fn new(case: &'a Case, seed: u64) -> Self {
         let settings = Settings {
-            balancers: case.relays,
-            may_probe: true,
-            columns: vec![Column::Active, Column::Load],
+            balancer_count: case.relays,
+            may_check_health: true,
+            report_columns: vec![ReportColumn::Active, ReportColumn::Load],
             overload_factor: case.rules.overload_factor,
-            fall: case.rules.fall,
-            start_capacity: case.rules.start_capacity,
-            warm_within: case.rules.warm_within,
+            overload_window: case.rules.fall,
+            initial_capacity: case.rules.start_capacity,
+            warm_up_time: case.rules.warm_within,
             ..Settings::default()
         };
         let mut world = World {
@@ -159,7 +159,7 @@
             relays: Vec::new(),
             timers: BinaryHeap::new(),
             backends: (1..=case.backends)
-                .map(|n| (ServerId(n), Backend::default()))
+                .map(|n| (EndpointId(n), Backend::default()))
                 .collect(),
             open: BTreeMap::new(),
             clients: BinaryHeap::new(),
@@ -169,14 +169,14 @@
         };
         for relay in 0..case.relays as usize {
             let settings = Settings {
-                number: relay as u32,
+                balancer_index: relay as u32,
                 ..world.settings.clone()
             };
             world
                 .relays
                 .push(Proxy::new(settings, seed << 16 | relay as u64));
             let members = (1..=case.backends).map(ready).collect();
-            let actions = world.relays[relay].list(ListKind::Full, members);
+            let actions = world.relays[relay].list(EndpointListKind::Full, members);
             world.act(relay, actions);
         }
         world
@@ -188,7 +188,7 @@
     }
 
     /// Load over present capacity, and connections.
-    fn carries(&self, server: ServerId) -> (f32, f32) {
+    fn carries(&self, server: EndpointId) -> (f32, f32) {
         let mean_load = self.case.loads.iter().sum::<f32>() / self.case.loads.len() as f32;
         let here = || self.open.values().filter(|c| c.server == server);
         let settled = |c: &Connection| ((self.now - c.since) as f32 / SETTLES as f32).min(1.0);
@@ -205,11 +205,18 @@
     fn act(&mut self, relay: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { id, server, .. } => self.attempt(relay, id, server),
-                Action::Probe(server) => self.probe(relay, server),
-                Action::Timer(at, token) => self.timers.push(Reverse((at, relay, token))),
-                Action::Refuse(..) | Action::Fail(_) => self.comes_again(),
-                Action::Move(id) => self.end(id.0, Outcome::Cancelled),
+                Action::Attempt {
+                    id,
+                    endpoint: server,
+                    ..
+                } => self.attempt(relay, id, server),
+                Action::CheckHealth(server) => self.probe(relay, server),
+                Action::SetTimer {
+                    at: at,
+                    token: token,
+                } => self.timers.push(Reverse((at, relay, token))),
+                Action::Reject { .. } | Action::Fail(_) => self.comes_again(),
+                Action::Migrate(id) => self.end(id.0, Outcome::Cancelled),
                 _ => {}
             }
         }
@@ -221,7 +228,7 @@
         self.act(relay, actions);
     }
 
-    fn attempt(&mut self, relay: usize, id: RequestId, server: ServerId) {
+    fn attempt(&mut self, relay: usize, id: RequestId, server: EndpointId) {
         let backend = self.backends.get_mut(&server).expect("it is listed");
         let failed = match backend.down {
             true => Some(Outcome::ConnectFailed),
@@ -233,11 +240,11 @@
         if let Some(outcome) = failed {
             return self.feed(
                 relay,
-                Event::Outcome {
+                Event::AttemptEnded {
                     id,
-                    server,
+                    endpoint: server,
                     outcome,
-                    last: false,
+                    request_finished: false,
                     report: Vec::new(),
                 },
             );
@@ -259,27 +266,27 @@
         );
         self.feed(
             relay,
-            Event::First {
+            Event::Connected {
                 id,
-                server,
-                took: MS,
+                endpoint: server,
+                elapsed: MS,
             },
         );
     }
 
-    fn probe(&mut self, relay: usize, server: ServerId) {
+    fn probe(&mut self, relay: usize, server: EndpointId) {
         let (outcome, report) = match self.backends[&server].down {
             true => (Outcome::ConnectFailed, Vec::new()),
             false => {
                 let (load, active) = self.carries(server);
                 let noise = 0.85 + 0.3 * self.random.float();
-                (Outcome::Ok, vec![active * noise, load * noise])
+                (Outcome::Success, vec![active * noise, load * noise])
             }
         };
         self.feed(
             relay,
-            Event::Probed {
-                server,
+            Event::HealthCheck {
+                endpoint: server,
                 outcome,
                 report,
             },
@@ -296,17 +303,17 @@
         let Some(Connection { relay, server, .. }) = self.open.remove(&id) else {
             return;
         };
-        if outcome != Outcome::Ok {
+        if outcome != Outcome::Success {
             self.comes_again();
         }
         let id = RequestId(id);
         self.feed(
             relay,
-            Event::Outcome {
+            Event::AttemptEnded {
                 id,
-                server,
+                endpoint: server,
                 outcome,
-                last: true,
+                request_finished: true,
                 report: Vec::new(),
             },
         );
@@ -326,7 +333,7 @@
     }
 
     fn crash(&mut self, servers: std::ops::RangeInclusive<u64>) {
-        for server in servers.map(ServerId) {
+        for server in servers.map(EndpointId) {
             self.backends.get_mut(&server).expect("it is there").down = true;
             let here: Vec<u32> = self
                 .open
@@ -343,7 +350,7 @@
         for server in servers {
             let started = Some(self.now);
             self.backends.insert(
-                ServerId(server),
+                EndpointId(server),
                 Backend {
                     started,
                     ..Backend::default()
@@ -363,20 +370,21 @@
             .filter(|(_, c)| c.ends <= self.now)
             .map(|(&id, _)| id)
             .collect();
-        due.into_iter().for_each(|id| self.end(id, Outcome::Ok));
+        due.into_iter()
+            .for_each(|id| self.end(id, Outcome::Success));
         while let Some(&Reverse((_, relay, server))) =
             self.news.peek().filter(|n| n.0 .0 <= self.now)
         {
             self.news.pop();
-            let member = Member {
-                started: self.backends[&ServerId(server)].started,
+            let member = ListedEndpoint {
+                started_at: self.backends[&EndpointId(server)].started,
                 ..ready(server)
             };
             self.feed(
                 relay,
-                Event::Members {
-                    kind: ListKind::Delta,
-                    members: vec![member],
+                Event::EndpointList {
+                    kind: EndpointListKind::Delta,
+                    endpoints: vec![member],
                 },
             );
         }
@@ -410,7 +418,7 @@
             let at = self.now + self.random.range(0..3 * SECOND);
             self.clients.push(Reverse(at));
         }
-        while self.now < BACK + self.settings.warm_within {
+        while self.now < BACK + self.settings.warm_up_time {
             self.now += STEP;
             match self.now {
                 CRASH => self.crash(cold.clone()),
@@ -431,7 +439,7 @@
                 continue;
             };
             for (n, &at) in backend.sent.iter().enumerate() {
-                let within = |&&sent: &&Micros| sent + self.settings.fall > at;
+                let within = |&&sent: &&Micros| sent + self.settings.overload_window > at;
                 let count = backend.sent[..=n].iter().rev().take_while(within).count();
                 let allowed = allowed_when_cold(&self.settings, self.case.filling, at - started);
                 worst = worst.max(count as f32 / allowed);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A proxy in miniature for tests: feeds events to one balancer and keeps what it asked for.
 #![allow(dead_code)]
 
-use jaspermoor::api::*;
+use jaspermoor::decisions::api::*;
 use jaspermoor::Balancer;
 
 pub const MS: Micros = 1_000;
@@ -24,7 +24,7 @@
     /// A proxy with `n` ready servers of the same size, numbered from 1.
     pub fn with_servers(settings: Settings, n: u64) -> Self {
         let mut proxy = Proxy::new(settings, 7);
-        proxy.list(ListKind::Full, (1..=n).map(ready).collect());
+        proxy.list(EndpointListKind::Full, (1..=n).map(ready).collect());
         proxy
     }
 
@@ -37,14 +37,17 @@
         self.out.clone()
     }
 
-    pub fn list(&mut self, kind: ListKind, members: Vec<Member>) -> Vec<Action> {
-        self.feed(Event::Members { kind, members })
+    pub fn list(&mut self, kind: EndpointListKind, members: Vec<ListedEndpoint>) -> Vec<Action> {
+        self.feed(Event::EndpointList {
+            kind,
+            endpoints: members,
+        })
     }
 
     /// Feeds a request. Probes that it waits for are left unanswered, so it is placed when that wait is over.
     pub fn request(&mut self, request: Request) -> Vec<Action> {
         let mut actions = self.feed(Event::Request(request));
-        if actions.iter().any(|a| matches!(a, Action::Probe(_))) {
+        if actions.iter().any(|a| matches!(a, Action::CheckHealth(_))) {
             let (at, token) = *timers(&actions).last().expect("it waits for a time");
             self.now = at;
             actions.extend(self.fire(token));
@@ -53,23 +56,29 @@
     }
 
     /// Sends a request and brings it up; returns its server.
-    pub fn connect(&mut self, request: Request) -> Option<ServerId> {
+    pub fn connect(&mut self, request: Request) -> Option<EndpointId> {
         let id = request.id;
         let server = sent(&self.request(request))?;
-        self.feed(Event::First {
+        self.feed(Event::Connected {
             id,
-            server,
-            took: MS,
+            endpoint: server,
+            elapsed: MS,
         });
         Some(server)
     }
 
-    pub fn end(&mut self, id: u32, server: ServerId, outcome: Outcome, last: bool) -> Vec<Action> {
-        self.feed(Event::Outcome {
+    pub fn end(
+        &mut self,
+        id: u32,
+        server: EndpointId,
+        outcome: Outcome,
+        last: bool,
+    ) -> Vec<Action> {
+        self.feed(Event::AttemptEnded {
             id: RequestId(id),
-            server,
+            endpoint: server,
             outcome,
-            last,
+            request_finished: last,
             report: Vec::new(),
         })
     }
@@ -79,43 +88,45 @@
     }
 }
 
-pub fn ready(n: u64) -> Member {
-    Member {
-        server: ServerId(n),
+pub fn ready(n: u64) -> ListedEndpoint {
+    ListedEndpoint {
+        id: EndpointId(n),
         zone: 0,
         cell: 0,
-        state: MemberState::Ready,
+        state: EndpointState::Ready,
         size: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
-pub fn in_state(n: u64, state: MemberState) -> Member {
-    Member { state, ..ready(n) }
+pub fn in_state(n: u64, state: EndpointState) -> ListedEndpoint {
+    ListedEndpoint { state, ..ready(n) }
 }
 
 /// A request of a group (0 for none) with a second to spare.
 pub fn request(id: u32, key: u64, group: u64) -> Request {
     Request {
         id: RequestId(id),
-        key,
+        client_key: key,
         group,
-        left: SECOND,
+        time_left: SECOND,
         ..Request::default()
     }
 }
 
 /// Settings with one class of that effect.
-pub fn with_effect(effect: Effect) -> Settings {
+pub fn with_effect(effect: Idempotency) -> Settings {
     let mut settings = Settings::default();
-    settings.classes[0].effect = effect;
+    settings.classes[0].idempotency = effect;
     settings
 }
 
 /// The server of the one send among the actions, if there is one.
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+pub fn sent(actions: &[Action]) -> Option<EndpointId> {
     let mut sends = actions.iter().filter_map(|a| match a {
-        Action::Send { server, .. } => Some(*server),
+        Action::Attempt {
+            endpoint: server, ..
+        } => Some(*server),
         _ => None,
     });
     let first = sends.next();
@@ -124,7 +135,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse(..)))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -133,7 +144,7 @@
 
 pub fn moved(actions: &[Action]) -> Vec<RequestId> {
     let id = |a: &Action| {
-        if let Action::Move(id) = a {
+        if let Action::Migrate(id) = a {
             Some(*id)
         } else {
             None
@@ -145,7 +156,11 @@
 /// The timers asked for: when, and the token.
 pub fn timers(actions: &[Action]) -> Vec<(Micros, u64)> {
     let timer = |a: &Action| {
-        if let Action::Timer(at, token) = a {
+        if let Action::SetTimer {
+            at: at,
+            token: token,
+        } = a
+        {
             Some((*at, *token))
         } else {
             None
@@ -156,16 +171,16 @@
 
 /// The share of its capacity that a server of this age has at least.
 pub fn share_of_capacity(settings: &Settings, age: Micros) -> f32 {
-    let start = settings.start_capacity;
-    (start + (1.0 - start) * age as f32 / settings.warm_within as f32).min(1.0)
+    let start = settings.initial_capacity;
+    (start + (1.0 - start) * age as f32 / settings.warm_up_time as f32).min(1.0)
 }
 
 /// How many connections the rule lets all relays together send to a cold server of this age within `fall`. The pages
 /// give N + 2 x root of N + 2. What N is they leave open: the rate here, which fills a server over a warm-up that rises
 /// evenly, was inferred from four falls. The decisions reckon with the same, so tests by it cannot show it to be wrong.
 pub fn allowed_when_cold(settings: &Settings, filling: f32, age: Micros) -> f32 {
-    let fills_in = settings.warm_within as f32 * (1.0 + settings.start_capacity) / 2.0;
+    let fills_in = settings.warm_up_time as f32 * (1.0 + settings.initial_capacity) / 2.0;
     let capacity = filling * share_of_capacity(settings, age) / fills_in;
-    let allowed = settings.overload_factor * capacity * settings.fall as f32;
+    let allowed = settings.overload_factor * capacity * settings.overload_window as f32;
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,39 +1,41 @@
 //! The facade alone: verdicts, what overtakes an attempt, and calls to what is under way.
 
 use crossbeam_channel::{unbounded, Receiver, Sender};
-use jaspermoor::api::*;
-use jaspermoor::decide::{Decisions, Flow, Note, Orders, Verdict};
+use jaspermoor::decision_service::{
+    ConnectionSample, Decision, DecisionService, Hooks, RequestHandle,
+};
+use jaspermoor::decisions::api::*;
 use std::sync::Arc;
 use std::thread;
 
 /// Keeps what it was asked: an attempt to give up, or (none) to move.
 struct Asked(Sender<Option<u16>>);
 
-impl Flow for Asked {
-    fn give_up(&self, attempt: u16) {
+impl RequestHandle for Asked {
+    fn cancel_attempt(&self, attempt: u16) {
         self.0.send(Some(attempt)).unwrap();
     }
 
-    fn relocate(&self) {
+    fn migrate(&self) {
         self.0.send(None).unwrap();
     }
 }
 
 struct Bench {
-    decisions: Arc<Decisions>,
+    decisions: Arc<DecisionService>,
     flow: Arc<Asked>,
     asked: Receiver<Option<u16>>,
     watch: Receiver<bool>,
 }
 
-fn member(n: u64, state: MemberState) -> Member {
-    Member {
-        server: ServerId(n),
+fn member(n: u64, state: EndpointState) -> ListedEndpoint {
+    ListedEndpoint {
+        id: EndpointId(n),
         zone: 0,
         cell: 0,
         state,
         size: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -42,24 +44,24 @@
     let (watch, orders) = unbounded();
     let (probe, _) = unbounded();
     let settings = Settings {
-        list_on_request: true,
+        polls_endpoint_list: true,
         max_retry_after: SECOND,
         ..Settings::default()
     };
-    let cached = (1..=n).map(|n| member(n, MemberState::Ready)).collect();
-    let decisions = Decisions::new(
+    let cached = (1..=n).map(|n| member(n, EndpointState::Ready)).collect();
+    let decisions = DecisionService::new(
         settings,
         7,
         cached,
-        Orders {
-            watch: Box::new(move |on| watch.send(on).unwrap()),
-            probe,
+        Hooks {
+            watch_endpoint_list: Box::new(move |on| watch.send(on).unwrap()),
+            check_health: probe,
         },
     );
     let ticker = Arc::downgrade(&decisions);
     thread::spawn(move || {
         while let Some(decisions) = ticker.upgrade() {
-            decisions.tick();
+            decisions.fire_timers_and_sleep();
         }
     });
     let (asks, asked) = unbounded();
@@ -73,15 +75,19 @@
 
 fn request(left: Micros) -> Request {
     Request {
-        key: 42,
-        left,
+        client_key: 42,
+        time_left: left,
         ..Request::default()
     }
 }
 
-fn attempt(verdict: Verdict) -> (ServerId, u16) {
+fn attempt(verdict: Decision) -> (EndpointId, u16) {
     match verdict {
-        Verdict::Attempt { server, number, .. } => (server, number),
+        Decision::Attempt {
+            endpoint: server,
+            number,
+            ..
+        } => (server, number),
         other => panic!("{other:?} in place of an attempt"),
     }
 }
@@ -91,15 +97,17 @@
     let b = bench(2);
     let pick = b
         .decisions
-        .pick(request(60 * SECOND), b.flow.clone(), |_| {});
-    let (first, number) = attempt(pick.verdict());
+        .submit(request(60 * SECOND), b.flow.clone(), |_| {});
+    let (first, number) = attempt(pick.wait());
     assert_eq!(number, 0);
-    b.decisions.report(pick.id, Outcome::Full, vec![]);
-    let (second, number) = attempt(pick.verdict());
+    b.decisions
+        .attempt_failed(pick.id, Outcome::Rejected, vec![]);
+    let (second, number) = attempt(pick.wait());
     assert!(number == 1 && second != first);
-    b.decisions.report(pick.id, Outcome::Full, vec![]);
-    assert!(matches!(pick.verdict(), Verdict::Refuse(wait) if wait > 0 && wait <= SECOND));
-    assert!(!b.decisions.owed(pick.id));
+    b.decisions
+        .attempt_failed(pick.id, Outcome::Rejected, vec![]);
+    assert!(matches!(pick.wait(), Decision::Reject(wait) if wait > 0 && wait <= SECOND));
+    assert!(!b.decisions.awaits_answer(pick.id));
 }
 
 /// At the deadline the attempt is given up and answered; one that comes up after that is too late.
@@ -108,11 +116,11 @@
     let b = bench(1);
     let pick = b
         .decisions
-        .pick(request(SECOND / 20), b.flow.clone(), |_| {});
-    attempt(pick.verdict());
+        .submit(request(SECOND / 20), b.flow.clone(), |_| {});
+    attempt(pick.wait());
     assert_eq!(b.asked.recv().unwrap(), Some(0));
-    assert!(matches!(pick.verdict(), Verdict::Refuse(_)));
-    assert!(!b.decisions.up(pick.id, SECOND));
+    assert!(matches!(pick.wait(), Decision::Reject(_)));
+    assert!(!b.decisions.connected(pick.id, SECOND));
 }
 
 #[test]
@@ -122,10 +130,10 @@
     // No server is known: the request is held until its client leaves.
     let pick = b
         .decisions
-        .pick(request(60 * SECOND), b.flow.clone(), move |id| {
-            thread::spawn(move || decisions.vanish(id));
+        .submit(request(60 * SECOND), b.flow.clone(), move |id| {
+            thread::spawn(move || decisions.client_disconnected(id));
         });
-    assert_eq!(pick.verdict(), Verdict::Gone);
+    assert_eq!(pick.wait(), Decision::Withdrawn);
 }
 
 #[test]
@@ -133,22 +141,24 @@
     let b = bench(2);
     let pick = b
         .decisions
-        .pick(request(60 * SECOND), b.flow.clone(), |_| {});
-    let (server, _) = attempt(pick.verdict());
-    assert!(b.decisions.up(pick.id, 1_000));
-    b.decisions.members(
-        ListKind::Delta,
-        vec![member(server.0, MemberState::Draining)],
+        .submit(request(60 * SECOND), b.flow.clone(), |_| {});
+    let (server, _) = attempt(pick.wait());
+    assert!(b.decisions.connected(pick.id, 1_000));
+    b.decisions.update_endpoints(
+        EndpointListKind::Delta,
+        vec![member(server.0, EndpointState::Draining)],
     );
     assert_eq!(b.asked.recv().unwrap(), None);
-    b.decisions.end(pick.id, Outcome::Cancelled, vec![]);
+    b.decisions
+        .connection_ended(pick.id, Outcome::Cancelled, vec![]);
 
-    let id = b
-        .decisions
-        .adopt(request(SECOND), ServerId(3 - server.0), b.flow.clone());
-    b.decisions.note(id, Note::Load(5.0));
+    let id =
+        b.decisions
+            .adopt_connection(request(SECOND), EndpointId(3 - server.0), b.flow.clone());
+    b.decisions.record_sample(id, ConnectionSample::Load(5.0));
     assert!(b.asked.is_empty());
-    b.decisions.note(id, Note::Delay(60 * SECOND));
+    b.decisions
+        .record_sample(id, ConnectionSample::Delay(60 * SECOND));
     assert_eq!(b.asked.recv().unwrap(), None);
 }
 
@@ -156,7 +166,8 @@
 fn a_failed_watch_is_asked_for_again() {
     let b = bench(1);
     assert_eq!(b.watch.recv(), Ok(true));
-    b.decisions.members(ListKind::Failed, vec![]);
+    b.decisions
+        .update_endpoints(EndpointListKind::WatchFailed, vec![]);
     assert_eq!(b.watch.recv(), Ok(true));
 }
 
@@ -168,20 +179,20 @@
     use jaspermoor::config::listing::server_id;
     use jaspermoor::config::operator::OperatorFile;
     let bench = bench(0);
-    let listed = |name: &str| Member {
-        server: server_id(name),
-        ..member(0, MemberState::Ready)
+    let listed = |name: &str| ListedEndpoint {
+        id: server_id(name),
+        ..member(0, EndpointState::Ready)
     };
     bench
         .decisions
-        .members(ListKind::Full, vec![listed("s-1"), listed("s-2")]);
+        .update_endpoints(EndpointListKind::Full, vec![listed("s-1"), listed("s-2")]);
     let open = Request {
         group: 42,
         ..request(SECOND)
     };
     let id = bench
         .decisions
-        .adopt(open, server_id("s-1"), bench.flow.clone());
+        .adopt_connection(open, server_id("s-1"), bench.flow.clone());
     let cells = |cell: &str| {
         let text = format!(
             "[cells]\nmoves_per_second = 1000\n[[cells.cell]]\nname = 'a'\nservers = ['s-1']\n\
@@ -190,21 +201,26 @@
         Cells::of(&OperatorFile::parse(std::path::Path::new("cells"), text).unwrap()).unwrap()
     };
     let holds = || {
-        let (figures, waiting) = bench.decisions.cell_figures();
+        let (figures, waiting) = bench.decisions.cell_metrics();
         (
-            figures.iter().map(|cell| cell.holds).collect::<Vec<_>>(),
+            figures
+                .iter()
+                .map(|cell| cell.in_flight)
+                .collect::<Vec<_>>(),
             waiting,
         )
     };
-    bench.decisions.cells(cells("a"));
+    bench.decisions.update_cells(cells("a"));
     assert_eq!(holds(), (vec![1, 0], 0));
     assert!(
         bench.asked.is_empty(),
         "it was moved though it stands where it belongs"
     );
     // Its new balancer knows it: it is moved when its site leaves, and forgotten when it ends.
-    bench.decisions.cells(cells("b"));
+    bench.decisions.update_cells(cells("b"));
     assert_eq!(bench.asked.recv().unwrap(), None);
-    bench.decisions.end(id, Outcome::Ok, Vec::new());
+    bench
+        .decisions
+        .connection_ended(id, Outcome::Success, Vec::new());
     assert_eq!(holds(), (vec![0, 0], 0));
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -4,10 +4,10 @@
 mod peers;
 
 use crossbeam_channel::bounded;
-use jaspermoor::api::{ListKind, Settings};
 use jaspermoor::config::Names;
-use jaspermoor::decide::{Decisions, Orders};
-use jaspermoor::logic::Tuning;
+use jaspermoor::decision_service::{DecisionService, Hooks};
+use jaspermoor::decisions::api::{EndpointListKind, Settings};
+use jaspermoor::decisions::Parameters;
 use jaspermoor::platform::directory::Directory;
 use jaspermoor::platform::discovery::{Source, Upkeep, Watcher, ANSWER, CALL, DIAL, SILENT, TOLD};
 use peers::*;
@@ -17,7 +17,7 @@
 #[test]
 fn what_a_failed_call_can_take_adds_up_to_less_than_the_time_after_which_a_change_counts_as_told() {
     let pause = |micros| Duration::from_micros(micros);
-    let t = Tuning::default();
+    let t = Parameters::default();
     // A watch that falls silent, and a call that is accepted or dialled and gets no answer.
     for seen in [SILENT, CALL, DIAL] {
         assert!(seen + pause(t.ask_soon) + ANSWER < TOLD);
@@ -240,15 +240,15 @@
     let (orders, settings) = (
         source.clone(),
         Settings {
-            list_on_request: true,
+            polls_endpoint_list: true,
             ..Settings::default()
         },
     );
-    let orders = Orders {
-        watch: Box::new(move |on| orders.order(on)),
-        probe: bounded(1).0,
+    let orders = Hooks {
+        watch_endpoint_list: Box::new(move |on| orders.order(on)),
+        check_health: bounded(1).0,
     };
-    let decisions = Decisions::new(settings, 1, Vec::new(), orders);
+    let decisions = DecisionService::new(settings, 1, Vec::new(), orders);
     let directory = Arc::new(Directory::default());
     // The thread of the watch is held in the middle of the first list, until all has come.
     let ((arrived, list), (go, held)) = (bounded(1), bounded::<()>(0));
@@ -276,7 +276,7 @@
         .tell(1, true, &[fleet.entry("s-1", "active")]);
     list.recv().unwrap();
     assert!(source.relocate(new.addr()));
-    decisions.members(ListKind::Moved, Vec::new());
+    decisions.update_endpoints(EndpointListKind::Relocated, Vec::new());
     source.order(true);
     drop(go);
     new.watched("GET /v1/endpoints?watch=1 HTTP");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use jaspermoor::api::*;
-use jaspermoor::random::Random;
+use jaspermoor::decisions::api::*;
+use jaspermoor::decisions::random::Random;
 use std::collections::BTreeSet;
 
 /// So many balancers of one fleet, each with the same list and a seed of its own.
@@ -13,13 +13,13 @@
         let number = seed as u32 - 1;
         let mut proxy = Proxy::new(
             Settings {
-                balancers: n,
-                number,
+                balancer_count: n,
+                balancer_index: number,
                 ..settings.clone()
             },
             seed,
         );
-        proxy.list(ListKind::Full, (1..=servers).map(ready).collect());
+        proxy.list(EndpointListKind::Full, (1..=servers).map(ready).collect());
         proxy
     };
     (1..=u64::from(n)).map(relay).collect()
@@ -27,8 +27,8 @@
 
 fn with_probes() -> Settings {
     Settings {
-        may_probe: true,
-        columns: vec![Column::Active, Column::Load],
+        may_check_health: true,
+        report_columns: vec![ReportColumn::Active, ReportColumn::Load],
         ..Settings::default()
     }
 }
@@ -36,12 +36,12 @@
 /// How many probes a balancer that nobody asks anything makes in a time.
 fn probes(settings: Settings, servers: u64, seed: u64, time: Micros) -> usize {
     let mut proxy = Proxy::new(settings, seed);
-    let mut actions = proxy.list(ListKind::Full, (1..=servers).map(ready).collect());
+    let mut actions = proxy.list(EndpointListKind::Full, (1..=servers).map(ready).collect());
     let (end, mut count) = (proxy.now + time, 0);
     loop {
         count += actions
             .iter()
-            .filter(|a| matches!(a, Action::Probe(_)))
+            .filter(|a| matches!(a, Action::CheckHealth(_)))
             .count();
         // Each probe asks for the timer of the next.
         let Some(&(at, token)) = timers(&actions).last() else {
@@ -59,7 +59,7 @@
 fn a_hundred_relays_probe_no_more_together_than_three() {
     let sum = |n: u32, servers: u64| -> usize {
         let settings = Settings {
-            balancers: n,
+            balancer_count: n,
             ..with_probes()
         };
         (1..=u64::from(n))
@@ -97,7 +97,7 @@
             ));
             homes[group].insert(server.unwrap());
             // It ends at once: what is held is not what this is about.
-            proxy.end(id + 1, server.unwrap(), Outcome::Ok, true);
+            proxy.end(id + 1, server.unwrap(), Outcome::Success, true);
         }
     }
     assert!(
@@ -113,25 +113,25 @@
 fn a_hundred_relays_fill_a_cold_server_within_the_rule_and_no_slower_than_need_be() {
     let settings = Settings {
         overload_factor: 2.5,
-        fall: 3 * SECOND,
+        overload_window: 3 * SECOND,
         ..with_probes()
     };
     for n in [3, 100] {
         let mut fleet = fleet(n, 2, &settings);
         let begin = fleet[0].now;
         let tell = |proxy: &mut Proxy, server: u64, active: f32, load: f32| {
-            let (server, report) = (ServerId(server), vec![active, load]);
-            proxy.feed(Event::Probed {
-                server,
-                outcome: Outcome::Ok,
+            let (server, report) = (EndpointId(server), vec![active, load]);
+            proxy.feed(Event::HealthCheck {
+                endpoint: server,
+                outcome: Outcome::Success,
                 report,
             })
         };
         for proxy in &mut fleet {
             proxy.list(
-                ListKind::Delta,
-                vec![Member {
-                    started: Some(begin),
+                EndpointListKind::Delta,
+                vec![ListedEndpoint {
+                    started_at: Some(begin),
                     ..ready(3)
                 }],
             );
@@ -147,21 +147,26 @@
             actions.extend(tell(proxy, 2, 95.0, 0.95 + step as f32 / 1e6));
             actions.extend(tell(proxy, 3, 0.0, step as f32 / 1e9));
             actions.extend(proxy.request(Request {
-                left: SECOND / 4,
+                time_left: SECOND / 4,
                 ..request(step + 1, u64::from(step), 0)
             }));
             for action in actions {
-                let Action::Send { id, server, .. } = action else {
+                let Action::Attempt {
+                    id,
+                    endpoint: server,
+                    ..
+                } = action
+                else {
                     continue;
                 };
-                sends.extend((server == ServerId(3)).then_some(now));
-                proxy.end(id.0, server, Outcome::Ok, true);
+                sends.extend((server == EndpointId(3)).then_some(now));
+                proxy.end(id.0, server, Outcome::Success, true);
             }
         }
         let within = |from: Micros| {
             sends
                 .iter()
-                .filter(|&&at| (from..from + settings.fall).contains(&at))
+                .filter(|&&at| (from..from + settings.overload_window).contains(&at))
                 .count() as f32
         };
         for second in 0..4 {
@@ -184,8 +189,8 @@
 fn cold_rule(relays: u32) -> Settings {
     Settings {
         overload_factor: 2.5,
-        fall: 3 * SECOND,
-        balancers: relays,
+        overload_window: 3 * SECOND,
+        balancer_count: relays,
         ..with_probes()
     }
 }
@@ -200,17 +205,17 @@
     let start = |now: Micros, number: u32, seed: u64| {
         let mut proxy = Proxy::new(
             Settings {
-                number,
+                balancer_index: number,
                 ..settings.clone()
             },
             seed,
         );
         proxy.now = now;
-        let cold = Member {
-            started: Some(begin),
+        let cold = ListedEndpoint {
+            started_at: Some(begin),
             ..ready(3)
         };
-        proxy.list(ListKind::Full, vec![ready(1), ready(2), cold]);
+        proxy.list(EndpointListKind::Full, vec![ready(1), ready(2), cold]);
         proxy
     };
     let mut fleet: Vec<Proxy> = (0..relays)
@@ -253,9 +258,9 @@
                 (3, 0.0, 0.0),
             ] {
                 let report = vec![active, load + step as f32 / 1e6];
-                proxy.feed(Event::Probed {
-                    server: ServerId(server),
-                    outcome: Outcome::Ok,
+                proxy.feed(Event::HealthCheck {
+                    endpoint: EndpointId(server),
+                    outcome: Outcome::Success,
                     report,
                 });
             }
@@ -263,11 +268,11 @@
             let asked = request(next, u64::from(next), 0);
             let Some(server) = sent(&proxy.request(asked)) else {
                 // It has to wait, and goes away.
-                proxy.feed(Event::Vanished(RequestId(next)));
+                proxy.feed(Event::ClientDisconnected(RequestId(next)));
                 continue;
             };
-            sends.extend((server == ServerId(3)).then_some(proxy.now));
-            proxy.end(next, server, Outcome::Ok, true);
+            sends.extend((server == EndpointId(3)).then_some(proxy.now));
+            proxy.end(next, server, Outcome::Success, true);
         }
     }
     sends.sort_unstable();
@@ -298,7 +303,7 @@
                 let (settings, age) = (cold_rule(relays), from - 1_000 * SECOND);
                 let allowed = allowed_when_cold(&settings, fills, age);
                 assert!(
-                    age >= settings.warm_within || count <= allowed,
+                    age >= settings.warm_up_time || count <= allowed,
                     "{relays} relays, {quiet} s, seed {seed}: {count} in 3 s where {allowed} are allowed"
                 );
             }
@@ -314,22 +319,22 @@
 #[test]
 fn a_hundred_relays_that_start_together_call_for_the_list_in_turn() {
     let settings = Settings {
-        balancers: 100,
-        list_on_request: true,
+        balancer_count: 100,
+        polls_endpoint_list: true,
         ..Settings::default()
     };
     let (mut first, mut again) = (Vec::new(), Vec::new());
     for seed in 0..100 {
         let mut proxy = Proxy::new(settings.clone(), seed);
         let begin = proxy.now;
-        let (at, token) = timers(&proxy.list(ListKind::Cached, vec![ready(1)]))[0];
+        let (at, token) = timers(&proxy.list(EndpointListKind::Cached, vec![ready(1)]))[0];
         proxy.now = at;
-        assert_eq!(proxy.fire(token), [Action::Watch(true)]);
+        assert_eq!(proxy.fire(token), [Action::WatchEndpointList(true)]);
         first.push(at - begin);
-        let (next, _) = timers(&proxy.list(ListKind::Failed, Vec::new()))[0];
+        let (next, _) = timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0];
         again.push(next - at);
         // A request is served from the list that it has, before discovery has said anything.
-        assert_eq!(proxy.connect(request(1, seed, 0)), Some(ServerId(1)));
+        assert_eq!(proxy.connect(request(1, seed, 0)), Some(EndpointId(1)));
     }
     let most = |times: &[Micros]| {
         (0..20)
@@ -354,19 +359,19 @@
 fn a_relay_looks_along_the_jumps_for_room_before_it_places() {
     let mut proxy = Proxy::new(
         Settings {
-            balancers: 100,
+            balancer_count: 100,
             ..with_probes()
         },
         5,
     );
-    proxy.list(ListKind::Full, (1..=9).map(ready).collect());
+    proxy.list(EndpointListKind::Full, (1..=9).map(ready).collect());
     let home = proxy.connect(request(1, 1, 7)).unwrap();
     proxy.now += 10 * SECOND;
-    let probes = |actions: &[Action]| -> Vec<ServerId> {
+    let probes = |actions: &[Action]| -> Vec<EndpointId> {
         actions
             .iter()
             .filter_map(|a| {
-                if let Action::Probe(s) = a {
+                if let Action::CheckHealth(s) = a {
                     Some(*s)
                 } else {
                     None
@@ -379,9 +384,9 @@
         let Some(&server) = asked.get(n) else { break };
         // All but the sixth that it asks are full.
         let report = vec![20.0, if n == 5 { 0.1 } else { 1.2 }];
-        let actions = proxy.feed(Event::Probed {
-            server,
-            outcome: Outcome::Ok,
+        let actions = proxy.feed(Event::HealthCheck {
+            endpoint: server,
+            outcome: Outcome::Success,
             report,
         });
         asked.extend(probes(&actions));
@@ -395,14 +400,17 @@
 #[test]
 fn no_relay_waits_for_its_turn_longer_than_it_may_go_unasked() {
     let settings = Settings {
-        balancers: 5_000,
-        list_on_request: true,
+        balancer_count: 5_000,
+        polls_endpoint_list: true,
         ..Settings::default()
     };
-    for (known, most) in [(vec![ready(1)], settings.ask_within / 2), (vec![], 0)] {
+    for (known, most) in [
+        (vec![ready(1)], settings.max_poll_interval / 2),
+        (vec![], 0),
+    ] {
         for seed in 0..50 {
             let mut proxy = Proxy::new(settings.clone(), seed);
-            let (first, _) = timers(&proxy.list(ListKind::Cached, known.clone()))[0];
+            let (first, _) = timers(&proxy.list(EndpointListKind::Cached, known.clone()))[0];
             assert!(
                 first <= proxy.now + most,
                 "{} us, {} known",
@@ -411,8 +419,8 @@
             );
             // After a failure four times as long is allowed.
             for _ in 0..8 {
-                let (again, _) = timers(&proxy.list(ListKind::Failed, Vec::new()))[0];
-                assert!(again < proxy.now + 4 * settings.ask_within);
+                let (again, _) = timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0];
+                assert!(again < proxy.now + 4 * settings.max_poll_interval);
             }
         }
     }
@@ -421,25 +429,25 @@
 /// Each answer to a probe lets the waiting requests look again; each such look once set a timer for good.
 #[test]
 fn a_held_request_has_one_timer_however_many_probes_are_answered() {
-    let cold = Member {
-        started: Some(1_000 * SECOND),
+    let cold = ListedEndpoint {
+        started_at: Some(1_000 * SECOND),
         ..ready(1)
     };
     let mut proxy = Proxy::new(
         Settings {
-            balancers: 100,
+            balancer_count: 100,
             ..with_probes()
         },
         5,
     );
-    proxy.list(ListKind::Full, vec![cold]);
+    proxy.list(EndpointListKind::Full, vec![cold]);
     // Nothing may be sent yet to the one server there is.
     let mut held = 0;
     for n in 0..100u64 {
         let actions = match n {
             0 => proxy.feed(Event::Request(request(1, 1, 0))),
-            _ => proxy.feed(Event::Probed {
-                server: ServerId(1),
+            _ => proxy.feed(Event::HealthCheck {
+                endpoint: EndpointId(1),
                 outcome: Outcome::Error,
                 report: vec![],
             }),
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -3,19 +3,19 @@
 mod common;
 
 use common::*;
-use jaspermoor::api::*;
-use jaspermoor::slots::{hash, mix};
+use jaspermoor::decisions::api::*;
+use jaspermoor::decisions::ring::{hash, mix};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The servers of `keys` clients without a group, each asked of a proxy that holds nothing else.
-fn homes(members: Vec<Member>, keys: u64) -> Vec<ServerId> {
+fn homes(members: Vec<ListedEndpoint>, keys: u64) -> Vec<EndpointId> {
     let mut proxy = Proxy::new(Settings::default(), 3);
-    proxy.list(ListKind::Full, members);
+    proxy.list(EndpointListKind::Full, members);
     (1..=keys)
         .map(|key| {
             let server =
                 sent(&proxy.request(request(key as u32, key, 0))).expect("a server is free");
-            proxy.end(key as u32, server, Outcome::Ok, true);
+            proxy.end(key as u32, server, Outcome::Success, true);
             server
         })
         .collect()
@@ -46,7 +46,7 @@
     let after = homes((1..=21).map(ready).collect(), 1000);
     let moved: Vec<_> = before.iter().zip(&after).filter(|(b, a)| b != a).collect();
     assert!(
-        moved.iter().all(|(_, a)| **a == ServerId(21)),
+        moved.iter().all(|(_, a)| **a == EndpointId(21)),
         "keys moved between old servers"
     );
     assert!(
@@ -61,7 +61,7 @@
     let before = homes((1..=20).map(ready).collect(), 1000);
     let after = homes((1..=19).map(ready).collect(), 1000);
     for (b, a) in before.iter().zip(&after) {
-        assert!(b == a || *b == ServerId(20));
+        assert!(b == a || *b == EndpointId(20));
     }
 }
 
@@ -71,17 +71,17 @@
     members[0].size = 4.0;
     let mut proxy = Proxy::new(
         Settings {
-            weights: Weights::Nominal,
+            weights: EndpointWeights::Nominal,
             ..Settings::default()
         },
         3,
     );
-    proxy.list(ListKind::Full, members);
+    proxy.list(EndpointListKind::Full, members);
     let mut of_first = 0;
     for key in 1..=1000 {
         let server = sent(&proxy.request(request(key, u64::from(key), 0))).unwrap();
-        proxy.end(key, server, Outcome::Ok, true);
-        of_first += u32::from(server == ServerId(1));
+        proxy.end(key, server, Outcome::Success, true);
+        of_first += u32::from(server == EndpointId(1));
     }
     assert!(
         (200..450).contains(&of_first),
@@ -107,7 +107,7 @@
 fn the_floor_admits_one_and_overflow_scatters() {
     // One key without a group over and over: 1 + ε is 3, so the mean sets the cap at every step.
     let mut proxy = Proxy::with_servers(Settings::default(), 10);
-    let mut per: BTreeMap<ServerId, u32> = BTreeMap::new();
+    let mut per: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for id in 1..=60u32 {
         let server = proxy
             .connect(request(id, 99, 0))
@@ -140,7 +140,7 @@
 fn fallback_takes_the_least_loaded_and_counts_a_new_server_at_the_mean() {
     let mut proxy = Proxy::with_servers(
         Settings {
-            start_capacity: 1.0,
+            initial_capacity: 1.0,
             ..Settings::default()
         },
         2,
@@ -149,16 +149,16 @@
         proxy.connect(request(id, u64::from(id), 0));
     }
     // All that may be tried is tried: server 3 alone is left, and it holds nothing yet.
-    let new = Member {
-        started: Some(proxy.now),
+    let new = ListedEndpoint {
+        started_at: Some(proxy.now),
         ..ready(3)
     };
-    proxy.list(ListKind::Delta, vec![new]);
+    proxy.list(EndpointListKind::Delta, vec![new]);
     let mut reached = BTreeSet::new();
     let mut server = sent(&proxy.request(request(50, 5, 0))).unwrap();
     reached.insert(server);
     for _ in 0..2 {
-        server = sent(&proxy.end(50, server, Outcome::Full, false)).expect("another is left");
+        server = sent(&proxy.end(50, server, Outcome::Rejected, false)).expect("another is left");
         assert!(
             reached.insert(server),
             "a refused server is not asked twice"
@@ -198,7 +198,7 @@
 fn a_group_that_outgrows_a_server_gets_more_homes() {
     let mut proxy = Proxy::with_servers(
         Settings {
-            balancers: 50,
+            balancer_count: 50,
             ..Settings::default()
         },
         20,
@@ -225,20 +225,20 @@
     let (mut a, mut b) = (
         Proxy::with_servers(
             Settings {
-                balancers: 2,
+                balancer_count: 2,
                 ..Settings::default()
             },
             20,
         ),
         Proxy::new(
             Settings {
-                balancers: 2,
+                balancer_count: 2,
                 ..Settings::default()
             },
             99,
         ),
     );
-    b.list(ListKind::Full, (1..=20).rev().map(ready).collect());
+    b.list(EndpointListKind::Full, (1..=20).rev().map(ready).collect());
     // Each sees its own clients of the same eight groups.
     for id in 1..=80u32 {
         a.connect(request(id, u64::from(id), 500 + u64::from(id % 8)));
@@ -259,15 +259,15 @@
     let mut proxy = Proxy::new(
         Settings {
             zone: 1,
-            balancers: 20,
+            balancer_count: 20,
             ..Settings::default()
         },
         1,
     );
     proxy.list(
-        ListKind::Full,
+        EndpointListKind::Full,
         (1..=20)
-            .map(|n| Member {
+            .map(|n| ListedEndpoint {
                 zone: (n % 2) as u16,
                 ..ready(n)
             })
@@ -287,8 +287,8 @@
 
 fn with_probes() -> Settings {
     Settings {
-        may_probe: true,
-        columns: vec![Column::Active, Column::Load],
+        may_check_health: true,
+        report_columns: vec![ReportColumn::Active, ReportColumn::Load],
         ..Settings::default()
     }
 }
@@ -297,10 +297,10 @@
 fn with_some_held(settings: Settings) -> Proxy {
     let mut proxy = Proxy::with_servers(settings, 4);
     for n in 0..20 {
-        proxy.feed(Event::Open(
-            request(100 + n, u64::from(n), 7),
-            ServerId(u64::from(n % 4) + 1),
-        ));
+        proxy.feed(Event::Adopted {
+            request: request(100 + n, u64::from(n), 7),
+            endpoint: EndpointId(u64::from(n % 4) + 1),
+        });
     }
     proxy
 }
@@ -309,16 +309,16 @@
 fn seasoned(mut proxy: Proxy) -> Proxy {
     for id in 50_000..50_040 {
         if let Some(server) = proxy.connect(request(id, u64::from(id), 900)) {
-            proxy.end(id, server, Outcome::Ok, true);
+            proxy.end(id, server, Outcome::Success, true);
         }
     }
     proxy
 }
 
 fn tell(proxy: &mut Proxy, server: u64, load: f32) {
-    proxy.feed(Event::Probed {
-        server: ServerId(server),
-        outcome: Outcome::Ok,
+    proxy.feed(Event::HealthCheck {
+        endpoint: EndpointId(server),
+        outcome: Outcome::Success,
         report: vec![50.0, load],
     });
 }
@@ -327,19 +327,19 @@
 fn servers_are_probed_in_turn_where_that_tells_their_load() {
     let probed = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Probe(server) => Some(*server),
+            Action::CheckHealth(server) => Some(*server),
             _ => None,
         })
     };
     let mut proxy = Proxy::new(with_probes(), 7);
-    let mut actions = proxy.list(ListKind::Full, Vec::new());
+    let mut actions = proxy.list(EndpointListKind::Full, Vec::new());
     let (mut seen, begin) = (BTreeMap::new(), proxy.now);
     for n in 0..30 {
         let (at, token) = timers(&actions)[0];
         proxy.now = at;
         if n == 5 {
             // The first list was empty: the turn goes on when servers come.
-            proxy.list(ListKind::Full, (1..=4).map(ready).collect());
+            proxy.list(EndpointListKind::Full, (1..=4).map(ready).collect());
         }
         actions = proxy.fire(token);
         if let Some(server) = probed(&actions) {
@@ -351,16 +351,16 @@
     assert!(proxy.now - begin < 30 * SECOND, "often enough to be of use");
     for none in [
         Settings {
-            may_probe: false,
+            may_check_health: false,
             ..with_probes()
         },
         Settings {
-            columns: vec![],
+            report_columns: vec![],
             ..with_probes()
         },
     ] {
         assert!(Proxy::new(none, 7)
-            .list(ListKind::Full, vec![ready(1)])
+            .list(EndpointListKind::Full, vec![ready(1)])
             .is_empty());
     }
 }
@@ -408,9 +408,9 @@
         } else {
             report(0.5, 10.0)
         };
-        proxy.feed(Event::Probed {
-            server: ServerId(server),
-            outcome: Outcome::Ok,
+        proxy.feed(Event::HealthCheck {
+            endpoint: EndpointId(server),
+            outcome: Outcome::Success,
             report,
         });
     }
@@ -428,16 +428,19 @@
     let mut proxy = Proxy::with_servers(with_probes(), 4);
     let home = proxy.connect(request(1, 1, 7)).unwrap();
     for id in 2..=40 {
-        proxy.feed(Event::Open(request(id, u64::from(id), 7), home));
+        proxy.feed(Event::Adopted {
+            request: request(id, u64::from(id), 7),
+            endpoint: home,
+        });
     }
     let mut report = |load: f32, others: f32| {
         for server in (1..=4).filter(|&server| server != home.0) {
             tell(&mut proxy, server, others);
         }
         let report = vec![40.0, load];
-        timers(&proxy.feed(Event::Probed {
-            server: home,
-            outcome: Outcome::Ok,
+        timers(&proxy.feed(Event::HealthCheck {
+            endpoint: home,
+            outcome: Outcome::Success,
             report,
         }))
         .len()
@@ -469,7 +472,11 @@
         let mut proxy = with_some_held(with_probes());
         let home = proxy.connect(request(1, 1, 7)).unwrap();
         (1..=4).for_each(|server| tell(&mut proxy, server, load));
-        proxy.feed(Event::DelayNote(RequestId(1), home, took * MS));
+        proxy.feed(Event::DelaySample {
+            id: RequestId(1),
+            endpoint: home,
+            delay: took * MS,
+        });
         assert_eq!(
             proxy.connect(request(2, 2, 7)) == Some(home),
             stays,
@@ -488,9 +495,9 @@
         1,
     );
     proxy.list(
-        ListKind::Full,
+        EndpointListKind::Full,
         (1..=6)
-            .map(|n| Member {
+            .map(|n| ListedEndpoint {
                 zone: (n % 2) as u16,
                 ..ready(n)
             })
@@ -538,9 +545,9 @@
     let mut proxy = Proxy::with_servers(Settings::default(), 0);
     let actions = proxy.request(request(1, 5, 0));
     let (at, token) = *timers(&actions).last().unwrap();
-    proxy.list(ListKind::Delta, vec![ready(1)]);
+    proxy.list(EndpointListKind::Delta, vec![ready(1)]);
     proxy.now = at;
-    assert_eq!(sent(&proxy.fire(token)), Some(ServerId(1)));
+    assert_eq!(sent(&proxy.fire(token)), Some(EndpointId(1)));
 }
 
 #[test]
@@ -551,7 +558,13 @@
     let (at, token) = timers(&actions)[0];
     proxy.now = at;
     let actions = proxy.fire(token);
-    assert!(refused(&actions) && actions.contains(&Action::Cancel(RequestId(1), 0)));
+    assert!(
+        refused(&actions)
+            && actions.contains(&Action::CancelAttempt {
+                id: RequestId(1),
+                attempt: 0
+            })
+    );
     assert!(proxy.end(1, server, Outcome::Cancelled, true).is_empty());
 }
 
@@ -559,25 +572,25 @@
 fn late_events_of_a_finished_request_bring_nothing() {
     let mut proxy = Proxy::with_servers(Settings::default(), 3);
     let server = sent(&proxy.request(request(1, 5, 0))).unwrap();
-    proxy.feed(Event::Vanished(RequestId(1)));
+    proxy.feed(Event::ClientDisconnected(RequestId(1)));
     assert!(
         proxy.end(1, server, Outcome::Error, false).is_empty(),
         "the client has gone"
     );
     let mut out = Vec::new();
-    let again = Event::Outcome {
+    let again = Event::AttemptEnded {
         id: RequestId(1),
-        server,
+        endpoint: server,
         outcome: Outcome::Error,
-        last: false,
+        request_finished: false,
         report: Vec::new(),
     };
     assert_eq!(
         proxy.balancer.handle(proxy.now, again, &mut out),
-        Err(Unknown::Request(RequestId(1)))
+        Err(UnknownId::Request(RequestId(1)))
     );
     assert!(out.is_empty());
-    proxy.feed(Event::Vanished(RequestId(1)));
+    proxy.feed(Event::ClientDisconnected(RequestId(1)));
 }
 
 #[test]
@@ -609,7 +622,7 @@
     let actions = proxy.request(request(1, 5, 0));
     assert!(actions
         .iter()
-        .any(|a| matches!(a, Action::Send { until, .. } if *until == deadline)));
+        .any(|a| matches!(a, Action::Attempt { give_up_at: until, .. } if *until == deadline)));
 }
 
 #[test]
@@ -624,8 +637,7 @@
         while let Some(server) = sent(&actions) {
             sends += 1;
             if id > 30 {
-                let whole =
-                    |a: &Action| matches!(a, Action::Send { until, .. } if *until == deadline);
+                let whole = |a: &Action| matches!(a, Action::Attempt { give_up_at: until, .. } if *until == deadline);
                 assert!(actions.iter().any(whole), "{actions:?}");
             }
             actions = proxy.end(id, server, Outcome::Timeout, false);
@@ -659,23 +671,23 @@
 /// an attempt that a backend had to bear. Four are saved, each request earns 0.3, and there are four attempts at most.
 #[test]
 fn only_an_attempt_that_began_takes_from_the_retry_budget() {
-    use Outcome::{ConnectFailed, Error, Full, Moot, Timeout};
-    for spends in [Full, ConnectFailed, Error, Timeout] {
+    use Outcome::{ConnectFailed, Error, NotAttempted, Rejected, Timeout};
+    for spends in [Rejected, ConnectFailed, Error, Timeout] {
         let sends = sends_of_forty(Timeout, spends);
         assert!((50..=56).contains(&sends), "{spends:?}: {sends} sends");
     }
     assert_eq!(
-        sends_of_forty(Timeout, Moot),
+        sends_of_forty(Timeout, NotAttempted),
         160,
         "what never began is given back"
     );
     assert_eq!(
-        sends_of_forty(Moot, Moot),
+        sends_of_forty(NotAttempted, NotAttempted),
         160,
         "and nothing is taken where nothing has begun"
     );
     // The second is the first that begins, and the request has earned its share by then.
-    let sends = sends_of_forty(Moot, Timeout);
+    let sends = sends_of_forty(NotAttempted, Timeout);
     assert!((90..=96).contains(&sends), "{sends} sends");
 }
 
@@ -692,14 +704,18 @@
 #[test]
 fn what_never_ran_is_sent_on_whatever_its_class() {
     for effect in [
-        Effect::Safe,
-        Effect::Unsafe,
-        Effect::Keyed {
-            group: Group::Cell,
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Keyed {
+            scope: DeduplicationScope::Cell,
             window: SECOND,
         },
     ] {
-        for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
+        for outcome in [
+            Outcome::Rejected,
+            Outcome::ConnectFailed,
+            Outcome::NotAttempted,
+        ] {
             let mut proxy = Proxy::with_servers(with_effect(effect), 3);
             let server = sent(&proxy.request(request(1, 5, 0))).unwrap();
             let next = sent(&proxy.end(1, server, outcome, false));
@@ -719,7 +735,7 @@
         Outcome::Cancelled,
         Outcome::Reset,
     ] {
-        let mut proxy = Proxy::with_servers(with_effect(Effect::Unsafe), 3);
+        let mut proxy = Proxy::with_servers(with_effect(Idempotency::NonIdempotent), 3);
         let server = sent(&proxy.request(request(1, 5, 0))).unwrap();
         let actions = proxy.end(1, server, outcome, false);
         assert!(
@@ -731,7 +747,7 @@
 
 #[test]
 fn an_unsafe_request_out_at_the_deadline_fails() {
-    let mut proxy = Proxy::with_servers(with_effect(Effect::Unsafe), 3);
+    let mut proxy = Proxy::with_servers(with_effect(Idempotency::NonIdempotent), 3);
     let actions = proxy.request(request(1, 5, 0));
     let (at, token) = timers(&actions)[0];
     proxy.now = at;
@@ -741,43 +757,55 @@
 #[test]
 fn a_keyed_request_stays_in_its_group_and_window() {
     let members: Vec<_> = (1..=12)
-        .map(|n| Member {
+        .map(|n| ListedEndpoint {
             zone: (n % 2) as u16,
             cell: (n % 4) as u16,
             ..ready(n)
         })
         .collect();
-    for group in [Group::All, Group::Zone, Group::Cell] {
-        let effect = Effect::Keyed {
-            group,
+    for group in [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ] {
+        let effect = Idempotency::Keyed {
+            scope: group,
             window: SECOND / 2,
         };
         let mut proxy = Proxy::new(with_effect(effect), 1);
-        proxy.list(ListKind::Full, members.clone());
+        proxy.list(EndpointListKind::Full, members.clone());
         let first = sent(&proxy.request(request(1, 5, 0))).unwrap();
         let next = sent(&proxy.end(1, first, Outcome::Error, false)).expect("the group has others");
         match group {
-            Group::All => {}
-            Group::Zone => assert_eq!(first.0 % 2, next.0 % 2),
-            Group::Cell => assert_eq!(first.0 % 4, next.0 % 4),
+            DeduplicationScope::All => {}
+            DeduplicationScope::Zone => assert_eq!(first.0 % 2, next.0 % 2),
+            DeduplicationScope::Cell => assert_eq!(first.0 % 4, next.0 % 4),
         }
         proxy.now += SECOND / 2;
         let actions = proxy.end(1, next, Outcome::Error, false);
         assert_eq!(sent(&actions), None, "the servers have forgotten the key");
-        assert_eq!(refused(&actions), group == Group::All, "{group:?}");
-        assert_eq!(failed(&actions), group != Group::All, "{group:?}");
+        assert_eq!(
+            refused(&actions),
+            group == DeduplicationScope::All,
+            "{group:?}"
+        );
+        assert_eq!(
+            failed(&actions),
+            group != DeduplicationScope::All,
+            "{group:?}"
+        );
     }
 }
 
 /// The window was counted to the decision: the dial that followed it could end, and the line go out, after it.
 #[test]
 fn a_repeat_begins_within_its_window_although_its_dial_takes_all_its_time() {
-    let effect = Effect::Keyed {
-        group: Group::All,
+    let effect = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window: SECOND / 2,
     };
     let settings = Settings {
-        dial_timeout: SECOND / 5,
+        connect_timeout: SECOND / 5,
         ..with_effect(effect)
     };
     for (spent, repeated) in [(SECOND / 4, true), (SECOND / 2 - SECOND / 5, false)] {
@@ -794,26 +822,41 @@
 fn a_request_that_is_hurried_is_answered_by_then_and_no_later_word_changes_that() {
     let mut proxy = Proxy::with_servers(Settings::default(), 4);
     proxy.feed(Event::Request(Request {
-        left: 60 * SECOND,
+        time_left: 60 * SECOND,
         ..request(1, 5, 0)
     }));
     let by = proxy.now + SECOND;
-    let (at, token) = timers(&proxy.feed(Event::Hurry(RequestId(1), by)))[0];
+    let (at, token) = timers(&proxy.feed(Event::ShortenDeadline {
+        id: RequestId(1),
+        deadline: by,
+    }))[0];
     assert!(at < by, "{at}");
     assert!(
         proxy
-            .feed(Event::Hurry(RequestId(1), by + SECOND))
+            .feed(Event::ShortenDeadline {
+                id: RequestId(1),
+                deadline: by + SECOND
+            })
             .is_empty(),
         "later than it is owed already"
     );
     proxy.now = at;
     let actions = proxy.fire(token);
     assert!(
-        refused(&actions) && actions.contains(&Action::Cancel(RequestId(1), 0)),
+        refused(&actions)
+            && actions.contains(&Action::CancelAttempt {
+                id: RequestId(1),
+                attempt: 0
+            }),
         "{actions:?}"
     );
     assert!(
-        proxy.feed(Event::Hurry(RequestId(1), by)).is_empty(),
+        proxy
+            .feed(Event::ShortenDeadline {
+                id: RequestId(1),
+                deadline: by
+            })
+            .is_empty(),
         "it is answered"
     );
 }
@@ -821,17 +864,17 @@
 #[test]
 fn a_keyed_request_with_nobody_left_in_its_cell_fails() {
     let members: Vec<_> = (1..=4)
-        .map(|n| Member {
+        .map(|n| ListedEndpoint {
             cell: n as u16,
             ..ready(n)
         })
         .collect();
-    let effect = Effect::Keyed {
-        group: Group::Cell,
+    let effect = Idempotency::Keyed {
+        scope: DeduplicationScope::Cell,
         window: SECOND,
     };
     let mut proxy = Proxy::new(with_effect(effect), 1);
-    proxy.list(ListKind::Full, members);
+    proxy.list(EndpointListKind::Full, members);
     let first = sent(&proxy.request(request(1, 5, 0))).unwrap();
     assert!(failed(&proxy.end(1, first, Outcome::Timeout, false)));
 }
@@ -840,13 +883,13 @@
 
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_server() {
-    for state in [MemberState::Draining, MemberState::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut proxy = Proxy::with_servers(Settings::default(), 4);
-        proxy.list(ListKind::Delta, vec![in_state(2, state)]);
+        proxy.list(EndpointListKind::Delta, vec![in_state(2, state)]);
         for id in 1..=80 {
             assert_ne!(
                 proxy.connect(request(id, u64::from(id), u64::from(id % 7))),
-                Some(ServerId(2))
+                Some(EndpointId(2))
             );
         }
     }
@@ -855,11 +898,11 @@
 #[test]
 fn a_server_missing_from_a_full_list_is_gone() {
     let mut proxy = Proxy::with_servers(Settings::default(), 4);
-    proxy.list(ListKind::Full, vec![ready(1), ready(3), ready(4)]);
+    proxy.list(EndpointListKind::Full, vec![ready(1), ready(3), ready(4)]);
     for id in 1..=80 {
         assert_ne!(
             proxy.connect(request(id, u64::from(id), 0)),
-            Some(ServerId(2))
+            Some(EndpointId(2))
         );
     }
 }
@@ -868,7 +911,7 @@
 fn a_mid_flow_connection_follows_its_draining_holder_within_the_grace_only() {
     let mut proxy = Proxy::with_servers(
         Settings {
-            passes_through: true,
+            forwards_packets: true,
             ..Settings::default()
         },
         6,
@@ -876,11 +919,11 @@
     let holder = proxy.connect(request(1, 77, 0)).unwrap();
     proxy.end(1, holder, Outcome::Cancelled, true);
     proxy.list(
-        ListKind::Delta,
-        vec![in_state(holder.0, MemberState::Draining)],
+        EndpointListKind::Delta,
+        vec![in_state(holder.0, EndpointState::Draining)],
     );
     let mid_flow = |id| Request {
-        mid_flow: true,
+        established: true,
         ..request(id, 77, 0)
     };
     proxy.now += SECOND - MS;
@@ -904,8 +947,8 @@
         proxy.connect(request(id, u64::from(id), 0));
     }
     let actions = proxy.list(
-        ListKind::Delta,
-        vec![in_state(1, MemberState::Draining), ready(2)],
+        EndpointListKind::Delta,
+        vec![in_state(1, EndpointState::Draining), ready(2)],
     );
     let times: BTreeSet<_> = timers(&actions).iter().map(|t| t.0).collect();
     assert!(times.len() > 10, "not all at once");
@@ -922,21 +965,21 @@
 /// How many of `n` requests over `span` a fleet of proxies sends to a server that has just started.
 fn sent_to_cold(proxies: u32, span: Micros, n: u32) -> u32 {
     let settings = Settings {
-        balancers: proxies,
+        balancer_count: proxies,
         ..Settings::default()
     };
     let mut fleet: Vec<_> = (0..proxies)
         .map(|seed| {
             let mut proxy = Proxy::new(settings.clone(), u64::from(seed));
-            proxy.list(ListKind::Full, (1..=10).map(ready).collect());
+            proxy.list(EndpointListKind::Full, (1..=10).map(ready).collect());
             for id in 1..=100 / proxies {
                 proxy.connect(request(id, u64::from(id), u64::from(id % 5)));
             }
-            let cold = Member {
-                started: Some(proxy.now),
+            let cold = ListedEndpoint {
+                started_at: Some(proxy.now),
                 ..ready(99)
             };
-            proxy.list(ListKind::Delta, vec![cold]);
+            proxy.list(EndpointListKind::Delta, vec![cold]);
             proxy
         })
         .collect();
@@ -945,7 +988,7 @@
         let proxy = &mut fleet[(k % proxies) as usize];
         proxy.now = 1_000 * SECOND + span * u64::from(k) / u64::from(n);
         let server = sent(&proxy.request(request(10_000 + k, u64::from(k), u64::from(k % 5))));
-        cold += u32::from(server == Some(ServerId(99)));
+        cold += u32::from(server == Some(EndpointId(99)));
     }
     cold
 }
@@ -971,11 +1014,11 @@
     for id in 1..=30 {
         proxy.connect(request(id, u64::from(id), 0));
     }
-    let again = Member {
-        started: Some(proxy.now),
+    let again = ListedEndpoint {
+        started_at: Some(proxy.now),
         ..ready(1)
     };
-    proxy.list(ListKind::Delta, vec![again]);
+    proxy.list(EndpointListKind::Delta, vec![again]);
     let sends = (100..150)
         .filter(|&id| sent(&proxy.request(request(id, 5, 0))).is_some())
         .count();
@@ -987,7 +1030,7 @@
     // Incidents i8c48f9 and id5986d: new servers became homes of groups that they could not take, and
     // clients went on to ever further servers.
     let settings = Settings {
-        start_capacity: 0.05,
+        initial_capacity: 0.05,
         ..Settings::default()
     };
     let mut proxy = Proxy::with_servers(settings, 12);
@@ -1001,16 +1044,16 @@
                 .unwrap(),
         ));
     }
-    let cold = |n| Member {
-        started: Some(proxy.now),
+    let cold = |n| ListedEndpoint {
+        started_at: Some(proxy.now),
         ..ready(n)
     };
     let new: Vec<_> = (101..=112).map(cold).collect();
-    proxy.list(ListKind::Delta, new);
+    proxy.list(EndpointListKind::Delta, new);
     let mut elsewhere = 0;
     for id in 1_001..=1_060 {
         let again = Request {
-            again: true,
+            returning: true,
             ..request(id, u64::from(id), group(id))
         };
         let server = proxy.connect(again).unwrap();
@@ -1028,7 +1071,7 @@
     // Incident i50dec9: a proxy stopped, and its connections reached a cold server all at once.
     let mut proxy = Proxy::with_servers(
         Settings {
-            passes_through: true,
+            forwards_packets: true,
             ..Settings::default()
         },
         3,
@@ -1037,17 +1080,20 @@
         proxy.connect(request(id, u64::from(id), 9));
     }
     let cold: Vec<_> = (1..=3)
-        .map(|n| Member {
-            started: Some(proxy.now),
+        .map(|n| ListedEndpoint {
+            started_at: Some(proxy.now),
             ..ready(n)
         })
         .collect();
-    proxy.list(ListKind::Full, cold.into_iter().chain([ready(4)]).collect());
-    let mut per: BTreeMap<ServerId, u32> = BTreeMap::new();
+    proxy.list(
+        EndpointListKind::Full,
+        cold.into_iter().chain([ready(4)]).collect(),
+    );
+    let mut per: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for id in 100..160 {
         let mid_flow = Request {
-            mid_flow: true,
-            again: true,
+            established: true,
+            returning: true,
             ..request(id, u64::from(id), 9)
         };
         if let Some(server) = sent(&proxy.request(mid_flow)) {
@@ -1056,7 +1102,7 @@
     }
     for n in 1..=3 {
         assert!(
-            per.get(&ServerId(n)).is_none_or(|&sends| sends <= 1),
+            per.get(&EndpointId(n)).is_none_or(|&sends| sends <= 1),
             "{per:?}"
         );
     }
@@ -1068,11 +1114,11 @@
 fn failures_in_a_row_eject_a_server_for_a_while() {
     let mut proxy = Proxy::with_servers(Settings::default(), 8);
     let home = proxy.connect(request(1, 5, 0)).unwrap();
-    proxy.end(1, home, Outcome::Ok, true);
+    proxy.end(1, home, Outcome::Success, true);
     for id in 2..=4 {
         assert_eq!(sent(&proxy.request(request(id, 5, 0))), Some(home));
         let next = sent(&proxy.end(id, home, Outcome::Error, false)).unwrap();
-        proxy.end(id, next, Outcome::Ok, true);
+        proxy.end(id, next, Outcome::Success, true);
     }
     assert_ne!(
         sent(&proxy.request(request(5, 5, 0))),
@@ -1115,17 +1161,29 @@
         proxy.connect(request(id, u64::from(id), 0));
     }
     let home = proxy.connect(request(1, 5, 0)).unwrap();
-    let aim = Settings::default().classes[0].message_aim;
-    proxy.feed(Event::DelayNote(RequestId(1), home, aim / 10));
+    let aim = Settings::default().classes[0].message_objective;
+    proxy.feed(Event::DelaySample {
+        id: RequestId(1),
+        endpoint: home,
+        delay: aim / 10,
+    });
     assert_eq!(
         proxy.connect(request(2, 5, 0)),
         Some(home),
         "a short delay is no sign"
     );
-    let actions = proxy.feed(Event::DelayNote(RequestId(1), home, 30 * aim));
+    let actions = proxy.feed(Event::DelaySample {
+        id: RequestId(1),
+        endpoint: home,
+        delay: 30 * aim,
+    });
     assert_eq!(moved(&actions), [RequestId(1)]);
     assert_ne!(proxy.connect(request(3, 5, 0)), Some(home));
-    let again = proxy.feed(Event::DelayNote(RequestId(1), home, 30 * aim));
+    let again = proxy.feed(Event::DelaySample {
+        id: RequestId(1),
+        endpoint: home,
+        delay: 30 * aim,
+    });
     assert!(moved(&again).is_empty(), "a connection is moved once");
 }
 
@@ -1139,13 +1197,17 @@
     }
     let home = proxy
         .connect(Request {
-            again: true,
+            returning: true,
             ..request(1, 5, 0)
         })
         .unwrap();
-    let aim = Settings::default().classes[0].message_aim;
+    let aim = Settings::default().classes[0].message_objective;
     for _ in 0..50 {
-        let actions = proxy.feed(Event::DelayNote(RequestId(1), home, 30 * aim));
+        let actions = proxy.feed(Event::DelaySample {
+            id: RequestId(1),
+            endpoint: home,
+            delay: 30 * aim,
+        });
         assert!(!moved(&actions).contains(&RequestId(1)));
     }
 }
@@ -1156,13 +1218,18 @@
     let mut proxy = seasoned(Proxy::with_servers(Settings::default(), 20));
     let home = proxy
         .connect(Request {
-            again: true,
+            returning: true,
             ..request(9001, 5, 0)
         })
         .unwrap();
-    let aim = Settings::default().classes[0].message_aim;
-    let notes =
-        (0..50).flat_map(|_| moved(&proxy.feed(Event::DelayNote(RequestId(9001), home, 30 * aim))));
+    let aim = Settings::default().classes[0].message_objective;
+    let notes = (0..50).flat_map(|_| {
+        moved(&proxy.feed(Event::DelaySample {
+            id: RequestId(9001),
+            endpoint: home,
+            delay: 30 * aim,
+        }))
+    });
     assert!(notes.collect::<Vec<_>>().contains(&RequestId(9001)));
 }
 
@@ -1179,10 +1246,14 @@
         );
         before.insert((group, server.unwrap()));
     }
-    let aim = Settings::default().classes[0].message_aim;
+    let aim = Settings::default().classes[0].message_objective;
     for second in 0..2u32 {
         for n in 1..=20 {
-            proxy.feed(Event::DelayNote(RequestId(1), ServerId(n), aim));
+            proxy.feed(Event::DelaySample {
+                id: RequestId(1),
+                endpoint: EndpointId(n),
+                delay: aim,
+            });
         }
         proxy.now += SECOND;
         proxy.connect(request(900 + second, 1, 1));
@@ -1191,7 +1262,7 @@
     for id in 1_000..1_060 {
         let group = 1 + u64::from(id % 6);
         let again = Request {
-            again: true,
+            returning: true,
             ..request(id, u64::from(id), group)
         };
         match proxy.connect(again) {
@@ -1212,8 +1283,8 @@
 fn a_jam_turns_the_same_clients_away_at_every_proxy_and_ends() {
     let turned_away = |seed: u64| {
         let mut proxy = Proxy::new(Settings::default(), seed);
-        proxy.list(ListKind::Full, (1..=5).map(ready).collect());
-        let aim = Settings::default().classes[0].message_aim;
+        proxy.list(EndpointListKind::Full, (1..=5).map(ready).collect());
+        let aim = Settings::default().classes[0].message_objective;
         let servers: Vec<_> = (1..=40)
             .map(|id| {
                 proxy
@@ -1224,7 +1295,11 @@
         for second in 1..=8u32 {
             proxy.now += SECOND;
             for (n, &server) in servers.iter().enumerate() {
-                proxy.feed(Event::DelayNote(RequestId(n as u32 + 1), server, 2 * aim));
+                proxy.feed(Event::DelaySample {
+                    id: RequestId(n as u32 + 1),
+                    endpoint: server,
+                    delay: 2 * aim,
+                });
             }
             proxy.request(request(1_000 + second, 1, 1));
         }
@@ -1257,24 +1332,26 @@
 fn a_list_on_request_is_watched_soon_and_anew_after_failures() {
     let mut proxy = Proxy::new(
         Settings {
-            list_on_request: true,
+            polls_endpoint_list: true,
             ..Settings::default()
         },
         1,
     );
-    let (at, token) = timers(&proxy.list(ListKind::Cached, vec![ready(1)]))[0];
+    let (at, token) = timers(&proxy.list(EndpointListKind::Cached, vec![ready(1)]))[0];
     assert!(at < proxy.now + SECOND / 10);
-    assert_eq!(proxy.fire(token), [Action::Watch(true)]);
+    assert_eq!(proxy.fire(token), [Action::WatchEndpointList(true)]);
     assert!(
-        proxy.list(ListKind::Delta, vec![ready(2)]).is_empty(),
+        proxy
+            .list(EndpointListKind::Delta, vec![ready(2)])
+            .is_empty(),
         "asked once"
     );
     let mut waits = Vec::new();
     for _ in 0..6 {
-        let (at, token) = timers(&proxy.list(ListKind::Failed, Vec::new()))[0];
+        let (at, token) = timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0];
         waits.push(at - proxy.now);
         proxy.now = at;
-        assert_eq!(proxy.fire(token), [Action::Watch(true)]);
+        assert_eq!(proxy.fire(token), [Action::WatchEndpointList(true)]);
     }
     assert!(
         waits[5] > waits[0] && waits[5] < 4 * SECOND,
@@ -1283,13 +1360,13 @@
     let other = {
         let mut proxy = Proxy::new(
             Settings {
-                list_on_request: true,
+                polls_endpoint_list: true,
                 ..Settings::default()
             },
             2,
         );
-        proxy.list(ListKind::Cached, vec![ready(1)]);
-        timers(&proxy.list(ListKind::Failed, Vec::new()))[0].0 - proxy.now
+        proxy.list(EndpointListKind::Cached, vec![ready(1)]);
+        timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0].0 - proxy.now
     };
     assert_ne!(waits[0], other, "jitter keeps proxies out of step");
 }
@@ -1299,21 +1376,21 @@
 fn a_list_that_has_moved_is_asked_for_soon_and_once() {
     let mut proxy = Proxy::new(
         Settings {
-            list_on_request: true,
+            polls_endpoint_list: true,
             ..Settings::default()
         },
         1,
     );
     let next = |proxy: &mut Proxy, kind| timers(&proxy.list(kind, vec![]))[0];
-    for before in [None, Some(ListKind::Failed)] {
+    for before in [None, Some(EndpointListKind::WatchFailed)] {
         let old = before.map(|kind| next(&mut proxy, kind));
-        let (at, token) = next(&mut proxy, ListKind::Moved);
+        let (at, token) = next(&mut proxy, EndpointListKind::Relocated);
         assert!(
             at < proxy.now + SECOND / 10,
             "a backoff for the old place does not count"
         );
         proxy.now = at;
-        assert_eq!(proxy.fire(token), [Action::Watch(true)]);
+        assert_eq!(proxy.fire(token), [Action::WatchEndpointList(true)]);
         if let Some((at, token)) = old {
             proxy.now = at;
             assert!(
@@ -1327,17 +1404,29 @@
 #[test]
 fn a_pushed_list_is_never_asked_for() {
     let mut proxy = Proxy::new(Settings::default(), 1);
-    assert!(proxy.list(ListKind::Cached, vec![ready(1)]).is_empty());
+    assert!(proxy
+        .list(EndpointListKind::Cached, vec![ready(1)])
+        .is_empty());
 }
 
 #[test]
 fn connections_open_at_the_start_count() {
     let mut proxy = Proxy::with_servers(Settings::default(), 2);
-    proxy.feed(Event::Open(request(1, 5, 3), ServerId(2)));
+    proxy.feed(Event::Adopted {
+        request: request(1, 5, 3),
+        endpoint: EndpointId(2),
+    });
     // An open connection of a server that no list names yet is kept too, and its end is no surprise.
-    proxy.feed(Event::Open(request(2, 6, 3), ServerId(77)));
-    assert!(proxy.end(2, ServerId(77), Outcome::Reset, true).is_empty());
-    assert!(proxy.end(1, ServerId(2), Outcome::Ok, true).is_empty());
+    proxy.feed(Event::Adopted {
+        request: request(2, 6, 3),
+        endpoint: EndpointId(77),
+    });
+    assert!(proxy
+        .end(2, EndpointId(77), Outcome::Reset, true)
+        .is_empty());
+    assert!(proxy
+        .end(1, EndpointId(2), Outcome::Success, true)
+        .is_empty());
 }
 
 /// A refusal without a time to come back had clients return at once, to the same answer.
@@ -1357,7 +1446,11 @@
             proxy.now = at;
             let answer = proxy.fire(token);
             advised.extend(answer.iter().filter_map(|a| {
-                if let Action::Refuse(_, w) = a {
+                if let Action::Reject {
+                    id: _,
+                    retry_after: w,
+                } = a
+                {
                     Some(*w)
                 } else {
                     None
@@ -1378,20 +1471,28 @@
 fn a_server_taken_out_by_hand_gets_nothing_whatever_the_lists_say() {
     let mut proxy = Proxy::with_servers(Settings::default(), 2);
     let first = proxy.connect(request(1, 1, 0)).unwrap();
-    let other = ServerId(3 - first.0);
-    let told = proxy.feed(Event::ByHand(first, true));
+    let other = EndpointId(3 - first.0);
+    let told = proxy.feed(Event::ManualEjection {
+        endpoint: first,
+        ejected: true,
+    });
     // What stands there is moved, as for a drain; a second call changes nothing.
     let (at, token) = timers(&told)[0];
     assert!(at < proxy.now + 2 * SECOND && moved(&proxy.fire(token)) == [RequestId(1)]);
-    assert!(proxy.feed(Event::ByHand(first, true)).is_empty());
+    assert!(proxy
+        .feed(Event::ManualEjection {
+            endpoint: first,
+            ejected: true
+        })
+        .is_empty());
     let lists = [
-        (ListKind::Delta, vec![ready(first.0)]),
-        (ListKind::Full, vec![ready(1), ready(2)]),
-        (ListKind::Full, vec![ready(other.0)]),
+        (EndpointListKind::Delta, vec![ready(first.0)]),
+        (EndpointListKind::Full, vec![ready(1), ready(2)]),
+        (EndpointListKind::Full, vec![ready(other.0)]),
         (
-            ListKind::Delta,
-            vec![Member {
-                started: Some(proxy.now),
+            EndpointListKind::Delta,
+            vec![ListedEndpoint {
+                started_at: Some(proxy.now),
                 ..ready(first.0)
             }],
         ),
@@ -1407,22 +1508,29 @@
             );
         }
     }
-    assert_eq!(proxy.balancer.avoided(proxy.now), 1);
+    assert_eq!(proxy.balancer.unavailable_endpoints(proxy.now), 1);
     // One that is not on the list is out from the moment it is.
-    proxy.feed(Event::ByHand(ServerId(9), true));
-    proxy.list(ListKind::Delta, vec![ready(9)]);
-    assert_eq!(proxy.balancer.avoided(proxy.now), 2);
+    proxy.feed(Event::ManualEjection {
+        endpoint: EndpointId(9),
+        ejected: true,
+    });
+    proxy.list(EndpointListKind::Delta, vec![ready(9)]);
+    assert_eq!(proxy.balancer.unavailable_endpoints(proxy.now), 2);
 }
 
 #[test]
 fn a_connection_that_comes_up_after_the_call_is_moved_too() {
     let mut proxy = Proxy::with_servers(Settings::default(), 1);
     let server = sent(&proxy.request(request(1, 1, 0))).unwrap();
-    assert!(timers(&proxy.feed(Event::ByHand(server, true))).is_empty());
-    let up = proxy.feed(Event::First {
+    assert!(timers(&proxy.feed(Event::ManualEjection {
+        endpoint: server,
+        ejected: true
+    }))
+    .is_empty());
+    let up = proxy.feed(Event::Connected {
         id: RequestId(1),
-        server,
-        took: MS,
+        endpoint: server,
+        elapsed: MS,
     });
     assert_eq!(moved(&proxy.fire(timers(&up)[0].1)), [RequestId(1)]);
 }
@@ -1434,17 +1542,23 @@
     let held: Vec<_> = (0..40)
         .map(|id| proxy.connect(request(id, u64::from(id), 0)).unwrap())
         .collect();
-    let out = ServerId(2);
+    let out = EndpointId(2);
     let refusing =
         (100..).find(|&id| sent(&proxy.request(request(id, u64::from(id), 0))) == Some(out));
     proxy.end(refusing.unwrap(), out, Outcome::ConnectFailed, false);
-    assert_eq!(proxy.balancer.avoided(proxy.now), 1);
-    proxy.feed(Event::ByHand(out, true));
+    assert_eq!(proxy.balancer.unavailable_endpoints(proxy.now), 1);
+    proxy.feed(Event::ManualEjection {
+        endpoint: out,
+        ejected: true,
+    });
     for id in (0..40).filter(|&id| held[id as usize] == out) {
         proxy.end(id, out, Outcome::Cancelled, true);
     }
-    proxy.feed(Event::ByHand(out, false));
-    assert_eq!(proxy.balancer.avoided(proxy.now), 0);
+    proxy.feed(Event::ManualEjection {
+        endpoint: out,
+        ejected: false,
+    });
+    assert_eq!(proxy.balancer.unavailable_endpoints(proxy.now), 0);
     let (mut first, mut used) = (None, 0);
     for n in 0..60 {
         proxy.now += SECOND / 10;
@@ -1466,7 +1580,7 @@
 fn a_request_keeps_its_class_when_the_settings_change_and_makes_no_more_attempts_than_they_allow() {
     let unsafe_now = Settings {
         max_attempts: 2,
-        ..with_effect(Effect::Unsafe)
+        ..with_effect(Idempotency::NonIdempotent)
     };
     let mut proxy = Proxy::with_servers(Settings::default(), 4);
     let mut server = sent(&proxy.request(request(1, 1, 0))).unwrap();
@@ -1482,12 +1596,26 @@
 #[test]
 fn a_connection_taken_over_on_a_leaving_server_is_moved() {
     let mut proxy = Proxy::with_servers(Settings::default(), 2);
-    proxy.list(ListKind::Delta, vec![in_state(1, MemberState::Draining)]);
-    let on_leaving = proxy.feed(Event::Open(request(1, 1, 0), ServerId(1)));
+    proxy.list(
+        EndpointListKind::Delta,
+        vec![in_state(1, EndpointState::Draining)],
+    );
+    let on_leaving = proxy.feed(Event::Adopted {
+        request: request(1, 1, 0),
+        endpoint: EndpointId(1),
+    });
     assert_eq!(moved(&proxy.fire(timers(&on_leaving)[0].1)), [RequestId(1)]);
-    assert!(timers(&proxy.feed(Event::Open(request(2, 2, 0), ServerId(2)))).is_empty());
+    assert!(timers(&proxy.feed(Event::Adopted {
+        request: request(2, 2, 0),
+        endpoint: EndpointId(2)
+    }))
+    .is_empty());
     // The list of a start may be old: what it does not name may be there.
-    assert!(timers(&proxy.feed(Event::Open(request(3, 3, 0), ServerId(3)))).is_empty());
+    assert!(timers(&proxy.feed(Event::Adopted {
+        request: request(3, 3, 0),
+        endpoint: EndpointId(3)
+    }))
+    .is_empty());
 }
 
 /// To how many of forty servers a request of this group goes while all others report that they are full, and that
@@ -1512,7 +1640,7 @@
                 return false;
             }
         }
-        assert_eq!(sent(&actions), Some(ServerId(*unknown)));
+        assert_eq!(sent(&actions), Some(EndpointId(*unknown)));
         true
     };
     (1..=40).filter(goes).count()
@@ -1532,14 +1660,14 @@
     (1..=3).for_each(|server| tell(&mut proxy, server, 1.5));
     assert_eq!(sent(&proxy.request(request(1, 1, 9))), None);
     let report = vec![50.0, 0.3];
-    let told = Event::Probed {
-        server: ServerId(2),
-        outcome: Outcome::Ok,
+    let told = Event::HealthCheck {
+        endpoint: EndpointId(2),
+        outcome: Outcome::Success,
         report,
     };
     assert_eq!(
         sent(&proxy.feed(told)),
-        Some(ServerId(2)),
+        Some(EndpointId(2)),
         "it goes out as soon as one has room"
     );
 }
@@ -1560,14 +1688,22 @@
         tell(
             &mut proxy,
             server,
-            if ServerId(server) == home { 0.95 } else { 0.93 },
+            if EndpointId(server) == home {
+                0.95
+            } else {
+                0.93
+            },
         );
     }
     for second in 1..=3 {
         proxy.now += SECOND;
-        proxy.feed(Event::DelayNote(RequestId(1), home, SECOND));
+        proxy.feed(Event::DelaySample {
+            id: RequestId(1),
+            endpoint: home,
+            delay: SECOND,
+        });
         proxy.request(Request {
-            left: 1,
+            time_left: 1,
             ..request(100 + second, 2, 9)
         });
     }
@@ -1576,21 +1712,21 @@
         (first..first + 40).find_map(|id| sent(&proxy.request(request(id, u64::from(id), 9))))
     };
     assert_eq!(placed(200), Some(home), "all are strained: it stays");
-    let idle = (1..=3).find(|&n| ServerId(n) != home).unwrap();
+    let idle = (1..=3).find(|&n| EndpointId(n) != home).unwrap();
     tell(&mut proxy, idle, 0.1);
     let served = (300..340).find_map(|id| sent(&proxy.request(request(id, u64::from(id), 9))));
-    assert_eq!(served, Some(ServerId(idle)));
+    assert_eq!(served, Some(EndpointId(idle)));
 }
 
 /// A process that takes over an upgrade holds nothing: cold servers once earned nothing from it for good.
 #[test]
 fn a_cold_server_fills_by_what_reports_say_although_little_is_held() {
     let mut proxy = Proxy::with_servers(with_probes(), 2);
-    let cold = Member {
-        started: Some(proxy.now),
+    let cold = ListedEndpoint {
+        started_at: Some(proxy.now),
         ..ready(3)
     };
-    proxy.list(ListKind::Delta, vec![cold]);
+    proxy.list(EndpointListKind::Delta, vec![cold]);
     let mut to_cold = 0;
     for id in 0..200 {
         proxy.now += SECOND / 10;
@@ -1600,8 +1736,8 @@
             tell(&mut proxy, 3, 0.1);
         }
         let server = sent(&proxy.request(request(id, u64::from(id), 0))).unwrap();
-        to_cold += u32::from(server == ServerId(3));
-        proxy.end(id, server, Outcome::Ok, true);
+        to_cold += u32::from(server == EndpointId(3));
+        proxy.end(id, server, Outcome::Success, true);
     }
     assert!(
         (20..=120).contains(&to_cold),
@@ -1621,16 +1757,16 @@
         let mut proxy = seasoned(Proxy::with_servers(settings, 2));
         tell(&mut proxy, 1, 0.1);
         let mut id = 0;
-        while proxy.balancer.avoided(proxy.now) == 0 {
+        while proxy.balancer.unavailable_endpoints(proxy.now) == 0 {
             id += 1;
             match sent(&proxy.request(request(id, u64::from(id), 0))).unwrap() {
-                ServerId(1) => proxy.end(id, ServerId(1), outcome, true),
-                other => proxy.end(id, other, Outcome::Ok, true),
+                EndpointId(1) => proxy.end(id, EndpointId(1), outcome, true),
+                other => proxy.end(id, other, Outcome::Success, true),
             };
         }
         tell(&mut proxy, 2, 1.1);
         let used = sent(&proxy.request(request(1_000, 5, 0)));
-        assert_eq!(used, Some(ServerId(expected)), "after {outcome:?}");
+        assert_eq!(used, Some(EndpointId(expected)), "after {outcome:?}");
     }
 }
 
@@ -1638,19 +1774,25 @@
 #[test]
 fn a_server_called_back_is_as_warm_as_its_told_start_makes_it() {
     let mut proxy = Proxy::with_servers(Settings::default(), 2);
-    proxy.feed(Event::ByHand(ServerId(2), true));
+    proxy.feed(Event::ManualEjection {
+        endpoint: EndpointId(2),
+        ejected: true,
+    });
     proxy.now += SECOND;
     proxy.list(
-        ListKind::Delta,
-        vec![Member {
-            started: Some(proxy.now),
+        EndpointListKind::Delta,
+        vec![ListedEndpoint {
+            started_at: Some(proxy.now),
             ..ready(2)
         }],
     );
-    proxy.now += Settings::default().warm_within;
-    proxy.feed(Event::ByHand(ServerId(2), false));
+    proxy.now += Settings::default().warm_up_time;
+    proxy.feed(Event::ManualEjection {
+        endpoint: EndpointId(2),
+        ejected: false,
+    });
     let used = (0..40)
-        .filter(|&id| proxy.connect(request(id, u64::from(id), 0)) == Some(ServerId(2)))
+        .filter(|&id| proxy.connect(request(id, u64::from(id), 0)) == Some(EndpointId(2)))
         .count();
     assert!(used >= 10, "{used} of 40 went to one of two warm servers");
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use jaspermoor::api::*;
+use jaspermoor::decisions::api::*;
 use jaspermoor::Balancer;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -27,11 +27,18 @@
 }
 
 fn settings() -> impl Strategy<Value = Settings> {
-    let group = prop_oneof![Just(Group::All), Just(Group::Zone), Just(Group::Cell)];
+    let group = prop_oneof![
+        Just(DeduplicationScope::All),
+        Just(DeduplicationScope::Zone),
+        Just(DeduplicationScope::Cell)
+    ];
     let effect = prop_oneof![
-        Just(Effect::Safe),
-        Just(Effect::Unsafe),
-        (group, 50_000..2_000_000u64).prop_map(|(group, window)| Effect::Keyed { group, window }),
+        Just(Idempotency::Idempotent),
+        Just(Idempotency::NonIdempotent),
+        (group, 50_000..2_000_000u64).prop_map(|(group, window)| Idempotency::Keyed {
+            scope: group,
+            window
+        }),
     ];
     let parts = (
         effect,
@@ -44,9 +51,9 @@
     parts.prop_map(
         |(effect, max_attempts, balancers, passes_through, list_on_request, tick)| Settings {
             max_attempts,
-            balancers,
-            passes_through,
-            list_on_request,
+            balancer_count: balancers,
+            forwards_packets: passes_through,
+            polls_endpoint_list: list_on_request,
             tick,
             ..with_effect(effect)
         },
@@ -58,9 +65,9 @@
     deadline: Micros,
     answered: bool,
     up: bool,
-    out: Option<(ServerId, Micros)>,
+    out: Option<(EndpointId, Micros)>,
     sends: u32,
-    ran: Option<(Micros, ServerId)>,
+    ran: Option<(Micros, EndpointId)>,
 }
 
 struct World {
@@ -69,17 +76,17 @@
     now: Micros,
     clients: BTreeMap<RequestId, Client>,
     /// Zone and cell follow from the number; when the proxy was told that a server is not ready.
-    servers: BTreeMap<ServerId, Option<Micros>>,
+    servers: BTreeMap<EndpointId, Option<Micros>>,
     timers: Vec<(Micros, u64)>,
     next: u32,
     log: Vec<Action>,
 }
 
-fn zone(s: ServerId) -> u16 {
+fn zone(s: EndpointId) -> u16 {
     (s.0 % 3) as u16
 }
 
-fn cell(s: ServerId) -> u16 {
+fn cell(s: EndpointId) -> u16 {
     (s.0 % 5) as u16
 }
 
@@ -113,9 +120,13 @@
 
     /// Holds an action against the rules.
     fn check(&mut self, action: &Action) {
-        let effect = self.settings.classes[0].effect;
+        let effect = self.settings.classes[0].idempotency;
         match action {
-            Action::Send { id, server, until } => {
+            Action::Attempt {
+                id,
+                endpoint: server,
+                give_up_at: until,
+            } => {
                 let c = self
                     .clients
                     .get_mut(id)
@@ -131,19 +142,30 @@
                 );
                 if let Some((sent, first)) = c.ran {
                     match effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => panic!("an unsafe request was sent again"),
-                        Effect::Keyed { group, window } => {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NonIdempotent => panic!("an unsafe request was sent again"),
+                        Idempotency::Keyed {
+                            scope: group,
+                            window,
+                        } => {
                             assert!(self.now <= sent + window, "past the window");
-                            assert!(group != Group::Zone || zone(first) == zone(*server));
-                            assert!(group != Group::Cell || cell(first) == cell(*server));
+                            assert!(
+                                group != DeduplicationScope::Zone || zone(first) == zone(*server)
+                            );
+                            assert!(
+                                group != DeduplicationScope::Cell || cell(first) == cell(*server)
+                            );
                         }
                     }
                 }
                 c.out = Some((*server, self.now));
                 c.sends += 1;
             }
-            Action::Refuse(id, _) | Action::Fail(id) => {
+            Action::Reject {
+                id: id,
+                retry_after: _,
+            }
+            | Action::Fail(id) => {
                 let c = self
                     .clients
                     .get_mut(id)
@@ -154,28 +176,34 @@
                 let maybe_ran = c.ran.is_some() || c.out.is_some();
                 let promise = matches!(
                     effect,
-                    Effect::Safe
-                        | Effect::Keyed {
-                            group: Group::All,
+                    Idempotency::Idempotent
+                        | Idempotency::Keyed {
+                            scope: DeduplicationScope::All,
                             ..
                         }
                 );
-                let refused = matches!(action, Action::Refuse(..));
+                let refused = matches!(action, Action::Reject { .. });
                 assert!(
                     !refused || promise || !maybe_ran,
                     "a refusal that may be false"
                 );
             }
-            Action::Cancel(id, attempt) => {
+            Action::CancelAttempt {
+                id: id,
+                attempt: attempt,
+            } => {
                 assert!(
                     u32::from(*attempt) < self.clients[id].sends,
                     "an attempt never made"
                 );
             }
-            Action::Move(id) => assert!(self.clients[id].up),
-            Action::Timer(at, token) => self.timers.push((*at, *token)),
-            Action::Watch(_) => assert!(self.settings.list_on_request),
-            Action::Probe(_) => assert!(self.settings.may_probe),
+            Action::Migrate(id) => assert!(self.clients[id].up),
+            Action::SetTimer {
+                at: at,
+                token: token,
+            } => self.timers.push((*at, *token)),
+            Action::WatchEndpointList(_) => assert!(self.settings.polls_endpoint_list),
+            Action::CheckHealth(_) => assert!(self.settings.may_check_health),
             Action::Log(_) => {}
         }
     }
@@ -201,26 +229,26 @@
 
     fn list(
         &mut self,
-        kind: ListKind,
-        servers: &[(ServerId, MemberState)],
+        kind: EndpointListKind,
+        servers: &[(EndpointId, EndpointState)],
         started: Option<Micros>,
     ) {
         for &(server, state) in servers {
             let told = self.servers.entry(server).or_insert(Some(0));
             *told = match state {
-                MemberState::Ready => None,
+                EndpointState::Ready => None,
                 _ => told.or(Some(self.now)),
             };
         }
-        let member = |&(server, state): &(ServerId, MemberState)| Member {
-            server,
+        let member = |&(server, state): &(EndpointId, EndpointState)| ListedEndpoint {
+            id: server,
             zone: zone(server),
             cell: cell(server),
             state,
             size: 1.0 + (server.0 % 3) as f32,
-            started,
+            started_at: started,
         };
-        if kind == ListKind::Full {
+        if kind == EndpointListKind::Full {
             for (server, told) in &mut self.servers {
                 if !servers.iter().any(|(s, _)| s == server) {
                     *told = told.or(Some(self.now));
@@ -228,22 +256,25 @@
             }
         }
         let members = servers.iter().map(member).collect();
-        self.feed(Event::Members { kind, members });
+        self.feed(Event::EndpointList {
+            kind,
+            endpoints: members,
+        });
     }
 
     fn end(&mut self, id: RequestId, outcome: Outcome) {
         let c = self.clients.get_mut(&id).unwrap();
         let (server, sent) = c.out.take().unwrap();
-        if !outcome.never_ran() && c.ran.is_none() {
+        if !outcome.proves_not_executed() && c.ran.is_none() {
             c.ran = Some((sent, server));
         }
-        let last = c.answered || c.up || outcome == Outcome::Ok;
+        let last = c.answered || c.up || outcome == Outcome::Success;
         c.answered |= last;
-        self.feed(Event::Outcome {
+        self.feed(Event::AttemptEnded {
             id,
-            server,
+            endpoint: server,
             outcome,
-            last,
+            request_finished: last,
             report: Vec::new(),
         });
     }
@@ -259,10 +290,14 @@
         let chosen = out.get(turn.a as usize % out.len().max(1)).copied();
         match turn.what {
             0 => {
-                let state = [MemberState::Ready, MemberState::Draining, MemberState::Gone];
+                let state = [
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ];
                 let some = |k: u64| {
                     (
-                        ServerId(1 + (turn.a >> (8 * k)) % 12),
+                        EndpointId(1 + (turn.a >> (8 * k)) % 12),
                         state[(turn.b >> (4 * k)) as usize % 3],
                     )
                 };
@@ -270,16 +305,18 @@
                     .b
                     .is_multiple_of(3)
                     .then_some(self.now.saturating_sub(turn.b % 20_000_000));
-                self.list(ListKind::Delta, &[some(0), some(1)], started);
+                self.list(EndpointListKind::Delta, &[some(0), some(1)], started);
             }
             1 => {
                 let n = turn.a % 12;
-                let all: Vec<_> = (1..=n).map(|s| (ServerId(s), MemberState::Ready)).collect();
-                self.list(ListKind::Full, &all, None);
+                let all: Vec<_> = (1..=n)
+                    .map(|s| (EndpointId(s), EndpointState::Ready))
+                    .collect();
+                self.list(EndpointListKind::Full, &all, None);
             }
-            2 if self.settings.list_on_request => self.feed(Event::Members {
-                kind: ListKind::Failed,
-                members: Vec::new(),
+            2 if self.settings.polls_endpoint_list => self.feed(Event::EndpointList {
+                kind: EndpointListKind::WatchFailed,
+                endpoints: Vec::new(),
             }),
             3..=7 => {
                 let id = RequestId(self.next);
@@ -288,11 +325,11 @@
                 let q = Request {
                     id,
                     class: 0,
-                    key: turn.a % 40,
+                    client_key: turn.a % 40,
                     group: turn.b % 6,
-                    left,
-                    mid_flow: self.settings.passes_through && turn.a.is_multiple_of(4),
-                    again: turn.a.is_multiple_of(3),
+                    time_left: left,
+                    established: self.settings.forwards_packets && turn.a.is_multiple_of(4),
+                    returning: turn.a.is_multiple_of(3),
                     tenant: 0,
                 };
                 let c = Client {
@@ -312,17 +349,21 @@
                 {
                     self.clients.get_mut(&id).unwrap().up = true;
                     let server = self.clients[&id].out.unwrap().0;
-                    self.feed(Event::First {
+                    self.feed(Event::Connected {
                         id,
-                        server,
-                        took: 1_000,
+                        endpoint: server,
+                        elapsed: 1_000,
                     });
                 }
             }
             10 => {
                 if let Some(id) = chosen.filter(|id| self.clients[id].up) {
                     let server = self.clients[&id].out.unwrap().0;
-                    self.feed(Event::DelayNote(id, server, turn.b % 400_000));
+                    self.feed(Event::DelaySample {
+                        id: id,
+                        endpoint: server,
+                        delay: turn.b % 400_000,
+                    });
                 }
             }
             11 => {
@@ -330,18 +371,18 @@
                     chosen.filter(|id| !self.clients[id].up && !self.clients[id].answered)
                 {
                     self.clients.get_mut(&id).unwrap().answered = true;
-                    self.feed(Event::Vanished(id));
+                    self.feed(Event::ClientDisconnected(id));
                 }
             }
             _ => {
                 let all = [
-                    Outcome::Ok,
+                    Outcome::Success,
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::Rejected,
                     Outcome::Timeout,
                     Outcome::ConnectFailed,
                     Outcome::Reset,
-                    Outcome::Moot,
+                    Outcome::NotAttempted,
                 ];
                 if let Some(id) = chosen {
                     let answered = self.clients[&id].answered;
@@ -362,9 +403,9 @@
 fn day(settings: &Settings, turns: &[Turn]) -> Vec<Action> {
     let mut world = World::new(settings.clone());
     world.list(
-        ListKind::Cached,
+        EndpointListKind::Cached,
         &(1..=6)
-            .map(|s| (ServerId(s), MemberState::Ready))
+            .map(|s| (EndpointId(s), EndpointState::Ready))
             .collect::<Vec<_>>(),
         None,
     );
@@ -411,22 +452,22 @@
     let strategy = (1..40u32, 5..30u64, any::<u64>());
     check(60, strategy, |(proxies, servers, seed)| {
         let settings = Settings {
-            balancers: proxies,
+            balancer_count: proxies,
             ..Settings::default()
         };
-        let (per_server, cold) = (8u32, ServerId(1_000));
+        let (per_server, cold) = (8u32, EndpointId(1_000));
         let mut to_cold = 0;
         for n in 0..proxies {
             let mut proxy = Proxy::new(settings.clone(), seed.wrapping_add(u64::from(n)));
-            proxy.list(ListKind::Full, (1..=servers).map(ready).collect());
+            proxy.list(EndpointListKind::Full, (1..=servers).map(ready).collect());
             let own = (per_server * servers as u32 / proxies).max(1);
             for id in 1..=own {
                 proxy.connect(request(id, u64::from(id), u64::from(id % 5)));
             }
             proxy.list(
-                ListKind::Delta,
-                vec![Member {
-                    started: Some(proxy.now),
+                EndpointListKind::Delta,
+                vec![ListedEndpoint {
+                    started_at: Some(proxy.now),
                     ..ready(cold.0)
                 }],
             );
@@ -435,7 +476,7 @@
                 let q = request(10_000 + k, u64::from(k), u64::from(k % 5));
                 if let Some(server) = sent(&proxy.request(q)) {
                     to_cold += u32::from(server == cold);
-                    proxy.end(10_000 + k, server, Outcome::Ok, true);
+                    proxy.end(10_000 + k, server, Outcome::Success, true);
                 }
             }
         }
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -3,7 +3,13 @@
 use std::fs;
 
 /// The files of the module, as the deploy file lists them.
-const MODULE: [&str; 2] = ["src/logic.rs", "src/slots.rs"];
+const MODULE: [&str; 5] = [
+    "src/decisions/mod.rs",
+    "src/decisions/api.rs",
+    "src/decisions/parameters.rs",
+    "src/decisions/random.rs",
+    "src/decisions/ring.rs",
+];
 
 fn text(path: &str) -> String {
     fs::read_to_string(format!("{}/{path}", env!("CARGO_MANIFEST_DIR"))).unwrap()
@@ -40,10 +46,7 @@
 
 #[test]
 fn the_module_names_its_interface_first() {
-    assert!(module()
-        .lines()
-        .take(3)
-        .any(|line| line.contains("src/api.rs")));
+    assert!(module().lines().take(3).any(|line| line.contains("src/decisions/api.rs")));
 }
 
 #[test]
@@ -73,11 +76,11 @@
 /// A sweep that names what nobody reads, or a value that would become another one, once would have measured nothing.
 #[test]
 fn a_parameter_is_set_by_its_name_or_not_at_all() {
-    use jaspermoor::Tuning;
-    let mut t = Tuning::default();
-    for name in Tuning::NAMES {
+    use jaspermoor::Parameters;
+    let mut t = Parameters::default();
+    for name in Parameters::NAMES {
         let value = t.get(name).unwrap();
-        assert!(t.set(name, value) && t == Tuning::default(), "{name}");
+        assert!(t.set(name, value) && t == Parameters::default(), "{name}");
     }
     assert!(t.set("soft", 0.45) && t.soft == 0.45 && t.get("soft").is_some());
     for (name, value) in [
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec: frames as the wire's page shows them, settings, and what is malformed.
 
-use jaspermoor::api::*;
+use jaspermoor::decisions::api::*;
 use jaspermoor::wire::*;
 
 const SETTINGS: &str = include_str!("data/settings.json");
@@ -27,16 +27,19 @@
         id: RequestId(0x5d3a91c4),
         class: 0,
         tenant: 0,
-        key: 0x91f03b7c55d20a64,
+        client_key: 0x91f03b7c55d20a64,
         group: 0x2b8e6401d9f37c10,
-        left: 240_000,
-        mid_flow: false,
-        again: false,
+        time_left: 240_000,
+        established: false,
+        returning: false,
     };
     let records = [
         (3, Record::Event(Event::Request(request))),
         (3, Record::Event(Event::Timer(0x4d))),
-        (5, Record::Event(Event::Vanished(RequestId(0x0e6f2b19)))),
+        (
+            5,
+            Record::Event(Event::ClientDisconnected(RequestId(0x0e6f2b19))),
+        ),
     ];
     assert_eq!(batch.records, records);
 }
@@ -54,16 +57,22 @@
 #[test]
 fn writes_a_reply() {
     let mut reply = Reply::new();
-    let server = ServerId(0x0a12_4a07_1f43);
+    let server = EndpointId(0x0a12_4a07_1f43);
     reply.action(
         3,
-        &Action::Send {
+        &Action::Attempt {
             id: RequestId(0x5d3a91c4),
-            server,
-            until: 8_492_000,
+            endpoint: server,
+            give_up_at: 8_492_000,
+        },
+    );
+    reply.action(
+        3,
+        &Action::SetTimer {
+            at: 8_912_000,
+            token: 0x4d,
         },
     );
-    reply.action(3, &Action::Timer(8_912_000, 0x4d));
     reply.action(5, &Action::Log("two servers unknown".to_string()));
     let frame = "00000003 00000057 0000000c
         03e8 00000016 00000003 5d3a91c4 0a124a07 1f43 40c0960000000000
@@ -79,11 +88,17 @@
 fn writes_every_action() {
     let all = [
         (
-            Action::Cancel(RequestId(1), 2),
+            Action::CancelAttempt {
+                id: RequestId(1),
+                attempt: 2,
+            },
             "0410 0000000a 00000009 00000001 0002",
         ),
         (
-            Action::Refuse(RequestId(1), 1_000),
+            Action::Reject {
+                id: RequestId(1),
+                retry_after: 1_000,
+            },
             "042e 00000010 00000009 00000001 3ff0000000000000",
         ),
         (
@@ -91,14 +106,14 @@
             "0456 00000008 00000009 00000001",
         ),
         (
-            Action::Move(RequestId(1)),
+            Action::Migrate(RequestId(1)),
             "03fc 00000008 00000009 00000001",
         ),
         (
-            Action::Probe(ServerId(0x0102_0304_0506)),
+            Action::CheckHealth(EndpointId(0x0102_0304_0506)),
             "041a 0000000a 00000009 01020304 0506",
         ),
-        (Action::Watch(true), "0424 00000005 00000009 01"),
+        (Action::WatchEndpointList(true), "0424 00000005 00000009 01"),
     ];
     for (action, record) in all {
         let mut reply = Reply::new();
@@ -134,35 +149,35 @@
     let record = "03f2 00000043 00000003 0000000000000029 02 00000002
         0a124a07 1f43 0000 0000 0000 01 3f800000 0000000000000000
         0a9011f2 1f6c 0001 0000 0000 02 3fc00000 40b7d40000000000";
-    let Event::Members {
-        kind: ListKind::Cached,
-        members,
+    let Event::EndpointList {
+        kind: EndpointListKind::Cached,
+        endpoints: members,
     } = event(record)
     else {
         panic!()
     };
-    let first = Member {
-        server: ServerId(0x0a12_4a07_1f43),
+    let first = ListedEndpoint {
+        id: EndpointId(0x0a12_4a07_1f43),
         zone: 0,
         cell: 0,
-        state: MemberState::Ready,
+        state: EndpointState::Ready,
         size: 1.0,
-        started: None,
+        started_at: None,
     };
     assert_eq!(members[0], first);
     assert_eq!(
         (members[1].state, members[1].size, members[1].zone),
-        (MemberState::Draining, 1.5, 1)
+        (EndpointState::Draining, 1.5, 1)
     );
-    assert_eq!(members[1].started, Some(6_100_000));
+    assert_eq!(members[1].started_at, Some(6_100_000));
 }
 
 #[test]
 fn reads_outcomes_with_and_without_reports() {
     let bare = "0410 0000001b 00000003 5d3a91c4 00 0a124a07 1f43 0000 01 4032800000000000 00";
-    let Event::Outcome {
-        outcome: Outcome::Ok,
-        last: true,
+    let Event::AttemptEnded {
+        outcome: Outcome::Success,
+        request_finished: true,
         report,
         ..
     } = event(bare)
@@ -172,9 +187,9 @@
     assert!(report.is_empty());
     let full =
         "0410 00000023 00000003 5d3a91c4 08 0a124a07 1f43 0001 00 4032800000000000 02 3f000000 40000000";
-    let Event::Outcome {
-        outcome: Outcome::Full,
-        last: false,
+    let Event::AttemptEnded {
+        outcome: Outcome::Rejected,
+        request_finished: false,
         report,
         ..
     } = event(full)
@@ -188,55 +203,81 @@
         ("0e", Outcome::ConnectFailed),
         ("0a", Outcome::Reset),
         ("01", Outcome::Cancelled),
-        ("09", Outcome::Moot),
+        ("09", Outcome::NotAttempted),
     ] {
         let record = format!(
             "0410 0000001b 00000003 5d3a91c4 {code} 0a124a07 1f43 0000 01 4032800000000000 00"
         );
-        assert!(matches!(event(&record), Event::Outcome { outcome: o, .. } if o == outcome));
+        assert!(matches!(event(&record), Event::AttemptEnded { outcome: o, .. } if o == outcome));
     }
 }
 
 #[test]
 fn reads_the_other_events() {
-    let server = ServerId(0x0a12_4a07_1f43);
+    let server = EndpointId(0x0a12_4a07_1f43);
     let first = "0406 00000018 00000003 00000001 4032800000000000 0a124a07 1f43 0000";
     assert_eq!(
         event(first),
-        Event::First {
+        Event::Connected {
             id: RequestId(1),
-            server,
-            took: 18_500
+            endpoint: server,
+            elapsed: 18_500
         }
     );
     let note = "0456 00000015 00000003 00000001 41a00000 0000 02 0a124a07 1f43";
-    assert_eq!(event(note), Event::DelayNote(RequestId(1), server, 20_000));
+    assert_eq!(
+        event(note),
+        Event::DelaySample {
+            id: RequestId(1),
+            endpoint: server,
+            delay: 20_000
+        }
+    );
     let note = "0456 00000015 00000003 00000001 41a00000 0000 01 0a124a07 1f43";
-    assert_eq!(event(note), Event::LoadNote(RequestId(1), server, 20.0));
+    assert_eq!(
+        event(note),
+        Event::LoadSample {
+            id: RequestId(1),
+            endpoint: server,
+            load: 20.0
+        }
+    );
     let probed = "042e 00000018 00000003 0a124a07 1f43 00 4032800000000000 01 3f000000";
     assert_eq!(
         event(probed),
-        Event::Probed {
-            server,
-            outcome: Outcome::Ok,
+        Event::HealthCheck {
+            endpoint: server,
+            outcome: Outcome::Success,
             report: vec![0.5]
         }
     );
     let peer = "0438 0000000c 00000003 00000002 0002 6869";
-    assert_eq!(event(peer), Event::Peer(2, b"hi".to_vec()));
+    assert_eq!(
+        event(peer),
+        Event::Gossip {
+            from: 2,
+            payload: b"hi".to_vec()
+        }
+    );
     let open = "044c 00000034 00000003 00000001 0000000000000000 00000002 0000000000000000 01
         0000000000000005 0000000000000006 0a124a07 1f43 10";
     let request = Request {
         id: RequestId(1),
         class: 1,
         tenant: 2,
-        key: 5,
+        client_key: 5,
         group: 6,
-        left: 0,
-        mid_flow: false,
-        again: true,
+        time_left: 0,
+        established: false,
+        returning: true,
     };
-    assert_eq!(event(open), Event::Open(request, server));
+    assert_eq!(
+        event(open),
+        Event::Adopted {
+            request: request,
+            endpoint: server
+        }
+    );
     assert_eq!(
         one("0442 00000004 00000007").unwrap().records,
         [(7, Record::Crash)]
@@ -302,20 +343,20 @@
 #[test]
 fn reads_the_settings() {
     let s = settings(SETTINGS.as_bytes()).unwrap();
-    assert!(s.passes_through && s.may_cancel && !s.may_probe && !s.list_on_request);
+    assert!(s.forwards_packets && s.may_cancel && !s.may_check_health && !s.polls_endpoint_list);
     assert_eq!(
-        (s.balancers, s.zone, s.tick, s.max_attempts),
+        (s.balancer_count, s.zone, s.tick, s.max_attempts),
         (1, 0, 2_000, 6)
     );
     assert_eq!(
-        (s.drain_grace, s.fall, s.warm_within),
+        (s.drain_grace, s.overload_window, s.warm_up_time),
         (SECOND, SECOND, 24 * SECOND)
     );
-    assert_eq!((s.overload_factor, s.start_capacity), (2.5, 0.13));
+    assert_eq!((s.overload_factor, s.initial_capacity), (2.5, 0.13));
     assert_eq!(s.classes.len(), 2);
-    assert_eq!(s.classes[0].aim, 300_000);
-    assert_eq!(s.classes[1].message_aim, 150_000);
-    assert_eq!(s.weights, Weights::Nominal);
+    assert_eq!(s.classes[0].setup_objective, 300_000);
+    assert_eq!(s.classes[1].message_objective, 150_000);
+    assert_eq!(s.weights, EndpointWeights::Nominal);
     assert_eq!(s.max_retry_after, 1_500_000);
 }
 
--- a/tests/xmpp.rs
+++ b/tests/xmpp.rs
@@ -1,7 +1,7 @@
 //! The built relay between XMPP clients and servers, one test for each way in which it could go wrong.
 
 use indicatif::ProgressBar;
-use jaspermoor::front::xmpp::frame::{Unit, NS_SASL, NS_TLS};
+use jaspermoor::protocol::xmpp::frame::{Unit, NS_SASL, NS_TLS};
 use jaspermoor_lab::certs::{Authority, Valid};
 use jaspermoor_lab::demo::{operator, run_all, Xmpp, DOMAIN};
 use jaspermoor_lab::relay::{Relay, Setup};
--- a/tests/xmpp_input.rs
+++ b/tests/xmpp_input.rs
@@ -3,13 +3,13 @@
 //! `JASPERMOOR_MUTATIONS` sets how many damaged inputs are tried; the default is for every day.
 
 use jaspermoor::config::{Classes, Names};
-use jaspermoor::front::buffer::Buffer;
-use jaspermoor::front::xmpp::exchange::Attempt;
-use jaspermoor::front::xmpp::frame::{Bounds, Framer, Unit};
-use jaspermoor::front::xmpp::greeting::Greeting;
-use jaspermoor::front::xmpp::jid::Jid;
-use jaspermoor::front::xmpp::terms::{Rule, Security, Terms};
-use jaspermoor::front::{Exchange, Greeter, Next, Passage, Rules, Step};
+use jaspermoor::protocol::buffer::Buffer;
+use jaspermoor::protocol::xmpp::exchange::Attempt;
+use jaspermoor::protocol::xmpp::frame::{Bounds, Framer, Unit};
+use jaspermoor::protocol::xmpp::greeting::Greeting;
+use jaspermoor::protocol::xmpp::jid::Jid;
+use jaspermoor::protocol::xmpp::terms::{Rule, Security, Terms};
+use jaspermoor::protocol::{Exchange, Greeter, Next, Passage, Rules, Step};
 use oorandom::Rand64;
 use proptest::prelude::*;
 use std::sync::Arc;
@@ -212,7 +212,7 @@
                     greeting.secured(0);
                 }
                 Next::Place(order) => {
-                    assert!(inbox.rest().is_empty() && order.request().key != 0);
+                    assert!(inbox.rest().is_empty() && order.request().client_key != 0);
                     return;
                 }
                 Next::End(words, reason) => {
