--- a/crates/lab/src/fleet/policy.rs
+++ b/crates/lab/src/fleet/policy.rs
@@ -94,10 +94,7 @@
             Event::Timer(token) => {
                 let id = RequestId(token as u32);
                 if self.pending.remove(&id).is_some() {
-                    out.push(Action::Reject {
-                        id: id,
-                        retry_after: 0,
-                    });
+                    out.push(Action::Reject { id, retry_after: 0 });
                 }
             }
             Event::Request(request) => {
@@ -111,7 +108,7 @@
                 self.send(request.id, out);
             }
             Event::Connected { id, .. } | Event::ClientDisconnected(id) => {
-                drop(self.pending.remove(&id))
+                self.pending.remove(&id);
             }
             Event::AttemptEnded {
                 id,
@@ -145,10 +142,7 @@
             }
             _ => {
                 self.pending.remove(&id);
-                out.push(Action::Reject {
-                    id: id,
-                    retry_after: 0,
-                });
+                out.push(Action::Reject { id, retry_after: 0 });
             }
         }
     }
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -528,7 +528,7 @@
             relay,
             part,
             Event::Adopted {
-                request: request,
+                request,
                 endpoint: server,
             },
         );
@@ -656,16 +656,13 @@
                     give_up_at: until,
                 } => self.send(relay, id.0, server, until),
                 Action::Reject {
-                    id: id,
+                    id,
                     retry_after: wait,
                 } => self.answer(relay, id.0, Some(wait)),
                 Action::Fail(id) => self.answer(relay, id.0, None),
                 Action::Migrate(id) => self.move_client(relay, id.0),
-                Action::CancelAttempt { id: id, attempt: _ } => self.call_off(relay, part, id.0),
-                Action::SetTimer {
-                    at: at,
-                    token: token,
-                } => {
+                Action::CancelAttempt { id, attempt: _ } => self.call_off(relay, part, id.0),
+                Action::SetTimer { at, token } => {
                     let at = at.max(self.now + 1);
                     self.at(
                         at,
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -374,15 +374,12 @@
                     );
                 }
                 Action::Reject {
-                    id: id,
+                    id,
                     retry_after: wait,
                 } => self.refuse(relay, part, id, wait),
                 Action::Fail(id) => self.refuse(relay, part, id, 0),
                 Action::Migrate(id) => self.move_away(relay, part, id),
-                Action::SetTimer {
-                    at: at,
-                    token: token,
-                } => {
+                Action::SetTimer { at, token } => {
                     let after = at.saturating_sub(self.now).max(1);
                     self.later(after, Ev::Timer(relay, part, token));
                 }
@@ -716,9 +713,9 @@
             relay,
             part,
             Event::LoadSample {
-                id: id,
+                id,
                 endpoint: server,
-                load: load,
+                load,
             },
         );
     }
--- a/examples/replay.rs
+++ b/examples/replay.rs
@@ -65,7 +65,7 @@
     step(
         900_000,
         Event::DelaySample {
-            id: id,
+            id,
             endpoint: server,
             delay: 400_000,
         },
--- a/src/decision_service/mod.rs
+++ b/src/decision_service/mod.rs
@@ -459,14 +459,7 @@
         let Some(at) = inner.entries.get(&id).filter(|e| !e.answered).map(|e| e.at) else {
             return;
         };
-        self.feed(
-            inner,
-            at,
-            Event::ShortenDeadline {
-                id: id,
-                deadline: by,
-            },
-        );
+        self.feed(inner, at, Event::ShortenDeadline { id, deadline: by });
     }
 
     /// How many listed servers are avoided now.
@@ -493,12 +486,12 @@
         let at = entry.at;
         let event = match note {
             ConnectionSample::Load(load) => Event::LoadSample {
-                id: id,
+                id,
                 endpoint: entry.server,
-                load: load,
+                load,
             },
             ConnectionSample::Delay(took) => Event::DelaySample {
-                id: id,
+                id,
                 endpoint: entry.server,
                 delay: took,
             },
@@ -891,7 +884,7 @@
                 at,
                 now,
                 Event::Adopted {
-                    request: request,
+                    request,
                     endpoint: server,
                 },
                 calls,
@@ -1015,14 +1008,11 @@
                 calls.push(Call::Decision(e.flow.clone()));
             }
             Action::Reject {
-                id: id,
+                id,
                 retry_after: wait,
             } => self.finish(id, Decision::Reject(wait), calls),
             Action::Fail(id) => self.finish(id, Decision::Fail, calls),
-            Action::CancelAttempt {
-                id: id,
-                attempt: attempt,
-            } => {
+            Action::CancelAttempt { id, attempt } => {
                 let flow = self.entries.get(&id).map(|e| e.flow.clone());
                 calls.extend(flow.map(|f| Call::GiveUp(f, attempt)));
             }
@@ -1030,10 +1020,7 @@
                 let flow = self.entries.get(&id).map(|e| e.flow.clone());
                 calls.extend(flow.map(Call::Relocate));
             }
-            Action::SetTimer {
-                at: at,
-                token: token,
-            } => self.timers.push(Reverse((at, part, token))),
+            Action::SetTimer { at, token } => self.timers.push(Reverse((at, part, token))),
             // There is one watch; what the first balancer hears of it they all hear, and so it asks for all.
             Action::WatchEndpointList(on) if part == 0 => (self.orders.watch_endpoint_list)(on),
             Action::WatchEndpointList(_) => {}
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -208,12 +208,12 @@
             } => self.by_hand(server, out_of_use, out),
             Event::Request(request) => self.arrived(request, out),
             Event::Adopted {
-                request: request,
+                request,
                 endpoint: server,
             } => self.open(request, server, out),
             Event::Connected { id, .. } => return self.first(id, out),
             Event::DelaySample {
-                id: id,
+                id,
                 endpoint: server,
                 delay: took,
             } => return self.delay(id, server, took, out),
@@ -224,10 +224,7 @@
                 ..
             } => return self.ended(id, outcome, last, out),
             Event::ClientDisconnected(id) => self.vanished(id),
-            Event::ShortenDeadline {
-                id: id,
-                deadline: by,
-            } => self.hurry(id, by, out),
+            Event::ShortenDeadline { id, deadline: by } => self.hurry(id, by, out),
             Event::Timer(token) => self.timer(token, out),
             Event::HealthCheck {
                 endpoint: server,
@@ -1185,7 +1182,7 @@
             ((self.t.retry_after as f32 * spread) as Micros).min(self.settings.max_retry_after);
         out.push(if repeats || !maybe_ran {
             Action::Reject {
-                id: id,
+                id,
                 retry_after: wait,
             }
         } else {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -337,7 +337,7 @@
             let server = r.server()?;
             match topic {
                 1 => Event::LoadSample {
-                    id: id,
+                    id,
                     endpoint: server,
                     load: x,
                 },
@@ -472,7 +472,7 @@
             }
             Action::CancelAttempt {
                 id: request,
-                attempt: attempt,
+                attempt,
             } => {
                 self.record(instance, 1040, &[&id(*request), &attempt.to_be_bytes()]);
             }
@@ -482,10 +482,9 @@
             } => self.record(instance, 1070, &[&id(*request), &time(*wait)]),
             Action::Fail(request) => self.record(instance, 1110, &[&id(*request)]),
             Action::Migrate(request) => self.record(instance, 1020, &[&id(*request)]),
-            Action::SetTimer {
-                at: at,
-                token: token,
-            } => self.record(instance, 1030, &[&time(*at), &token.to_be_bytes()]),
+            Action::SetTimer { at, token } => {
+                self.record(instance, 1030, &[&time(*at), &token.to_be_bytes()])
+            }
             Action::CheckHealth(server) => self.record(instance, 1050, &[&address(*server)]),
             Action::WatchEndpointList(on) => self.record(instance, 1060, &[&[u8::from(*on)]]),
             Action::Log(line) => self.text(instance, 1090, line),
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -211,10 +211,7 @@
                     ..
                 } => self.attempt(relay, id, server),
                 Action::CheckHealth(server) => self.probe(relay, server),
-                Action::SetTimer {
-                    at: at,
-                    token: token,
-                } => self.timers.push(Reverse((at, relay, token))),
+                Action::SetTimer { at, token } => self.timers.push(Reverse((at, relay, token))),
                 Action::Reject { .. } | Action::Fail(_) => self.comes_again(),
                 Action::Migrate(id) => self.end(id.0, Outcome::Cancelled),
                 _ => {}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -156,11 +156,7 @@
 /// The timers asked for: when, and the token.
 pub fn timers(actions: &[Action]) -> Vec<(Micros, u64)> {
     let timer = |a: &Action| {
-        if let Action::SetTimer {
-            at: at,
-            token: token,
-        } = a
-        {
+        if let Action::SetTimer { at, token } = a {
             Some((*at, *token))
         } else {
             None
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -161,11 +161,7 @@
                 c.out = Some((*server, self.now));
                 c.sends += 1;
             }
-            Action::Reject {
-                id: id,
-                retry_after: _,
-            }
-            | Action::Fail(id) => {
+            Action::Reject { id, retry_after: _ } | Action::Fail(id) => {
                 let c = self
                     .clients
                     .get_mut(id)
@@ -188,20 +184,14 @@
                     "a refusal that may be false"
                 );
             }
-            Action::CancelAttempt {
-                id: id,
-                attempt: attempt,
-            } => {
+            Action::CancelAttempt { id, attempt } => {
                 assert!(
                     u32::from(*attempt) < self.clients[id].sends,
                     "an attempt never made"
                 );
             }
             Action::Migrate(id) => assert!(self.clients[id].up),
-            Action::SetTimer {
-                at: at,
-                token: token,
-            } => self.timers.push((*at, *token)),
+            Action::SetTimer { at, token } => self.timers.push((*at, *token)),
             Action::WatchEndpointList(_) => assert!(self.settings.polls_endpoint_list),
             Action::CheckHealth(_) => assert!(self.settings.may_check_health),
             Action::Log(_) => {}
@@ -360,7 +350,7 @@
                 if let Some(id) = chosen.filter(|id| self.clients[id].up) {
                     let server = self.clients[&id].out.unwrap().0;
                     self.feed(Event::DelaySample {
-                        id: id,
+                        id,
                         endpoint: server,
                         delay: turn.b % 400_000,
                     });
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -46,7 +46,10 @@
 
 #[test]
 fn the_module_names_its_interface_first() {
-    assert!(module().lines().take(3).any(|line| line.contains("src/decisions/api.rs")));
+    assert!(module()
+        .lines()
+        .take(3)
+        .any(|line| line.contains("src/decisions/api.rs")));
 }
 
 #[test]
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -274,7 +274,7 @@
     assert_eq!(
         event(open),
         Event::Adopted {
-            request: request,
+            request,
             endpoint: server
         }
     );
