--- a/crates/lab/src/fleet/experiment.rs
+++ b/crates/lab/src/fleet/experiment.rs
@@ -137,20 +137,20 @@
 }
 
 /// Parameters set by name.
-pub fn tuning(set: &BTreeMap<String, f64>) -> Result<Parameters, String> {
-    let mut tuning = Parameters::default();
+pub fn parameters(set: &BTreeMap<String, f64>) -> Result<Parameters, String> {
+    let mut parameters = Parameters::default();
     for (name, value) in set {
-        if tuning.get(name).is_none() {
+        if parameters.get(name).is_none() {
             return Err(format!(
                 "'{name}' is no parameter; there are {}",
                 Parameters::NAMES.join(", ")
             ));
         }
-        if !tuning.set(name, *value) {
+        if parameters.set(name, *value).is_err() {
             return Err(format!("{name} cannot be {value}"));
         }
     }
-    Ok(tuning)
+    Ok(parameters)
 }
 
 impl Experiment {
@@ -204,7 +204,9 @@
                 return Err(wrong("there are two of this name".into()));
             }
             let policy = match choice.policy.as_deref() {
-                None | Some("own") => Policy::Own(Box::new(tuning(&choice.set).map_err(wrong)?)),
+                None | Some("own") => {
+                    Policy::Own(Box::new(parameters(&choice.set).map_err(wrong)?))
+                }
                 Some("chance") if choice.set.is_empty() => Policy::Chance,
                 Some("chance") => return Err(wrong("chance has no parameters".into())),
                 Some(other) => {
--- a/crates/lab/src/fleet_cli.rs
+++ b/crates/lab/src/fleet_cli.rs
@@ -118,7 +118,7 @@
     if chance {
         return Ok(Policy::Chance);
     }
-    Ok(Policy::Own(Box::new(experiment::tuning(&named)?)))
+    Ok(Policy::Own(Box::new(experiment::parameters(&named)?)))
 }
 
 /// Runs it; false where a rule was broken.
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -52,7 +52,7 @@
         ),
         None => println!("{}: opens no XMPP", path.display()),
     }
-    policy::tuning(&file)?;
+    policy::parameters(&file)?;
     if let Some(setup) = Setup::of(&file)? {
         let vote = setup
             .fleet
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -106,18 +106,18 @@
         },
     );
     // Before the first request: no site is placed by another map.
-    let tuning = operator
+    let parameters = operator
         .as_ref()
-        .map(policy::tuning)
+        .map(policy::parameters)
         .transpose()?
         .unwrap_or_default();
-    decisions.apply_policy(cells.clone(), tuning);
+    decisions.apply_policy(cells.clone(), parameters);
     let mut fleet = match operator.as_ref().map(Setup::of).transpose()?.flatten() {
         // Before the first client: until it has a lease nobody is admitted.
         Some(setup) => Some(Fleet::open(
             setup,
             &config.name,
-            Rules { cells, tuning },
+            Rules { cells, parameters },
             decisions.clone(),
         )?),
         None => None,
@@ -290,11 +290,11 @@
         }
         let rules = Rules {
             cells: Cells::of(&file)?,
-            tuning: policy::tuning(&file)?,
+            parameters: policy::parameters(&file)?,
         };
         Ok((new, fixed, xmpp, rules))
     };
-    let (new, fixed, xmpp, Rules { cells, tuning }) = match read() {
+    let (new, fixed, xmpp, Rules { cells, parameters }) = match read() {
         Ok(read) => read,
         Err(e) => {
             core.metrics.load_errors.fetch_add(1, Relaxed);
@@ -311,7 +311,7 @@
     core.adopt_xmpp(xmpp);
     // A fleet's policy is not replaced by this relay's own file.
     if operator.is_none_or(|file| file.operator.fleet.is_none()) {
-        core.decisions.apply_policy(cells, tuning);
+        core.decisions.apply_policy(cells, parameters);
     }
     *config = new;
     let moved = source.relocate(config.discovery);
--- a/src/config/policy.rs
+++ b/src/config/policy.rs
@@ -16,32 +16,33 @@
     /// Cells and pins.
     pub cells: Cells,
     /// Parameters of the decisions.
-    pub tuning: Parameters,
+    pub parameters: Parameters,
 }
 
 /// Parameters of an operator file, or of a policy, checked.
-pub fn tuning(file: &OperatorFile) -> Result<Parameters, OperatorError> {
-    let mut tuning = Parameters::default();
+pub fn parameters(file: &OperatorFile) -> Result<Parameters, OperatorError> {
+    let mut parameters = Parameters::default();
     for (name, value) in &file.operator.parameters {
         let key = format!("parameters.{name}");
-        if !Parameters::NAMES.contains(&name.as_str()) || of_a_later_build(name) {
+        if parameters.get(name).is_none() || of_a_later_build(name) {
             let known = Parameters::NAMES.join(", ");
             return Err(file.error(
                 &key,
                 format!("no parameter has this name; there are {known}"),
             ));
         }
-        if !tuning.set(name, *value) {
+        if parameters.set(name, *value).is_err() {
             return Err(file.error(&key, format!("cannot be {value}")));
         }
     }
-    Ok(tuning)
+    Ok(parameters)
 }
 
 /// Whether this process does as an older build, which does not know that parameter: for tests of fleets of two builds.
 #[cfg(feature = "injected-bugs")]
 fn of_a_later_build(name: &str) -> bool {
-    name == "look_both" && std::env::var("JASPERMOOR_BUILD").is_ok_and(|build| build == "older")
+    ["lookup_parallelism", "look_both"].contains(&name)
+        && std::env::var("JASPERMOOR_BUILD").is_ok_and(|build| build == "older")
 }
 
 #[cfg(not(feature = "injected-bugs"))]
@@ -65,7 +66,7 @@
     }
     Ok(Rules {
         cells: Cells::of(&file)?,
-        tuning: tuning(&file)?,
+        parameters: parameters(&file)?,
     })
 }
 
@@ -103,7 +104,10 @@
     fn a_policy_is_understood_whole_or_refused_with_line_and_key() {
         let read = |text: &str| read(Path::new("p.toml"), text);
         let rules = read("[parameters]\nepsilon = 1.5\n[[cells.cell]]\nname = 'a'\n").unwrap();
-        assert_eq!((rules.tuning.epsilon, rules.cells.map.len()), (1.5, 1));
+        assert_eq!(
+            (rules.parameters.bounded_load_epsilon, rules.cells.map.len()),
+            (1.5, 1)
+        );
         for (text, says) in [
             (
                 "[parameters]\nepsilom = 1",
--- a/src/decisions/api.rs
+++ b/src/decisions/api.rs
@@ -1,7 +1,13 @@
-//! The interface of the decisions: settings, events that a proxy reports, and actions that it carries out.
+//! The interface of the decisions: settings, events that a proxy reports, and actions that it
+//! carries out.
 //!
-//! All times are whole microseconds on one clock that the caller chooses. Settings carry numbers and indices and no
-//! names, so a decision cannot depend on what a deployment calls its zones, classes, tenants or machines.
+//! All times are whole microseconds on one clock that the caller chooses. Settings carry numbers
+//! and indices and no names, so a decision cannot depend on what a deployment calls its zones,
+//! classes, tenants or machines.
+
+pub use super::settings::{
+    Class, DeduplicationScope, EndpointWeights, Idempotency, ReportColumn, Settings,
+};
 
 /// A moment or a span of time, in microseconds.
 pub type Micros = u64;
@@ -17,148 +23,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// What a second attempt at a request of a class may do.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Idempotency {
-    /// May be attempted again without limit.
-    #[default]
-    Idempotent,
-    /// Carries an idempotency key: some endpoints drop duplicates for a time.
-    Keyed {
-        /// The endpoints that drop each other's duplicates.
-        scope: DeduplicationScope,
-        /// How long they remember a key, counted from the first attempt that may have been executed.
-        window: Micros,
-    },
-    /// Must not be executed twice.
-    NonIdempotent,
-}
-
-/// Which endpoints share the idempotency keys that they have seen.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum DeduplicationScope {
-    /// All endpoints.
-    #[default]
-    All,
-    /// Those of one zone.
-    Zone,
-    /// Those of one cell.
-    Cell,
-}
-
-/// A class of requests.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Class {
-    /// Latency objective of the set-up: a connection that is up within it earns its full value.
-    pub setup_objective: Micros,
-    /// How long a client waits over all its attempts.
-    pub deadline: Micros,
-    /// What another attempt at a request may do.
-    pub idempotency: Idempotency,
-    /// Latency objective of a message on an established connection; 0 where none is stated.
-    pub message_objective: Micros,
-}
-
-/// How the size that the endpoint list gives an endpoint is to be read.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum EndpointWeights {
-    /// Sizes say nothing.
-    #[default]
-    None,
-    /// The size as registered, or about so.
-    Nominal,
-    /// Size over load at some earlier time: it changes from list to list.
-    Live,
-}
-
-/// The value that a column of a load report holds.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportColumn {
-    /// Offered load over capacity; 1 is full.
-    Load,
-    /// Requests or connections in flight.
-    Active,
-    /// Anything that the decisions do not use.
-    Other,
-}
-
-/// What a balancer is configured with.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
-    /// How many balancers share the endpoints, this one included.
-    pub balancer_count: u32,
-    /// Which of them this one is, from 0.
-    pub balancer_index: u32,
-    /// The zone of this balancer.
-    pub zone: u16,
-    /// The shortest time between two batches of events.
-    pub tick: Micros,
-    /// Packets pass through: connections outlive the balancer and may arrive already established.
-    pub forwards_packets: bool,
-    /// The classes, by index.
-    pub classes: Vec<Class>,
-    /// The endpoint list has to be polled; otherwise it is pushed.
-    pub polls_endpoint_list: bool,
-    /// How endpoint sizes are to be read.
-    pub weights: EndpointWeights,
-    /// Attempts may be cancelled.
-    pub may_cancel: bool,
-    /// Endpoints may be sent health checks.
-    pub may_check_health: bool,
-    /// The number of attempts that a request may have.
-    pub max_attempts: u32,
-    /// A connection that is not up within this time has failed.
-    pub connect_timeout: Micros,
-    /// The longest Retry-After that a rejected client obeys; 0 where none is passed on.
-    pub max_retry_after: Micros,
-    /// Columns of a load report.
-    pub report_columns: Vec<ReportColumn>,
-    /// New requests to a draining or removed endpoint stop within this time.
-    pub drain_grace: Micros,
-    /// The fraction of its capacity with which an endpoint starts.
-    pub initial_capacity: f32,
-    /// An endpoint has its whole capacity after this time at the latest.
-    pub warm_up_time: Micros,
-    /// A warming endpoint fails when it is sent this multiple of its capacity ...
-    pub overload_factor: f32,
-    /// ... for this long.
-    pub overload_window: Micros,
-    /// Changes of a list that was not polled for this long count as notified.
-    pub max_poll_interval: Micros,
-}
-
-impl Default for Settings {
-    fn default() -> Self {
-        Settings {
-            balancer_count: 1,
-            balancer_index: 0,
-            zone: 0,
-            tick: 1_000,
-            forwards_packets: false,
-            classes: vec![Class {
-                setup_objective: 300_000,
-                deadline: 1_200_000,
-                idempotency: Idempotency::Idempotent,
-                message_objective: 100_000,
-            }],
-            polls_endpoint_list: false,
-            weights: EndpointWeights::None,
-            may_cancel: true,
-            may_check_health: false,
-            max_attempts: 4,
-            connect_timeout: 250_000,
-            max_retry_after: 0,
-            report_columns: Vec::new(),
-            drain_grace: SECOND,
-            initial_capacity: 0.2,
-            warm_up_time: 20 * SECOND,
-            overload_factor: 3.0,
-            overload_window: 2 * SECOND,
-            max_poll_interval: 10 * SECOND,
-        }
-    }
-}
-
 /// State of an endpoint according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
@@ -198,7 +62,8 @@
     Cached,
     /// No entries: a call failed or the watch broke. The last list stands.
     WatchFailed,
-    /// The same, noticed only by a timeout: little is left of the time after which a change counts as notified.
+    /// The same, noticed only by a timeout: little is left of the time after which a change counts
+    /// as notified.
     WatchTimedOut,
     /// No entries: discovery has another address from now on. The last list stands.
     Relocated,
@@ -221,7 +86,8 @@
     pub time_left: Micros,
     /// An established connection whose packets arrive here from now on.
     pub established: bool,
-    /// The client was here, or at another balancer, before: a retry, or a return after its connection ended.
+    /// The client was here, or at another balancer, before: a retry, or a return after its
+    /// connection ended.
     pub returning: bool,
 }
 
@@ -266,8 +132,8 @@
         /// The entries.
         endpoints: Vec<ListedEndpoint>,
     },
-    /// New settings hold from now on; requests in flight keep their class. Zone, kind of list, mode and columns must
-    /// be those of the start.
+    /// New settings hold from now on; requests in flight keep their class. Zone, kind of list, mode
+    /// and columns must be those of the start.
     Settings(Settings),
     /// An operator ejected an endpoint or ended that; holds whatever lists say.
     ManualEjection {
--- a/src/decisions/parameters.rs
+++ b/src/decisions/parameters.rs
@@ -1,51 +1,207 @@
-//! Parameters of the decisions by name, each with the value that is in force unless an experiment says otherwise. The
-//! values stand beside the decisions themselves; this is only the form they are written in.
+//! Tunable constants of the decisions, each with its unit, what it bounds and its default.
 //!
-//! Guards against: a sweep that needs a build for each value, and a parameter that a sweep names and nobody reads.
+//! Operator files, policies and experiments set them by name. A parameter that was renamed is still
+//! found under its former name, which stands beside it. Guards against a name that no parameter has
+//! and a value that its type cannot hold.
 
-/// Declares a struct of parameters: its fields, their defaults, and a way to set one by its name.
-#[macro_export]
+use super::api::{Micros, SECOND};
+use std::fmt;
+
+/// Why a parameter could not be set.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ParameterError {
+    /// No parameter has this name, nor had it formerly.
+    UnknownName,
+    /// The value is not finite, or the parameter's type cannot hold it.
+    InvalidValue,
+}
+
+impl fmt::Display for ParameterError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            ParameterError::UnknownName => "no parameter has this name",
+            ParameterError::InvalidValue => "the parameter cannot have this value",
+        })
+    }
+}
+
+impl std::error::Error for ParameterError {}
+
+/// Declares [`Parameters`]: each field with its documentation, type, default and former name.
 macro_rules! parameters {
-    ($struct:ident { $($(#[$doc:meta])* $name:ident: $kind:ty = $value:expr;)* }) => {
-        /// Parameters; what they are by default is in force wherever no experiment says otherwise.
+    ($($(#[$doc:meta])* $name:ident: $kind:ty = $default:expr, formerly $former:literal;)*) => {
+        /// Parameters of the decisions. The defaults hold wherever nothing else is configured.
         #[derive(Clone, Copy, Debug, PartialEq)]
-        pub struct $struct {
-            $($(#[$doc])* #[doc = concat!("(`", stringify!($name), "`)")] pub $name: $kind,)*
+        pub struct Parameters {
+            $($(#[$doc])* pub $name: $kind,)*
         }
 
-        impl Default for $struct {
+        impl Default for Parameters {
             fn default() -> Self {
-                $struct { $($name: $value,)* }
+                Parameters { $($name: $default,)* }
             }
         }
 
-        impl $struct {
+        impl Parameters {
             /// The names, in the order of their declaration.
-            pub const NAMES: &'static [&'static str] = &[$(stringify!($name),)*];
+            pub const NAMES: &[&str] = &[$(stringify!($name),)*];
 
-            /// Sets a parameter; one that counts is rounded. False where none has this name, or it cannot take the value.
-            pub fn set(&mut self, name: &str, value: f64) -> bool {
+            /// The former names, in the same order.
+            pub const FORMER_NAMES: &[&str] = &[$($former,)*];
+
+            /// Sets a parameter by its name or its former one; whole-number parameters round the
+            /// value.
+            pub fn set(&mut self, name: &str, value: f64) -> Result<(), ParameterError> {
                 match name {
-                    $(stringify!($name) => {
-                        let new = value as $kind;
-                        // A whole number that is negative or too large would be another one silently.
-                        let fits = value.is_finite() && (new as f64 - value).abs() <= 0.5 + value.abs() * 1e-6;
-                        if fits {
-                            self.$name = new;
+                    $(stringify!($name) | $former => {
+                        let converted = value as $kind;
+                        // A conversion saturates, so a value out of range shows as a difference.
+                        let difference = (converted as f64 - value).abs();
+                        if !value.is_finite() || difference > 0.5 + value.abs() * 1e-6 {
+                            return Err(ParameterError::InvalidValue);
                         }
-                        fits
+                        self.$name = converted;
+                        Ok(())
                     })*
-                    _ => false,
+                    _ => Err(ParameterError::UnknownName),
                 }
             }
 
-            /// A parameter's value.
+            /// Value of the parameter with this name or former name.
             pub fn get(&self, name: &str) -> Option<f64> {
                 match name {
-                    $(stringify!($name) => Some(self.$name as f64),)*
+                    $(stringify!($name) | $former => Some(self.$name as f64),)*
                     _ => None,
                 }
             }
         }
     };
 }
+
+parameters! {
+    /// Points on the ring of an endpoint of usual size: more of them even out the arcs ("virtual
+    /// bins").
+    ring_points: f32 = 48.0, formerly "points";
+    /// ε of the bounded loads: headroom of an endpoint's cap over the mean number of connections,
+    /// as a fraction. Large, because one balancer's counts are small and the connections of a group
+    /// share endpoints.
+    bounded_load_epsilon: f32 = 2.0, formerly "epsilon";
+    /// Jumps that one placement may make along the ring.
+    max_jumps: u32 = 16, formerly "jumps";
+
+    /// What a group costs each endpoint that serves any of it, in connections.
+    group_cost_connections: f32 = 2.0, formerly "group_cost";
+    /// ε of the group plan: headroom of an endpoint over its share of all groups, as a fraction.
+    group_plan_epsilon: f32 = 0.25, formerly "plan_epsilon";
+    /// Arrivals before the group plan is used; fewer say nothing about the groups' shares, and all
+    /// balancers place by the same jumps until then.
+    group_plan_min_arrivals: u32 = 32, formerly "plan_least";
+    /// Growth of the number of arrivals, as a factor, at which the group plan is made again.
+    group_plan_growth_factor: f32 = 1.15, formerly "plan_growth";
+    /// Arrivals that are remembered; at this number the counts of all groups are halved.
+    max_remembered_arrivals: u32 = 1024, formerly "seen_most";
+    /// Arrivals of no group that are assumed in addition, so that the first ones do not make large
+    /// shares.
+    prior_arrivals: f32 = 8.0, formerly "seen_prior";
+
+    /// Filling of a warming endpoint without load reports, over the warm-up, as a multiple of the
+    /// mean load.
+    slow_start_blind_factor: f32 = 1.5, formerly "slow_start";
+    /// Fraction of the warm-up budget that all balancers together use.
+    slow_start_budget_fraction: f32 = 0.8, formerly "slow_fill";
+
+    /// Time in which a cap that was cut grows back to its full value (additive increase), in
+    /// microseconds.
+    cap_recovery_us: Micros = 12 * SECOND, formerly "recover";
+    /// Consecutive failures after which an endpoint is ejected.
+    ejection_failures: u32 = 3, formerly "strikes";
+    /// Time of the first ejection, in microseconds; doubled by each further one up to eight times
+    /// this, and jittered.
+    base_ejection_us: Micros = 4 * SECOND, formerly "eject";
+
+    /// Message delay over the shortest message objective from which an endpoint's cap is cut.
+    delay_cap_threshold: f32 = 0.4, formerly "delay_sign";
+    /// Message delay over the shortest message objective from which connections are migrated.
+    delay_migration_threshold: f32 = 0.6, formerly "delay_move";
+    /// Migrations for each delay sample, as a fraction of the own connections, times delay over
+    /// objective.
+    delay_migration_fraction: f32 = 0.25, formerly "move_share";
+
+    /// Interval in which all balancers together check each endpoint once, in microseconds.
+    health_check_interval_us: Micros = SECOND / 2, formerly "probe_every";
+    /// Age at which a load report no longer counts, in microseconds.
+    load_report_expiry_us: Micros = 5 * SECOND, formerly "report_stale";
+
+    /// Candidates among which a load lookup searches for spare capacity; also the size of the
+    /// fallback's sample.
+    lookup_candidates: usize = 8, formerly "look_at";
+    /// Health checks that a load lookup waits for at the same time.
+    lookup_parallelism: usize = 2, formerly "look_both";
+    /// Age at which a load lookup checks an endpoint again, in microseconds.
+    lookup_max_report_age_us: Micros = 1_500_000, formerly "look_stale";
+    /// Time that a request waits for a load lookup, in microseconds.
+    lookup_timeout_us: Micros = SECOND / 10, formerly "look_wait";
+
+    /// Load below which an endpoint has spare capacity; the own zone is preferred up to it.
+    spare_capacity_load: f32 = 0.6, formerly "near_load";
+    /// Load below which an endpoint is under its cap, where the balancer has estimates of its own.
+    max_load: f32 = 0.9, formerly "full_load";
+    /// Load below which an endpoint is under its cap, where the balancer has no estimates of its
+    /// own.
+    max_load_without_estimates: f32 = 1.0, formerly "brim";
+    /// Width of the band below that load in which clients are turned to other endpoints by their
+    /// hashes, so that balancers without estimates do not fill an endpoint all at once.
+    hash_band_width: f32 = 0.3, formerly "soft";
+
+    /// Load from which an endpoint's connections are migrated.
+    migration_start_load: f32 = 0.9, formerly "move_from";
+    /// Load down to which they are migrated.
+    migration_target_load: f32 = 0.75, formerly "move_to";
+    /// Mean load of all endpoints up to which connections are migrated; also the mean load above
+    /// which load is shed.
+    migration_max_mean_load: f32 = 0.7, formerly "move_room";
+    /// Time over which the connections of a draining or overloaded endpoint are migrated, in
+    /// microseconds.
+    migration_spread_us: Micros = 2 * SECOND, formerly "move_span";
+
+    /// Weight of a home endpoint in the own zone relative to one elsewhere.
+    local_zone_weight: f32 = 10.0, formerly "near";
+    /// Late messages per endpoint in use from which a group stays with its strained home endpoints.
+    stay_home_late_fraction: f32 = 0.15, formerly "stay_from";
+
+    /// Late messages per endpoint in use from which load is shed.
+    shedding_late_fraction: f32 = 0.4, formerly "shed_from";
+    /// Multiplicative decrease of the admitted fraction a second, at a late fraction of 1.
+    shedding_decrease: f32 = 0.3, formerly "shed_step";
+    /// Lower bound of the admitted fraction.
+    min_admitted_fraction: f32 = 0.3, formerly "shed_least";
+    /// Additive increase of the admitted fraction a second.
+    shedding_increase: f32 = 0.06, formerly "shed_back";
+
+    /// Fraction of the set-up objective that an attempt may take while further ones are allowed.
+    attempt_objective_fraction: f32 = 0.6, formerly "attempt_share";
+    /// Retry tokens that a request earns for all requests.
+    retry_budget_ratio: f32 = 0.3, formerly "retry_share";
+    /// Upper bound of the retry tokens.
+    max_retry_tokens: f32 = 4.0, formerly "retry_saved";
+    /// Mean Retry-After of a rejected client, in microseconds; jittered by half, and long enough
+    /// that the client's next attempt meets other load.
+    retry_after_us: Micros = SECOND * 2 / 5, formerly "retry_after";
+
+    /// Backoff after a failed call to discovery, in microseconds; doubled up to eight times this,
+    /// and jittered.
+    discovery_backoff_us: Micros = SECOND / 4, formerly "ask_backoff";
+    /// Time that each balancer adds to the interval of calls to discovery, in microseconds:
+    /// discovery takes few calls a second.
+    discovery_interval_us: Micros = SECOND / 20, formerly "ask_share";
+    /// Upper bound of the backoff, in microseconds: a change counts as notified 6 s after it could
+    /// be had.
+    discovery_max_backoff_us: Micros = 4 * SECOND, formerly "ask_most";
+    /// Upper bound of the backoff after a timeout, in microseconds; the timeout has taken the rest
+    /// of those 6 s.
+    discovery_max_backoff_after_timeout_us: Micros = SECOND * 9 / 10, formerly "ask_soon";
+
+    /// Time within which an endpoint is used again after its manual ejection ended, in
+    /// microseconds.
+    manual_return_spread_us: Micros = 3 * SECOND, formerly "back_within";
+}
--- /dev/null
+++ b/src/decisions/requests.rs
@@ -0,0 +1,315 @@
+//! Life of a request: it arrives, waits for an endpoint, is attempted, and becomes an established
+//! connection or gets its final answer.
+//!
+//! Inputs: events about one request. Outputs: attempts, their cancellation, final answers. Guards
+//! against: a request without a final answer, or with two, and more than one attempt at a time.
+
+use super::api::{Action, Class, EndpointId, Micros, Outcome, Request, RequestId, UnknownId};
+use super::endpoints::EndpointIndex;
+use super::timers::Timer;
+use super::Balancer;
+
+/// How far a request has come.
+#[derive(Clone, Copy, Default, PartialEq)]
+pub(super) enum Phase {
+    /// It has no endpoint now.
+    #[default]
+    WaitingForEndpoint,
+    /// An attempt is under way.
+    Attempting,
+    /// Its connection is up.
+    Established,
+}
+
+/// The first attempt that may have executed a request.
+pub(super) struct PossibleExecution {
+    pub started_at: Micros,
+    pub zone: u16,
+    pub cell: u16,
+}
+
+/// A request or connection in flight.
+#[derive(Default)]
+pub(super) struct PendingRequest {
+    pub request: Request,
+    pub class: Class,
+    pub deadline: Micros,
+    pub phase: Phase,
+    /// It had its final answer, or its client has left.
+    pub answered: bool,
+    /// Its migration was asked for.
+    pub migrating: bool,
+    /// Where its last attempt went.
+    pub endpoint: EndpointId,
+    /// When its last attempt began.
+    attempt_started_at: Micros,
+    /// Where its attempts went, in their order.
+    pub attempted: Vec<EndpointId>,
+    /// When the next placement is due, while no endpoint can take it.
+    placement_retry_at: Micros,
+    /// An attempt has begun: an endpoint may have had work with it.
+    pub has_begun: bool,
+    pub possible_execution: Option<PossibleExecution>,
+}
+
+impl Balancer {
+    /// A client's request arrives.
+    pub(super) fn request_arrived(&mut self, request: Request, actions: &mut Vec<Action>) {
+        if !request.returning {
+            self.record_arrival(request.group);
+        }
+        let deadline = self.now + request.time_left;
+        self.set_deadline_timer(request.id, deadline, actions);
+        let pending = PendingRequest {
+            class: self.class_of(&request),
+            request,
+            deadline,
+            ..PendingRequest::default()
+        };
+        self.attempt_or_answer(pending, actions);
+    }
+
+    /// A connection that was established before this balancer started.
+    pub(super) fn adopt_connection(
+        &mut self,
+        request: Request,
+        endpoint: EndpointId,
+        actions: &mut Vec<Action>,
+    ) {
+        self.record_arrival(request.group);
+        let index = self.endpoints.find_or_insert(endpoint);
+        self.endpoints.add_in_flight(index);
+        self.migrate_if_draining(index, request.id, actions);
+        let id = request.id;
+        let pending = PendingRequest {
+            class: self.class_of(&request),
+            request,
+            deadline: Micros::MAX,
+            phase: Phase::Established,
+            answered: true,
+            endpoint,
+            ..PendingRequest::default()
+        };
+        self.requests.insert(id, pending);
+    }
+
+    /// Settings may name fewer classes than requests do: those beyond have the last one.
+    fn class_of(&self, request: &Request) -> Class {
+        let classes = &self.settings.classes;
+        let class = classes.get(request.class).or(classes.last());
+        class.copied().unwrap_or_default()
+    }
+
+    /// The final answer comes a tick before the client gives up, whatever is under way then.
+    fn set_deadline_timer(&self, id: RequestId, deadline: Micros, actions: &mut Vec<Action>) {
+        let last_moment = deadline.saturating_sub(self.settings.tick);
+        let at = last_moment.max(self.now + 1);
+        self.set_timer(at, Timer::Deadline(id), actions);
+    }
+
+    /// The final answer has to come by this time already.
+    pub(super) fn shorten_deadline(
+        &mut self,
+        id: RequestId,
+        deadline: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if !pending.answered && pending.deadline > deadline {
+            pending.deadline = deadline;
+            self.set_deadline_timer(id, deadline, actions);
+        }
+    }
+
+    /// Starts the next attempt of a request, lets it wait for an endpoint, or answers it.
+    pub(super) fn attempt_or_answer(
+        &mut self,
+        mut pending: PendingRequest,
+        actions: &mut Vec<Action>,
+    ) {
+        self.update_load_shedding();
+        let sheds = !pending.request.established && self.load_shedding.is_shed(&pending.request);
+        if sheds || !self.may_attempt(&pending) {
+            self.answer(&mut pending, actions);
+            return;
+        }
+        let endpoint = if self.look_up_load(&pending, actions) {
+            None
+        } else {
+            self.place(&pending)
+        };
+        match endpoint {
+            Some(index) => self.start_attempt(&mut pending, index, actions),
+            None if pending.attempted.is_empty() => {
+                self.wait_for_endpoint(&mut pending, actions);
+            }
+            None => {
+                self.answer(&mut pending, actions);
+                return;
+            }
+        }
+        self.requests.insert(pending.request.id, pending);
+    }
+
+    fn start_attempt(
+        &mut self,
+        pending: &mut PendingRequest,
+        index: EndpointIndex,
+        actions: &mut Vec<Action>,
+    ) {
+        let give_up_at = self.attempt_deadline(pending);
+        self.endpoints.add_in_flight(index);
+        self.retry_budget.record_attempt(pending, &self.parameters);
+        let endpoint = &mut self.endpoints[index];
+        endpoint.availability.return_due = None;
+        endpoint.slow_start.take_token();
+        endpoint.load.record_request();
+        pending.phase = Phase::Attempting;
+        pending.endpoint = endpoint.id;
+        pending.attempt_started_at = self.now;
+        pending.attempted.push(endpoint.id);
+        actions.push(Action::Attempt {
+            id: pending.request.id,
+            endpoint: endpoint.id,
+            give_up_at,
+        });
+    }
+
+    /// One timer at a time, however many health checks cause a placement before it fires.
+    fn wait_for_endpoint(&mut self, pending: &mut PendingRequest, actions: &mut Vec<Action>) {
+        if pending.placement_retry_at <= self.now {
+            pending.placement_retry_at = self.now + self.parameters.lookup_timeout_us;
+            let timer = Timer::PlacementRetry(pending.request.id);
+            self.set_timer(pending.placement_retry_at, timer, actions);
+        }
+    }
+
+    /// Places a request again that still waits for an endpoint.
+    pub(super) fn retry_placement(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let phase = self.requests.get(&id).map(|pending| pending.phase);
+        if phase != Some(Phase::WaitingForEndpoint) {
+            return;
+        }
+        if let Some(pending) = self.requests.remove(&id) {
+            self.attempt_or_answer(pending, actions);
+        }
+    }
+
+    /// Requests that wait for an endpoint and had no attempt yet.
+    pub(super) fn requests_awaiting_first_attempt(&self) -> Vec<RequestId> {
+        let waits = |pending: &&PendingRequest| {
+            pending.phase == Phase::WaitingForEndpoint && pending.attempted.is_empty()
+        };
+        let waiting = self.requests.values().filter(waits);
+        waiting.map(|pending| pending.request.id).collect()
+    }
+
+    /// An attempt's connection is up.
+    pub(super) fn attempt_connected(
+        &mut self,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), UnknownId> {
+        let pending = self.requests.get_mut(&id);
+        let pending = pending.ok_or(UnknownId::Request(id))?;
+        if pending.phase == Phase::Attempting && !pending.answered {
+            pending.phase = Phase::Established;
+            pending.answered = true;
+        }
+        let endpoint = pending.endpoint;
+        let index = self.endpoints.find_or_insert(endpoint);
+        self.endpoints[index].health.record_success();
+        self.migrate_if_draining(index, id, actions);
+        Ok(())
+    }
+
+    /// An attempt or connection ended.
+    pub(super) fn attempt_ended(
+        &mut self,
+        id: RequestId,
+        outcome: Outcome,
+        request_finished: bool,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), UnknownId> {
+        let removed = self.requests.remove(&id);
+        // A request that waits for an endpoint has no attempt that could end; it is dropped with
+        // the error.
+        let in_flight = removed.filter(|pending| pending.phase != Phase::WaitingForEndpoint);
+        let mut pending = in_flight.ok_or(UnknownId::Request(id))?;
+        let index = self.endpoints.find_or_insert(pending.endpoint);
+        self.endpoints.remove_in_flight(index);
+        self.judge_outcome(index, &pending, outcome);
+        if request_finished || pending.answered {
+            return Ok(());
+        }
+        self.record_execution(index, &mut pending, outcome);
+        if outcome == Outcome::Reset {
+            // A broken set-up ends the request; its client connects again.
+            actions.push(Action::Fail(id));
+        } else {
+            self.attempt_or_answer(pending, actions);
+        }
+        Ok(())
+    }
+
+    /// What an outcome says of the endpoint and gives back to the retry budget.
+    fn judge_outcome(&mut self, index: EndpointIndex, pending: &PendingRequest, outcome: Outcome) {
+        match outcome {
+            Outcome::Success => self.endpoints[index].health.record_success(),
+            Outcome::NotAttempted => self.retry_budget.refund(pending, &self.parameters),
+            Outcome::Cancelled => {}
+            Outcome::Reset if pending.phase == Phase::Established => {
+                self.endpoints[index].health.cut_cap(self.now);
+            }
+            _ => self.record_failure(index, outcome),
+        }
+    }
+
+    /// Remembers the first attempt that may have executed the request, which the next attempt has
+    /// to respect.
+    fn record_execution(
+        &mut self,
+        index: EndpointIndex,
+        pending: &mut PendingRequest,
+        outcome: Outcome,
+    ) {
+        pending.phase = Phase::WaitingForEndpoint;
+        pending.has_begun |= outcome != Outcome::NotAttempted;
+        if !outcome.proves_not_executed() && pending.possible_execution.is_none() {
+            let endpoint = &self.endpoints[index];
+            pending.possible_execution = Some(PossibleExecution {
+                started_at: pending.attempt_started_at,
+                zone: endpoint.zone,
+                cell: endpoint.cell,
+            });
+        }
+    }
+
+    /// The client has left. An attempt that is under way is still awaited.
+    pub(super) fn client_disconnected(&mut self, id: RequestId) {
+        match self.requests.get_mut(&id) {
+            Some(pending) if pending.phase != Phase::WaitingForEndpoint => pending.answered = true,
+            _ => {
+                self.requests.remove(&id);
+            }
+        }
+    }
+
+    /// The final answer is due, whatever is under way.
+    pub(super) fn deadline_reached(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(mut pending) = self.requests.remove(&id) else {
+            return;
+        };
+        let is_attempting = pending.phase == Phase::Attempting;
+        if is_attempting && !pending.answered && self.settings.may_cancel {
+            let attempt = pending.attempted.len() as u16 - 1;
+            actions.push(Action::CancelAttempt { id, attempt });
+        }
+        self.answer(&mut pending, actions);
+        if pending.phase != Phase::WaitingForEndpoint {
+            self.requests.insert(id, pending);
+        }
+    }
+}
--- /dev/null
+++ b/src/decisions/retry.rs
@@ -0,0 +1,140 @@
+//! Retries: whether a request may have another attempt, how long an attempt may take, and the final
+//! answer.
+//!
+//! Inputs: the number of attempts, the retry budget, the idempotency of the class, the deadline.
+//! Guards against: retries that overload the endpoints, a request that is executed twice, and an
+//! answer that promises more than is known.
+
+use super::api::{Action, DeduplicationScope, Idempotency, Micros};
+use super::parameters::Parameters;
+use super::requests::{PendingRequest, Phase};
+use super::ring::{client_key, fraction};
+use super::Balancer;
+
+/// Tokens that a retry takes.
+const RETRY_COST: f32 = 1.0;
+/// The Retry-After is drawn from this fraction of its mean up to this fraction more than one.
+const RETRY_AFTER_JITTER: f32 = 0.5;
+
+/// Token bucket of the retries: each request earns a fraction of a token for all, each retry takes
+/// one.
+#[derive(Default)]
+pub(super) struct RetryBudget {
+    tokens: f32,
+}
+
+impl RetryBudget {
+    /// A full bucket.
+    pub fn full(parameters: &Parameters) -> RetryBudget {
+        RetryBudget {
+            tokens: parameters.max_retry_tokens,
+        }
+    }
+
+    /// A first attempt earns tokens. A later one takes a token, unless all before it never began.
+    pub fn record_attempt(&mut self, pending: &PendingRequest, parameters: &Parameters) {
+        let earned = if pending.attempted.is_empty() {
+            parameters.retry_budget_ratio
+        } else {
+            -cost_of_next_attempt(pending)
+        };
+        self.add(earned, parameters);
+    }
+
+    /// Gives back what an attempt took that never began.
+    pub fn refund(&mut self, pending: &PendingRequest, parameters: &Parameters) {
+        self.add(cost_of_next_attempt(pending), parameters);
+    }
+
+    fn add(&mut self, tokens: f32, parameters: &Parameters) {
+        self.tokens = (self.tokens + tokens).min(parameters.max_retry_tokens);
+    }
+}
+
+fn cost_of_next_attempt(pending: &PendingRequest) -> f32 {
+    if pending.has_begun {
+        RETRY_COST
+    } else {
+        0.0
+    }
+}
+
+impl Balancer {
+    /// Whether a request may have an attempt now: there is time, the number of attempts and the
+    /// retry budget allow it, and it cannot be executed twice.
+    pub(super) fn may_attempt(&self, pending: &PendingRequest) -> bool {
+        let last_moment = pending.deadline.saturating_sub(self.settings.tick);
+        let attempts = pending.attempted.len() as u32;
+        let has_budget = !pending.has_begun || self.retry_budget.tokens >= RETRY_COST;
+        self.now < last_moment
+            && attempts < self.settings.max_attempts
+            && has_budget
+            && self.may_execute_again(pending)
+    }
+
+    /// Whether another attempt is within the idempotency of the class. The window counts to the
+    /// first byte of the attempt, which is sent once its connection is up.
+    fn may_execute_again(&self, pending: &PendingRequest) -> bool {
+        let Some(first) = &pending.possible_execution else {
+            return true;
+        };
+        match pending.class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { window, .. } => {
+                let first_byte_by = self.now + self.settings.tick + self.settings.connect_timeout;
+                first_byte_by < first.started_at + window
+            }
+        }
+    }
+
+    /// When to stop waiting for an attempt. While another one is possible it gets a fraction of the
+    /// set-up objective; the last one gets all the time there is: giving it up early would only
+    /// repeat work that the endpoint has begun.
+    pub(super) fn attempt_deadline(&self, pending: &PendingRequest) -> Micros {
+        let attempts = pending.attempted.len() as u32 + 1;
+        let another_is_possible =
+            attempts < self.settings.max_attempts && self.retry_budget.tokens >= 2.0 * RETRY_COST;
+        if !another_is_possible {
+            return pending.deadline;
+        }
+        let objective = pending.class.setup_objective as f32;
+        let timeout = (objective * self.parameters.attempt_objective_fraction) as Micros;
+        pending
+            .deadline
+            .min(self.now + timeout.max(self.settings.tick))
+    }
+
+    /// Gives the final answer, unless there was one: rejected where the client may safely send the
+    /// request again, else failed.
+    pub(super) fn answer(&self, pending: &mut PendingRequest, actions: &mut Vec<Action>) {
+        if pending.answered {
+            return;
+        }
+        pending.answered = true;
+        let may_have_executed =
+            pending.possible_execution.is_some() || pending.phase == Phase::Attempting;
+        let is_harmless_again = matches!(
+            pending.class.idempotency,
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DeduplicationScope::All,
+                    ..
+                }
+        );
+        let id = pending.request.id;
+        actions.push(if is_harmless_again || !may_have_executed {
+            let retry_after = self.retry_after(pending);
+            Action::Reject { id, retry_after }
+        } else {
+            Action::Fail(id)
+        });
+    }
+
+    /// Advised wait of a rejected client, jittered by its hash.
+    fn retry_after(&self, pending: &PendingRequest) -> Micros {
+        let jitter = RETRY_AFTER_JITTER + fraction(client_key(&pending.request), self.now);
+        let wait = (self.parameters.retry_after_us as f32 * jitter) as Micros;
+        wait.min(self.settings.max_retry_after)
+    }
+}
--- a/src/decisions/ring.rs
+++ b/src/decisions/ring.rs
@@ -1,67 +1,85 @@
-//! The slot array of RJ-CH and its hashes, which never change: all balancers must agree.
+//! The slots of RJ-CH (random-jump consistent hashing), their owners and their hashes.
+//!
+//! All balancers must agree on these functions, so none of them may ever change.
 
-use crate::decisions::api::{EndpointId, Request};
+use super::api::{EndpointId, Request};
 use std::collections::BTreeMap;
 
-/// Slots of the array (m): the points of a thousand servers seldom collide.
+/// Slots of the ring (m in the paper): enough that the points of a thousand endpoints seldom
+/// collide.
 pub const SLOTS: usize = 1 << 15;
 
-/// Mixes a word (SplitMix64 finaliser).
-pub fn mix(x: u64) -> u64 {
-    let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+/// Set in the key of a client without one, so that it equals no client's key.
+const KEYLESS_CLIENT: u64 = 1 << 63;
+
+/// Mixes a word (finaliser of SplitMix64).
+pub fn mix(word: u64) -> u64 {
+    let word = word.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    let word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let word = (word ^ (word >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    word ^ (word >> 31)
 }
 
-/// h(key, attempt): the attempt scatters what overflows.
-pub fn hash(key: u64, attempt: u32) -> u64 {
-    mix(mix(key) ^ u64::from(attempt))
+/// h(key, jump): each jump scatters the keys that the one before did not place.
+pub fn hash(key: u64, jump: u32) -> u64 {
+    mix(mix(key) ^ u64::from(jump))
 }
 
-/// The slot of h(key, attempt).
-pub fn slot(key: u64, attempt: u32) -> usize {
-    hash(key, attempt) as usize % SLOTS
+/// The slot of h(key, jump).
+pub fn slot(key: u64, jump: u32) -> usize {
+    hash(key, jump) as usize % SLOTS
 }
 
-/// A fraction in [0, 1) from two words: where a key stands among those that share something.
-pub fn fraction(a: u64, b: u64) -> f32 {
-    (mix(mix(a) ^ b) >> 40) as f32 / (1u64 << 24) as f32
+/// A fraction in [0, 1) from two words: the rank of a key among all that share the salt.
+pub fn fraction(key: u64, salt: u64) -> f32 {
+    (mix(mix(key) ^ salt) >> 40) as f32 / (1u64 << 24) as f32
 }
 
-/// What tells a client from others of its group.
-pub fn own_key(q: &Request) -> u64 {
-    match q.client_key {
-        0 => u64::from(q.id.0) | 1 << 63,
+/// Key that distinguishes a client from others of its group.
+pub fn client_key(request: &Request) -> u64 {
+    match request.client_key {
+        0 => u64::from(request.id.0) | KEYLESS_CLIENT,
         key => key,
     }
 }
 
-/// What the home of a request hashes by: its group, or itself where it has none.
-pub fn home_key(q: &Request) -> u64 {
-    Some(q.group)
-        .filter(|&group| group != 0)
-        .unwrap_or_else(|| own_key(q))
+/// Key by which a request is placed: that of its group, or of the client where it has none.
+pub fn placement_key(request: &Request) -> u64 {
+    match request.group {
+        0 => client_key(request),
+        group => group,
+    }
 }
 
-/// The owners of the slots: each slot is the nearest server's clockwise. Where two points share a slot it is
-/// the server's that hashes lower, so that the order of the list does not matter. A server's coming or going
-/// touches its own points and no others, whatever the size of the fleet.
+/// Position of a point: its slot, then the hash of its endpoint and its number, which order points
+/// that share a slot independently of the order of the endpoint list.
+type Point = (usize, u64, u32);
+
+/// Owners of the slots: each slot belongs to the next point clockwise. Adding or removing an
+/// endpoint touches its own points only.
 #[derive(Default)]
-pub struct Ring(BTreeMap<(usize, u64, u32), EndpointId>);
+pub struct Ring(BTreeMap<Point, EndpointId>);
 
 impl Ring {
-    /// Gives a server `to` points in place of `from`.
-    pub fn lay(&mut self, id: EndpointId, from: u32, to: u32) {
-        // Inverted: a key that equals a server's id must not jump along that server's own points.
-        let place = |point: u32| (slot(!id.0, point), mix(id.0), point);
-        (to..from).for_each(|point| _ = self.0.remove(&place(point)));
-        (from..to).for_each(|point| _ = self.0.insert(place(point), id));
+    /// Changes the number of points of an endpoint.
+    pub fn set_points(&mut self, id: EndpointId, from: u32, to: u32) {
+        for number in to..from {
+            self.0.remove(&Ring::point(id, number));
+        }
+        for number in from..to {
+            self.0.insert(Ring::point(id, number), id);
+        }
     }
 
-    /// The owner of the slot of h(key, jump).
+    /// Owner of the slot of h(key, jump); none for a ring without points.
     pub fn owner(&self, key: u64, jump: u32) -> Option<EndpointId> {
         let next = self.0.range((slot(key, jump), 0, 0)..).next();
         next.or_else(|| self.0.first_key_value()).map(|(_, id)| *id)
     }
+
+    fn point(id: EndpointId, number: u32) -> Point {
+        // Inverted, so that a key equal to an endpoint's id does not jump along that endpoint's own
+        // points.
+        (slot(!id.0, number), mix(id.0), number)
+    }
 }
--- /dev/null
+++ b/src/decisions/slow_start.rs
@@ -0,0 +1,117 @@
+//! Slow start: how much a warming endpoint may be sent.
+//!
+//! The platform's rule counts the requests that all balancers together send to a warming endpoint
+//! within the overload window. Each balancer has a token bucket for each warming endpoint, filled
+//! with its share of that budget. Inputs: the endpoint's start, the settings' warm-up, load reports
+//! where there are any. Guards against: an endpoint that fails because it got its full load while
+//! it was cold, from one balancer or from the sum of all.
+
+use super::api::{EndpointId, Micros};
+use super::endpoints::{Endpoint, EndpointIndex};
+use super::Balancer;
+
+/// Tokens from one overload window are spent together with those that the next one earns, so each
+/// earns half.
+const WINDOWS_SPENT_TOGETHER: f32 = 2.0;
+/// Standard deviations of a random arrival count that the rule leaves above its mean.
+const ALLOWED_DEVIATIONS: f32 = 2.0;
+
+/// The token bucket of one warming endpoint. A request takes one token.
+#[derive(Default)]
+pub(super) struct SlowStart {
+    tokens: f32,
+    refilled_at: Micros,
+}
+
+impl SlowStart {
+    /// A bucket with these tokens.
+    pub fn new(tokens: f32, now: Micros) -> SlowStart {
+        SlowStart {
+            tokens,
+            refilled_at: now,
+        }
+    }
+
+    /// A request was sent to the endpoint.
+    pub fn take_token(&mut self) {
+        self.tokens -= 1.0;
+    }
+
+    /// Adds what was earned since the last refill. `rate` is in tokens a microsecond.
+    fn refill(&mut self, now: Micros, rate: f32, overload_window: Micros) {
+        let elapsed = now.saturating_sub(self.refilled_at) as f32;
+        let earned = self.tokens + elapsed * rate;
+        let earned_in_window = rate * overload_window as f32;
+        // Cap the tokens at one window: unspent tokens of many balancers would arrive as one burst.
+        let expired = if earned_in_window < 1.0 {
+            (earned - earned_in_window).ceil() - 1.0
+        } else {
+            earned - 1.0
+        };
+        self.tokens = earned - expired.max(0.0);
+        self.refilled_at = now;
+    }
+}
+
+impl Balancer {
+    /// Fraction of its capacity that an endpoint has by now: it grows evenly from the initial
+    /// capacity to 1.
+    pub(super) fn warm_fraction(&self, endpoint: &Endpoint) -> f32 {
+        let availability = &endpoint.availability;
+        let Some(started_at) = availability.started_at.max(availability.returned_at) else {
+            return 1.0;
+        };
+        let age = self.now.saturating_sub(started_at) as f32;
+        let initial = self.settings.initial_capacity;
+        let warm_up_time = (self.settings.warm_up_time as f32).max(1.0);
+        (initial + (1.0 - initial) * age / warm_up_time).min(1.0)
+    }
+
+    /// Requests that all balancers together may send to a warming endpoint within the overload
+    /// window: N + 2·√N, N being what the overload factor allows. None for an endpoint that is
+    /// warm, and where no load reports tell the work of a connection.
+    ///
+    /// Capacity counts as a rate: at that rate an endpoint that warms evenly is full at the end of
+    /// its warm-up.
+    pub fn warm_up_budget(&self, id: EndpointId) -> Option<f32> {
+        let endpoint = &self.endpoints[self.endpoints.find(id)?];
+        let work_per_connection = self.fleet_load.work_per_connection;
+        let warm_fraction = self.warm_fraction(endpoint);
+        let is_known_to_warm_up = work_per_connection > 0.0 && warm_fraction < 1.0;
+        if !is_known_to_warm_up {
+            return None;
+        }
+        let time_to_fill =
+            self.settings.warm_up_time as f32 * (1.0 + self.settings.initial_capacity) / 2.0;
+        let window = self.settings.overload_window as f32;
+        let capacity = endpoint.size / work_per_connection * warm_fraction * window / time_to_fill;
+        let allowed = self.settings.overload_factor * capacity;
+        Some(allowed + ALLOWED_DEVIATIONS * allowed.sqrt())
+    }
+
+    /// Tokens a microsecond that this balancer earns for a warming endpoint.
+    fn slow_start_rate(&self, endpoint: &Endpoint) -> f32 {
+        let Some(budget) = self.warm_up_budget(endpoint.id) else {
+            let mean = self.endpoints.mean_in_flight(endpoint.size);
+            return self.parameters.slow_start_blind_factor * mean * self.warm_fraction(endpoint)
+                / self.settings.warm_up_time as f32;
+        };
+        let own_share = self.parameters.slow_start_budget_fraction
+            / WINDOWS_SPENT_TOGETHER
+            / self.settings.balancer_count as f32
+            / self.settings.overload_window as f32;
+        own_share * budget
+    }
+
+    /// Whether slow start lets this balancer send an endpoint a request now. Refills its token
+    /// bucket.
+    pub(super) fn slow_start_admits(&mut self, index: EndpointIndex) -> bool {
+        let endpoint = &self.endpoints[index];
+        let is_warm = self.warm_fraction(endpoint) >= 1.0;
+        let rate = self.slow_start_rate(endpoint);
+        let overload_window = self.settings.overload_window;
+        let bucket = &mut self.endpoints[index].slow_start;
+        bucket.refill(self.now, rate, overload_window);
+        is_warm || bucket.tokens >= 1.0
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,30 +1,39 @@
-//! jaspermoor makes the decisions of a balancer for long-lived connections.
+//! jaspermoor, a relay for long-lived connections, and the decisions that it serves by.
 //!
-//! A proxy tells a [`Balancer`] what it sees ([`decisions::api::Event`]) and carries out what the
-//! balancer asks for ([`decisions::api::Action`]). The balancer does no I/O and reads no clock: time comes
-//! in with each event, and randomness only from the seed it was made with.
+//! A proxy reports what it sees to a [`Balancer`] ([`decisions::api::Event`]) and carries out what
+//! the balancer asks for ([`decisions::api::Action`]). The balancer does no I/O and reads no clock:
+//! time comes in with each event, and randomness only from the seed it was made with.
 //!
 //! ```
-//! use jaspermoor::decisions::api::{Action, Event, EndpointListKind, ListedEndpoint, EndpointState, RequestId, EndpointId, Settings};
+//! use jaspermoor::decisions::api::{
+//!     Action, EndpointId, EndpointListKind, EndpointState, Event, ListedEndpoint, Request,
+//!     RequestId, Settings,
+//! };
 //! use jaspermoor::Balancer;
 //!
 //! let mut balancer = Balancer::new(Settings::default(), 7);
 //! let mut actions = Vec::new();
-//! let member = |n| ListedEndpoint {
-//!     id: EndpointId(n),
+//! let listed = |number| ListedEndpoint {
+//!     id: EndpointId(number),
 //!     zone: 0,
 //!     cell: 0,
 //!     state: EndpointState::Ready,
 //!     size: 1.0,
 //!     started_at: None,
 //! };
-//! let members = (1..=3).map(member).collect();
-//! balancer.handle(0, Event::ListedEndpoints { kind: EndpointListKind::Full, members }, &mut actions).unwrap();
+//! let endpoints = (1..=3).map(listed).collect();
+//! let list = Event::EndpointList { kind: EndpointListKind::Full, endpoints };
+//! balancer.handle(0, list, &mut actions).unwrap();
 //! actions.clear();
 //!
-//! let request = jaspermoor::decisions::api::Request { id: RequestId(1), key: 42, left: 800_000, ..Default::default() };
+//! let request = Request {
+//!     id: RequestId(1),
+//!     client_key: 42,
+//!     time_left: 800_000,
+//!     ..Request::default()
+//! };
 //! balancer.handle(1_000, Event::Request(request), &mut actions).unwrap();
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })));
+//! assert!(actions.iter().any(|action| matches!(action, Action::Attempt { .. })));
 //! ```
 
 pub mod cells;
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -131,7 +131,7 @@
             }
         };
         self.foreign = false;
-        self.decisions.apply_policy(rules.cells, rules.tuning);
+        self.decisions.apply_policy(rules.cells, rules.parameters);
         log(&format!(
             "fleet: policy of epoch {} ({}) in force, by {}: {}",
             policy.epoch,
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -161,7 +161,7 @@
         let mut foreign = false;
         if kept.epoch > 0 {
             match policy::read(Path::new("policy"), &kept.text) {
-                Ok(rules) => decisions.apply_policy(rules.cells, rules.tuning),
+                Ok(rules) => decisions.apply_policy(rules.cells, rules.parameters),
                 Err(e) => {
                     log(&format!(
                         "fleet: the policy of epoch {} is not understood by this build: {e}",
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -20,10 +20,10 @@
     let t = Parameters::default();
     // A watch that falls silent, and a call that is accepted or dialled and gets no answer.
     for seen in [SILENT, CALL, DIAL] {
-        assert!(seen + pause(t.ask_soon) + ANSWER < TOLD);
+        assert!(seen + pause(t.discovery_max_backoff_after_timeout_us) + ANSWER < TOLD);
     }
     // What is refused, reset or answered with an error is seen at once; so is a move.
-    assert!(pause(t.ask_most) + ANSWER < TOLD);
+    assert!(pause(t.discovery_max_backoff_us) + ANSWER < TOLD);
 }
 
 /// What discovery does to a call that has come, or to a watch that stands.
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,33 +1,38 @@
-//! The module's size, its line width and what it may not do.
+//! What holds for the source files of the decisions: their size, their width, and what they must not do.
 
+use jaspermoor::decisions::parameters::ParameterError;
+use jaspermoor::Parameters;
 use std::fs;
+use std::path::PathBuf;
 
-/// The files of the module, as the deploy file lists them.
-const MODULE: [&str; 5] = [
-    "src/decisions/mod.rs",
-    "src/decisions/api.rs",
-    "src/decisions/parameters.rs",
-    "src/decisions/random.rs",
-    "src/decisions/ring.rs",
-];
+/// Where the decisions are, from the root of the repository.
+const FOLDER: &str = "src/decisions";
+/// The file that describes the whole module.
+const FIRST_FILE: &str = "src/decisions/mod.rs";
+/// Lines that a file may have without blank ones, so that it has one concern.
+const MAX_FILE_LINES: usize = 400;
+/// Columns that a line may have, comments included.
+const MAX_COLUMNS: usize = 100;
 
-fn text(path: &str) -> String {
-    fs::read_to_string(format!("{}/{path}", env!("CARGO_MANIFEST_DIR"))).unwrap()
+fn read(path: &str) -> String {
+    let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
+    fs::read_to_string(root.join(path)).unwrap()
 }
 
-fn module() -> String {
-    MODULE.map(text).concat()
+/// All files of the decisions, the describing one first, then by name.
+fn files() -> Vec<String> {
+    let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
+    let entries = fs::read_dir(root.join(FOLDER)).unwrap();
+    let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
+    let mut files: Vec<String> = names.map(|name| format!("{FOLDER}/{name}")).collect();
+    files.sort_by_key(|file| (file != FIRST_FILE, file.clone()));
+    files
 }
 
-/// Lines that a file of the module may have.
-const MAX_FILE_LINES: usize = 1_250;
-/// Columns that a line of the module may have, comments included.
-const MAX_COLUMNS: usize = 110;
-
 #[test]
-fn the_module_is_readable_in_size_and_width() {
-    for file in MODULE {
-        let text = text(file);
+fn each_file_of_the_decisions_has_one_concern_and_fits_a_page_in_width() {
+    for file in files() {
+        let text = read(&file);
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
         assert!(
             lines <= MAX_FILE_LINES,
@@ -45,54 +50,84 @@
 }
 
 #[test]
-fn the_module_names_its_interface_first() {
-    assert!(module()
+fn the_decisions_name_their_interface_first() {
+    let text = read(FIRST_FILE);
+    assert!(text
         .lines()
         .take(3)
         .any(|line| line.contains("src/decisions/api.rs")));
 }
 
 #[test]
-fn the_module_does_no_io_and_reads_no_clock() {
-    let text = module();
-    for word in [
-        "std::io",
-        "std::time",
-        "std::thread",
-        "std::env",
-        "HashMap",
-        "HashSet",
-        "static ",
-        "println",
-    ] {
-        assert!(!text.contains(word), "{word}");
+fn the_decisions_do_no_io_and_read_no_clock() {
+    for file in files() {
+        let text = read(&file);
+        for word in [
+            "std::io",
+            "std::time",
+            "std::thread",
+            "std::env",
+            "HashMap",
+            "HashSet",
+            "static ",
+            "println",
+        ] {
+            assert!(!text.contains(word), "{file}: {word}");
+        }
     }
 }
 
 #[test]
 fn the_deploy_file_names_what_is_built() {
-    let deploy = text("deploy/balancer.toml");
-    assert!(deploy.contains(&format!("policy = {MODULE:?}")));
+    let deploy = read("deploy/balancer.toml");
+    assert!(deploy.contains(&format!("policy = {:?}", files())));
     assert!(deploy.contains("sim = \"exec target/release/jaspermoor-simhost\""));
 }
 
-/// A sweep that names what nobody reads, or a value that would become another one, once would have measured nothing.
+/// A sweep over a name that no parameter has, or over values that become others, would measure nothing.
 #[test]
 fn a_parameter_is_set_by_its_name_or_not_at_all() {
-    use jaspermoor::Parameters;
-    let mut t = Parameters::default();
+    let mut parameters = Parameters::default();
     for name in Parameters::NAMES {
-        let value = t.get(name).unwrap();
-        assert!(t.set(name, value) && t == Parameters::default(), "{name}");
+        let value = parameters.get(name).unwrap();
+        assert_eq!(parameters.set(name, value), Ok(()), "{name}");
+        assert_eq!(parameters, Parameters::default(), "{name}");
+    }
+    assert_eq!(parameters.set("hash_band_width", 0.45), Ok(()));
+    assert_eq!(parameters.hash_band_width, 0.45);
+    assert!(parameters.get("hash_band_width").is_some());
+    for (name, value) in [("HASH_BAND_WIDTH", 1.0), ("SOFT", 1.0), ("", 1.0)] {
+        let error = Err(ParameterError::UnknownName);
+        assert_eq!(parameters.set(name, value), error, "{name} {value}");
     }
-    assert!(t.set("soft", 0.45) && t.soft == 0.45 && t.get("soft").is_some());
     for (name, value) in [
-        ("SOFT", 1.0),
-        ("", 1.0),
-        ("look_at", -3.0),
-        ("soft", f64::NAN),
-        ("jumps", 1e12),
+        ("lookup_candidates", -3.0),
+        ("hash_band_width", f64::NAN),
+        ("max_jumps", 1e12),
     ] {
-        assert!(!t.set(name, value), "{name} {value}");
+        let error = Err(ParameterError::InvalidValue);
+        assert_eq!(parameters.set(name, value), error, "{name} {value}");
+    }
+}
+
+/// Operator files, stored policies and experiments of earlier builds give the former names.
+#[test]
+fn a_parameter_is_found_by_its_former_name() {
+    let pairs = Parameters::FORMER_NAMES.iter().zip(Parameters::NAMES);
+    for (former, name) in pairs {
+        let mut by_former_name = Parameters::default();
+        let mut by_name = Parameters::default();
+        let value = by_name.get(name).unwrap() + 1.0;
+        assert_eq!(by_former_name.set(former, value), Ok(()), "{former}");
+        assert_eq!(by_name.set(name, value), Ok(()), "{name}");
+        assert_ne!(by_name, Parameters::default(), "{name}");
+        assert_eq!(by_former_name, by_name, "{former} is {name}");
+    }
+    let mut parameters = Parameters::default();
+    assert_eq!(parameters.set("soft", 0.45), Ok(()));
+    assert_eq!(parameters.hash_band_width, 0.45);
+    for (former, value) in [("look_at", -3.0), ("soft", f64::NAN), ("jumps", 1e12)] {
+        let error = Err(ParameterError::InvalidValue);
+        assert_eq!(parameters.set(former, value), error, "{former} {value}");
     }
 }
--- a/tests/slots.rs
+++ b/tests/slots.rs
@@ -32,7 +32,7 @@
         // Few ids, so that each comes, grows, shrinks and goes many times.
         let (id, to) = (EndpointId(mix(step) % 60), (mix(!step) % 5 * 40) as u32);
         let from = laid.insert(id, to).unwrap_or(0);
-        ring.lay(id, from, to);
+        ring.set_points(id, from, to);
         if step % 40 == 39 {
             let servers: Vec<_> = laid.iter().map(|(id, points)| (*id, *points)).collect();
             let array = array(&servers);
