--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,8 +1,14 @@
-//! What the fleet's load watch knows of each backend: what was told, how old it is, and what is still to be asked. Facts
-//! only; which server is chosen is the decisions'. Between the thread that serves, which probes, and the fleet's, which tells.
+//! Load reports of endpoints, cached between the fleet's load watch and this relay's health checks.
 //!
-//! Guards against: a report that is older than a probe would be (it is not used, and the relay probes for itself), and one
-//! of a backend that the own list does not name (whoever asks looks there first).
+//! The fleet's thread inserts the reports that the load watch distributes, and requests the checks that the watch wants
+//! from this relay. The serving thread looks a report up before it checks an endpoint's health itself, makes the
+//! requested checks, and returns their results. Nothing is decided here.
+//!
+//! Guards against reports that are older than a check of one's own would be, and against queues that grow while one of
+//! the threads is behind. All moments are those of [`crate::sys::boottime`].
+
+#[cfg(test)]
+mod tests;
 
 use crate::decisions::api::{EndpointId, Micros};
 use crate::sys::Wake;
@@ -10,170 +16,179 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 
-/// A report that is told stands for a probe while it is younger than that, in microseconds: a round of the watch and a
-/// half, and what it may take on its way. The decisions hold a load for known for 1.5 s.
+/// A report replaces a health check while it is younger than this, in microseconds: one and a half rounds of the load
+/// watch, and its time on the way. The decisions count a load as known for 1.5 s.
 pub const MAX_REPORT_AGE: Micros = 1_000_000;
-/// Probes for the watch that wait, and answers that nobody has taken: a thread that is behind gets no longer queue.
-const QUEUE: usize = 256;
+/// Reports older than this are evicted, in microseconds.
+const EVICTION_AGE: Micros = 10 * MAX_REPORT_AGE;
+/// The most checks that wait to be made, and the most results that wait to be taken.
+const QUEUE_CAPACITY: usize = 256;
+
+/// The load that an endpoint reported.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LoadReport {
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// When it reported, at the earliest.
+    pub measured_at: Micros,
+    /// Its report, in the columns of the settings.
+    pub columns: Vec<f32>,
+}
+
+/// The result of a health check that the load watch requested.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CheckResult {
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// When the check was made; 0 if it was never made.
+    pub checked_at: Micros,
+    /// The endpoint's report; none if the check failed or the report was empty.
+    pub report: Option<Vec<f32>>,
+}
 
-/// How a probe for the watch has ended: the backend, when, and what it said.
-pub type Found = (EndpointId, Micros, Option<Vec<f32>>);
+/// What is known of one endpoint.
+struct CachedReport {
+    measured_at: Micros,
+    columns: Vec<f32>,
+}
 
 #[derive(Default)]
-struct Inner {
-    told: BTreeMap<EndpointId, (Micros, Vec<f32>)>,
-    wanted: VecDeque<EndpointId>,
-    found: VecDeque<Found>,
+struct CacheState {
+    reports: BTreeMap<EndpointId, CachedReport>,
+    requested_checks: VecDeque<EndpointId>,
+    results: VecDeque<CheckResult>,
 }
 
-/// See the module's text. Moments are those of [`crate::sys::boottime`].
+/// The cache, shared by the fleet's thread and the serving thread.
 #[derive(Default)]
 pub struct LoadReportCache {
-    inner: Mutex<Inner>,
-    prober: OnceLock<Wake>,
-    teller: OnceLock<Wake>,
-    /// Probes that a report stood for, and those that were made for want of one.
+    state: Mutex<CacheState>,
+    checker_waker: OnceLock<Wake>,
+    publisher_waker: OnceLock<Wake>,
+    /// Health checks that a fresh report replaced.
     pub checks_avoided: AtomicU64,
-    /// See `spared`.
+    /// Health checks that were made for want of a fresh report.
     pub checks_sent: AtomicU64,
 }
 
 impl LoadReportCache {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, CacheState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Called where there is something to probe. Once.
+    /// Sets what is called when checks are requested. A second call is ignored.
     pub fn set_checker_waker(&self, wake: Wake) {
-        let _ = self.prober.set(wake);
+        let _ = self.checker_waker.set(wake);
     }
 
-    /// Called where a probe has ended. Once.
+    /// Sets what is called when a requested check has ended. A second call is ignored.
     pub fn set_publisher_waker(&self, wake: Wake) {
-        let _ = self.teller.set(wake);
+        let _ = self.publisher_waker.set(wake);
     }
 
-    /// Backends' loads, as they were at these moments at the earliest. An older word changes nothing.
-    pub fn insert(&self, rows: impl IntoIterator<Item = (EndpointId, Micros, Vec<f32>)>) {
-        let mut inner = self.lock();
-        for (server, at, report) in rows {
-            if inner.told.get(&server).is_none_or(|(known, _)| at > *known) {
-                inner.told.insert(server, (at, report));
+    /// Caches reports. One that is not newer than the cached report of its endpoint is ignored.
+    pub fn insert(&self, reports: impl IntoIterator<Item = LoadReport>) {
+        let mut state = self.lock();
+        for report in reports {
+            let cached = state.reports.get(&report.endpoint);
+            if cached.is_some_and(|cached| report.measured_at <= cached.measured_at) {
+                continue;
             }
+            let newer = CachedReport {
+                measured_at: report.measured_at,
+                columns: report.columns,
+            };
+            state.reports.insert(report.endpoint, newer);
         }
     }
 
-    /// What stands for a probe of this backend at this moment. Counted.
-    pub fn fresh_report(&self, server: EndpointId, now: Micros) -> Option<Vec<f32>> {
-        let inner = self.lock();
-        let told = inner
-            .told
-            .get(&server)
-            .filter(|(at, _)| now < at + MAX_REPORT_AGE)
-            .map(|(_, report)| report.clone());
-        if told.is_some() {
+    /// The report that replaces a health check of this endpoint now, if there is a fresh one. Each call counts as a
+    /// check that was avoided or sent.
+    pub fn fresh_report(&self, endpoint: EndpointId, now: Micros) -> Option<Vec<f32>> {
+        let state = self.lock();
+        let fresh = state
+            .reports
+            .get(&endpoint)
+            .filter(|cached| now < cached.measured_at + MAX_REPORT_AGE)
+            .map(|cached| cached.columns.clone());
+        let counter = if fresh.is_some() {
             &self.checks_avoided
         } else {
             &self.checks_sent
-        }
-        .fetch_add(1, Relaxed);
-        told
+        };
+        counter.fetch_add(1, Relaxed);
+        fresh
     }
 
-    /// Forgets backends that no list names any more, and words that nobody can use.
+    /// Evicts reports of endpoints that are not listed, and reports that are far too old.
     pub fn evict(&self, now: Micros, listed: impl Fn(EndpointId) -> bool) {
-        self.lock()
-            .told
-            .retain(|server, (at, _)| now < *at + 10 * MAX_REPORT_AGE && listed(*server));
+        self.lock().reports.retain(|endpoint, cached| {
+            now < cached.measured_at + EVICTION_AGE && listed(*endpoint)
+        });
     }
 
-    /// The watch wants these probed.
-    pub fn request_checks(&self, servers: impl IntoIterator<Item = EndpointId>) {
-        let mut inner = self.lock();
-        for server in servers {
-            if inner.wanted.len() < QUEUE {
-                inner.wanted.push_back(server);
-            } else if inner.found.len() < QUEUE {
-                inner.found.push_back((server, 0, None));
+    /// Requests health checks for the load watch. A check for which there is no room fails at once, so that the watch's
+    /// round ends.
+    pub fn request_checks(&self, endpoints: impl IntoIterator<Item = EndpointId>) {
+        let mut state = self.lock();
+        for endpoint in endpoints {
+            if state.requested_checks.len() < QUEUE_CAPACITY {
+                state.requested_checks.push_back(endpoint);
+            } else {
+                state.push_result(CheckResult {
+                    endpoint,
+                    checked_at: 0,
+                    report: None,
+                });
             }
         }
-        drop(inner);
-        self.prober.get().iter().for_each(|wake| wake());
+        drop(state);
+        wake(&self.checker_waker);
     }
 
-    /// The next that the watch wants probed.
+    /// Takes the next endpoint that the load watch wants checked.
     pub fn next_check(&self) -> Option<EndpointId> {
-        self.lock().wanted.pop_front()
+        self.lock().requested_checks.pop_front()
     }
 
-    /// A probe for the watch has ended. What the backend said is known here at once.
-    pub fn check_finished(&self, server: EndpointId, at: Micros, report: Option<Vec<f32>>) {
-        let report = report.filter(|report| !report.is_empty());
-        self.insert(report.iter().map(|report| (server, at, report.clone())));
-        let mut inner = self.lock();
-        if inner.found.len() < QUEUE {
-            inner.found.push_back((server, at, report));
-        }
-        drop(inner);
-        self.teller.get().iter().for_each(|wake| wake());
+    /// Reports the result of a requested check. The endpoint's report is cached at once.
+    pub fn check_finished(
+        &self,
+        endpoint: EndpointId,
+        checked_at: Micros,
+        report: Option<Vec<f32>>,
+    ) {
+        let report = report.filter(|columns| !columns.is_empty());
+        self.insert(report.iter().map(|columns| LoadReport {
+            endpoint,
+            measured_at: checked_at,
+            columns: columns.clone(),
+        }));
+        self.lock().push_result(CheckResult {
+            endpoint,
+            checked_at,
+            report,
+        });
+        wake(&self.publisher_waker);
     }
 
-    /// How probes for the watch have ended since the last call.
-    pub fn take_results(&self) -> Vec<Found> {
-        self.lock().found.drain(..).collect()
+    /// Takes the results of the requested checks that have ended since the last call.
+    pub fn take_results(&self) -> Vec<CheckResult> {
+        self.lock().results.drain(..).collect()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_report_stands_for_a_probe_while_it_is_young_and_no_older_one_takes_its_place() {
-        let (book, server) = (LoadReportCache::default(), EndpointId(7));
-        assert_eq!(book.fresh_report(server, 0), None);
-        book.insert([(server, 1_000, vec![0.5])]);
-        book.insert([(server, 900, vec![0.9])]);
-        assert_eq!(
-            book.fresh_report(server, 1_000 + MAX_REPORT_AGE - 1),
-            Some(vec![0.5])
-        );
-        assert_eq!(
-            book.fresh_report(server, 1_000 + MAX_REPORT_AGE),
-            None,
-            "older than a probe would be"
-        );
-        assert_eq!(
-            (
-                book.checks_avoided.load(Relaxed),
-                book.checks_sent.load(Relaxed)
-            ),
-            (1, 2)
-        );
-        book.insert([(server, 2_000, vec![0.7])]);
-        book.evict(2_000, |_| false);
-        assert_eq!(book.fresh_report(server, 2_000), None);
+impl CacheState {
+    /// Adds a result, or drops it while too many wait: the thread that takes them is behind.
+    fn push_result(&mut self, result: CheckResult) {
+        if self.results.len() < QUEUE_CAPACITY {
+            self.results.push_back(result);
+        }
     }
+}
 
-    #[test]
-    fn what_the_watch_found_is_known_here_at_once_and_no_queue_grows() {
-        let book = LoadReportCache::default();
-        book.request_checks((0..300).map(EndpointId));
-        assert_eq!(std::iter::from_fn(|| book.next_check()).count(), QUEUE);
-        assert_eq!(
-            book.take_results().len(),
-            300 - QUEUE,
-            "said to have failed, so that its round ends"
-        );
-        book.check_finished(EndpointId(1), 50, Some(vec![0.25]));
-        book.check_finished(EndpointId(2), 60, None);
-        assert_eq!(book.fresh_report(EndpointId(1), 60), Some(vec![0.25]));
-        assert_eq!(
-            book.take_results(),
-            [
-                (EndpointId(1), 50, Some(vec![0.25])),
-                (EndpointId(2), 60, None)
-            ]
-        );
+fn wake(waker: &OnceLock<Wake>) {
+    if let Some(wake) = waker.get() {
+        wake();
     }
 }
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -761,6 +761,7 @@
     use crate::config::Config;
     use crate::decision_service::{DecisionService, Hooks};
     use crate::decisions::api::{EndpointState, ListedEndpoint};
+    use crate::load::LoadReport;
     use crate::platform::directory::Directory;
     use crossbeam_channel::{bounded, Sender};
     use std::io::{ErrorKind, Read, Write};
@@ -852,7 +853,11 @@
         let (mut engine, listeners, order) = probing(3);
         let book = Arc::new(LoadReportCache::default());
         // Young for as long as the test may take.
-        book.insert([(EndpointId(0), boottime() + 3_600_000_000, vec![0.5])]);
+        book.insert([LoadReport {
+            endpoint: EndpointId(0),
+            measured_at: boottime() + 3_600_000_000,
+            columns: vec![0.5],
+        }]);
         engine.watch(book.clone());
         let handle = engine.handle();
         // Both are there before it begins: in their order.
@@ -876,9 +881,12 @@
             .write_all(b"PONG x0=0.25\r\n")
             .unwrap();
         let found = until(|| book.take_results().pop());
-        assert_eq!((found.0, found.2), (EndpointId(2), Some(vec![0.25])));
         assert_eq!(
-            book.fresh_report(EndpointId(2), found.1),
+            (found.endpoint, found.report),
+            (EndpointId(2), Some(vec![0.25]))
+        );
+        assert_eq!(
+            book.fresh_report(EndpointId(2), found.checked_at),
             Some(vec![0.25]),
             "its own relay knows it at once"
         );
--- a/src/net/fleet/jobs.rs
+++ b/src/net/fleet/jobs.rs
@@ -4,7 +4,7 @@
 use crate::config::operator;
 use crate::decision_service::DecisionService;
 use crate::decisions::api::EndpointId;
-use crate::load::LoadReportCache;
+use crate::load::{LoadReport, LoadReportCache};
 use crate::log::log;
 use crate::platform::directory::Directory;
 use crate::sys::boottime;
@@ -118,8 +118,8 @@
             return;
         };
         let now = boottime();
-        for (server, at, report) in resources.book.take_results() {
-            worker.health_checked(at, server.0, report);
+        for result in resources.book.take_results() {
+            worker.health_checked(result.checked_at, result.endpoint.0, result.report);
         }
         let (decisions, paced) = (&self.decisions, self.setup.fleet.jobs.paced_moves);
         let context = WorkContext {
@@ -208,10 +208,13 @@
                     resources.book.evict(boottime(), |server| {
                         resources.directory.endpoint(server).is_some()
                     });
-                    resources.book.insert(
-                        rows.into_iter()
-                            .map(|(server, at, row)| (EndpointId(server), at, row)),
-                    );
+                    resources
+                        .book
+                        .insert(rows.into_iter().map(|(server, at, row)| LoadReport {
+                            endpoint: EndpointId(server),
+                            measured_at: at,
+                            columns: row,
+                        }));
                 }
                 WorkerCommand::PermitMigrations(upto) => self.decisions.permit_migrations(upto),
                 WorkerCommand::Log(line) => log(&line),
