--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -9,7 +9,7 @@
 use super::policy::{Decider, Policy};
 use super::rules::{Break, Watchdog};
 use super::scene::{micros, speed, spread, Event as Trouble, Scene};
-use jaspermoor::cells::{CellMap, Placed};
+use jaspermoor::cells::{CellMap, Placement};
 use jaspermoor::decisions::api::{
     Action, EndpointId, EndpointListKind, EndpointState, Event, ListedEndpoint, Micros, Outcome,
     Request, RequestId, SECOND,
@@ -584,7 +584,7 @@
     fn start_relay(&mut self, relay: usize) {
         let zone = self.relays[relay].zone;
         let settings = self.scene.settings(zone);
-        let parts: Vec<Decider> = (0..self.variant.cells.len().max(1))
+        let parts: Vec<Decider> = (0..self.variant.cells.cell_count().max(1))
             .map(|_| Decider::new(&self.variant.policy, settings.clone(), self.rng.random()))
             .collect();
         self.relays[relay].parts = parts;
@@ -611,10 +611,10 @@
 
     /// The cell of a backend.
     fn part_of(&self, server: EndpointId) -> usize {
-        if self.variant.cells.len() <= 1 {
+        if self.variant.cells.cell_count() <= 1 {
             0
         } else {
-            self.variant.cells.of_server(server)
+            self.variant.cells.cell_of_endpoint(server)
         }
     }
 
@@ -791,10 +791,10 @@
 
     /// The part of a relay that places a group; none where its cell has nobody and nobody lends it room.
     fn place_in(&self, relay: usize, group: u64) -> Option<usize> {
-        if self.variant.cells.len() <= 1 {
+        if self.variant.cells.cell_count() <= 1 {
             return Some(0);
         }
-        let usable: Vec<bool> = (0..self.variant.cells.len())
+        let usable: Vec<bool> = (0..self.variant.cells.cell_count())
             .map(|cell| {
                 let list = &self.relays[relay].list;
                 self.backends.iter().enumerate().any(|(n, b)| {
@@ -807,8 +807,8 @@
             .cells
             .place(group, &usable, &vec![0; usable.len()])
         {
-            Placed::At(cell) | Placed::Borrowed(cell) => Some(cell),
-            Placed::Refused => None,
+            Placement::Home(cell) | Placement::Borrowed(cell) => Some(cell),
+            Placement::Rejected => None,
         }
     }
 
--- a/crates/lab/src/sim/poison.rs
+++ b/crates/lab/src/sim/poison.rs
@@ -34,7 +34,7 @@
 
 /// The variants, by the number of their cells.
 fn variants(e: &Experiment) -> Vec<(&'static str, usize)> {
-    let most = jaspermoor::cells::map::MOST;
+    let most = jaspermoor::cells::MAX_CELLS;
     let cells = (e.servers / e.cell.max(1)).clamp(1, most);
     vec![
         ("one fleet (RJ-CH alone)", 1),
@@ -119,7 +119,7 @@
                     load: e.load,
                     length: 100 * SECOND,
                     poison,
-                    cells: CellMap::of_hash(*cells),
+                    cells: CellMap::with_equal_cells(*cells),
                     list_delay: 3 * SECOND,
                 };
                 runs.push((variant, poisoned, site, plan));
@@ -235,11 +235,11 @@
             load: 0.5,
             length: 60 * SECOND,
             poison: Some((3, 12.0, 25 * SECOND, 50 * SECOND)),
-            cells: CellMap::of_hash(cells),
+            cells: CellMap::with_equal_cells(cells),
             list_delay: SECOND,
         };
         let (plain, cells) = (World::new(plan(1)).run(), World::new(plan(4)).run());
-        let map = CellMap::of_hash(4);
+        let map = CellMap::with_equal_cells(4);
         let home = map.home(4).0;
         // Sites of other cells share no server with it.
         let held = &cells.sites[3].servers;
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -1,7 +1,7 @@
 //! The model: servers with speeds, warm-up, group costs and ends; a list that is seconds late; clients that come,
 //! stay, retry and come back; relays that share nothing.
 
-use jaspermoor::cells::{CellMap, Placed};
+use jaspermoor::cells::{CellMap, Placement};
 use jaspermoor::decisions::api::{
     Action, Class, EndpointId, EndpointListKind, EndpointState, Event, Idempotency, ListedEndpoint,
     Micros, Outcome, ReportColumn, Request, RequestId, Settings, SECOND,
@@ -235,7 +235,7 @@
                 });
             }
         }
-        let cells = plan.cells.len();
+        let cells = plan.cells.cell_count();
         let relays = (0..plan.relays)
             .map(|_| Relay {
                 parts: (0..cells)
@@ -334,7 +334,7 @@
         let all: Vec<ListedEndpoint> = (0..self.servers.len()).map(|n| self.member(n)).collect();
         for part in 0..self.relays[relay].parts.len() {
             let own = |m: &&ListedEndpoint| {
-                m.state == EndpointState::Ready && self.plan.cells.of_server(m.id) == part
+                m.state == EndpointState::Ready && self.plan.cells.cell_of_endpoint(m.id) == part
             };
             let members: Vec<ListedEndpoint> = all.iter().filter(own).cloned().collect();
             self.relays[relay].usable[part] = !members.is_empty();
@@ -618,9 +618,9 @@
         let site = self.clients[client].site as u64 + 1;
         let r = &mut self.relays[relay];
         let (part, borrowed) = match self.plan.cells.place(site, &r.usable, &r.borrowed) {
-            Placed::At(cell) => (cell, false),
-            Placed::Borrowed(cell) => (cell, true),
-            Placed::Refused => {
+            Placement::Home(cell) => (cell, false),
+            Placement::Borrowed(cell) => (cell, true),
+            Placement::Rejected => {
                 self.refused += 1;
                 return self.come_again(client, SECOND);
             }
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -1,67 +1,78 @@
-//! Cells: which servers and which sites belong together. Decides, does no I/O and reads no clock; all relays that
-//! have the same file and the same list come to the same answers.
+//! Cells: which endpoints and which sites belong together, so that the harm of one site or of one release stays in one
+//! cell.
 //!
-//! Guards against: one site's or one release's harm reaching all servers, a site that is quietly let in everywhere
-//! when its own cell is gone, a server's going that moves others.
+//! Inputs are the operator file and the endpoint list; no I/O and no clock. All relays with the same file and the same
+//! list come to the same answers. Guards against a site that is admitted everywhere once its own cell is gone, and
+//! against one endpoint's removal changing the cell of others.
 
-pub mod map;
+mod faults;
+mod map;
+mod operator_file;
+mod reports;
+#[cfg(test)]
+mod tests;
 
-pub use map::{site_key, CellMap, Fault, Home, NoServer, Placed};
+pub use faults::CellFault;
+pub use map::{site_key, CellMap, HomeReason, NoEndpointPolicy, Placement, MAX_CELLS};
 
 use crate::config::operator::{OperatorError, OperatorFile};
 use crate::decisions::api::{Micros, SECOND};
 use std::sync::Arc;
 
-/// The most connections that may be moved a second: more than any fleet of these bears.
-const FASTEST: u32 = 1_000;
-/// The longest time to come again that a client without a cell is told, in milliseconds.
-const LONGEST_WAIT: u64 = 600_000;
+/// The most connections that may be migrated a second.
+const MAX_MIGRATIONS_PER_SECOND: u32 = 1_000;
+/// The longest Retry-After of a client that no cell can take, in milliseconds.
+const MAX_RETRY_AFTER_MS: u64 = 600_000;
+const MICROS_PER_MILLI: Micros = 1_000;
 
-/// How cells are served.
+/// The cell map, and how clients are served under it.
 #[derive(Clone, Debug)]
 pub struct Cells {
-    /// The map.
+    /// Which sites and endpoints belong to which cell.
     pub map: Arc<CellMap>,
-    /// When a client that is refused for want of a cell may come again.
+    /// Retry-After of a client that no cell can take, in microseconds; 1 s by default.
     pub retry_after: Micros,
-    /// The pause between two moves of connections whose site has another cell.
-    pub move_pause: Micros,
+    /// Time between two migrations of connections whose site has another cell, in microseconds; 200 ms by default.
+    pub migration_interval: Micros,
 }
 
 impl Default for Cells {
-    /// One cell.
+    /// A single cell.
     fn default() -> Self {
         Cells {
             map: Arc::default(),
             retry_after: SECOND,
-            move_pause: SECOND / 5,
+            migration_interval: SECOND / 5,
         }
     }
 }
 
 impl Cells {
-    /// What `[cells]` sets, checked; one cell where the file does not have it.
-    pub fn of(file: &OperatorFile) -> Result<Cells, OperatorError> {
-        let Some(c) = &file.operator.cells else {
+    /// The cells that `[cells]` of the operator file sets; a single cell where the file does not have it.
+    ///
+    /// # Errors
+    ///
+    /// Names the first key with a value that is out of range or contradicts another one.
+    pub fn from_operator_file(file: &OperatorFile) -> Result<Cells, OperatorError> {
+        let Some(settings) = &file.operator.cells else {
             return Ok(Cells::default());
         };
-        let map = Arc::new(CellMap::of(file, c)?);
-        if !(1..=FASTEST).contains(&c.moves_per_second) {
-            let what = format!("is {}, outside 1 to {FASTEST}", c.moves_per_second);
-            return Err(file.error("cells.moves_per_second", what));
+        let map = Arc::new(CellMap::from_operator_file(file, settings)?);
+        let migrations_per_second = settings.moves_per_second;
+        if !(1..=MAX_MIGRATIONS_PER_SECOND).contains(&migrations_per_second) {
+            let problem =
+                format!("is {migrations_per_second}, outside 1 to {MAX_MIGRATIONS_PER_SECOND}");
+            return Err(file.error("cells.moves_per_second", problem));
         }
-        if c.retry_after_ms > LONGEST_WAIT {
-            let what = format!("is {}, more than {LONGEST_WAIT}", c.retry_after_ms);
-            return Err(file.error("cells.retry_after_ms", what));
+        let retry_after_ms = settings.retry_after_ms;
+        if retry_after_ms > MAX_RETRY_AFTER_MS {
+            let problem = format!("is {retry_after_ms}, more than {MAX_RETRY_AFTER_MS}");
+            return Err(file.error("cells.retry_after_ms", problem));
         }
-        let (retry_after, move_pause) = (
-            c.retry_after_ms * 1_000,
-            SECOND / Micros::from(c.moves_per_second),
-        );
         Ok(Cells {
             map,
-            retry_after,
-            move_pause,
+            retry_after: retry_after_ms * MICROS_PER_MILLI,
+            migration_interval: SECOND / Micros::from(migrations_per_second),
         })
     }
 }
--- /dev/null
+++ b/src/cells/reports.rs
@@ -0,0 +1,148 @@
+//! Texts of the sub-command `cells`: which cells a map makes, why a site is in its cell, and what another map would
+//! change. A line each, for operators.
+
+use super::map::{CellMap, HomeReason, NoEndpointPolicy, SLOT_COUNT};
+use crate::decisions::api::{EndpointState, ListedEndpoint};
+
+/// A listed endpoint with the name under which operators know it.
+pub type NamedEndpoint = (String, ListedEndpoint);
+
+impl CellMap {
+    /// All cells with their sites and endpoints, and the faults of this list.
+    pub fn describe(&self, listed: &[NamedEndpoint]) -> Vec<String> {
+        let mut lines: Vec<String> = (0..self.cells.len())
+            .map(|cell| self.describe_cell(cell, listed))
+            .collect();
+        lines.extend(self.fault_lines(listed));
+        lines
+    }
+
+    fn describe_cell(&self, cell: usize, listed: &[NamedEndpoint]) -> String {
+        let endpoints: Vec<&str> = listed
+            .iter()
+            .filter(|(_, endpoint)| self.cell_of_endpoint(endpoint.id) == cell)
+            .map(|(name, _)| name.as_str())
+            .collect();
+        let slots = self
+            .slots
+            .iter()
+            .filter(|owner| usize::from(**owner) == cell)
+            .count();
+        let pinned = self
+            .pinned_sites
+            .values()
+            .filter(|owner| **owner == cell)
+            .count();
+        let quarantine = if self.cells[cell].quarantine {
+            ", set apart"
+        } else {
+            ""
+        };
+        format!(
+            "cell {}: {:.1}% of sites by hash, {pinned} pinned, {} servers{quarantine}: {}",
+            self.name(cell),
+            percent_of_slots(slots),
+            endpoints.len(),
+            endpoints.join(" ")
+        )
+    }
+
+    /// Why a site is in its cell, and where it goes while that cell has no usable endpoint.
+    pub fn explain(&self, site: u64, listed: &[NamedEndpoint]) -> Vec<String> {
+        let (cell, reason) = self.home(site);
+        let name = self.name(cell);
+        let mut lines = vec![match reason {
+            HomeReason::Pinned => {
+                format!("site {site:016x} is in cell {name}: the operator file pins it there")
+            }
+            HomeReason::Hash => format!(
+                "site {site:016x} is in cell {name}: its slot {} of {SLOT_COUNT} is that cell's",
+                CellMap::slot(site)
+            ),
+        }];
+        if self.cells[cell].quarantine {
+            lines.push(format!(
+                "cell {name} is set apart: only sites pinned to it live there"
+            ));
+        }
+        let endpoints: Vec<&str> = listed
+            .iter()
+            .filter(|(_, endpoint)| endpoint.state != EndpointState::Removed)
+            .filter(|(_, endpoint)| self.cell_of_endpoint(endpoint.id) == cell)
+            .map(|(name, _)| name.as_str())
+            .collect();
+        lines.push(format!(
+            "cell {name} has {} servers: {}",
+            endpoints.len(),
+            endpoints.join(" ")
+        ));
+        lines.push(self.explain_fallback(site, cell));
+        lines
+    }
+
+    fn explain_fallback(&self, site: u64, home: usize) -> String {
+        match self.no_endpoint {
+            NoEndpointPolicy::Borrow { max_borrowed } if !self.cells[home].quarantine => {
+                let lender = self
+                    .cells_in_order(CellMap::slot(site) as u64)
+                    .find(|cell| *cell != home)
+                    .map_or("none", |cell| self.name(cell));
+                format!(
+                    "without a usable server there it borrows, first at {lender}, \
+                     which lends to {max_borrowed} sessions at most"
+                )
+            }
+            NoEndpointPolicy::Borrow { .. } | NoEndpointPolicy::Reject => {
+                "without a usable server there it is refused".into()
+            }
+        }
+    }
+
+    /// What another map would change: the percentage of sites by hash, each endpoint and pinned site, and the faults
+    /// of this list under it.
+    pub fn describe_changes(&self, new: &CellMap, listed: &[NamedEndpoint]) -> Vec<String> {
+        let changed_slots = (0..SLOT_COUNT)
+            .filter(|slot| self.name(self.slots[*slot].into()) != new.name(new.slots[*slot].into()))
+            .count();
+        let mut lines = vec![format!(
+            "sites: {:.1}% of those placed by hash change their cell",
+            percent_of_slots(changed_slots)
+        )];
+        for (name, endpoint) in listed {
+            let from = self.name(self.cell_of_endpoint(endpoint.id));
+            let to = new.name(new.cell_of_endpoint(endpoint.id));
+            if from != to {
+                lines.push(format!("server {name}: {from} to {to}"));
+            }
+        }
+        let newly_pinned = new
+            .pinned_sites
+            .keys()
+            .filter(|site| !self.pinned_sites.contains_key(site));
+        for site in self.pinned_sites.keys().chain(newly_pinned) {
+            let from = self.name(self.home(*site).0);
+            let to = new.name(new.home(*site).0);
+            if from != to {
+                lines.push(format!("site {site:016x}: {from} to {to}"));
+            }
+        }
+        lines.extend(new.fault_lines(listed));
+        lines
+    }
+
+    fn fault_lines(&self, listed: &[NamedEndpoint]) -> Vec<String> {
+        let endpoints: Vec<ListedEndpoint> = listed
+            .iter()
+            .map(|(_, endpoint)| endpoint.clone())
+            .collect();
+        self.faults(&endpoints)
+            .iter()
+            .map(|fault| format!("fault: {fault}"))
+            .collect()
+    }
+}
+
+/// The part of all slots that these are, in percent.
+fn percent_of_slots(slots: usize) -> f64 {
+    100.0 * slots as f64 / SLOT_COUNT as f64
+}
--- a/src/cli/cells.rs
+++ b/src/cli/cells.rs
@@ -54,7 +54,7 @@
 }
 
 fn cells(path: &Path) -> Result<Cells, Failure> {
-    Ok(Cells::of(&OperatorFile::load(path)?)?)
+    Ok(Cells::from_operator_file(&OperatorFile::load(path)?)?)
 }
 
 /// Runs it.
@@ -70,9 +70,9 @@
         .collect();
     let map = cells(&asked.operator)?.map;
     let lines = match asked.what {
-        What::Show(_) => map.show(&members),
+        What::Show(_) => map.describe(&members),
         What::Explain(explain) => map.explain(site_key(&explain.site), &members),
-        What::Plan(plan) => map.plan(&cells(&plan.file)?.map, &members),
+        What::Plan(plan) => map.describe_changes(&cells(&plan.file)?.map, &members),
     };
     lines.iter().for_each(|line| println!("{line}"));
     Ok(())
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -40,9 +40,9 @@
         return Ok(());
     };
     let file = OperatorFile::load(&path)?;
-    let map = Cells::of(&file)?.map;
-    if !map.is_empty() {
-        println!("{}: {} cells", path.display(), map.len());
+    let map = Cells::from_operator_file(&file)?.map;
+    if !map.is_single() {
+        println!("{}: {} cells", path.display(), map.cell_count());
     }
     match Xmpp::of(&file, &config)? {
         Some(xmpp) => println!(
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -67,7 +67,7 @@
     };
     let cells = operator
         .as_ref()
-        .map(Cells::of)
+        .map(Cells::from_operator_file)
         .transpose()?
         .unwrap_or_default();
     let listener = match config.accept_fd {
@@ -289,7 +289,7 @@
             fixed.push("fleet");
         }
         let rules = Rules {
-            cells: Cells::of(&file)?,
+            cells: Cells::from_operator_file(&file)?,
             tuning: policy::tuning(&file)?,
         };
         Ok((new, fixed, xmpp, rules))
--- a/src/config/policy.rs
+++ b/src/config/policy.rs
@@ -64,7 +64,7 @@
         }
     }
     Ok(Rules {
-        cells: Cells::of(&file)?,
+        cells: Cells::from_operator_file(&file)?,
         tuning: tuning(&file)?,
     })
 }
@@ -103,7 +103,10 @@
     fn a_policy_is_understood_whole_or_refused_with_line_and_key() {
         let read = |text: &str| read(Path::new("p.toml"), text);
         let rules = read("[parameters]\nepsilon = 1.5\n[[cells.cell]]\nname = 'a'\n").unwrap();
-        assert_eq!((rules.tuning.epsilon, rules.cells.map.len()), (1.5, 1));
+        assert_eq!(
+            (rules.tuning.epsilon, rules.cells.map.cell_count()),
+            (1.5, 1)
+        );
         for (text, says) in [
             (
                 "[parameters]\nepsilom = 1",
--- /dev/null
+++ b/src/decision_service/admission.rs
@@ -0,0 +1,40 @@
+//! The admission lease: until when this process may admit new clients.
+//!
+//! Guards against a process that was stopped or suspended and goes on admitting clients under a policy that the fleet
+//! has replaced meanwhile. Input: the expiry of the lease. Output: whether it is valid at this moment.
+
+use crate::decisions::api::{Micros, SECOND};
+use crate::sys::boottime;
+use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
+
+/// Retry-After of clients that are rejected for want of a valid lease, in microseconds: by then it is renewed, or
+/// another policy is in force.
+pub(super) const RETRY_AFTER_WITHOUT_LEASE: Micros = SECOND / 4;
+
+/// Expiry of a lease without an end: the relay belongs to no fleet.
+const NEVER: Micros = Micros::MAX;
+
+/// When the lease expires, by [`boottime`].
+pub(super) struct AdmissionLease {
+    expires_at: AtomicU64,
+}
+
+impl AdmissionLease {
+    /// A lease that never expires.
+    pub fn unlimited() -> Self {
+        AdmissionLease {
+            expires_at: AtomicU64::new(NEVER),
+        }
+    }
+
+    /// Sets when the lease expires.
+    pub fn set_expiry(&self, expires_at: Micros) {
+        self.expires_at.store(expires_at, SeqCst);
+    }
+
+    /// Whether the lease is valid now.
+    pub fn is_valid(&self) -> bool {
+        let expires_at = self.expires_at.load(SeqCst);
+        expires_at == NEVER || boottime() < expires_at
+    }
+}
--- /dev/null
+++ b/src/decision_service/cell_map.rs
@@ -0,0 +1,226 @@
+//! Adopts another cell map: balancers for its cells, endpoints that change their cell, connections that go with them,
+//! and manual ejections.
+//!
+//! An endpoint that changes its cell drains in the old one. Its connections stay where their site is now in the
+//! endpoint's new cell too; all other displaced connections are queued for migration.
+
+use super::callbacks::Callback;
+use super::cell_balancer::CellBalancer;
+use super::in_flight::InFlight;
+use super::state::ServiceState;
+use crate::cells::Cells;
+use crate::decisions::api::{
+    EndpointId, EndpointListKind, EndpointState, Event, ListedEndpoint, Micros, Outcome, RequestId,
+};
+
+/// A connection that changes its balancer and not its endpoint.
+struct Handover {
+    id: RequestId,
+    new_balancer: usize,
+}
+
+/// A manually ejected endpoint that has left a cell.
+struct LeftEjection {
+    balancer: usize,
+    endpoint: EndpointId,
+}
+
+impl ServiceState {
+    /// Adopts a cell map and how it is served.
+    pub fn adopt_cells(&mut self, cells: Cells, now: Micros, callbacks: &mut Vec<Callback>) {
+        if cells.map == self.cells.map {
+            self.cells = cells;
+            return;
+        }
+        let known_balancers = self.balancers.len();
+        self.balancer_of_cell = (0..cells.map.cell_count())
+            .map(|cell| self.find_or_add_balancer(cells.map.name(cell)))
+            .collect();
+        self.cells = cells;
+        let handed_over = self.release_handed_over_connections(now, callbacks);
+        let left_ejections = self.reassign_endpoints(known_balancers, now, callbacks);
+        self.reapply_manual_ejections(left_ejections, now, callbacks);
+        for id in handed_over {
+            self.adopt_connection(id, now, callbacks);
+        }
+        self.queue_displaced_connections(now);
+    }
+
+    /// Index of the balancer of the cell of this name.
+    fn find_or_add_balancer(&mut self, cell_name: &str) -> usize {
+        let count = self.balancers.len();
+        let existing = self
+            .balancers
+            .iter()
+            .position(|cell| cell.metrics.name == cell_name);
+        existing.unwrap_or_else(|| {
+            let seed = self.seed ^ (count as u64).rotate_left(32);
+            let settings = self.settings.clone();
+            self.balancers.push(CellBalancer::new(
+                cell_name,
+                settings,
+                self.parameters,
+                seed,
+            ));
+            count
+        })
+    }
+
+    /// Ends the connections in their old balancers that are handed over with their endpoint. Without it, a process
+    /// that takes connections over before it knows the fleet's map would migrate all of them once it does.
+    fn release_handed_over_connections(
+        &mut self,
+        now: Micros,
+        callbacks: &mut Vec<Callback>,
+    ) -> Vec<RequestId> {
+        let handovers: Vec<Handover> = self
+            .in_flight
+            .iter()
+            .filter_map(|(id, entry)| {
+                let new_balancer = self.handover_target(entry)?;
+                Some(Handover { id, new_balancer })
+            })
+            .collect();
+        for handover in &handovers {
+            self.release_connection(handover, now, callbacks);
+        }
+        handovers.into_iter().map(|handover| handover.id).collect()
+    }
+
+    /// Index of the balancer that takes over a connection: that of its endpoint's cell, if this is its site's too.
+    fn handover_target(&self, entry: &InFlight) -> Option<usize> {
+        let target = self.mapped_balancer(entry.endpoint);
+        let listed = self.endpoints.contains_key(&entry.endpoint);
+        let changes = target != entry.balancer;
+        let at_home = target == self.home_balancer(entry.request.group);
+        (entry.answered && listed && changes && at_home).then_some(target)
+    }
+
+    fn release_connection(
+        &mut self,
+        handover: &Handover,
+        now: Micros,
+        callbacks: &mut Vec<Callback>,
+    ) {
+        let Some(entry) = self.in_flight.get_mut(handover.id) else {
+            return;
+        };
+        let endpoint = entry.endpoint;
+        let old_balancer = std::mem::replace(&mut entry.balancer, handover.new_balancer);
+        let was_borrowed = std::mem::take(&mut entry.borrowed);
+        let old_metrics = &mut self.balancers[old_balancer].metrics;
+        old_metrics.in_flight -= 1;
+        old_metrics.borrowed -= u32::from(was_borrowed);
+        self.balancers[handover.new_balancer].metrics.in_flight += 1;
+        let event = Event::AttemptEnded {
+            id: handover.id,
+            endpoint,
+            outcome: Outcome::Cancelled,
+            request_finished: true,
+            report: Vec::new(),
+        };
+        self.dispatch(old_balancer, now, event, callbacks);
+    }
+
+    /// Assigns each listed endpoint to the balancer that the map gives it. A new balancer gets its full list, the
+    /// others what has changed.
+    fn reassign_endpoints(
+        &mut self,
+        known_balancers: usize,
+        now: Micros,
+        callbacks: &mut Vec<Callback>,
+    ) -> Vec<LeftEjection> {
+        let mut updates = self.empty_updates();
+        let mut left_ejections = Vec::new();
+        let endpoints: Vec<EndpointId> = self.endpoints.keys().copied().collect();
+        for endpoint in endpoints {
+            let new_balancer = self.mapped_balancer(endpoint);
+            let Some(known) = self.endpoints.get_mut(&endpoint) else {
+                continue;
+            };
+            if new_balancer == known.balancer {
+                continue;
+            }
+            let old_balancer = std::mem::replace(&mut known.balancer, new_balancer);
+            if self.manually_ejected.contains(&endpoint) {
+                left_ejections.push(LeftEjection {
+                    balancer: old_balancer,
+                    endpoint,
+                });
+            }
+            // A cell without connections has nothing to drain.
+            let state = if self.balancers[old_balancer].metrics.in_flight > 0 {
+                EndpointState::Draining
+            } else {
+                EndpointState::Removed
+            };
+            updates[old_balancer].push(ListedEndpoint {
+                state,
+                ..known.listed.clone()
+            });
+            updates[new_balancer].push(known.listed.clone());
+        }
+        self.recount_endpoints();
+        for (balancer, endpoints) in updates.into_iter().enumerate() {
+            let kind = if balancer < known_balancers {
+                EndpointListKind::Delta
+            } else {
+                EndpointListKind::Full
+            };
+            let event = Event::EndpointList { kind, endpoints };
+            self.dispatch(balancer, now, event, callbacks);
+        }
+        left_ejections
+    }
+
+    /// Takes a manual ejection along with its endpoint: when the operator lifts it, the old cell is not notified, and
+    /// the endpoint may be assigned to that cell again.
+    fn reapply_manual_ejections(
+        &mut self,
+        left_ejections: Vec<LeftEjection>,
+        now: Micros,
+        callbacks: &mut Vec<Callback>,
+    ) {
+        for LeftEjection { balancer, endpoint } in left_ejections {
+            let event = Event::ManualEjection {
+                endpoint,
+                ejected: false,
+            };
+            self.dispatch(balancer, now, event, callbacks);
+        }
+        for endpoint in self.manually_ejected.clone() {
+            let balancer = self.balancer_of_endpoint(endpoint);
+            let event = Event::ManualEjection {
+                endpoint,
+                ejected: true,
+            };
+            self.dispatch(balancer, now, event, callbacks);
+        }
+    }
+
+    /// Notifies the balancer of a connection that it has it from now on.
+    fn adopt_connection(&mut self, id: RequestId, now: Micros, callbacks: &mut Vec<Callback>) {
+        let Some(entry) = self.in_flight.get(id) else {
+            return;
+        };
+        let balancer = entry.balancer;
+        let event = Event::Adopted {
+            request: entry.request.clone(),
+            endpoint: entry.endpoint,
+        };
+        self.dispatch(balancer, now, event, callbacks);
+    }
+
+    /// Queues the connections that are outside their site's present cell, borrowed ones as well.
+    fn queue_displaced_connections(&mut self, now: Micros) {
+        let displaced: Vec<RequestId> = self
+            .in_flight
+            .iter()
+            .filter(|(_, entry)| entry.answered)
+            .filter(|(_, entry)| self.home_balancer(entry.request.group) != entry.balancer)
+            .map(|(id, _)| id)
+            .collect();
+        self.migrations.replace(displaced);
+        self.schedule_migration(now);
+    }
+}
--- /dev/null
+++ b/src/decision_service/requests.rs
@@ -0,0 +1,186 @@
+//! The part of [`DecisionService`] that each request uses: from its submission to the end of its connection.
+
+use super::admission::RETRY_AFTER_WITHOUT_LEASE;
+use super::api::{ConnectionSample, Decision, RequestHandle};
+use super::callbacks::Callback;
+use super::in_flight::{InFlight, PendingDecision};
+use super::DecisionService;
+use crate::cells::Placement;
+use crate::decisions::api::{EndpointId, Event, Micros, Outcome, Request, RequestId};
+use std::sync::Arc;
+
+impl DecisionService {
+    /// Takes a request and gives it its id; its decisions arrive in the returned mailbox. `registered` gets the id
+    /// before the first decision, so that the request can be withdrawn meanwhile; it is called with the lock held.
+    pub fn submit(
+        &self,
+        request: Request,
+        handle: Arc<dyn RequestHandle>,
+        registered: impl FnOnce(RequestId),
+    ) -> PendingDecision {
+        let mut state = self.lock();
+        let placement = if self.may_admit() {
+            Some(state.place(request.group))
+        } else {
+            None
+        };
+        let cell = placement.and_then(Placement::cell);
+        let balancer = match cell {
+            Some(cell) => state.balancer_of_cell[cell],
+            None => state.home_balancer(request.group),
+        };
+        let (mut entry, decisions) = InFlight::awaiting(&request, balancer, handle);
+        entry.borrowed = matches!(placement, Some(Placement::Borrowed(_)));
+        let id = state.register(entry);
+        registered(id);
+        if cell.is_some() {
+            let request = Request { id, ..request };
+            self.dispatch(state, balancer, Event::Request(request));
+        } else {
+            // No balancer sees the request: no cell can take it, or the lease is not valid.
+            let retry_after = if placement.is_some() {
+                state.cells.retry_after
+            } else {
+                RETRY_AFTER_WITHOUT_LEASE
+            };
+            self.update(state, |state, _, callbacks| {
+                state.answer(id, Decision::Reject(retry_after), callbacks);
+            });
+        }
+        PendingDecision::new(id, decisions)
+    }
+
+    /// Takes a connection that another process established to an endpoint, and gives it its id.
+    pub fn adopt_connection(
+        &self,
+        request: Request,
+        endpoint: EndpointId,
+        handle: Arc<dyn RequestHandle>,
+    ) -> RequestId {
+        let mut state = self.lock();
+        let balancer = state.balancer_of_endpoint(endpoint);
+        let entry = InFlight::established(&request, balancer, endpoint, handle);
+        let id = state.register(entry);
+        // The other process may have been migrating its site: this one goes on with it.
+        let displaced = state.home_balancer(request.group) != balancer;
+        if displaced && !state.cells.map.is_single() {
+            state.migrations.push(id);
+        }
+        self.update(state, |state, now, callbacks| {
+            state.schedule_migration(now);
+            let request = Request { id, ..request };
+            let event = Event::Adopted { request, endpoint };
+            state.dispatch(balancer, now, event, callbacks);
+        });
+        id
+    }
+
+    /// Reports that an attempt has connected, after `elapsed`. False if the request has had its final answer
+    /// meanwhile: the caller must then close the connection.
+    pub fn connected(&self, id: RequestId, elapsed: Micros) -> bool {
+        let mut state = self.lock();
+        let Some(entry) = state.in_flight.unanswered_mut(id) else {
+            return false;
+        };
+        entry.answered = true;
+        let balancer = entry.balancer;
+        let endpoint = entry.endpoint;
+        state.balancers[balancer].metrics.connected += 1;
+        let event = Event::Connected {
+            id,
+            endpoint,
+            elapsed,
+        };
+        self.dispatch(state, balancer, event);
+        true
+    }
+
+    /// Reports how an attempt ended that did not connect. The next decision follows.
+    pub fn attempt_failed(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
+        let state = self.lock();
+        let Some(entry) = state.in_flight.get(id) else {
+            return;
+        };
+        let balancer = entry.balancer;
+        let event = Event::AttemptEnded {
+            id,
+            endpoint: entry.endpoint,
+            outcome,
+            request_finished: entry.answered,
+            report,
+        };
+        self.dispatch(state, balancer, event);
+    }
+
+    /// Reports the end of an established connection; nothing more follows.
+    pub fn connection_ended(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
+        let mut state = self.lock();
+        let Some(entry) = state.deregister(id) else {
+            return;
+        };
+        let event = Event::AttemptEnded {
+            id,
+            endpoint: entry.endpoint,
+            outcome,
+            request_finished: true,
+            report,
+        };
+        self.dispatch(state, entry.balancer, event);
+    }
+
+    /// Reports that a client has disconnected before its answer. It gets [`Decision::Withdrawn`]; an attempt that is
+    /// still under way must be reported all the same.
+    pub fn client_disconnected(&self, id: RequestId) {
+        let mut state = self.lock();
+        let Some(entry) = state.in_flight.unanswered_mut(id) else {
+            return;
+        };
+        entry.answered = true;
+        entry.send(Decision::Withdrawn);
+        let balancer = entry.balancer;
+        let handle = entry.handle.clone();
+        self.update(state, |state, now, callbacks| {
+            callbacks.push(Callback::DecisionReady(handle));
+            state.dispatch(balancer, now, Event::ClientDisconnected(id), callbacks);
+        });
+    }
+
+    /// Whether a request awaits its final answer.
+    pub fn awaits_answer(&self, id: RequestId) -> bool {
+        self.lock().in_flight.unanswered(id).is_some()
+    }
+
+    /// Brings a request's deadline forward, because this process stops. A later one than before is ignored.
+    pub fn shorten_deadline(&self, id: RequestId, deadline: Micros) {
+        let state = self.lock();
+        let Some(entry) = state.in_flight.unanswered(id) else {
+            return;
+        };
+        let balancer = entry.balancer;
+        self.dispatch(state, balancer, Event::ShortenDeadline { id, deadline });
+    }
+
+    /// Removes a request that has had its final answer.
+    pub fn remove(&self, id: RequestId) {
+        self.lock().deregister(id);
+    }
+
+    /// Reports a measurement on an established connection.
+    pub fn record_sample(&self, id: RequestId, sample: ConnectionSample) {
+        let state = self.lock();
+        let Some(entry) = state.in_flight.get(id) else {
+            return;
+        };
+        let balancer = entry.balancer;
+        let endpoint = entry.endpoint;
+        let event = match sample {
+            ConnectionSample::Load(load) => Event::LoadSample { id, endpoint, load },
+            ConnectionSample::Delay(delay) => Event::DelaySample {
+                id,
+                endpoint,
+                delay,
+            },
+        };
+        self.dispatch(state, balancer, event);
+    }
+}
--- /dev/null
+++ b/src/decision_service/state.rs
@@ -0,0 +1,158 @@
+//! The state behind the lock: the cell balancers, the endpoint list, what is in flight, timers and migrations.
+//!
+//! Cells are counted in two ways. A *cell index* is the number of a cell in the present map; a *balancer index* is the
+//! place of its balancer in [`ServiceState::balancers`]. A balancer whose cell has left the map keeps its place for as
+//! long as connections of that cell last, so the two differ after a change of the map.
+
+use super::api::{CellMetrics, Hooks};
+use super::cell_balancer::CellBalancer;
+use super::in_flight::{InFlight, InFlightTable};
+use super::migration_queue::MigrationQueue;
+use super::timers::TimerQueue;
+use crate::cells::{Cells, Placement};
+use crate::decisions::api::{
+    Action, EndpointId, EndpointState, ListedEndpoint, Micros, RequestId, Settings,
+};
+use crate::decisions::Parameters;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// An endpoint of the list, and whose it is.
+pub(super) struct KnownEndpoint {
+    /// As last listed.
+    pub listed: ListedEndpoint,
+    /// Index of the cell balancer that has it.
+    pub balancer: usize,
+}
+
+/// What the lock protects.
+pub(super) struct ServiceState {
+    /// One balancer a cell, also of cells that have left the map. Never removed.
+    pub balancers: Vec<CellBalancer>,
+    /// Balancer index by cell index.
+    pub balancer_of_cell: Vec<usize>,
+    /// The present cell map and how it is served.
+    pub cells: Cells,
+    /// Seeds of the balancers derive from it.
+    pub seed: u64,
+    /// Settings of all balancers.
+    pub settings: Settings,
+    /// Parameters of all balancers.
+    pub parameters: Parameters,
+    /// The endpoint list.
+    pub endpoints: BTreeMap<EndpointId, KnownEndpoint>,
+    /// Endpoints that an operator has ejected, listed or not.
+    pub manually_ejected: BTreeSet<EndpointId>,
+    /// Connections whose site has another cell than they.
+    pub migrations: MigrationQueue,
+    /// The time of the last event: time never goes back for a balancer.
+    pub last_event_at: Micros,
+    /// Requests and connections in flight.
+    pub in_flight: InFlightTable,
+    /// Timers that are set.
+    pub timers: TimerQueue,
+    /// Empty; its capacity is used again for the actions of each event.
+    pub action_buffer: Vec<Action>,
+    /// Receivers of actions that concern no single request.
+    pub hooks: Hooks,
+}
+
+impl ServiceState {
+    /// One cell without endpoints.
+    pub fn new(settings: Settings, seed: u64, hooks: Hooks) -> Self {
+        let cells = Cells::default();
+        let parameters = Parameters::default();
+        let balancer = CellBalancer::new(cells.map.name(0), settings.clone(), parameters, seed);
+        ServiceState {
+            balancers: vec![balancer],
+            balancer_of_cell: vec![0],
+            cells,
+            seed,
+            settings,
+            parameters,
+            endpoints: BTreeMap::new(),
+            manually_ejected: BTreeSet::new(),
+            migrations: MigrationQueue::default(),
+            last_event_at: 0,
+            in_flight: InFlightTable::default(),
+            timers: TimerQueue::default(),
+            action_buffer: Vec::new(),
+            hooks,
+        }
+    }
+
+    /// Adds a request or connection and counts it.
+    pub fn register(&mut self, entry: InFlight) -> RequestId {
+        let metrics = &mut self.balancers[entry.balancer].metrics;
+        metrics.in_flight += 1;
+        metrics.borrowed += u32::from(entry.borrowed);
+        self.in_flight.insert(entry)
+    }
+
+    /// Removes a request or connection and counts it no more.
+    pub fn deregister(&mut self, id: RequestId) -> Option<InFlight> {
+        let entry = self.in_flight.remove(id)?;
+        let metrics = &mut self.balancers[entry.balancer].metrics;
+        metrics.in_flight -= 1;
+        metrics.borrowed -= u32::from(entry.borrowed);
+        Some(entry)
+    }
+
+    /// Places a new request of a site in a cell of the present map.
+    pub fn place(&self, site: u64) -> Placement {
+        // A single cell takes every request: its balancer answers where no endpoint is usable.
+        if self.cells.map.is_single() {
+            return Placement::Home(0);
+        }
+        let (home, _) = self.cells.map.home(site);
+        // The common case looks at one cell, however many there are.
+        if self.cell_metrics(home).usable {
+            return Placement::Home(home);
+        }
+        let cell_count = self.balancer_of_cell.len();
+        let usable: Vec<bool> = (0..cell_count)
+            .map(|cell| self.cell_metrics(cell).usable)
+            .collect();
+        let borrowed: Vec<u32> = (0..cell_count)
+            .map(|cell| self.cell_metrics(cell).borrowed)
+            .collect();
+        self.cells.map.place(site, &usable, &borrowed)
+    }
+
+    /// The metrics of a cell of the present map.
+    pub fn cell_metrics(&self, cell: usize) -> &CellMetrics {
+        &self.balancers[self.balancer_of_cell[cell]].metrics
+    }
+
+    /// Index of the balancer of a site's own cell.
+    pub fn home_balancer(&self, site: u64) -> usize {
+        let (cell, _) = self.cells.map.home(site);
+        self.balancer_of_cell[cell]
+    }
+
+    /// Index of the balancer of the cell to which the present map assigns an endpoint.
+    pub fn mapped_balancer(&self, endpoint: EndpointId) -> usize {
+        self.balancer_of_cell[self.cells.map.cell_of_endpoint(endpoint)]
+    }
+
+    /// Index of the balancer that has a listed endpoint; by the map where it is not listed.
+    pub fn balancer_of_endpoint(&self, endpoint: EndpointId) -> usize {
+        match self.endpoints.get(&endpoint) {
+            Some(known) => known.balancer,
+            None => self.mapped_balancer(endpoint),
+        }
+    }
+
+    /// Counts the endpoints of each cell anew.
+    pub fn recount_endpoints(&mut self) {
+        for cell in &mut self.balancers {
+            cell.metrics.endpoints = 0;
+            cell.metrics.usable = false;
+        }
+        for (endpoint, known) in &self.endpoints {
+            let ready = known.listed.state == EndpointState::Ready;
+            let metrics = &mut self.balancers[known.balancer].metrics;
+            metrics.endpoints += 1;
+            metrics.usable |= ready && !self.manually_ejected.contains(endpoint);
+        }
+    }
+}
--- /dev/null
+++ b/src/decision_service/timers.rs
@@ -0,0 +1,54 @@
+//! The timers of all balancers and of the migrations, in one heap.
+//!
+//! Timers fire in the order of their deadlines; at one deadline those of balancers come first, by balancer and token.
+
+use crate::decisions::api::Micros;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+/// Whom a timer wakes. The order of the variants is the order in which timers of one deadline fire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum TimerOwner {
+    /// A cell's balancer, which gave the token.
+    Balancer {
+        /// Index of the cell balancer.
+        balancer: usize,
+        /// Returned to it as it was.
+        token: u64,
+    },
+    /// The next migration of a connection whose site has another cell.
+    Migration,
+}
+
+/// A timer that is set.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    deadline: Micros,
+    owner: TimerOwner,
+}
+
+/// Timers by deadline.
+#[derive(Default)]
+pub(super) struct TimerQueue {
+    timers: BinaryHeap<Reverse<Timer>>,
+}
+
+impl TimerQueue {
+    /// Sets a timer.
+    pub fn set(&mut self, deadline: Micros, owner: TimerOwner) {
+        self.timers.push(Reverse(Timer { deadline, owner }));
+    }
+
+    /// The deadline of the first timer.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.timers.peek().map(|Reverse(timer)| timer.deadline)
+    }
+
+    /// Takes the first timer if its deadline has come.
+    pub fn pop_due(&mut self, now: Micros) -> Option<TimerOwner> {
+        if self.next_deadline()? > now {
+            return None;
+        }
+        self.timers.pop().map(|Reverse(timer)| timer.owner)
+    }
+}
--- a/src/net/fleet/jobs.rs
+++ b/src/net/fleet/jobs.rs
@@ -225,13 +225,13 @@
 
 /// How the fleet's moves are here, and how many a second there may be in the whole fleet.
 fn moving(decisions: &DecisionService) -> Option<(MigrationStatus, u64)> {
-    let (waiting, made, permitted, rate) = decisions.migration_status()?;
+    let progress = decisions.migration_status()?;
     Some((
         MigrationStatus {
-            waiting,
-            completed: made,
-            permitted,
+            waiting: progress.waiting,
+            completed: progress.completed,
+            permitted: progress.permitted,
         },
-        rate,
+        progress.max_per_second,
     ))
 }
