--- a/src/config/policy.rs
+++ b/src/config/policy.rs
@@ -65,7 +65,7 @@
         }
     }
     Ok(Rules {
-        cells: Cells::of(&file)?,
+        cells: Cells::from_operator_file(&file)?,
         parameters: parameters(&file)?,
     })
 }
@@ -105,7 +105,10 @@
         let read = |text: &str| read(Path::new("p.toml"), text);
         let rules = read("[parameters]\nepsilon = 1.5\n[[cells.cell]]\nname = 'a'\n").unwrap();
         assert_eq!(
-            (rules.parameters.bounded_load_epsilon, rules.cells.map.len()),
+            (
+                rules.parameters.bounded_load_epsilon,
+                rules.cells.map.cell_count()
+            ),
             (1.5, 1)
         );
         for (text, says) in [
