--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Cells before stand-in backends: what is confined, what is moved, and what an operator can ask.
+//! Cells in front of stand-in backends: what is confined to a cell, what is migrated, and what an operator can ask.
 
 use jaspermoor_lab::demo::setup;
 use jaspermoor_lab::discovery::{Discovery, Entry};
@@ -12,378 +12,397 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Cells `a` and `b` with two servers each, by name; sites 5 and 6 are pinned.
-const FILE: &str = "[cells]\nno_server = \"refuse\"\nretry_after_ms = 700\nmoves_per_second = 20\n\
+/// Cells `a` and `b` with two endpoints each, by name; site 5 is pinned to `a` and site 6 to `b`.
+const OPERATOR_FILE: &str =
+    "[cells]\nno_server = \"refuse\"\nretry_after_ms = 700\nmoves_per_second = 20\n\
     [[cells.cell]]\nname = \"a\"\nservers = [\"s-1\", \"s-2\"]\n\
     [[cells.cell]]\nname = \"b\"\nservers = [\"s-3\", \"s-4\"]\n\
     [[cells.site]]\nkey = \"5\"\ncell = \"a\"\n\
     [[cells.site]]\nkey = \"6\"\ncell = \"b\"\n";
+const SITE_IN_A: u64 = 5;
+const SITE_IN_B: u64 = 6;
+const ENDPOINTS_OF_A: [&str; 2] = ["s-1", "s-2"];
+const ENDPOINTS_OF_B: [&str; 2] = ["s-3", "s-4"];
+/// The answer of a relay that has no cell for a client, with `retry_after_ms` of the operator file.
+const REJECTED: &str = "BUSY 700";
 
+/// The operator file with its first pin changed: site 5 belongs to cell `b`.
+fn with_site_5_in_b(file: &str) -> String {
+    file.replace("key = \"5\"\ncell = \"a\"", "key = \"5\"\ncell = \"b\"")
+}
+
+/// A relay over four backends, `s-1` to `s-4`.
 struct Fleet {
     backends: Vec<Backend>,
-    discovery: Discovery,
+    /// Stops when it is dropped.
+    _discovery: Discovery,
     relay: Relay,
-    dir: PathBuf,
+    directory: PathBuf,
 }
 
-fn fleet(name: &str, file: &str, change: impl FnOnce(&mut Setup)) -> Fleet {
-    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
-        .join(format!("cells-{name}-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
-    let backends: Vec<Backend> = (0..4).map(|_| Backend::start(None).unwrap()).collect();
-    let entry = |(n, b): (usize, &Backend)| Entry::active(&format!("s-{}", n + 1), b.addr);
-    let entries: Vec<Entry> = backends.iter().enumerate().map(entry).collect();
-    let discovery = Discovery::start(None, &entries).unwrap();
-    let mut setup = setup(
-        Path::new(env!("CARGO_BIN_EXE_jaspermoor")),
-        &dir,
-        &discovery,
-    );
-    setup.operator = Some(file.into());
-    change(&mut setup);
-    let relay = Relay::start(&setup).unwrap();
-    Fleet {
-        backends,
-        discovery,
-        relay,
-        dir,
-    }
+/// A client's connection.
+struct Client {
+    socket: BufReader<TcpStream>,
+    /// The first line with which the client was answered.
+    answer: String,
 }
 
-/// A client's connection and the first line that it was answered with.
-struct Client(BufReader<TcpStream>, String);
-
 impl Client {
-    fn line(&mut self) -> String {
+    fn is_up(&self) -> bool {
+        self.answer.starts_with("UP ")
+    }
+
+    fn read_line(&mut self) -> String {
         let mut line = String::new();
-        self.0.read_line(&mut line).unwrap();
+        self.socket.read_line(&mut line).unwrap();
         line.trim_end().to_string()
     }
 }
 
 impl Fleet {
+    fn start(name: &str, operator_file: &str) -> Fleet {
+        Fleet::start_with(name, operator_file, |_| {})
+    }
+
+    fn start_with(name: &str, operator_file: &str, change: impl FnOnce(&mut Setup)) -> Fleet {
+        let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("cells-{name}-{}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&directory);
+        let backends: Vec<Backend> = (0..4).map(|_| Backend::start(None).unwrap()).collect();
+        let entries: Vec<Entry> = backends
+            .iter()
+            .enumerate()
+            .map(|(index, backend)| Entry::active(&format!("s-{}", index + 1), backend.addr))
+            .collect();
+        let discovery = Discovery::start(None, &entries).unwrap();
+        let program = Path::new(env!("CARGO_BIN_EXE_jaspermoor"));
+        let mut setup = setup(program, &directory, &discovery);
+        setup.operator = Some(operator_file.into());
+        change(&mut setup);
+        let relay = Relay::start(&setup).unwrap();
+        Fleet {
+            backends,
+            _discovery: discovery,
+            relay,
+            directory,
+        }
+    }
+
     fn open(&self, id: &str, site: u64) -> Client {
         let mut socket = TcpStream::connect(self.relay.addr).unwrap();
         socket
             .set_read_timeout(Some(jaspermoor_lab::PATIENCE))
             .unwrap();
+        let client_key = site * 1000 + id.len() as u64;
         write!(
             socket,
-            "OPEN {id} {:x} c=chat,d=2000,g={site:x}\r\n",
-            site * 1000 + id.len() as u64
+            "OPEN {id} {client_key:x} c=chat,d=2000,g={site:x}\r\n"
         )
         .unwrap();
-        let mut client = Client(BufReader::new(socket), String::new());
-        client.1 = client.line();
+        let mut client = Client {
+            socket: BufReader::new(socket),
+            answer: String::new(),
+        };
+        client.answer = client.read_line();
         client
     }
 
-    /// Which backends have had requests whose ids begin with this.
-    fn had(&self, prefix: &str) -> Vec<usize> {
-        let count = |b: &Backend| {
-            b.book(|b| {
-                b.opened
+    /// How many requests each backend has had whose ids begin with this.
+    fn requests_by_backend(&self, id_prefix: &str) -> Vec<usize> {
+        let count = |backend: &Backend| {
+            backend.book(|book| {
+                book.opened
                     .iter()
-                    .filter(|(_, id)| id.starts_with(prefix))
+                    .filter(|(_, id)| id.starts_with(id_prefix))
                     .count()
             })
         };
         self.backends.iter().map(count).collect()
     }
 
-    /// A figure of a cell.
-    fn figure(&self, name: &str, cell: &str) -> Option<u64> {
+    /// A metric of a cell.
+    fn cell_metric(&self, name: &str, cell: &str) -> Option<u64> {
         self.relay
             .figure(&format!("cell_{name}{{cell=\"{cell}\"}}"))
     }
+
+    fn eject_manually(&self, endpoints: &[&str]) {
+        for id in endpoints {
+            self.post(&format!("/control/backends/{id}/offline"));
+        }
+    }
+
+    fn readmit(&self, endpoints: &[&str]) {
+        for id in endpoints {
+            self.post(&format!("/control/backends/{id}/online"));
+        }
+    }
+
+    fn post(&self, path: &str) {
+        assert_eq!(self.relay.call("POST", path).unwrap().0, 200);
+    }
+
+    /// Replaces the operator file and waits until the relay has loaded as many files since its start.
+    fn reload(&self, operator_file: &str, loads: u64) {
+        self.relay.reload_operator(operator_file).unwrap();
+        until("the reload", || {
+            (self.relay.figure("loads_total") == Some(loads)).then_some(())
+        });
+    }
 }
 
 #[test]
-fn a_site_never_leaves_its_cell_and_its_harm_stays_there() {
-    let fleet = fleet("confined", FILE, |_| {});
-    let mut open = Vec::new();
+fn a_site_never_leaves_its_cell_and_the_loss_of_a_cell_harms_no_other() {
+    let fleet = Fleet::start("confined", OPERATOR_FILE);
+    let mut connections = Vec::new();
     for n in 0..12 {
-        let client = fleet.open(&format!("a{n}"), 5);
-        assert!(client.1.starts_with("UP "), "{}", client.1);
-        open.push(client);
-        open.push(fleet.open(&format!("b{n}"), 6));
-    }
-    let (a, b) = (fleet.had("a"), fleet.had("b"));
-    assert_eq!(
-        (a[0] + a[1], a[2] + a[3], b[0] + b[1], b[2] + b[3]),
-        (12, 0, 0, 12),
-        "{a:?} {b:?}"
-    );
-    assert_eq!(
-        (
-            fleet.figure("in_progress", "a"),
-            fleet.figure("in_progress", "b")
-        ),
-        (Some(12), Some(12))
-    );
-    // The poisoned site's whole cell is taken out: it is refused at once, with the time; the others notice nothing.
-    for id in ["s-1", "s-2"] {
-        assert_eq!(
-            fleet
-                .relay
-                .call("POST", &format!("/control/backends/{id}/offline"))
-                .unwrap()
-                .0,
-            200
-        );
+        let client = fleet.open(&format!("a{n}"), SITE_IN_A);
+        assert!(client.is_up(), "{}", client.answer);
+        connections.push(client);
+        connections.push(fleet.open(&format!("b{n}"), SITE_IN_B));
     }
+    let a = fleet.requests_by_backend("a");
+    let b = fleet.requests_by_backend("b");
+    assert_eq!([a[0] + a[1], a[2] + a[3]], [12, 0], "{a:?}");
+    assert_eq!([b[0] + b[1], b[2] + b[3]], [0, 12], "{b:?}");
+    assert_eq!(fleet.cell_metric("in_progress", "a"), Some(12));
+    assert_eq!(fleet.cell_metric("in_progress", "b"), Some(12));
+    // A whole cell is ejected: its site is rejected at once, with the time to wait; the other cell is not affected.
+    fleet.eject_manually(&ENDPOINTS_OF_A);
     for n in 0..6 {
-        let asked = Instant::now();
-        let refused = fleet.open(&format!("ax{n}"), 5);
-        assert_eq!(refused.1, "BUSY 700");
-        assert!(asked.elapsed() < Duration::from_millis(1500));
-        assert!(fleet.open(&format!("bx{n}"), 6).1.starts_with("UP "));
+        let submitted = Instant::now();
+        let rejected = fleet.open(&format!("ax{n}"), SITE_IN_A);
+        assert_eq!(rejected.answer, REJECTED);
+        assert!(submitted.elapsed() < Duration::from_millis(1500));
+        assert!(fleet.open(&format!("bx{n}"), SITE_IN_B).is_up());
     }
-    assert_eq!(fleet.had("ax"), [0, 0, 0, 0]);
-    assert_eq!(fleet.figure("refused_total", "a"), Some(6));
-    assert_eq!(fleet.figure("refused_total", "b"), Some(0));
-    // Those that stand in the other cell still pass lines.
-    let standing = &mut open[1];
-    standing.0.get_mut().write_all(b"M 1\r\n").unwrap();
-    assert_eq!(standing.line(), "M 1");
+    assert_eq!(fleet.requests_by_backend("ax"), [0, 0, 0, 0]);
+    assert_eq!(fleet.cell_metric("refused_total", "a"), Some(6));
+    assert_eq!(fleet.cell_metric("refused_total", "b"), Some(0));
+    // Established connections of the other cell still pass lines.
+    let established = &mut connections[1];
+    established.socket.get_mut().write_all(b"M 1\r\n").unwrap();
+    assert_eq!(established.read_line(), "M 1");
 }
 
 #[test]
-fn a_site_without_a_server_borrows_within_the_bound_where_the_file_says_so() {
-    let file = FILE.replace("\"refuse\"", "\"borrow\"\nborrow_most = 3");
-    let fleet = fleet("borrow", &file, |_| {});
-    for id in ["s-1", "s-2"] {
-        assert_eq!(
-            fleet
-                .relay
-                .call("POST", &format!("/control/backends/{id}/offline"))
-                .unwrap()
-                .0,
-            200
-        );
-    }
-    let open: Vec<Client> = (0..5).map(|n| fleet.open(&format!("a{n}"), 5)).collect();
-    let up = open.iter().filter(|c| c.1.starts_with("UP ")).count();
-    assert_eq!((up, open[4].1.as_str()), (3, "BUSY 700"));
-    assert_eq!(fleet.figure("borrowed", "b"), Some(3));
-    drop(open);
-    until("the borrowed ones to end", || {
-        (fleet.figure("borrowed", "b") == Some(0)).then_some(())
+fn a_site_without_a_usable_endpoint_borrows_up_to_the_limit_of_the_file() {
+    let file = OPERATOR_FILE.replace("\"refuse\"", "\"borrow\"\nborrow_most = 3");
+    let fleet = Fleet::start("borrow", &file);
+    fleet.eject_manually(&ENDPOINTS_OF_A);
+    let connections: Vec<Client> = (0..5)
+        .map(|n| fleet.open(&format!("a{n}"), SITE_IN_A))
+        .collect();
+    let up = connections.iter().filter(|client| client.is_up()).count();
+    assert_eq!(up, 3);
+    assert_eq!(connections[4].answer, REJECTED);
+    assert_eq!(fleet.cell_metric("borrowed", "b"), Some(3));
+    drop(connections);
+    until("the borrowed connections to end", || {
+        (fleet.cell_metric("borrowed", "b") == Some(0)).then_some(())
     });
 }
 
-/// A site is moved: new connections at once, standing ones little by little, each once; while the new cell has no
-/// server they wait, and a second file in the middle is followed.
+/// A site gets another cell: new connections go there at once, established ones are migrated one by one, each once.
 #[test]
-fn a_site_moves_paced_and_waits_for_a_cell_that_is_down() {
-    let fleet = fleet("move", FILE, |_| {});
-    let mut open: Vec<Client> = (0..20).map(|n| fleet.open(&format!("a{n}"), 5)).collect();
-    // Both servers of the new cell are out when the move begins.
-    for id in ["s-3", "s-4"] {
-        assert_eq!(
-            fleet
-                .relay
-                .call("POST", &format!("/control/backends/{id}/offline"))
-                .unwrap()
-                .0,
-            200
-        );
-    }
-    let moved = FILE.replace("key = \"5\"\ncell = \"a\"", "key = \"5\"\ncell = \"b\"");
-    fleet.relay.reload_operator(&moved).unwrap();
-    until("the reload", || {
-        (fleet.relay.figure("loads_total") == Some(1)).then_some(())
-    });
-    assert_eq!(fleet.open("ax", 5).1, "BUSY 700");
+fn migrations_are_paced_and_wait_while_the_new_cell_has_no_usable_endpoint() {
+    let fleet = Fleet::start("move", OPERATOR_FILE);
+    let mut connections: Vec<Client> = (0..20)
+        .map(|n| fleet.open(&format!("a{n}"), SITE_IN_A))
+        .collect();
+    fleet.eject_manually(&ENDPOINTS_OF_B);
+    fleet.reload(&with_site_5_in_b(OPERATOR_FILE), 1);
+    assert_eq!(fleet.open("ax", SITE_IN_A).answer, REJECTED);
     std::thread::sleep(Duration::from_millis(600));
     assert_eq!(
         fleet.relay.figure("cell_moves_waiting"),
         Some(20),
-        "nothing is moved to where nobody is"
+        "nothing is migrated to a cell without a usable endpoint"
     );
-    let began = Instant::now();
-    for id in ["s-3", "s-4"] {
-        assert_eq!(
-            fleet
-                .relay
-                .call("POST", &format!("/control/backends/{id}/online"))
-                .unwrap()
-                .0,
-            200
-        );
+    let readmitted = Instant::now();
+    fleet.readmit(&ENDPOINTS_OF_B);
+    for client in &mut connections {
+        assert_eq!(client.read_line(), "MOVE");
     }
-    for client in &mut open {
-        assert_eq!(client.line(), "MOVE");
-    }
-    // 20 a second, and so a second for 20: never all at once.
-    assert!(
-        began.elapsed() > Duration::from_millis(700),
-        "{:?}",
-        began.elapsed()
-    );
-    until("the moves to end", || {
+    // 20 a second, and so about a second for 20: never all at once.
+    let elapsed = readmitted.elapsed();
+    assert!(elapsed > Duration::from_millis(700), "{elapsed:?}");
+    until("the migrations to end", || {
         (fleet.relay.figure("cell_moves_waiting") == Some(0)).then_some(())
     });
-    assert!(fleet.open("ay", 5).1.starts_with("UP "));
-    let had = fleet.had("ay");
-    assert_eq!(had[0] + had[1], 0, "{had:?}");
+    assert!(fleet.open("ay", SITE_IN_A).is_up());
+    let requests = fleet.requests_by_backend("ay");
+    assert_eq!(requests[0] + requests[1], 0, "{requests:?}");
 }
 
-/// An upgrade in the middle of a move: the new process goes on with what has not been moved, and moves each once.
+/// The new process goes on with the connections that have not been migrated, and migrates each once.
 #[test]
-fn an_upgrade_goes_on_with_a_move() {
-    let held = Arc::new(TcpListener::bind("127.0.0.1:0").unwrap());
-    held.set_nonblocking(true).unwrap();
-    let slow = FILE.replace("moves_per_second = 20", "moves_per_second = 1");
-    let mut second = None;
-    let mut fleet = fleet("upgrade", &slow, |setup| {
-        setup.held = Some(held.clone());
-        second = Some(setup.clone());
+fn an_upgrade_continues_the_migrations() {
+    let shared_listener = Arc::new(TcpListener::bind("127.0.0.1:0").unwrap());
+    shared_listener.set_nonblocking(true).unwrap();
+    let slow = OPERATOR_FILE.replace("moves_per_second = 20", "moves_per_second = 1");
+    let mut first_setup = None;
+    let mut fleet = Fleet::start_with("upgrade", &slow, |setup| {
+        setup.held = Some(shared_listener.clone());
+        first_setup = Some(setup.clone());
     });
-    fleet.relay.addr = held.local_addr().unwrap();
-    let mut open: Vec<Client> = (0..10).map(|n| fleet.open(&format!("a{n}"), 5)).collect();
-    let moved = slow.replace("key = \"5\"\ncell = \"a\"", "key = \"5\"\ncell = \"b\"");
+    fleet.relay.addr = shared_listener.local_addr().unwrap();
+    let mut connections: Vec<Client> = (0..10)
+        .map(|n| fleet.open(&format!("a{n}"), SITE_IN_A))
+        .collect();
+    let moved = with_site_5_in_b(&slow);
     fleet.relay.reload_operator(&moved).unwrap();
-    until("the first moves", || {
+    until("the first migrations", || {
         (fleet.relay.figure("cell_moves_waiting")? < 10).then_some(())
     });
-    let mut second = second.unwrap();
-    second.name = "second".into();
-    second.operator = Some(moved.replace("moves_per_second = 1", "moves_per_second = 50"));
-    let new = Relay::start(&second).unwrap();
+    let mut second_setup = first_setup.unwrap();
+    second_setup.name = "second".into();
+    second_setup.operator = Some(moved.replace("moves_per_second = 1", "moves_per_second = 50"));
+    let second = Relay::start(&second_setup).unwrap();
     fleet.relay.signal("TERM").unwrap();
     fleet.relay.wait_for("reason=handed-over");
-    for client in &mut open {
-        assert_eq!(client.line(), "MOVE");
+    for client in &mut connections {
+        assert_eq!(client.read_line(), "MOVE");
         let mut rest = String::new();
-        assert_eq!(client.0.read_line(&mut rest).unwrap(), 0, "{rest}");
+        assert_eq!(client.socket.read_line(&mut rest).unwrap(), 0, "{rest}");
     }
-    until("the moves to end", || {
-        (new.figure("cell_moves_waiting") == Some(0)).then_some(())
+    until("the migrations to end", || {
+        (second.figure("cell_moves_waiting") == Some(0)).then_some(())
     });
-    let ends = |relay: &Relay| {
+    let migrated = |relay: &Relay| {
         relay
             .lines()
             .iter()
-            .filter(|l| l.contains("reason=moved"))
+            .filter(|line| line.contains("reason=moved"))
             .count()
     };
-    until("ten moves in all", || {
-        (ends(&new) + ends(&fleet.relay) == 10).then_some(())
+    until("ten migrations in all", || {
+        (migrated(&second) + migrated(&fleet.relay) == 10).then_some(())
     });
-    assert!(ends(&new) > 0);
+    assert!(migrated(&second) > 0);
 }
 
-/// A server that is given to another cell drains in the old one, and is the other's.
 #[test]
-fn a_server_that_changes_its_cell_drains_in_the_old_one() {
-    let fleet = fleet("server", FILE, |_| {});
-    let mut open: Vec<Client> = (0..16).map(|n| fleet.open(&format!("a{n}"), 5)).collect();
-    // The one that is the site's home.
-    let had = fleet.had("a");
-    let given = if had[0] > had[1] { 0 } else { 1 };
-    let (name, kept) = (format!("s-{}", given + 1), format!("s-{}", 2 - given));
-    let file = FILE
-        .replace("\"s-1\", \"s-2\"", &format!("\"{kept}\""))
-        .replace("\"s-3\", \"s-4\"", &format!("\"{name}\", \"s-3\", \"s-4\""));
-    fleet.relay.reload_operator(&file).unwrap();
-    until("the reload", || {
-        (fleet.relay.figure("loads_total") == Some(1)).then_some(())
-    });
-    let at_given = had[given];
-    assert!(at_given > 0);
+fn an_endpoint_that_changes_its_cell_drains_in_the_old_one_and_serves_the_new_one() {
+    let fleet = Fleet::start("server", OPERATOR_FILE);
+    let mut connections: Vec<Client> = (0..16)
+        .map(|n| fleet.open(&format!("a{n}"), SITE_IN_A))
+        .collect();
+    // The endpoint with most of the site's connections goes to cell `b`.
+    let requests = fleet.requests_by_backend("a");
+    let moved = if requests[0] > requests[1] { 0 } else { 1 };
+    let kept = 1 - moved;
+    let moved_name = format!("s-{}", moved + 1);
+    let kept_name = format!("s-{}", kept + 1);
+    let file = OPERATOR_FILE
+        .replace("\"s-1\", \"s-2\"", &format!("\"{kept_name}\""))
+        .replace(
+            "\"s-3\", \"s-4\"",
+            &format!("\"{moved_name}\", \"s-3\", \"s-4\""),
+        );
+    fleet.reload(&file, 1);
+    let drained = requests[moved];
+    assert!(drained > 0);
     until("the drain", || {
-        (fleet.figure("in_progress", "a") == Some(16 - at_given as u64)).then_some(())
+        (fleet.cell_metric("in_progress", "a") == Some(16 - drained as u64)).then_some(())
     });
-    let mut moved = 0;
-    for client in &mut open {
-        client
-            .0
-            .get_ref()
+    let mut migrated = 0;
+    for client in &mut connections {
+        let socket = client.socket.get_ref();
+        socket
             .set_read_timeout(Some(Duration::from_millis(100)))
             .unwrap();
         let mut line = String::new();
-        let _ = client.0.read_line(&mut line);
-        moved += usize::from(line == "MOVE\r\n");
+        let _ = client.socket.read_line(&mut line);
+        migrated += usize::from(line == "MOVE\r\n");
     }
-    assert_eq!(moved, at_given);
+    assert_eq!(migrated, drained);
     for n in 0..6 {
-        assert!(fleet.open(&format!("n{n}"), 5).1.starts_with("UP "));
+        assert!(fleet.open(&format!("n{n}"), SITE_IN_A).is_up());
     }
-    let had = fleet.had("n");
-    assert_eq!(had[1 - given], 6, "{had:?}");
+    let requests = fleet.requests_by_backend("n");
+    assert_eq!(requests[kept], 6, "{requests:?}");
 }
 
+/// A change that makes the operator file invalid.
+struct InvalidChange {
+    from: &'static str,
+    to: &'static str,
+    error: &'static str,
+}
+
+const INVALID_CHANGES: [InvalidChange; 7] = [
+    InvalidChange {
+        from: "cell = \"a\"",
+        to: "cell = \"none\"",
+        error: "cells.site[0].cell: 'none' is no cell",
+    },
+    InvalidChange {
+        from: "name = \"b\"",
+        to: "name = \"a\"",
+        error: "cells.cell[1].name: 'a' is empty or there twice",
+    },
+    InvalidChange {
+        from: "key = \"6\"",
+        to: "key = \"5\"",
+        error: "cells.site[1].key: '5' is there twice",
+    },
+    InvalidChange {
+        from: "\"s-3\"",
+        to: "\"s-1\"",
+        error: "cells.cell[1].servers[0]: 's-1' is named for two cells",
+    },
+    InvalidChange {
+        from: "moves_per_second = 20",
+        to: "moves_per_second = 0",
+        error: "cells.moves_per_second: is 0",
+    },
+    InvalidChange {
+        from: "name = \"a\"",
+        to: "name = \"a\"\nweight = 99",
+        error: "cells.cell[0].weight: is 99, outside 1 to 16",
+    },
+    InvalidChange {
+        from: "name = \"a\"",
+        to: "name = \"a\"\ncolour = 1",
+        error: "unknown field `colour`",
+    },
+];
+
 #[test]
-fn a_bad_file_changes_no_cell_and_names_its_key() {
-    let fleet = fleet("bad", FILE, |_| {});
-    for (from, to, named) in [
-        (
-            "cell = \"a\"",
-            "cell = \"none\"",
-            "cells.site[0].cell: 'none' is no cell",
-        ),
-        (
-            "name = \"b\"",
-            "name = \"a\"",
-            "cells.cell[1].name: 'a' is empty or there twice",
-        ),
-        (
-            "key = \"6\"",
-            "key = \"5\"",
-            "cells.site[1].key: '5' is there twice",
-        ),
-        (
-            "\"s-3\"",
-            "\"s-1\"",
-            "cells.cell[1].servers[0]: 's-1' is named for two cells",
-        ),
-        (
-            "moves_per_second = 20",
-            "moves_per_second = 0",
-            "cells.moves_per_second: is 0",
-        ),
-        (
-            "name = \"a\"",
-            "name = \"a\"\nweight = 99",
-            "cells.cell[0].weight: is 99, outside 1 to 16",
-        ),
-        (
-            "name = \"a\"",
-            "name = \"a\"\ncolour = 1",
-            "unknown field `colour`",
-        ),
-    ] {
-        assert!(FILE.contains(from), "{from}");
+fn an_invalid_file_changes_no_cell_and_its_error_names_the_key() {
+    let fleet = Fleet::start("bad", OPERATOR_FILE);
+    for InvalidChange { from, to, error } in INVALID_CHANGES {
+        assert!(OPERATOR_FILE.contains(from), "{from}");
         fleet
             .relay
-            .reload_operator(&FILE.replacen(from, to, 1))
+            .reload_operator(&OPERATOR_FILE.replacen(from, to, 1))
             .unwrap();
-        fleet.relay.wait_for(named);
+        fleet.relay.wait_for(error);
     }
     assert_eq!(fleet.relay.figure("load_errors_total"), Some(7));
-    assert!(fleet.open("a", 5).1.starts_with("UP "));
-    assert_eq!(fleet.had("a")[2..], [0, 0]);
+    assert!(fleet.open("a", SITE_IN_A).is_up());
+    assert_eq!(fleet.requests_by_backend("a")[2..], [0, 0]);
 }
 
 #[test]
-fn the_command_line_shows_explains_and_plans() {
-    let fleet = fleet("ask", FILE, |_| {});
-    let write = |name: &str, text: &str| {
-        let path = fleet.dir.join(name);
+fn the_cells_command_shows_explains_and_plans() {
+    let fleet = Fleet::start("ask", OPERATOR_FILE);
+    let write_file = |name: &str, text: &str| {
+        let path = fleet.directory.join(name);
         std::fs::write(&path, text).unwrap();
         path.display().to_string()
     };
-    let (old, new) = (
-        write("old.toml", FILE),
-        write("new.toml", &FILE.replace("cell = \"a\"", "cell = \"b\"")),
+    let old = write_file("old.toml", OPERATOR_FILE);
+    let new = write_file(
+        "new.toml",
+        &OPERATOR_FILE.replace("cell = \"a\"", "cell = \"b\""),
     );
     let config = fleet.relay.config().display().to_string();
-    let ask = |what: &[&str]| {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_jaspermoor"));
-        let output = command
+    let run = |arguments: &[&str]| {
+        let output = Command::new(env!("CARGO_BIN_EXE_jaspermoor"))
             .args(["cells", "--operator", &old, "--config", &config])
-            .args(what)
+            .args(arguments)
             .output()
             .unwrap();
         assert!(
@@ -393,51 +412,32 @@
         );
         String::from_utf8(output.stdout).unwrap()
     };
-    let shown = ask(&["show"]);
+    let shown = run(&["show"]);
     assert!(
         shown.contains("1 pinned, 2 servers: s-1 s-2") && shown.contains("cell b: "),
         "{shown}"
     );
-    assert!(ask(&["explain", "5"]).contains("is in cell a: the operator file pins it there"));
-    assert!(ask(&["explain", "site7@hazri1.example.org"]).contains("its slot "));
-    let plan = ask(&["plan", &new]);
+    assert!(run(&["explain", "5"]).contains("is in cell a: the operator file pins it there"));
+    assert!(run(&["explain", "site7@hazri1.example.org"]).contains("its slot "));
+    let plan = run(&["plan", &new]);
     assert!(
         plan.contains("site 0000000000000005: a to b") && plan.contains("sites: 0.0%"),
         "{plan}"
     );
-    let _ = &fleet.discovery;
 }
 
-/// A ban goes with its server: called back in another cell, it may serve when it comes home again.
+/// A manual ejection goes with its endpoint: one that was lifted in another cell is not in force when the endpoint is
+/// back in the first one.
 #[test]
-fn a_ban_does_not_stay_behind_in_the_cell_that_its_server_left() {
-    let fleet = fleet("ban", FILE, |_| {});
-    let given = FILE
+fn a_manual_ejection_does_not_stay_in_the_cell_that_its_endpoint_left() {
+    let fleet = Fleet::start("ban", OPERATOR_FILE);
+    let all_in_b = OPERATOR_FILE
         .replace("\"s-1\", \"s-2\"", "")
         .replace("\"s-3\"", "\"s-1\", \"s-2\", \"s-3\"");
-    let call = |id: &str, verb: &str| {
-        assert_eq!(
-            fleet
-                .relay
-                .call("POST", &format!("/control/backends/{id}/{verb}"))
-                .unwrap()
-                .0,
-            200
-        );
-    };
-    ["s-1", "s-2"].iter().for_each(|id| call(id, "offline"));
-    for (n, (file, verb)) in [(given.as_str(), "online"), (FILE, "")]
-        .into_iter()
-        .enumerate()
-    {
-        fleet.relay.reload_operator(file).unwrap();
-        until("the reload", || {
-            (fleet.relay.figure("loads_total") == Some(n as u64 + 1)).then_some(())
-        });
-        if !verb.is_empty() {
-            ["s-1", "s-2"].iter().for_each(|id| call(id, verb));
-        }
-    }
-    let answer = fleet.open("home", 5).1;
-    assert!(answer.starts_with("UP "), "{answer}");
+    fleet.eject_manually(&ENDPOINTS_OF_A);
+    fleet.reload(&all_in_b, 1);
+    fleet.readmit(&ENDPOINTS_OF_A);
+    fleet.reload(OPERATOR_FILE, 2);
+    let client = fleet.open("home", SITE_IN_A);
+    assert!(client.is_up(), "{}", client.answer);
 }
