--- a/crates/control/src/jobs/assignment.rs
+++ b/crates/control/src/jobs/assignment.rs
@@ -8,7 +8,7 @@
 //! that is alive but cut off (its job is given away once its lease cannot run any more), flapping (a job is moved for
 //! balance only after a pause, and never by a lost message), and a checkpoint of an owner of before (it bears its token).
 
-use crate::wire::relay::{JobCapabilities, RelayId};
+use crate::relay::{JobCapabilities, RelayId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/control/src/jobs/moves.rs
+++ b/crates/control/src/jobs/moves.rs
@@ -12,7 +12,7 @@
 //! begins with what relays say to be permitted and without credit), and a relay that has gone (it is given nothing).
 
 use crate::broadcast::message::{Allowance, MovesSummary};
-use crate::wire::relay::RelayId;
+use crate::relay::RelayId;
 use crate::{wire, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/control/src/jobs/worker.rs
+++ b/crates/control/src/jobs/worker.rs
@@ -15,8 +15,8 @@
 use crate::jobs::load_watch::{self, LoadReports, LoadWatch};
 use crate::jobs::moves::{self, MigrationPacer, MigrationPermits, MigrationStatus};
 use crate::lease::client::LeaseClient;
+use crate::relay::job_kind;
 use crate::wire::message::{Message, OperatorRequest, Report, Updates};
-use crate::wire::relay::job_kind;
 #[cfg(feature = "injected-bugs")]
 use crate::InjectedBugs;
 use crate::Micros;
--- a/crates/control/src/lease/mod.rs
+++ b/crates/control/src/lease/mod.rs
@@ -1,3 +1,3 @@
-//! Leases on the policy in force. The leader's side is part of the voter; this is the relay's.
+//! Leases on the policy in force, on the relay's side. The leader's side is part of the voter.
 
 pub mod client;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -9,6 +9,8 @@
 pub mod jobs;
 pub mod lease;
 pub mod log;
+pub mod relay;
+mod serialization;
 pub mod wire;
 
 /// A moment or a span of time, in microseconds.
--- a/crates/control/src/wire/message.rs
+++ b/crates/control/src/wire/message.rs
@@ -4,15 +4,11 @@
 use crate::jobs::assignment::{Assignment, FencingToken};
 use crate::log::membership::{Membership, MembershipChange, VoterId};
 use crate::log::state::{FleetState, Policy, Proposal, ProposalId, ProposalOutcome};
-pub use crate::wire::relay::{job_kind, JobCapabilities, RelayId};
+pub use crate::relay::{job_kind, JobCapabilities, RelayId};
+use crate::serialization::is_default;
 use crate::{wire, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Whether a part has the value that it has where it is left out: builds before read it so, too.
-pub(crate) fn is_default<T: Default + PartialEq>(value: &T) -> bool {
-    *value == T::default()
-}
-
 /// Where an answer goes: whatever the driver made of the sender.
 pub type ReplyAddress = u64;
 
