--- a/crates/control/src/log/mod.rs
+++ b/crates/control/src/log/mod.rs
@@ -1,5 +1,6 @@
-//! The replicated log: voters, what they store, who of them votes, and the state that its entries come to.
+//! The replicated log: its voters, what they store, who is a member, and the state that the entries come to.
 
+pub mod error;
 pub mod membership;
 pub mod state;
 pub mod storage;
--- a/crates/control/src/log/storage.rs
+++ b/crates/control/src/log/storage.rs
@@ -1,23 +1,33 @@
-//! What a voter has stored: the log's entries, its vote, and a snapshot that stands for the entries before them. Kept
-//! in memory for the consensus library to read; every change goes out as [`PersistBatch`] for the disk, and comes back as a
-//! [`PersistedLog`] at the next start.
+//! The raft log of one voter: its entries, its hard state, and the snapshot that stands for the entries before them.
+//!
+//! It is held in memory, for the raft library to read. Every change leaves as a [`PersistBatch`] for the disk and comes back
+//! as a [`PersistedLog`] at the next start.
+//!
+//! Guards against: a disk that lost acknowledged entries, has gaps or cannot be read (refused by [`RaftLog::restore`]), and a
+//! crash between storing a snapshot and deleting the entries that it stands for (those are skipped).
 
+use crate::log::error::LogError;
 use crate::log::membership::Membership;
 use crate::log::state::FleetState;
 use crate::wire;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 
-/// What must be on the disk before anything that follows from it is sent.
+/// Index and term of a new fleet's first snapshot. The raft library takes index 0 for a voter that knows nothing yet.
+const FIRST_INDEX: u64 = 1;
+const FIRST_TERM: u64 = 1;
+
+/// What must be durable before any message that follows from it is sent. Messages of the raft library are encoded as
+/// protocol buffers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistBatch {
-    /// Term, vote and commit.
+    /// Term, vote and commit index, in place of the stored ones.
     pub hard_state: Option<Vec<u8>>,
-    /// Replaces all entries, and what they stand for.
+    /// A snapshot in place of the stored one. Without `compact_to` it replaces all entries, too.
     pub snapshot: Option<Vec<u8>>,
-    /// Entries from that index on; those that were there from it on are gone.
+    /// Entries with their indices, in ascending order; stored entries from the first of these indices on are deleted.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// Entries up to this index are needless.
+    /// Stored entries up to and including this index may be deleted.
     pub compact_to: Option<u64>,
 }
 
@@ -28,165 +38,181 @@
     }
 }
 
-/// What the disk gives back at a start.
+/// What the disk returns at a start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedLog {
-    /// See [`PersistBatch`].
+    /// See [`PersistBatch::hard_state`].
     pub hard_state: Option<Vec<u8>>,
-    /// See [`PersistBatch`].
+    /// See [`PersistBatch::snapshot`].
     pub snapshot: Option<Vec<u8>>,
-    /// All entries, in their order.
+    /// All entries, by ascending index.
     pub entries: Vec<Vec<u8>>,
 }
 
-/// Stored bytes that cannot be what was stored.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CorruptLog(pub &'static str);
-
-/// See the module's text.
+/// The log of one voter, as the raft library reads it.
 #[derive(Default)]
 pub struct RaftLog {
-    vote: HardState,
+    hard_state: HardState,
     snapshot: Snapshot,
+    /// The entries after the snapshot, without gaps.
     entries: Vec<Entry>,
 }
 
-fn read<M: protobuf::Message>(bytes: &[u8], what: &'static str) -> Result<M, CorruptLog> {
-    M::parse_from_bytes(bytes).map_err(|_| CorruptLog(what))
+fn from_bytes<M: protobuf::Message>(bytes: &[u8], error: LogError) -> Result<M, LogError> {
+    M::parse_from_bytes(bytes).map_err(|_| error)
 }
 
-pub(crate) fn bytes(message: &impl protobuf::Message) -> Vec<u8> {
+/// A message of the raft library as stored and sent.
+pub(crate) fn to_bytes(message: &impl protobuf::Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
 
 impl RaftLog {
     /// The log of a new fleet with these voters.
     pub fn for_new_fleet(voters: &[u64]) -> RaftLog {
-        let mut log = RaftLog::default();
-        let meta = log.snapshot.mut_metadata();
-        // The library takes an index of 0 for a voter that knows nothing yet.
-        (meta.index, meta.term) = (1, 1);
-        meta.set_conf_state(ConfState::from((voters.to_vec(), Vec::new())));
         let state = FleetState {
             membership: Membership::for_new_fleet(voters),
             ..FleetState::default()
         };
+        let mut log = RaftLog::default();
         log.snapshot.data = wire::encode(&state).into();
-        (log.vote.term, log.vote.commit) = (1, 1);
+        let metadata = log.snapshot.mut_metadata();
+        metadata.index = FIRST_INDEX;
+        metadata.term = FIRST_TERM;
+        metadata.set_conf_state(ConfState::from((voters.to_vec(), Vec::new())));
+        log.hard_state.term = FIRST_TERM;
+        log.hard_state.commit = FIRST_INDEX;
         log
     }
 
-    /// The log of a voter that joins a fleet: it knows nothing, and learns all from the leader.
+    /// The log of a voter that joins a fleet: empty, and learned from the leader.
     pub fn for_joining_voter() -> RaftLog {
         RaftLog::default()
     }
 
-    /// The log as it was stored.
-    pub fn restore(kept: &PersistedLog) -> Result<RaftLog, CorruptLog> {
+    /// The log as it was stored. Fails where a part is damaged or missing.
+    pub fn restore(stored: &PersistedLog) -> Result<RaftLog, LogError> {
         let mut log = RaftLog::default();
-        if let Some(snapshot) = &kept.snapshot {
-            log.snapshot = read(snapshot, "the snapshot cannot be read")?;
+        if let Some(snapshot) = &stored.snapshot {
+            log.snapshot = from_bytes(snapshot, LogError::UnreadableSnapshot)?;
         }
-        if let Some(vote) = &kept.hard_state {
-            log.vote = read(vote, "the vote cannot be read")?;
+        if let Some(hard_state) = &stored.hard_state {
+            log.hard_state = from_bytes(hard_state, LogError::UnreadableHardState)?;
         }
-        for entry in &kept.entries {
-            let entry: Entry = read(entry, "an entry of the log cannot be read")?;
-            // What the snapshot stands for may be there still: a crash between the two steps.
-            if entry.index <= log.base() {
+        for entry in &stored.entries {
+            let entry: Entry = from_bytes(entry, LogError::UnreadableEntry)?;
+            // A crash after the snapshot was stored leaves entries that it stands for.
+            if entry.index <= log.snapshot_index() {
                 continue;
             }
-            if entry.index != log.end() + 1 {
-                return Err(CorruptLog("entries of the log are missing"));
+            if entry.index != log.end_index() + 1 {
+                return Err(LogError::MissingEntries);
             }
             log.entries.push(entry);
         }
-        if kept.snapshot.is_none() {
-            return Err(CorruptLog("there is no snapshot"));
+        if stored.snapshot.is_none() {
+            return Err(LogError::MissingSnapshot);
         }
-        if log.vote.commit > log.end() {
-            return Err(CorruptLog(
-                "entries that were answered for are missing at the end of the log",
-            ));
+        if log.hard_state.commit > log.end_index() {
+            return Err(LogError::MissingCommittedEntries);
         }
-        log.vote.commit = log.vote.commit.max(log.base());
+        log.hard_state.commit = log.hard_state.commit.max(log.snapshot_index());
         Ok(log)
     }
 
-    /// Lets a founder's first snapshot say who the others are.
-    pub(crate) fn met(&mut self, state: Vec<u8>) -> PersistBatch {
+    /// Replaces the state in a founder's first snapshot, once it knows the other founders.
+    pub(crate) fn replace_founding_state(&mut self, state: Vec<u8>) -> PersistBatch {
         self.snapshot.data = state.into();
         PersistBatch {
-            snapshot: Some(bytes(&self.snapshot)),
-            compact_to: Some(self.base()),
+            snapshot: Some(to_bytes(&self.snapshot)),
+            compact_to: Some(self.snapshot_index()),
             ..PersistBatch::default()
         }
     }
 
-    /// All of it, as the first thing that is stored.
+    /// The whole log, as the first batch that is stored.
     pub fn persist_all(&self) -> PersistBatch {
-        let entries = self.entries.iter().map(|e| (e.index, bytes(e))).collect();
+        let entries = self.entries.iter();
         PersistBatch {
-            hard_state: Some(bytes(&self.vote)),
-            snapshot: Some(bytes(&self.snapshot)),
-            entries,
+            hard_state: Some(to_bytes(&self.hard_state)),
+            snapshot: Some(to_bytes(&self.snapshot)),
+            entries: entries
+                .map(|entry| (entry.index, to_bytes(entry)))
+                .collect(),
             compact_to: None,
         }
     }
 
-    fn base(&self) -> u64 {
+    /// The index of the last entry that the snapshot stands for.
+    fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    fn end(&self) -> u64 {
-        self.entries.last().map_or(self.base(), |e| e.index)
+    /// The index of the last entry.
+    fn end_index(&self) -> u64 {
+        self.entries
+            .last()
+            .map_or(self.snapshot_index(), |entry| entry.index)
     }
 
-    /// The state that its snapshot holds.
+    /// The encoded state in the snapshot; empty for a voter that joins.
     pub fn state(&self) -> &[u8] {
         &self.snapshot.data
     }
 
-    /// How many entries there are.
+    /// The number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no entries after the snapshot.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    pub(crate) fn set_vote(&mut self, vote: &HardState) {
-        self.vote = vote.clone();
+    pub(crate) fn hard_state(&self) -> &HardState {
+        &self.hard_state
+    }
+
+    pub(crate) fn set_hard_state(&mut self, hard_state: HardState) {
+        self.hard_state = hard_state;
     }
 
+    /// Appends entries; those from the first one's index on are replaced.
     pub(crate) fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
-        self.entries.retain(|e| e.index < first.index);
+        self.entries.retain(|entry| entry.index < first.index);
         self.entries.extend_from_slice(entries);
     }
 
+    /// Replaces the whole log by a leader's snapshot.
     pub(crate) fn install(&mut self, snapshot: &Snapshot) {
         self.snapshot = snapshot.clone();
-        let meta = snapshot.get_metadata();
-        self.vote.term = self.vote.term.max(meta.term);
-        self.vote.commit = self.vote.commit.max(meta.index);
+        let metadata = snapshot.get_metadata();
+        self.hard_state.term = self.hard_state.term.max(metadata.term);
+        self.hard_state.commit = self.hard_state.commit.max(metadata.index);
         self.entries.clear();
     }
 
-    /// Lets the state at an entry that is applied stand for all up to it.
-    pub(crate) fn compact(&mut self, index: u64, conf: &ConfState, state: Vec<u8>) -> PersistBatch {
+    /// Replaces the entries up to and including `index`, which is applied, by a snapshot with this state. Empty where the
+    /// entry is not in the log.
+    pub(crate) fn compact(
+        &mut self,
+        index: u64,
+        voters: &ConfState,
+        state: Vec<u8>,
+    ) -> PersistBatch {
         let Ok(term) = self.term(index) else {
             return PersistBatch::default();
         };
-        let meta = self.snapshot.mut_metadata();
-        (meta.index, meta.term) = (index, term);
-        meta.set_conf_state(conf.clone());
+        let metadata = self.snapshot.mut_metadata();
+        metadata.index = index;
+        metadata.term = term;
+        metadata.set_conf_state(voters.clone());
         self.snapshot.data = state.into();
-        self.entries.retain(|e| e.index > index);
+        self.entries.retain(|entry| entry.index > index);
         PersistBatch {
-            snapshot: Some(bytes(&self.snapshot)),
+            snapshot: Some(to_bytes(&self.snapshot)),
             compact_to: Some(index),
             ..PersistBatch::default()
         }
@@ -196,7 +222,7 @@
 impl Storage for RaftLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
         Ok(RaftState::new(
-            self.vote.clone(),
+            self.hard_state.clone(),
             self.snapshot.get_metadata().get_conf_state().clone(),
         ))
     }
@@ -208,20 +234,21 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        if low <= self.base() {
+        if low <= self.snapshot_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let at = |index: u64| ((index - self.base() - 1) as usize).min(self.entries.len());
-        let mut found = self.entries[at(low)..at(high)].to_vec();
-        raft::util::limit_size(&mut found, max_size.into());
-        Ok(found)
+        let position =
+            |index: u64| ((index - self.snapshot_index() - 1) as usize).min(self.entries.len());
+        let mut entries = self.entries[position(low)..position(high)].to_vec();
+        raft::util::limit_size(&mut entries, max_size.into());
+        Ok(entries)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        match index.checked_sub(self.base()) {
+        match index.checked_sub(self.snapshot_index()) {
             None => Err(Error::Store(StorageError::Compacted)),
             Some(0) => Ok(self.snapshot.get_metadata().term),
-            Some(n) => match self.entries.get(n as usize - 1) {
+            Some(distance) => match self.entries.get(distance as usize - 1) {
                 Some(entry) => Ok(entry.term),
                 None => Err(Error::Store(StorageError::Unavailable)),
             },
@@ -229,15 +256,15 @@
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.base() + 1)
+        Ok(self.snapshot_index() + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.end())
+        Ok(self.end_index())
     }
 
     fn snapshot(&self, request_index: u64, _to: u64) -> raft::Result<Snapshot> {
-        if self.base() < request_index {
+        if self.snapshot_index() < request_index {
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(self.snapshot.clone())
--- /dev/null
+++ b/crates/control/src/log/voter/job_leases.rs
@@ -0,0 +1,104 @@
+//! Leases on jobs: what the leader answers to a renewal of a relay that does jobs, and which changes of the jobs follow from
+//! it. One lease stands for all jobs of a relay.
+
+use super::leadership::RelayProgress;
+use crate::jobs::assignment::{is_valid_job_name, Assignment, FencingToken, Jobs, MAX_JOBS};
+use crate::relay::RelayId;
+use crate::wire::message::{AssignedJobs, RenewRequest, RenewResponse};
+use crate::Micros;
+
+/// Renews a relay's lease on its jobs and fills the response with what it has to know of them. Returns the changes of the
+/// jobs that follow from the request.
+pub(super) fn renew_jobs_lease(
+    jobs: &Jobs,
+    relay: &mut RelayProgress,
+    request: &RenewRequest,
+    response: &mut RenewResponse,
+    now: Micros,
+) -> Vec<Assignment> {
+    response.last_token = Some(jobs.last_token);
+    relay.jobs_version = request.jobs_version;
+    let Some(version) = request.jobs_version else {
+        return Vec::new();
+    };
+    relay.jobs_lease_granted_at = Some(now);
+    relay.capabilities = request.capabilities.clone();
+    if version < jobs.version {
+        response.jobs = Some(assigned_jobs(jobs, &request.relay));
+    }
+    response.checkpoint_steps = request
+        .checkpoints
+        .iter()
+        .map(|(name, ..)| (name.clone(), checkpoint_step(jobs, name)))
+        .collect();
+    let mut assignments = Vec::new();
+    assignments.extend(relinquished_jobs(jobs, request));
+    assignments.extend(jobs_to_open(jobs, request));
+    assignments.extend(new_checkpoints(jobs, request));
+    assignments
+}
+
+/// A relay's jobs, each with its token and last checkpoint.
+fn assigned_jobs(jobs: &Jobs, relay: &RelayId) -> AssignedJobs {
+    let with_checkpoint = |(name, token): (String, FencingToken)| {
+        let job = jobs.by_name.get(&name).cloned().unwrap_or_default();
+        (name, token, job.checkpoint_step, job.checkpoint)
+    };
+    AssignedJobs {
+        version: jobs.version,
+        jobs: jobs
+            .of_relay(relay)
+            .into_iter()
+            .map(with_checkpoint)
+            .collect(),
+    }
+}
+
+/// The number of a job's last checkpoint in the log.
+fn checkpoint_step(jobs: &Jobs, name: &str) -> u64 {
+    jobs.by_name.get(name).map_or(0, |job| job.checkpoint_step)
+}
+
+/// The revocation of the jobs that the relay relinquishes and that are not revoked yet.
+fn relinquished_jobs(jobs: &Jobs, request: &RenewRequest) -> Option<Assignment> {
+    let is_owned = |(name, token, _): &&(String, FencingToken, String)| {
+        jobs.by_name
+            .get(name)
+            .is_some_and(|job| job.token == *token && job.revoked_at.is_none())
+    };
+    let relinquished: Vec<_> = request
+        .relinquished
+        .iter()
+        .filter(is_owned)
+        .cloned()
+        .collect();
+    (!relinquished.is_empty()).then_some(Assignment::Revoke(relinquished))
+}
+
+/// The jobs that the relay expects and that do not exist yet. Invalid names are left out: they would be proposed with each
+/// renewal.
+fn jobs_to_open(jobs: &Jobs, request: &RenewRequest) -> Option<Assignment> {
+    let new: Vec<String> = request
+        .capabilities
+        .expected_jobs
+        .iter()
+        .filter(|name| is_valid_job_name(name) && !jobs.by_name.contains_key(*name))
+        .cloned()
+        .collect();
+    let has_room = jobs.by_name.len() + new.len() <= MAX_JOBS;
+    (!new.is_empty() && has_room).then_some(Assignment::Open(new))
+}
+
+/// The checkpoints of the relay that follow directly on the log's.
+fn new_checkpoints<'a>(
+    jobs: &'a Jobs,
+    request: &'a RenewRequest,
+) -> impl Iterator<Item = Assignment> + 'a {
+    request
+        .checkpoints
+        .iter()
+        .filter(|(name, _, step, _)| checkpoint_step(jobs, name) + 1 == *step)
+        .map(|(name, token, step, checkpoint)| {
+            Assignment::Checkpoint(name.clone(), *token, *step, checkpoint.clone())
+        })
+}
--- /dev/null
+++ b/crates/control/src/log/voter/leases.rs
@@ -0,0 +1,100 @@
+//! Leases on the policy in force: what the leader answers to a relay's renewal.
+//!
+//! A relay gets a lease where it has the policy in force, no proposal is sealed, and responses reach it.
+
+use super::job_leases::renew_jobs_lease;
+use super::read_confirmation::PendingRequest;
+use super::{ReplyAddress, Voter};
+use crate::log::state::{Command, ProposalPhase};
+use crate::wire::message::{RenewRequest, RenewResponse};
+use crate::{InjectedBug, Micros};
+
+impl Voter {
+    /// A relay asks for its lease. The response follows in a later [`super::Ready`], once the leadership is confirmed.
+    pub fn handle_renew(&mut self, now: Micros, from: ReplyAddress, request: RenewRequest) {
+        self.now = now;
+        self.enqueue(PendingRequest::Renew {
+            reply_to: from,
+            request: Box::new(request),
+        });
+    }
+
+    /// The leader's response to a confirmed renewal, which also reports the relay's progress and may reject the proposal.
+    pub(super) fn grant_lease(&mut self, request: &RenewRequest) -> RenewResponse {
+        let now = self.now;
+        let lease_duration = self.timing.lease_duration;
+        let ignores_seal = self.injected.is(InjectedBug::GrantClosed);
+        let term = self.node.raft.term;
+        let mut response = RenewResponse::for_request(request);
+        let leadership = self
+            .leadership
+            .as_mut()
+            .filter(|leadership| leadership.term == term);
+        let Some(leadership) = leadership else {
+            response.redirect = Some(None);
+            return response;
+        };
+        let Some(relay) = leadership.track_relay(&request.relay) else {
+            response.redirect = Some(None);
+            return response;
+        };
+        let is_reachable = relay.record_renewal(request, now, lease_duration);
+        let policy = &self.state.policy;
+        if request.epoch != policy.epoch {
+            response.policy = Some(policy.clone());
+        }
+        if request.membership_version < self.state.membership.version {
+            response.membership = Some(self.state.membership.clone());
+        }
+        let may_hold_lease = is_reachable && request.epoch == policy.epoch;
+        let phase = &self.state.phase;
+        let rejection =
+            respond_to_phase(phase, request, may_hold_lease, ignores_seal, &mut response);
+        if response.grant.is_some() {
+            relay.lease_granted_at = Some(now);
+        }
+        let mut assignments = Vec::new();
+        if is_reachable {
+            assignments = renew_jobs_lease(&self.state.jobs, relay, request, &mut response, now);
+            leadership.record_relinquished(&assignments, now);
+        }
+        let commands = rejection
+            .into_iter()
+            .chain(assignments.into_iter().map(Command::Assignment));
+        for command in commands {
+            self.propose(&command);
+        }
+        response
+    }
+}
+
+/// Grants the lease, or asks the relay to prepare or to stop, as the phase of the proposal wants. Returns the entry to
+/// propose where the relay rejects the proposal that is being prepared.
+fn respond_to_phase(
+    phase: &ProposalPhase,
+    request: &RenewRequest,
+    may_hold_lease: bool,
+    ignores_seal: bool,
+    response: &mut RenewResponse,
+) -> Option<Command> {
+    if let ProposalPhase::Sealed(proposal) = phase {
+        if !ignores_seal {
+            response.revoke = Some(proposal.id);
+            return None;
+        }
+    }
+    response.grant = may_hold_lease.then_some(request.epoch);
+    let ProposalPhase::Preparing(proposal) = phase else {
+        return None;
+    };
+    if let Some((id, reason)) = &request.rejected {
+        if *id == proposal.id {
+            let relay = request.relay.name.clone();
+            return Some(Command::Reject(proposal.id, relay, reason.clone()));
+        }
+    }
+    if request.prepared != Some(proposal.id) {
+        response.prepare = Some(proposal.clone());
+    }
+    None
+}
--- a/crates/lab/src/faults/virtual_fleet.rs
+++ b/crates/lab/src/faults/virtual_fleet.rs
@@ -1056,7 +1056,7 @@
                     if p.reborn {
                         return;
                     }
-                    let text = format!("n{n}: {}", damaged.0);
+                    let text = format!("n{n}: {damaged}");
                     let rule = "a voter keeps what it has answered for";
                     self.seen.broken.push(Broken {
                         rule,
--- a/src/net/fleet/messages.rs
+++ b/src/net/fleet/messages.rs
@@ -77,7 +77,7 @@
                 if let Err(damaged) = voter.step(now, from, incarnation, &bytes) {
                     let remedy =
                         "its disk must be replaced, and a voter of a new number take its place";
-                    self.give_up_vote(&format!("the ledger: {}: {remedy}", damaged.0));
+                    self.give_up_vote(&format!("the ledger: {damaged}: {remedy}"));
                 }
             }
             Message::RenewRequest(renew) => voter.handle_renew(now, from, renew),
@@ -99,7 +99,7 @@
         };
         let work = voter.ready(boottime());
         if let Some(why) = voter.fatal_error() {
-            self.end_vote(why.0);
+            self.end_vote(&why.to_string());
             return false;
         }
         if work.is_empty() {
--- a/src/net/fleet/voting.rs
+++ b/src/net/fleet/voting.rs
@@ -37,8 +37,7 @@
             Err(damaged) => {
                 let place = self.setup.directory.display();
                 log(&format!(
-                    "fleet: {place}: {}; it is left as it is, and this relay does not vote",
-                    damaged.0
+                    "fleet: {place}: {damaged}; it is left as it is, and this relay does not vote"
                 ));
                 return Ok(());
             }
@@ -46,7 +45,7 @@
         #[cfg(feature = "injected-bugs")]
         let voter = voter.with_injected(super::injected());
         if let Some(why) = voter.fatal_error() {
-            log(&format!("fleet: {}; voter {number} does not vote", why.0));
+            log(&format!("fleet: {why}; voter {number} does not vote"));
             return Ok(());
         }
         let own = self
