--- a/crates/control/src/lease/client.rs
+++ b/crates/control/src/lease/client.rs
@@ -1,365 +1,446 @@
-//! A relay's side: it holds the policy that it admits clients under, and a lease on it.
+//! Lease client: the policy that a relay has, and the lease under which it may admit clients.
 //!
-//! A lease runs from when the relay asked for it, by a clock that counts the time that the machine slept. It is looked at
-//! right before each placement, so a process that was stopped and woken places nothing under a policy that may have been
-//! replaced meanwhile. A relay that has just started admits nobody before it has a lease of its own.
+//! A lease runs from when the relay requested it, by a clock that counts the time during which the machine was suspended. It
+//! is checked right before each client is placed, so a process that was paused places nobody under a policy that may have
+//! been replaced meanwhile. A process that has just started admits nobody before it has a lease of its own.
 //!
-//! Guards against: an answer to a question from before it stopped or changed its policy (it counts for nothing), a lease that outlives a restart, and
-//! a proposal that this build does not understand (it is refused, with the reason, and the fleet keeps what it has).
+//! Guards against: responses to requests from before the relay stopped or changed its policy (ignored), a lease that outlives
+//! a restart, and a proposal that this build does not understand (rejected with the reason; the fleet keeps its policy).
+//!
+//! Inputs are times and responses, outputs are [`LeaseAction`]s.
 
 use crate::jobs::owner::JobOwner;
 use crate::log::membership::Membership;
 use crate::log::state::{Policy, Proposal, ProposalId};
-use crate::wire::message::{RelayId, RenewRequest, RenewResponse};
+use crate::relay::RelayId;
+use crate::wire::message::{RenewRequest, RenewResponse};
 use crate::{FleetTiming, InjectedBug, InjectedBugs, Micros};
 use std::collections::VecDeque;
 
-/// Questions whose answers may still come; what is older has lost its lease anyway.
-const ASKED: usize = 32;
+/// Requests whose responses may still arrive. A lease from an older one would have run out.
+const MAX_TRACKED_REQUESTS: usize = 32;
+/// A request without a response is repeated, at the next voter, after this part of the renewal interval.
+const RETRY_DIVISOR: Micros = 2;
+/// A relay that has stopped for a sealed proposal renews after this part of the renewal interval: the proposal is in force
+/// within a moment.
+const SEALED_RENEW_DIVISOR: Micros = 10;
 
-/// What a relay does when it hears from no leader.
+/// What a relay does while no leader answers it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaderlessMode {
-    /// It admits nobody: nothing is ever served under two policies.
+    /// It admits no clients once its lease has run out: never are clients admitted under two policies.
     #[default]
     Reject,
-    /// It goes on under the policy that it has: served, but perhaps by an old policy.
+    /// It continues under the policy that it has, which may have been replaced.
     Serve,
 }
 
-/// What is to be done, in this order.
+/// What the caller must do, in the order of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Store it as the policy that is prepared; [`LeaseClient::prepared`] says that it is stored.
+    /// Store the proposal durably, then call [`LeaseClient::proposal_persisted`].
     PersistProposal(Proposal),
-    /// Store it as the policy to start with, then serve under it.
+    /// Store the policy durably as the one to start with, then admit clients under it.
     AdoptPolicy(Policy),
-    /// Who votes has changed: store it, and know where to reach them.
+    /// Store the members durably, and connect to their voters.
     PersistMembership(Membership),
-    /// Send this to that voter.
+    /// Send the request to the voter of this number.
     SendRenew(u64, Box<RenewRequest>),
 }
 
-/// See the module's text.
+/// A renewal that was sent.
+#[derive(Clone, Copy, Debug)]
+struct SentRequest {
+    sequence: u64,
+    at: Micros,
+}
+
+/// A proposal that this relay has rejected.
+#[derive(Clone, Debug)]
+struct Rejection {
+    id: ProposalId,
+    reason: String,
+}
+
+/// A sealed proposal for which this relay has stopped admitting.
+#[derive(Clone, Copy, Debug)]
+struct Revocation {
+    id: ProposalId,
+    at: Micros,
+}
+
+/// Lease client: tracks the policy in force and the lease under which this relay may admit clients.
 #[derive(Clone, Debug)]
 pub struct LeaseClient {
     relay: RelayId,
-    times: FleetTiming,
-    alone: LeaderlessMode,
+    timing: FleetTiming,
+    leaderless_mode: LeaderlessMode,
     injected: InjectedBugs,
     voters: Vec<u64>,
-    /// The version of the membership that it knows; 0 for those of the operator file.
-    membership: u64,
+    /// The version of the members that the voters are from; 0 for those of the operator file.
+    membership_version: u64,
     policy: Policy,
-    proposal_persisted: Option<Proposal>,
-    refused: Option<(ProposalId, String)>,
-    /// The proposal that it has stopped for, and when.
-    revoked: Option<(ProposalId, Micros)>,
-    /// Up to when clients may be admitted.
-    lease: Micros,
-    number: u64,
-    /// The last question that a leader has answered, as far as it has heard.
-    handle_response: u64,
-    /// Answers to questions up to this number count for nothing any more.
+    /// The proposal that this relay has checked and stored.
+    prepared: Option<Proposal>,
+    rejected: Option<Rejection>,
+    revoked: Option<Revocation>,
+    /// Clients may be admitted before this time; 0 for no lease.
+    lease_until: Micros,
+    /// The sequence of the last request.
+    last_sequence: u64,
+    /// The last request that a leader has answered.
+    last_seen_response: u64,
+    /// Responses to requests up to this sequence are ignored.
     barrier: u64,
-    /// The last questions, each with its number and when it was asked.
-    asked: VecDeque<(u64, Micros)>,
-    /// When it asks next though nothing comes, and whether an answer is out.
-    next: Micros,
-    waits: bool,
-    /// Whom it asks.
-    voter: usize,
-    /// What it does for the fleet, where it does any.
+    /// The last requests, the newest last.
+    requests: VecDeque<SentRequest>,
+    /// When the next request is due if nothing arrives before.
+    next_request_at: Micros,
+    /// Whether the last request has no response yet.
+    awaits_response: bool,
+    /// Counts up from voter to voter, see [`LeaseClient::voter_position`].
+    voter_cursor: usize,
+    /// This relay's jobs, where it does any.
     owner: Option<JobOwner>,
-    /// The last token that the fleet has given, as far as it was told.
+    /// The last fencing token of the fleet that a leader has reported.
     last_token: Option<u64>,
 }
 
 impl LeaseClient {
-    /// A relay with the policy that it had stored. Its voters are asked in turn until one leads.
+    /// A relay with the policy that it had stored. It requests leases from each of the voters in turn, until one leads.
     pub fn new(
         relay: RelayId,
         voters: Vec<u64>,
-        kept: Policy,
-        times: FleetTiming,
-        alone: LeaderlessMode,
+        stored: Policy,
+        timing: FleetTiming,
+        leaderless_mode: LeaderlessMode,
     ) -> LeaseClient {
-        let spread = relay
-            .name
-            .bytes()
-            .fold(0, |sum, byte| sum + usize::from(byte));
-        let voter = spread % voters.len().max(1);
+        // By its name, so that relays begin with different voters.
+        let voter_cursor = relay.name.bytes().map(usize::from).sum::<usize>() % voters.len().max(1);
         LeaseClient {
             relay,
-            times,
-            alone,
+            timing,
+            leaderless_mode,
             injected: InjectedBugs::default(),
             voters,
-            membership: 0,
-            policy: kept,
-            proposal_persisted: None,
-            refused: None,
+            membership_version: 0,
+            policy: stored,
+            prepared: None,
+            rejected: None,
             revoked: None,
-            lease: 0,
-            number: 0,
-            handle_response: 0,
+            lease_until: 0,
+            last_sequence: 0,
+            last_seen_response: 0,
             barrier: 0,
-            asked: VecDeque::new(),
-            next: 0,
-            waits: false,
-            voter,
+            requests: VecDeque::new(),
+            next_request_at: 0,
+            awaits_response: false,
+            voter_cursor,
             owner: None,
             last_token: None,
         }
     }
 
-    /// The same with a fault in it: for tests of the checkers.
+    /// The same client with an injected bug, for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(mut self, injected: InjectedBugs, now: Micros) -> LeaseClient {
         self.injected = injected;
         if injected.is(InjectedBug::LeaseSurvivesRestart) && self.policy.epoch > 0 {
-            self.lease = now + self.times.lease_duration;
+            self.lease_until = now + self.timing.lease_duration;
         }
         self
     }
 
-    /// Asks these from now on, and not those that it was made with. A relay that votes knows them from its log, too.
+    /// Sends requests to the voters among these members from now on, and not to those that it was made with. A relay that
+    /// votes knows them from its log, too. Returns whether they are newer than those that it had.
     pub fn learn_membership(&mut self, membership: &Membership) -> bool {
-        if membership.version <= self.membership {
+        if membership.version <= self.membership_version {
             return false;
         }
-        let asked = self.voters[self.voter % self.voters.len()];
+        let current = self.voters[self.voter_position()];
         let voters: Vec<u64> = membership.voters().collect();
         if voters.is_empty() {
             return false;
         }
-        (self.voters, self.membership) = (voters, membership.version);
-        self.voter = self
-            .voters
-            .iter()
-            .position(|voter| *voter == asked)
-            .unwrap_or(self.voter);
+        self.voters = voters;
+        self.membership_version = membership.version;
+        if let Some(position) = self.position_of(current) {
+            self.voter_cursor = position;
+        }
         true
     }
 
-    /// It may be given jobs from now on.
+    /// Allows this relay to be assigned jobs.
     pub fn set_job_owner(&mut self, owner: JobOwner) {
         self.owner = Some(owner);
     }
 
-    /// Its jobs, to act on.
+    /// This relay's jobs, to act on.
     pub fn owner_mut(&mut self) -> Option<&mut JobOwner> {
         self.owner.as_mut()
     }
 
-    /// Its jobs.
+    /// This relay's jobs.
     pub fn owner(&self) -> Option<&JobOwner> {
         self.owner.as_ref()
     }
 
-    /// The last token that the fleet has given, as a leader told this process last: what a receiver has to know first.
+    /// The last fencing token of the fleet that a leader has reported to this process. A receiver needs it before it accepts
+    /// commands.
     pub fn last_token(&self) -> Option<u64> {
         self.last_token
     }
 
-    /// Who votes, as far as it knows, and whom of them it asks: the leader, if it can.
+    /// The voters that this relay knows, and the one that it sends requests to: the leader, as far as it is known.
     pub fn voters(&self) -> (&[u64], Option<u64>) {
-        (
-            &self.voters,
-            self.voters
-                .get(self.voter % self.voters.len().max(1))
-                .copied(),
-        )
+        let current = self.voters.get(self.voter_position()).copied();
+        (&self.voters, current)
     }
 
-    /// The process that it is.
+    /// This process of the relay.
     pub fn relay(&self) -> &RelayId {
         &self.relay
     }
 
-    /// Its relay stops: it gives up its jobs, and says so at once.
+    /// The relay stops: relinquishes its jobs, and reports it with the request that is returned.
     pub fn release_jobs(&mut self, now: Micros) -> Option<LeaseAction> {
         self.owner.as_mut()?.release_all();
-        Some(self.ask(now))
+        Some(self.send_request(now))
     }
 
-    /// The policy that it has.
+    /// The policy that this relay has.
     pub fn policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// Whether a client may be admitted at this moment.
+    /// Whether a client may be admitted now.
     pub fn may_admit(&self, now: Micros) -> bool {
         now < self.admit_until(now)
     }
 
-    /// Up to when clients may be admitted, as things stand.
+    /// Clients may be admitted before this time, unless something arrives that changes it.
     pub fn admit_until(&self, now: Micros) -> Micros {
-        let forever = self.injected.is(InjectedBug::IgnoreLease) && self.lease > 0;
-        // One that serves alone still stops when it is asked to, for as long as the fleet may need.
-        let stopped = self
+        let ignores_lease = self.injected.is(InjectedBug::IgnoreLease) && self.lease_until > 0;
+        // Also a relay that serves without a leader stops for a sealed proposal, for as long as the fleet may need.
+        let has_stopped = self
             .revoked
-            .is_some_and(|(_, at)| now < at + self.times.proposal_timeout);
-        if forever || (self.alone == LeaderlessMode::Serve && !stopped) {
+            .is_some_and(|revocation| now < revocation.at + self.timing.proposal_timeout);
+        let serves_leaderless = self.leaderless_mode == LeaderlessMode::Serve && !has_stopped;
+        if ignores_lease || serves_leaderless {
             return Micros::MAX;
         }
-        self.lease
+        self.lease_until
     }
 
-    /// Time has passed: asks for the lease anew where that is due.
+    /// Time has passed: renews the lease where that is due.
     pub fn tick(&mut self, now: Micros) -> Option<LeaseAction> {
-        if now < self.next {
+        if now < self.next_request_at {
             return None;
         }
-        // Nothing came back: another voter may know more.
-        self.voter += usize::from(self.waits);
-        Some(self.ask(now))
+        if self.awaits_response {
+            self.voter_cursor += 1;
+        }
+        Some(self.send_request(now))
+    }
+
+    /// A position in the list of voters.
+    fn voter_position(&self) -> usize {
+        self.voter_cursor % self.voters.len().max(1)
     }
 
-    fn ask(&mut self, now: Micros) -> LeaseAction {
-        self.number += 1;
-        if self.asked.len() == ASKED {
-            self.asked.pop_front();
+    fn position_of(&self, voter: u64) -> Option<usize> {
+        self.voters.iter().position(|known| *known == voter)
+    }
+
+    fn send_request(&mut self, now: Micros) -> LeaseAction {
+        self.last_sequence += 1;
+        if self.requests.len() == MAX_TRACKED_REQUESTS {
+            self.requests.pop_front();
         }
-        self.asked.push_back((self.number, now));
-        // Half the usual time for an answer, which is moved on once it has come.
-        (self.next, self.waits) = (now + self.times.renew_interval / 2, true);
-        let mut renew = RenewRequest {
+        self.requests.push_back(SentRequest {
+            sequence: self.last_sequence,
+            at: now,
+        });
+        self.next_request_at = now + self.timing.renew_interval / RETRY_DIVISOR;
+        self.awaits_response = true;
+        let rejection = self.rejected.as_ref();
+        let mut request = RenewRequest {
             relay: self.relay.clone(),
-            sequence: self.number,
-            last_seen_response: self.handle_response,
+            sequence: self.last_sequence,
+            last_seen_response: self.last_seen_response,
             epoch: self.policy.epoch,
-            prepared: self.proposal_persisted.as_ref().map(|p| p.id),
-            rejected: self.refused.clone(),
-            revoked: self.revoked.map(|(id, _)| id),
-            membership_version: self.membership,
+            prepared: self.prepared.as_ref().map(|proposal| proposal.id),
+            rejected: rejection.map(|rejection| (rejection.id, rejection.reason.clone())),
+            revoked: self.revoked.map(|revocation| revocation.id),
+            membership_version: self.membership_version,
             ..RenewRequest::default()
         };
         if let Some(owner) = &self.owner {
-            owner.fill_request(&mut renew);
+            owner.fill_request(&mut request);
         }
-        LeaseAction::SendRenew(self.voters[self.voter % self.voters.len()], Box::new(renew))
+        LeaseAction::SendRenew(self.voters[self.voter_position()], Box::new(request))
     }
 
-    /// An answer has come. `check` says whether this build understands a policy's text, and what is wrong with it.
+    /// A response has arrived. `check` returns what is wrong with a policy's text where this build does not understand it.
     pub fn handle_response(
         &mut self,
         now: Micros,
-        mut reply: RenewResponse,
+        mut response: RenewResponse,
         check: impl Fn(&str) -> Result<(), String>,
     ) -> Vec<LeaseAction> {
-        // An answer to the process before this one, held back on its way, once bore the number of a question of this
-        // one, and was taken for a lease.
-        if reply.incarnation != self.relay.incarnation {
+        // A delayed response to the previous process may bear the sequence of a request of this one.
+        if response.incarnation != self.relay.incarnation {
             return Vec::new();
         }
-        let asked = self
-            .asked
-            .iter()
-            .find(|(number, _)| *number == reply.sequence && *number > self.barrier);
-        let Some(&(_, asked)) = asked else {
+        let Some(request) = self.find_request(response.sequence) else {
             return Vec::new();
         };
-        let last = reply.sequence == self.number;
-        let mut effects = Vec::new();
-        if let Some(membership) = reply
-            .membership
-            .take()
-            .filter(|membership| membership.version > self.membership)
-        {
+        let mut actions = Vec::new();
+        let membership = response.membership.take();
+        if let Some(membership) = membership.filter(|new| new.version > self.membership_version) {
             self.learn_membership(&membership);
-            effects.push(LeaseAction::PersistMembership(membership));
+            actions.push(LeaseAction::PersistMembership(membership));
         }
-        if let Some(leader) = reply.redirect {
-            if !last || !std::mem::take(&mut self.waits) {
-                return effects;
-            }
-            match leader.and_then(|id| self.voters.iter().position(|v| *v == id)) {
-                Some(at) if at != self.voter % self.voters.len() => {
-                    self.voter = at;
-                    effects.push(self.ask(now));
+        if let Some(leader) = response.redirect {
+            actions.extend(self.follow_redirect(now, request, leader));
+            return actions;
+        }
+        self.record_response(&response);
+        // What changes is reported at once: the leader waits for it.
+        let mut has_changed = self.update_jobs(request, &response);
+        if let Some(policy) = self.adopt_policy(response.policy) {
+            actions.push(LeaseAction::AdoptPolicy(policy));
+            has_changed = true;
+        }
+        if response.grant == Some(self.policy.epoch) && !has_changed {
+            self.extend_lease(now, request);
+        }
+        if let Some(proposal) = response.prepare.filter(|new| !self.has_checked(new.id)) {
+            match check(&proposal.text) {
+                Ok(()) => actions.push(LeaseAction::PersistProposal(proposal)),
+                Err(reason) => {
+                    let id = proposal.id;
+                    self.rejected = Some(Rejection { id, reason });
+                    has_changed = true;
                 }
-                // Nobody leads just now: the next voter, when it is time.
-                _ => self.voter += 1,
             }
-            return effects;
-        }
-        if std::mem::take(&mut self.waits) {
-            self.next = self
-                .asked
-                .back()
-                .map_or(now, |(_, at)| at + self.times.renew_interval);
         }
-        self.handle_response = self.handle_response.max(reply.sequence);
-        self.last_token = reply.last_token.max(self.last_token);
-        let mut updates = false;
-        if let Some(owner) = &mut self.owner {
-            owner.handle_response(asked, &reply, self.times);
-            // Said at once that it has stopped: somebody waits for its jobs.
-            updates = reply.jobs.is_some();
+        if let Some(id) = response.revoke {
+            has_changed |= self.revoke_lease(now, id);
+            let soon = now + self.timing.renew_interval / SEALED_RENEW_DIVISOR;
+            self.next_request_at = self.next_request_at.min(soon);
         }
-        if let Some(policy) = reply
-            .policy
-            .filter(|policy| policy.epoch > self.policy.epoch)
-        {
-            (self.proposal_persisted, self.refused, self.revoked) = (None, None, None);
-            (self.lease, self.policy, self.barrier) = (0, policy.clone(), self.number);
-            effects.push(LeaseAction::AdoptPolicy(policy));
-            updates = true;
+        if has_changed {
+            actions.push(self.send_request(now));
         }
-        if reply.grant.is_some_and(|epoch| epoch == self.policy.epoch) && !updates {
-            let from = if self.injected.is(InjectedBug::LeaseFromGrant) {
-                now
-            } else {
-                asked
-            };
-            self.lease = self.lease.max(from + self.times.lease_duration);
+        actions
+    }
+
+    /// The request of this sequence, where its response still counts.
+    fn find_request(&self, sequence: u64) -> Option<SentRequest> {
+        self.requests
+            .iter()
+            .find(|request| request.sequence == sequence && request.sequence > self.barrier)
+            .copied()
+    }
+
+    /// The voter does not lead. Where the last request was answered so, it is sent to the leader at once, or to the next
+    /// voter when it is due.
+    fn follow_redirect(
+        &mut self,
+        now: Micros,
+        request: SentRequest,
+        leader: Option<u64>,
+    ) -> Option<LeaseAction> {
+        if request.sequence != self.last_sequence || !std::mem::take(&mut self.awaits_response) {
+            return None;
         }
-        if let Some(proposal) = reply.prepare {
-            let known = self
-                .proposal_persisted
-                .as_ref()
-                .is_some_and(|p| p.id == proposal.id)
-                || self
-                    .refused
-                    .as_ref()
-                    .is_some_and(|(id, _)| *id == proposal.id);
-            match check(&proposal.text) {
-                _ if known => {}
-                Ok(()) => effects.push(LeaseAction::PersistProposal(proposal)),
-                Err(why) => {
-                    self.refused = Some((proposal.id, why));
-                    updates = true;
-                }
+        match leader.and_then(|leader| self.position_of(leader)) {
+            Some(position) if position != self.voter_position() => {
+                self.voter_cursor = position;
+                Some(self.send_request(now))
+            }
+            _ => {
+                self.voter_cursor += 1;
+                None
             }
         }
-        if let Some(id) = reply.revoke {
-            if self.revoked.is_none_or(|(of, _)| of != id) {
-                // Before it is said: from here on nobody is admitted.
-                if !self.injected.is(InjectedBug::KeepAfterYield) {
-                    self.lease = 0;
-                }
-                (self.revoked, self.barrier) = (Some((id, now)), self.number);
-                updates = true;
+    }
+
+    /// A leader has answered: the next renewal is due by the interval again.
+    fn record_response(&mut self, response: &RenewResponse) {
+        if std::mem::take(&mut self.awaits_response) {
+            if let Some(last) = self.requests.back() {
+                self.next_request_at = last.at + self.timing.renew_interval;
             }
-            // In force within a moment: asked for sooner than usual.
-            self.next = self.next.min(now + self.times.renew_interval / 10);
         }
-        if updates {
-            effects.push(self.ask(now));
+        self.last_seen_response = self.last_seen_response.max(response.sequence);
+        self.last_token = response.last_token.max(self.last_token);
+    }
+
+    /// Renews the lease on this relay's jobs. Returns whether the jobs have changed.
+    fn update_jobs(&mut self, request: SentRequest, response: &RenewResponse) -> bool {
+        let Some(owner) = &mut self.owner else {
+            return false;
+        };
+        owner.handle_response(request.at, response, self.timing);
+        response.jobs.is_some()
+    }
+
+    /// Takes a newer policy in place of the present one, without a lease on it. Returns it.
+    fn adopt_policy(&mut self, policy: Option<Policy>) -> Option<Policy> {
+        let policy = policy.filter(|policy| policy.epoch > self.policy.epoch)?;
+        self.prepared = None;
+        self.rejected = None;
+        self.revoked = None;
+        self.lease_until = 0;
+        self.barrier = self.last_sequence;
+        self.policy = policy.clone();
+        Some(policy)
+    }
+
+    fn extend_lease(&mut self, now: Micros, request: SentRequest) {
+        let from_grant = self.injected.is(InjectedBug::LeaseFromGrant);
+        let start = if from_grant { now } else { request.at };
+        let until = start + self.timing.lease_duration;
+        self.lease_until = self.lease_until.max(until);
+    }
+
+    /// Whether this relay has stored or rejected a proposal.
+    fn has_checked(&self, id: ProposalId) -> bool {
+        let has_prepared = self
+            .prepared
+            .as_ref()
+            .is_some_and(|proposal| proposal.id == id);
+        let has_rejected = self
+            .rejected
+            .as_ref()
+            .is_some_and(|rejection| rejection.id == id);
+        has_prepared || has_rejected
+    }
+
+    /// Ends the lease for a sealed proposal, before that is reported. Returns whether the relay had not stopped for it yet.
+    fn revoke_lease(&mut self, now: Micros, id: ProposalId) -> bool {
+        if self.revoked.is_some_and(|revocation| revocation.id == id) {
+            return false;
+        }
+        if !self.injected.is(InjectedBug::KeepAfterYield) {
+            self.lease_until = 0;
         }
-        effects
+        self.revoked = Some(Revocation { id, at: now });
+        self.barrier = self.last_sequence;
+        true
     }
 
-    /// A proposal is stored: now it may be said.
+    /// A proposal is stored durably: reports it with the request that is returned.
     pub fn proposal_persisted(&mut self, now: Micros, proposal: Proposal) -> LeaseAction {
-        self.proposal_persisted = Some(proposal);
-        self.ask(now)
+        self.prepared = Some(proposal);
+        self.send_request(now)
     }
 
-    /// When it has something to do next though nothing comes.
+    /// When [`LeaseClient::tick`] has something to do if nothing arrives before.
     pub fn next_tick(&self) -> Micros {
-        self.next
+        self.next_request_at
     }
 }
 
--- a/crates/control/src/lease/client/tests.rs
+++ b/crates/control/src/lease/client/tests.rs
@@ -15,90 +15,87 @@
     )
 }
 
-fn asks(lease_client: &mut LeaseClient, now: Micros) -> RenewRequest {
-    match lease_client.tick(now) {
-        Some(LeaseAction::SendRenew(1, renew)) => *renew,
+fn request(client: &mut LeaseClient, now: Micros) -> RenewRequest {
+    match client.tick(now) {
+        Some(LeaseAction::SendRenew(1, renewal)) => *renewal,
         other => panic!("{other:?}"),
     }
 }
 
-fn granted(renew: &RenewRequest) -> RenewResponse {
+fn grant(renewal: &RenewRequest) -> RenewResponse {
     RenewResponse {
-        grant: Some(renew.epoch),
-        ..RenewResponse::for_request(renew)
+        grant: Some(renewal.epoch),
+        ..RenewResponse::for_request(renewal)
     }
 }
 
-fn any(_: &str) -> Result<(), String> {
+fn accept(_: &str) -> Result<(), String> {
     Ok(())
 }
 
 #[test]
-fn a_lease_runs_from_when_it_was_asked_for() {
-    let mut lease_client = lease_client(1);
-    let renew = asks(&mut lease_client, SECOND);
-    assert!(!lease_client.may_admit(SECOND));
-    lease_client.handle_response(2 * SECOND, granted(&renew), any);
-    assert!(lease_client.may_admit(3 * SECOND - 1) && !lease_client.may_admit(3 * SECOND));
-    // An answer that comes once the lease would have run out gives none.
-    let renew = asks(&mut lease_client, 4 * SECOND);
-    lease_client.handle_response(7 * SECOND, granted(&renew), any);
-    assert!(!lease_client.may_admit(7 * SECOND));
+fn a_lease_runs_from_when_it_was_requested() {
+    let mut client = lease_client(1);
+    let renewal = request(&mut client, SECOND);
+    assert!(!client.may_admit(SECOND));
+    client.handle_response(2 * SECOND, grant(&renewal), accept);
+    assert!(client.may_admit(3 * SECOND - 1) && !client.may_admit(3 * SECOND));
+    // A response that arrives after the lease would have run out grants none.
+    let renewal = request(&mut client, 4 * SECOND);
+    client.handle_response(7 * SECOND, grant(&renewal), accept);
+    assert!(!client.may_admit(7 * SECOND));
 }
 
-/// Found by seed 2102 of the virtual fleet: held back for 3 s, an answer to the process before was taken for one's own.
 #[test]
-fn an_answer_to_the_process_before_gives_no_lease() {
-    let old = asks(&mut lease_client(1), SECOND);
+fn a_response_to_the_previous_process_grants_no_lease() {
+    let old = request(&mut lease_client(1), SECOND);
     let mut new = lease_client(2);
-    assert_eq!(asks(&mut new, 5 * SECOND).sequence, old.sequence);
-    assert_eq!(new.handle_response(5 * SECOND, granted(&old), any), []);
+    assert_eq!(request(&mut new, 5 * SECOND).sequence, old.sequence);
+    assert_eq!(new.handle_response(5 * SECOND, grant(&old), accept), []);
     assert!(!new.may_admit(5 * SECOND));
 }
 
 #[test]
-fn who_has_said_that_it_stopped_takes_no_lease_that_was_on_its_way() {
-    let mut lease_client = lease_client(1);
-    let first = asks(&mut lease_client, SECOND);
-    let second = asks(
-        &mut lease_client,
-        SECOND + FleetTiming::default().renew_interval,
-    );
-    let effects = lease_client.handle_response(
+fn a_relay_that_stopped_ignores_a_lease_that_was_in_flight() {
+    let mut client = lease_client(1);
+    let first = request(&mut client, SECOND);
+    let second = request(&mut client, SECOND + FleetTiming::default().renew_interval);
+    let actions = client.handle_response(
         2 * SECOND,
         RenewResponse {
             revoke: Some(7),
             ..RenewResponse::for_request(&second)
         },
-        any,
+        accept,
+    );
+    assert!(
+        matches!(&actions[..], [LeaseAction::SendRenew(1, renewal)] if renewal.revoked == Some(7))
     );
-    assert!(matches!(&effects[..], [LeaseAction::SendRenew(1, renew)] if renew.revoked == Some(7)));
-    lease_client.handle_response(2 * SECOND, granted(&first), any);
-    assert!(!lease_client.may_admit(2 * SECOND));
-    // The policy that it stopped for comes with the next answer, and a lease on it with the one after.
-    let renew = asks(&mut lease_client, 3 * SECOND);
+    client.handle_response(2 * SECOND, grant(&first), accept);
+    assert!(!client.may_admit(2 * SECOND));
+    // The policy that it stopped for arrives with the next response, a lease on it with the one after.
+    let renewal = request(&mut client, 3 * SECOND);
     let policy = Policy {
         epoch: 1,
         ..Policy::default()
     };
-    let reply = RenewResponse {
+    let response = RenewResponse {
         policy: Some(policy.clone()),
-        ..RenewResponse::for_request(&renew)
+        ..RenewResponse::for_request(&renewal)
     };
-    let effects = lease_client.handle_response(3 * SECOND, reply, any);
-    assert_eq!(effects[0], LeaseAction::AdoptPolicy(policy));
-    let LeaseAction::SendRenew(1, renew) = &effects[1] else {
-        panic!("{effects:?}")
+    let actions = client.handle_response(3 * SECOND, response, accept);
+    assert_eq!(actions[0], LeaseAction::AdoptPolicy(policy));
+    let LeaseAction::SendRenew(1, renewal) = &actions[1] else {
+        panic!("{actions:?}")
     };
-    lease_client.handle_response(3 * SECOND, granted(renew), any);
-    assert!(lease_client.may_admit(3 * SECOND));
+    client.handle_response(3 * SECOND, grant(renewal), accept);
+    assert!(client.may_admit(3 * SECOND));
 }
 
-/// Found by seed 5915 of the virtual fleet: a relay came back when all voters that it knew had been replaced.
 #[test]
-fn whoever_does_not_lead_says_who_votes_now_and_the_leader_is_asked_at_once() {
-    let mut lease_client = lease_client(1);
-    let renew = asks(&mut lease_client, SECOND);
+fn a_redirect_brings_the_new_members_and_is_followed_at_once() {
+    let mut client = lease_client(1);
+    let renewal = request(&mut client, SECOND);
     let mut membership = Membership::for_new_fleet(&[1]);
     membership.apply(&crate::log::membership::MembershipChange::Add(
         2,
@@ -106,29 +103,29 @@
         5,
     ));
     membership.apply(&crate::log::membership::MembershipChange::Promote(2));
-    let reply = RenewResponse {
+    let response = RenewResponse {
         redirect: Some(Some(2)),
         membership: Some(membership.clone()),
-        ..RenewResponse::for_request(&renew)
+        ..RenewResponse::for_request(&renewal)
     };
-    let effects = lease_client.handle_response(SECOND, reply, any);
+    let actions = client.handle_response(SECOND, response, accept);
     assert_eq!(
-        effects[0],
+        actions[0],
         LeaseAction::PersistMembership(membership.clone())
     );
     assert!(
-        matches!(&effects[1], LeaseAction::SendRenew(2, renew) if renew.membership_version == membership.version)
+        matches!(&actions[1], LeaseAction::SendRenew(2, renewal) if renewal.membership_version == membership.version)
     );
     assert!(
-        !lease_client.learn_membership(&Membership::for_new_fleet(&[1])),
-        "an older word counts for nothing"
+        !client.learn_membership(&Membership::for_new_fleet(&[1])),
+        "older members are ignored"
     );
 }
 
 #[test]
-fn what_is_not_understood_is_refused_with_its_reason_and_what_is_understood_is_stored_first() {
-    let mut lease_client = lease_client(1);
-    let renew = asks(&mut lease_client, SECOND);
+fn a_proposal_is_rejected_with_a_reason_or_stored_before_it_is_reported() {
+    let mut client = lease_client(1);
+    let renewal = request(&mut client, SECOND);
     let proposal = Proposal {
         id: 9,
         base_epoch: 0,
@@ -136,56 +133,53 @@
         author: String::new(),
         reason: String::new(),
     };
-    let reply = RenewResponse {
+    let response = RenewResponse {
         prepare: Some(proposal.clone()),
-        ..RenewResponse::for_request(&renew)
+        ..RenewResponse::for_request(&renewal)
     };
-    let effects = lease_client.handle_response(SECOND, reply.clone(), |_| Err("line 1".into()));
-    let LeaseAction::SendRenew(1, renew) = &effects[0] else {
-        panic!("{effects:?}")
+    let actions = client.handle_response(SECOND, response.clone(), |_| Err("line 1".into()));
+    let LeaseAction::SendRenew(1, renewal) = &actions[0] else {
+        panic!("{actions:?}")
     };
     assert_eq!(
-        (renew.rejected.clone(), renew.prepared),
+        (renewal.rejected.clone(), renewal.prepared),
         (Some((9, "line 1".into())), None)
     );
-    let mut lease_client = self::lease_client(1);
-    asks(&mut lease_client, SECOND);
+    let mut client = lease_client(1);
+    request(&mut client, SECOND);
     assert_eq!(
-        lease_client.handle_response(SECOND, reply, any),
+        client.handle_response(SECOND, response, accept),
         [LeaseAction::PersistProposal(proposal.clone())]
     );
-    let LeaseAction::SendRenew(1, renew) = lease_client.proposal_persisted(SECOND, proposal) else {
+    let LeaseAction::SendRenew(1, renewal) = client.proposal_persisted(SECOND, proposal) else {
         panic!()
     };
-    assert_eq!(renew.prepared, Some(9));
+    assert_eq!(renewal.prepared, Some(9));
 }
 
 #[test]
-fn one_that_serves_alone_stops_when_it_is_asked_to_and_not_for_good() {
-    let times = FleetTiming::default();
+fn a_leaderless_relay_stops_for_a_sealed_proposal_until_the_timeout() {
+    let timing = FleetTiming::default();
     let relay = RelayId {
         name: "n1".into(),
         incarnation: 1,
     };
-    let mut lease_client = LeaseClient::new(
+    let mut client = LeaseClient::new(
         relay,
         vec![1],
         Policy::default(),
-        times,
+        timing,
         LeaderlessMode::Serve,
     );
-    assert!(lease_client.may_admit(0));
-    let renew = asks(&mut lease_client, SECOND);
-    lease_client.handle_response(
+    assert!(client.may_admit(0));
+    let renewal = request(&mut client, SECOND);
+    client.handle_response(
         SECOND,
         RenewResponse {
             revoke: Some(7),
-            ..RenewResponse::for_request(&renew)
+            ..RenewResponse::for_request(&renewal)
         },
-        any,
-    );
-    assert!(
-        !lease_client.may_admit(2 * SECOND)
-            && lease_client.may_admit(SECOND + times.proposal_timeout)
+        accept,
     );
+    assert!(!client.may_admit(2 * SECOND) && client.may_admit(SECOND + timing.proposal_timeout));
 }
--- a/crates/control/src/log/membership.rs
+++ b/crates/control/src/log/membership.rs
@@ -1,134 +1,177 @@
-//! Who votes: membership by number. They change one at a time, by entries of the log, so that any two majorities in a row
-//! have a voter in common. A newcomer first learns the log without a vote, and has one once it has caught up.
+//! The members of the log: which voters there are, by number, and which changes of them are allowed.
 //!
-//! Guards against: a voter whose disk was lost and that comes back under its number without what it had answered for
-//! (each disk has a random incarnation, which the log knows; a number is given once and never again), and one that was
-//! removed while it could not be told (whoever hears it says so).
+//! Members change one at a time, by entries of the log, so that any two successive majorities have a voter in common. A
+//! newcomer first learns the log without a vote (a learner), and is promoted once it has caught up.
+//!
+//! Guards against: a voter whose disk was lost and that returns under its number without what it had acknowledged (each disk
+//! has a random incarnation, which the log knows, and a number is given only once), and the removal of a voter without
+//! which no majority answers.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use thiserror::Error;
 
 /// A voter's number, never given twice.
 pub type VoterId = u64;
 
-/// The longest address that is taken, in bytes: a host's name has 253 at most.
-const MOST_ADDRESS: usize = 264;
+/// The longest address of a member, in bytes: a host name of 253 bytes, and a port.
+const MAX_ADDRESS_BYTES: usize = 264;
+/// The most members, learners included.
+const MAX_MEMBERS: usize = 8;
 
-/// A place among the voters.
+/// A member of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Member {
-    /// Where it can be reached; empty for a founder, which every operator file names.
+    /// The address where it can be reached; empty for a founder, which every operator file names.
     pub address: String,
-    /// The incarnation of its disk; 0 for a founder that the others have not met yet.
+    /// The incarnation of its disk; 0 for a founder until the founders have met.
     pub incarnation: u64,
-    /// Whether it has its vote yet.
+    /// Whether it votes; a learner otherwise.
     #[serde(rename = "votes")]
     pub is_voter: bool,
 }
 
-/// All of them.
+/// All members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Membership {
-    /// Grows with each change.
+    /// Grows by one with each change.
     pub version: u64,
     /// The highest number that was ever given.
     #[serde(rename = "highest")]
     pub highest_id: VoterId,
-    /// By number.
+    /// The members by number.
     #[serde(rename = "of")]
     pub members: BTreeMap<VoterId, Member>,
 }
 
-/// One change of them.
+/// A change of the members, as it stands in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// A newcomer learns the log: its number, where it can be reached, and the incarnation of its disk.
+    /// Adds a learner: its number, its address, and the incarnation of its disk.
     Add(VoterId, String, u64),
-    /// It has its vote from here on. Made by a leader, never asked for.
+    /// Gives a learner its vote. Proposed by a leader only, never requested.
     Promote(VoterId),
-    /// It votes no more, and never will again.
+    /// Removes a member for good.
     Remove(VoterId),
 }
 
-/// What a change that is asked for comes to.
+/// Whether a requested change may be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeDecision {
-    /// It is done already.
+    /// It is made already.
     Done,
-    /// It is on its way: what is waited for.
-    InProgress(String),
-    /// It may be made.
+    /// The voter of this number was added and is still a learner.
+    Learning(VoterId),
+    /// It may be made now.
     Allowed,
-    /// It may not, and why.
-    Rejected(String),
+    /// It may not be made.
+    Rejected(MembershipError),
+}
+
+/// Why a change of the members is rejected.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum MembershipError {
+    /// Promotions are the leader's, not the operators'.
+    #[error("a vote is given by the leader, once its voter has caught up")]
+    PromotionRequested,
+    /// The number belongs to a member with another disk.
+    #[error("voter {0} has another disk: a lost one's place is taken under a new number")]
+    OtherDisk(VoterId),
+    /// The number was given before.
+    #[error("the number {number} was given before; the next is {next}")]
+    NumberTaken {
+        /// The number that was asked for.
+        number: VoterId,
+        /// The lowest number that is free.
+        next: VoterId,
+    },
+    /// The address is empty or too long.
+    #[error("the address has {bytes} bytes, 1 to {MAX_ADDRESS_BYTES} are wanted")]
+    AddressLength {
+        /// Its length.
+        bytes: usize,
+    },
+    /// There are as many members as there may be.
+    #[error("there are {MAX_MEMBERS} membership already; remove one first")]
+    TooManyMembers,
+    /// Another newcomer has no vote yet.
+    #[error("voter {0} is learning the log: one change at a time, or remove {0}")]
+    LearnerExists(VoterId),
+    /// Without the voter, fewer than a majority of the others answer.
+    #[error("of the {remaining} that would be left {active} answer, no majority: add one first, or bring one back")]
+    NoMajorityLeft {
+        /// Voters that would remain.
+        remaining: usize,
+        /// Those of them that have answered lately.
+        active: usize,
+    },
 }
 
 impl Membership {
-    /// Those of a new fleet.
+    /// The members of a new fleet.
     pub fn for_new_fleet(numbers: &[VoterId]) -> Membership {
-        let member = |number: &VoterId| {
-            (
-                *number,
-                Member {
-                    is_voter: true,
-                    ..Member::default()
-                },
-            )
+        let founder = Member {
+            is_voter: true,
+            ..Member::default()
         };
-        let highest = numbers.iter().copied().max().unwrap_or(0);
         Membership {
             version: 1,
-            highest_id: highest,
-            members: numbers.iter().map(member).collect(),
+            highest_id: numbers.iter().copied().max().unwrap_or(0),
+            members: numbers
+                .iter()
+                .map(|number| (*number, founder.clone()))
+                .collect(),
         }
     }
 
-    /// Takes a change that the log has.
+    /// Applies a change that is committed in the log.
     pub fn apply(&mut self, change: &MembershipChange) {
         self.version += 1;
         match change {
             MembershipChange::Add(number, address, incarnation) => {
                 self.highest_id = self.highest_id.max(*number);
-                let member = Member {
+                let learner = Member {
                     address: address.clone(),
                     incarnation: *incarnation,
                     is_voter: false,
                 };
-                self.members.insert(*number, member);
+                self.members.insert(*number, learner);
             }
             MembershipChange::Promote(number) => {
                 if let Some(member) = self.members.get_mut(number) {
                     member.is_voter = true;
                 }
             }
-            MembershipChange::Remove(number) => drop(self.members.remove(number)),
+            MembershipChange::Remove(number) => {
+                self.members.remove(number);
+            }
         }
     }
 
-    /// The founders have met: from here on each is known by its disk.
+    /// Records the incarnations of the founders' disks, once the founders have met.
     pub fn founders_met(&mut self, incarnations: &BTreeMap<VoterId, u64>) {
         for (number, member) in &mut self.members {
             member.incarnation = incarnations.get(number).copied().unwrap_or_default();
         }
     }
 
-    /// Whether founders have yet to meet.
+    /// Whether the founders have yet to meet.
     pub fn is_founding(&self) -> bool {
         self.members.values().any(|member| member.incarnation == 0)
     }
 
-    /// Whether whoever says to be this voter, with a disk of that incarnation, is none (any more).
+    /// Whether a voter of this number, with a disk of this incarnation, is no member: it was removed, or its disk replaced.
     pub fn is_replaced(&self, number: VoterId, incarnation: u64) -> bool {
         match self.members.get(&number) {
             Some(member) => member.incarnation != incarnation,
-            // One with a higher number may have been added by entries that have not come here yet.
+            // One with a higher number may have been added by entries that are not applied here yet.
             None => number <= self.highest_id,
         }
     }
 
-    /// Those that vote.
+    /// The numbers of the members that vote.
     pub fn voters(&self) -> impl Iterator<Item = VoterId> + '_ {
         self.members
             .iter()
@@ -144,49 +187,70 @@
             .map(|(number, _)| *number)
     }
 
-    /// What a change that is asked for comes to; `active` are the voters that the leader has heard of lately.
+    /// Whether a requested change may be made; `active` are the members that the leader has had answers from lately.
     pub fn check(&self, change: &MembershipChange, active: &[VoterId]) -> ChangeDecision {
         match change {
+            MembershipChange::Add(number, address, incarnation) => {
+                self.check_addition(*number, address, *incarnation)
+            }
             MembershipChange::Promote(_) => {
-                ChangeDecision::Rejected("a vote is given by the leader, once its voter has caught up".into())
+                ChangeDecision::Rejected(MembershipError::PromotionRequested)
             }
-            MembershipChange::Add(number, address, incarnation) => match self.members.get(number) {
-                Some(member) if member.incarnation != *incarnation => ChangeDecision::Rejected(format!(
-                    "voter {number} has another disk: a lost one's place is taken under a new number"
-                )),
-                Some(member) if member.is_voter => ChangeDecision::Done,
-                Some(_) => ChangeDecision::InProgress(format!("voter {number} learns the log")),
-                None if *number <= self.highest_id => ChangeDecision::Rejected(format!(
-                    "the number {number} was given before; the next is {}",
-                    self.highest_id + 1
-                )),
-                None if address.is_empty() || address.len() > MOST_ADDRESS => ChangeDecision::Rejected(format!(
-                    "the address has {} bytes, 1 to {MOST_ADDRESS} are wanted",
-                    address.len()
-                )),
-                None if self.members.len() >= 8 => {
-                    ChangeDecision::Rejected("there are 8 membership already; remove one first".into())
-                }
-                None => match self.members.iter().find(|(_, member)| !member.is_voter) {
-                    Some((other, _)) => ChangeDecision::Rejected(format!(
-                        "voter {other} is learning the log: one change at a time, or remove {other}"
-                    )),
-                    None => ChangeDecision::Allowed,
-                },
-            },
-            MembershipChange::Remove(number) => {
-                let Some(member) = self.members.get(number) else { return ChangeDecision::Done };
-                let left: Vec<VoterId> = self.voters().filter(|other| other != number).collect();
-                let up = left.iter().filter(|other| active.contains(other)).count();
-                if !member.is_voter || up > left.len() / 2 {
-                    return ChangeDecision::Allowed;
-                }
-                ChangeDecision::Rejected(format!(
-                    "of the {} that would be left {up} answer, no majority: add one first, or bring one back",
-                    left.len()
-                ))
+            MembershipChange::Remove(number) => self.check_removal(*number, active),
+        }
+    }
+
+    fn check_addition(&self, number: VoterId, address: &str, incarnation: u64) -> ChangeDecision {
+        if let Some(member) = self.members.get(&number) {
+            if member.incarnation != incarnation {
+                return ChangeDecision::Rejected(MembershipError::OtherDisk(number));
             }
+            if member.is_voter {
+                return ChangeDecision::Done;
+            }
+            return ChangeDecision::Learning(number);
+        }
+        match self.check_new_member(number, address) {
+            Ok(()) => ChangeDecision::Allowed,
+            Err(error) => ChangeDecision::Rejected(error),
+        }
+    }
+
+    fn check_new_member(&self, number: VoterId, address: &str) -> Result<(), MembershipError> {
+        if number <= self.highest_id {
+            let next = self.highest_id + 1;
+            return Err(MembershipError::NumberTaken { number, next });
+        }
+        if address.is_empty() || address.len() > MAX_ADDRESS_BYTES {
+            let bytes = address.len();
+            return Err(MembershipError::AddressLength { bytes });
+        }
+        if self.members.len() >= MAX_MEMBERS {
+            return Err(MembershipError::TooManyMembers);
+        }
+        match self.learner() {
+            Some(learner) => Err(MembershipError::LearnerExists(learner)),
+            None => Ok(()),
+        }
+    }
+
+    fn check_removal(&self, number: VoterId, active: &[VoterId]) -> ChangeDecision {
+        let Some(member) = self.members.get(&number) else {
+            return ChangeDecision::Done;
+        };
+        let remaining: Vec<VoterId> = self.voters().filter(|voter| *voter != number).collect();
+        let active_voters = remaining
+            .iter()
+            .filter(|voter| active.contains(voter))
+            .count();
+        // A learner has no vote: its removal changes no majority.
+        if !member.is_voter || active_voters > remaining.len() / 2 {
+            return ChangeDecision::Allowed;
         }
+        ChangeDecision::Rejected(MembershipError::NoMajorityLeft {
+            remaining: remaining.len(),
+            active: active_voters,
+        })
     }
 }
 
--- a/crates/control/src/log/membership/tests.rs
+++ b/crates/control/src/log/membership/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_number_is_given_once_and_a_lost_disk_does_not_come_back_under_it() {
+fn a_number_is_given_once_and_a_replaced_disk_cannot_reuse_it() {
     let mut membership = Membership::for_new_fleet(&[1, 2, 3]);
     let add = |number, incarnation| MembershipChange::Add(number, "host:1".into(), incarnation);
     assert!(membership.is_founding());
@@ -10,7 +10,7 @@
     assert!(!membership.is_replaced(3, 30) && membership.is_replaced(3, 31));
     assert!(
         !membership.is_replaced(9, 1),
-        "it may have been added by entries that are on their way"
+        "it may have been added by entries that are not applied yet"
     );
     assert_eq!(
         membership.check(&add(4, 40), &[1, 2]),
@@ -19,7 +19,7 @@
     membership.apply(&add(4, 40));
     assert!(matches!(
         membership.check(&add(4, 40), &[1, 2]),
-        ChangeDecision::InProgress(_)
+        ChangeDecision::Learning(4)
     ));
     assert!(
         matches!(
@@ -45,25 +45,25 @@
         ChangeDecision::Done
     );
     assert!(
-        matches!(membership.check(&add(3, 32), &[1, 2]), ChangeDecision::Rejected(why) if why.ends_with("the next is 5"))
+        matches!(membership.check(&add(3, 32), &[1, 2]), ChangeDecision::Rejected(error) if error.to_string().ends_with("the next is 5"))
     );
 }
 
 #[test]
-fn no_voter_is_removed_whose_loss_would_leave_no_majority() {
+fn a_voter_is_not_removed_where_no_active_majority_would_remain() {
     let mut membership = Membership::for_new_fleet(&[1, 2, 3]);
     assert!(
         matches!(
             membership.check(&MembershipChange::Remove(1), &[1, 2]),
             ChangeDecision::Rejected(_)
         ),
-        "2 alone of 2 and 3"
+        "only 2 of 2 and 3 is active"
     );
     assert_eq!(
         membership.check(&MembershipChange::Remove(3), &[1, 2]),
         ChangeDecision::Allowed
     );
-    // A newcomer that never caught up can go at any time: it has no vote.
+    // A learner can be removed at any time.
     membership.apply(&MembershipChange::Add(4, "host:1".into(), 4));
     assert_eq!(
         membership.check(&MembershipChange::Remove(4), &[1]),
--- a/crates/control/src/log/state.rs
+++ b/crates/control/src/log/state.rs
@@ -1,70 +1,73 @@
-//! What the log says, entry by entry: the policy in force, the proposal under way, and what became of earlier ones.
-//! Every voter comes to the same state from the same entries.
+//! The state that the log's entries come to: the policy in force, the proposal under way, the outcomes of earlier ones, the
+//! members and the jobs. Every voter comes to the same state from the same entries.
 //!
-//! Guards against: two proposals at once (the second is refused), one that was made for another policy than the one in
-//! force, one that is proposed twice (the same outcome), and an entry of a leader that has lost its leadership meanwhile
-//! (each step names its proposal, and holds in one phase only).
+//! Guards against: two proposals at once (the second is rejected), a proposal made for a policy that is no longer in force,
+//! a proposal that is sent twice (it has one outcome), and entries of a deposed leader (each names its proposal and takes
+//! effect in one phase only).
 
 use crate::jobs::assignment::{Assignment, Jobs};
 use crate::log::membership::Membership;
 use crate::wire;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// Names a proposal for good; random, so that a repeated call is recognised.
+/// Identifies a proposal for good. Random, so that a repeated request is recognised.
 pub type ProposalId = u128;
 
-/// Outcomes and policies that are remembered: those asked for are the last few.
-const REMEMBERED: usize = 64;
-/// The longest text of a policy, in bytes: it has to fit a frame, and a person has to read it.
+/// The most outcomes, and the most earlier policies, that the state keeps.
+const MAX_HISTORY: usize = 64;
+/// Stands for the relay's name where the log itself rejects a proposal.
+const REJECTED_BY_FLEET: &str = "the fleet";
+/// The longest text of a policy, in bytes: it has to fit a frame, and people have to read it.
 pub const MAX_POLICY_BYTES: usize = 64 * 1024;
 
-/// What decides behaviour beyond the platform's settings, with its number.
+/// What decides behaviour beyond the platform's settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Policy {
-    /// Its number. It only grows.
+    /// Its number, one more than that of the policy before.
     pub epoch: u64,
     /// The text of its file.
     pub text: String,
-    /// Who proposed it, and why.
+    /// Who proposed it.
     #[serde(rename = "who")]
     pub author: String,
-    /// See `who`.
+    /// Why it was proposed.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The proposal that it came by; 0 for the empty one that a fleet begins with.
+    /// Its proposal; 0 for the empty policy that a fleet begins with.
     pub proposal: ProposalId,
 }
 
-/// A policy that is proposed.
+/// A proposed policy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Proposal {
-    /// Its name.
+    /// Identifies it.
     pub id: ProposalId,
-    /// The epoch that it was made for; 0 where that does not matter to whoever proposes.
+    /// The epoch in force that it was made for; 0 for any.
     #[serde(rename = "base")]
     pub base_epoch: u64,
-    /// See [`Policy`].
+    /// See [`Policy::text`].
     pub text: String,
-    /// See [`Policy`].
+    /// See [`Policy::author`].
     #[serde(rename = "who")]
     pub author: String,
-    /// See [`Policy`].
+    /// See [`Policy::reason`].
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// How far the proposal under way has come.
+/// The phase of the proposal under way.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalPhase {
     /// None is under way.
     #[default]
     #[serde(rename = "Rest")]
     Idle,
-    /// Each relay checks and stores it; all serve under the old one.
+    /// Each relay checks and stores it. All admit clients under the policy in force.
     Preparing(Proposal),
-    /// No lease is granted any more; once no relay can hold one, it is in force. There is no way back.
+    /// No lease is granted. Once no relay can hold one, the proposal takes force; it cannot be rejected any more.
     #[serde(rename = "Closing")]
     Sealed(Proposal),
 }
@@ -72,141 +75,162 @@
 /// What became of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is, or was, in force under this epoch.
+    /// It is or was in force under this epoch.
     InForce(u64),
-    /// It was refused: by whom, and why.
+    /// It was rejected: by which relay, and why.
     #[serde(rename = "Refused")]
     Rejected(String, String),
-    /// These relays gave no answer in time.
+    /// These relays did not answer in time.
     #[serde(rename = "GivenUp")]
     TimedOut(Vec<String>),
 }
 
+/// Why the log rejects a proposal. The text is stored with the outcome.
+#[derive(Debug, Error)]
+enum ProposalError {
+    #[error("another change is under way, by {author}: ask for its outcome and propose again")]
+    AnotherPending { author: String },
+    #[error("it was made for epoch {base}, in force is {current}")]
+    StaleEpoch { base: u64, current: u64 },
+    #[error("its text has {bytes} bytes, {MAX_POLICY_BYTES} at most")]
+    TextTooLong { bytes: usize },
+}
+
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Begin with this proposal.
+    /// Begins with a proposal.
     Propose(Proposal),
-    /// A relay refuses it.
+    /// A relay rejects the proposal that is being prepared: its name, and why.
     #[serde(rename = "Refuse")]
     Reject(ProposalId, String, String),
-    /// Relays have not answered.
+    /// These relays have not prepared the proposal in time.
     #[serde(rename = "GiveUp")]
     TimeOut(ProposalId, Vec<String>),
-    /// All have it: grant no lease on the old policy any more.
+    /// All relays have prepared the proposal: no lease is granted on the policy in force any more.
     #[serde(rename = "Close")]
     Seal(ProposalId),
-    /// No lease on the old policy runs any more.
+    /// No lease on the policy in force runs any more: the sealed proposal takes its place.
     Commit(ProposalId),
-    /// Who does what for the fleet.
+    /// Changes the jobs.
     #[serde(rename = "Deal")]
     Assignment(Assignment),
 }
 
-/// See the module's text.
+/// The state of the fleet, as it stands in snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetState {
     /// The policy in force.
     pub policy: Policy,
-    /// The proposal under way.
+    /// The phase of the proposal under way.
     pub phase: ProposalPhase,
     /// Outcomes of the last proposals, the newest last.
     pub outcomes: Vec<(ProposalId, ProposalOutcome)>,
-    /// Policies that were in force, the newest last, without the present one.
+    /// Policies that were in force before, the newest last.
     pub history: Vec<Policy>,
-    /// Who votes.
+    /// The members of the log.
     #[serde(rename = "seats")]
     pub membership: Membership,
-    /// Who does what for the fleet.
+    /// The jobs of the fleet.
     pub jobs: Jobs,
-    /// The least that a build must know to keep this state: 0, or 1 once there has been a job. One that knows less would
-    /// lose part of it.
+    /// The lowest [`STATE_VERSION`] of a build that can read this state without loss: 0, or 1 once there has been a job.
     #[serde(rename = "needs")]
     pub required_version: u32,
 }
 
-/// What this build knows: see [`FleetState::needs`].
+/// The version of the state that this build knows, see [`FleetState::required_version`].
 pub const STATE_VERSION: u32 = 1;
 
 impl FleetState {
-    /// As it stands in a snapshot; none where it is damaged or needs a later build.
+    /// The state in a snapshot; none where it is damaged or requires a later build.
     pub fn decode(bytes: &[u8]) -> Option<FleetState> {
         wire::decode(bytes).filter(|state: &FleetState| state.required_version <= STATE_VERSION)
     }
 
-    /// Takes the next entry.
+    /// Applies the next entry. One that does not fit the phase is of a deposed leader, and changes nothing.
     pub fn apply(&mut self, command: Command) {
         match (command, std::mem::take(&mut self.phase)) {
             (Command::Propose(proposal), phase) => {
                 self.phase = phase;
                 self.propose(proposal);
             }
-            (Command::Reject(id, by, why), ProposalPhase::Preparing(p)) if p.id == id => {
-                self.remember(id, ProposalOutcome::Rejected(by, why));
+            (Command::Reject(id, relay, reason), ProposalPhase::Preparing(pending))
+                if pending.id == id =>
+            {
+                self.record_outcome(id, ProposalOutcome::Rejected(relay, reason));
             }
-            (Command::TimeOut(id, missing), ProposalPhase::Preparing(p)) if p.id == id => {
-                self.remember(id, ProposalOutcome::TimedOut(missing));
+            (Command::TimeOut(id, missing), ProposalPhase::Preparing(pending))
+                if pending.id == id =>
+            {
+                self.record_outcome(id, ProposalOutcome::TimedOut(missing));
             }
-            (Command::Seal(id), ProposalPhase::Preparing(p)) if p.id == id => {
-                self.phase = ProposalPhase::Sealed(p)
+            (Command::Seal(id), ProposalPhase::Preparing(pending)) if pending.id == id => {
+                self.phase = ProposalPhase::Sealed(pending);
             }
-            (Command::Commit(id), ProposalPhase::Sealed(p)) if p.id == id => {
-                let epoch = self.policy.epoch + 1;
-                let new = Policy {
-                    epoch,
-                    text: p.text,
-                    author: p.author,
-                    reason: p.reason,
-                    proposal: id,
-                };
-                self.history.push(std::mem::replace(&mut self.policy, new));
-                self.remember(id, ProposalOutcome::InForce(epoch));
+            (Command::Commit(id), ProposalPhase::Sealed(pending)) if pending.id == id => {
+                self.put_in_force(pending);
             }
             (Command::Assignment(assignment), phase) => {
                 self.phase = phase;
                 self.required_version = self.required_version.max(1);
                 self.jobs.apply(assignment);
             }
-            // Of a leader that did not know how things stood.
             (_, phase) => self.phase = phase,
         }
-        let excess = self.outcomes.len().saturating_sub(REMEMBERED);
-        self.outcomes.drain(..excess);
-        let excess = self.history.len().saturating_sub(REMEMBERED);
-        self.history.drain(..excess);
+        keep_newest(&mut self.outcomes, MAX_HISTORY);
+        keep_newest(&mut self.history, MAX_HISTORY);
     }
 
     fn propose(&mut self, proposal: Proposal) {
         let id = proposal.id;
-        if self.outcome(id).is_some() || self.pending_proposal().is_some_and(|p| p.id == id) {
+        let is_pending = self
+            .pending_proposal()
+            .is_some_and(|pending| pending.id == id);
+        if is_pending || self.outcome(id).is_some() {
             return;
         }
-        let refuse = |why: String| ProposalOutcome::Rejected("the fleet".into(), why);
-        if let Some(p) = self.pending_proposal() {
-            let why = format!(
-                "another change is under way, by {}: ask for its outcome and propose again",
-                p.author
-            );
-            self.remember(id, refuse(why));
-        } else if proposal.base_epoch != 0 && proposal.base_epoch != self.policy.epoch {
-            let why = format!(
-                "it was made for epoch {}, in force is {}",
-                proposal.base_epoch, self.policy.epoch
-            );
-            self.remember(id, refuse(why));
-        } else if proposal.text.len() > MAX_POLICY_BYTES {
-            let why = format!(
-                "its text has {} bytes, {MAX_POLICY_BYTES} at most",
-                proposal.text.len()
-            );
-            self.remember(id, refuse(why));
-        } else {
-            self.phase = ProposalPhase::Preparing(proposal);
+        match self.check_proposal(&proposal) {
+            Ok(()) => self.phase = ProposalPhase::Preparing(proposal),
+            Err(error) => {
+                let outcome =
+                    ProposalOutcome::Rejected(REJECTED_BY_FLEET.into(), error.to_string());
+                self.record_outcome(id, outcome);
+            }
         }
     }
 
-    fn remember(&mut self, id: ProposalId, outcome: ProposalOutcome) {
+    fn check_proposal(&self, proposal: &Proposal) -> Result<(), ProposalError> {
+        if let Some(pending) = self.pending_proposal() {
+            let author = pending.author.clone();
+            return Err(ProposalError::AnotherPending { author });
+        }
+        let (base, current) = (proposal.base_epoch, self.policy.epoch);
+        if base != 0 && base != current {
+            return Err(ProposalError::StaleEpoch { base, current });
+        }
+        let bytes = proposal.text.len();
+        if bytes > MAX_POLICY_BYTES {
+            return Err(ProposalError::TextTooLong { bytes });
+        }
+        Ok(())
+    }
+
+    fn put_in_force(&mut self, proposal: Proposal) {
+        let epoch = self.policy.epoch + 1;
+        let policy = Policy {
+            epoch,
+            text: proposal.text,
+            author: proposal.author,
+            reason: proposal.reason,
+            proposal: proposal.id,
+        };
+        let previous = std::mem::replace(&mut self.policy, policy);
+        self.history.push(previous);
+        self.record_outcome(proposal.id, ProposalOutcome::InForce(epoch));
+    }
+
+    fn record_outcome(&mut self, id: ProposalId, outcome: ProposalOutcome) {
         self.outcomes.push((id, outcome));
     }
 
@@ -214,19 +238,25 @@
     pub fn pending_proposal(&self) -> Option<&Proposal> {
         match &self.phase {
             ProposalPhase::Idle => None,
-            ProposalPhase::Preparing(p) | ProposalPhase::Sealed(p) => Some(p),
+            ProposalPhase::Preparing(proposal) | ProposalPhase::Sealed(proposal) => Some(proposal),
         }
     }
 
-    /// What became of a proposal; none where it is under way, was never heard of, or is long past.
+    /// What became of a proposal; none where it is under way, unknown, or older than the outcomes that are kept.
     pub fn outcome(&self, id: ProposalId) -> Option<&ProposalOutcome> {
         self.outcomes
             .iter()
             .rev()
-            .find(|(of, _)| *of == id)
+            .find(|(proposal, _)| *proposal == id)
             .map(|(_, outcome)| outcome)
     }
 }
 
+/// Removes the oldest of `items`, which come first, down to `count`.
+fn keep_newest<T>(items: &mut Vec<T>, count: usize) {
+    let excess = items.len().saturating_sub(count);
+    items.drain(..excess);
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/control/src/log/state/tests.rs
+++ b/crates/control/src/log/state/tests.rs
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn each_proposal_has_one_outcome_whatever_comes_twice_or_late() {
+fn each_proposal_has_one_outcome_whatever_entries_are_repeated_or_late() {
     let (one, two) = (
         Command::Propose(proposal(1, 0)),
         Command::Propose(proposal(2, 0)),
     );
     let whole = [one.clone(), Command::Seal(1), Command::Commit(1)];
     assert_eq!(after(&whole).outcome(1), Some(&ProposalOutcome::InForce(1)));
-    // The same again changes nothing.
+    // A repeated entry changes nothing.
     assert_eq!(after(&[&whole[..], &whole[..]].concat()), after(&whole));
-    // The second of two at once is refused; the first goes on.
+    // The second of two at once is rejected; the first continues.
     let both = after(&[
         one.clone(),
         two.clone(),
@@ -40,7 +40,7 @@
         Some(ProposalOutcome::Rejected(..))
     ));
     assert_eq!(both.policy.epoch, 1);
-    // Once closed there is no way back, and before that no way past a refusal.
+    // A sealed proposal cannot be rejected, and a rejected one cannot be sealed.
     let late = [
         one.clone(),
         Command::Seal(1),
@@ -56,7 +56,7 @@
     assert_eq!(
         after(&[one.clone(), Command::Commit(1)]).policy.epoch,
         0,
-        "not before it is closed"
+        "not before it is sealed"
     );
     // Made for another epoch.
     let stale = [&whole[..], &[Command::Propose(proposal(3, 7))]].concat();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn kept_outcomes_and_policies_are_bounded() {
     let mut state = FleetState::default();
     for id in 1..200 {
         for command in [
--- a/crates/control/src/log/voter/membership.rs
+++ b/crates/control/src/log/voter/membership.rs
@@ -68,8 +68,10 @@
             .collect();
         match self.state.membership.check(change, &active) {
             ChangeDecision::Done => OperatorResponse::Member(Ok(())),
-            ChangeDecision::Rejected(reason) => OperatorResponse::Member(Err(reason)),
-            ChangeDecision::InProgress(step) => OperatorResponse::InProgress(step, Vec::new()),
+            ChangeDecision::Rejected(error) => OperatorResponse::Member(Err(error.to_string())),
+            ChangeDecision::Learning(number) => {
+                OperatorResponse::InProgress(format!("voter {number} learns the log"), Vec::new())
+            }
             ChangeDecision::Allowed if *change == MembershipChange::Remove(self.id()) => {
                 self.transfer_leadership();
                 OperatorResponse::InProgress(
