--- a/crates/control/src/wire/encoding/tests.rs
+++ b/crates/control/src/wire/encoding/tests.rs
@@ -4,14 +4,15 @@
 use crate::wire::message::{Message, RenewRequest};
 use serde::Deserialize;
 
-/// A question as an older and as a later build write it.
+/// A request as an older build encodes it.
 #[derive(Serialize, Deserialize, Debug, PartialEq)]
 struct Older {
-    relay: crate::wire::message::RelayId,
+    relay: crate::relay::RelayId,
     number: u64,
     epoch: u64,
 }
 
+/// A request as a later build encodes it.
 #[derive(Serialize)]
 struct Later {
     #[serde(flatten)]
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn builds_of_two_ages_understand_each_other() {
+fn an_older_and_a_later_build_decode_each_others_messages() {
     let renew = RenewRequest {
         sequence: 7,
         epoch: 3,
@@ -49,7 +50,7 @@
     });
     assert_ne!(encode_later(&message), encode(&message));
     assert_eq!(decode(&encode_later(&message)), Some(message));
-    // Not what it could misread.
+    // An unknown variant does not decode.
     #[derive(Serialize)]
     enum Command2 {
         OfALaterBuild(u64),
@@ -62,11 +63,11 @@
 }
 
 #[test]
-fn a_state_that_needs_a_later_build_says_so() {
+fn a_state_that_requires_a_later_build_does_not_decode() {
     let mut state = FleetState::default();
     assert_eq!(
         state.required_version, 0,
-        "a fleet without jobs can go back to a build that knows none"
+        "a fleet without jobs can be downgraded to a build that knows none"
     );
     state.apply(Command::Assignment(Assignment::Open(vec!["a".into()])));
     assert_eq!(FleetState::decode(&encode(&state)), Some(state.clone()));
--- a/crates/control/src/wire/mac.rs
+++ b/crates/control/src/wire/mac.rs
@@ -1,221 +1,245 @@
-//! One connection between two processes of a fleet: frames with a length and a keyed hash.
+//! One authenticated connection between two processes of a fleet: frames with a length and a keyed hash (HMAC-SHA256).
 //!
-//! Both sides first say a number that they have drawn; every frame's hash covers both numbers, its direction and its
-//! place. So what was recorded on one connection is worth nothing on another, or later on the same.
+//! Both sides first send a hello with a nonce. The tag of each frame covers both nonces, its direction and its sequence
+//! number, so a frame that was recorded on one connection is invalid on another, and later on the same.
 //!
-//! Guards against: processes without the key, of another fleet or of another format, frames that are replayed, reordered
-//! or cut, and lengths that would fill the memory.
+//! Guards against: processes without the key, of another fleet or of another format, frames that are replayed, reordered or
+//! truncated, and lengths that would exhaust the memory.
+//!
+//! ```text
+//! hello: magic (3)  format (1)  fleet (8)  nonce (16)  tag (32)
+//! frame: length of body and tag (4)  body  tag (32)
+//! ```
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
+use thiserror::Error;
 
-/// Format of the frames and messages. Fleets of two formats do not talk; the log says which relay is the other.
+/// The format of frames and messages. Processes of two formats do not talk to each other.
 pub const FRAME_FORMAT: u8 = 2;
-/// The longest frame, in bytes: a policy of the longest text, or a piece of the log, and some.
+/// The longest body and tag of a frame, in bytes: room for the longest policy, or for a batch of log entries.
 pub const MAX_FRAME_BYTES: usize = 512 * 1024;
+/// The first bytes of a hello.
 const MAGIC: [u8; 3] = *b"JFC";
-const NUMBER: usize = 16;
-const TAG: usize = 32;
-const LENGTH: usize = 4;
-/// What a frame has beside its message, in bytes.
-pub const FRAME_OVERHEAD: usize = LENGTH + TAG;
-/// What each side says first, in bytes: magic, format, fleet, number.
-pub const HELLO_BYTES: usize = 3 + 1 + 8 + NUMBER + TAG;
+const FORMAT_BYTES: usize = 1;
+const FLEET_BYTES: usize = 8;
+const NONCE_BYTES: usize = 16;
+const TAG_BYTES: usize = 32;
+const LENGTH_BYTES: usize = 4;
+/// What a frame adds to its body, in bytes.
+pub const FRAME_OVERHEAD: usize = LENGTH_BYTES + TAG_BYTES;
+/// The length of a hello, in bytes.
+pub const HELLO_BYTES: usize = NONCE_OFFSET + NONCE_BYTES + TAG_BYTES;
+const FORMAT_OFFSET: usize = MAGIC.len();
+const FLEET_OFFSET: usize = FORMAT_OFFSET + FORMAT_BYTES;
+const NONCE_OFFSET: usize = FLEET_OFFSET + FLEET_BYTES;
 
 type Hash = Hmac<Sha256>;
 
-/// Why a connection cannot go on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a connection has to be closed: what the peer did.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// It speaks something else.
+    /// It speaks another protocol.
+    #[error("does not speak the fleet's protocol")]
     WrongProtocol,
-    /// It speaks another format.
+    /// It speaks another format of this protocol.
+    #[error("speaks format {0}, this build {FRAME_FORMAT}: upgrade the older one")]
     WrongFormat(u8),
-    /// It is of another fleet.
+    /// It belongs to another fleet.
+    #[error("is of another fleet: compare fleet.id")]
     WrongFleet,
-    /// It has none of the keys, or what it sends was changed, doubled or left out.
+    /// It has none of the keys, or a frame was changed, repeated or left out.
+    #[error("has none of this relay's keys, or sends what is not its own: compare fleet.keys")]
     WrongKey,
-    /// A frame is longer than any may be.
+    /// It sent a frame longer than [`MAX_FRAME_BYTES`].
+    #[error("sends a frame longer than {MAX_FRAME_BYTES} bytes")]
     TooLong,
 }
 
-impl std::fmt::Display for FrameError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            FrameError::WrongProtocol => write!(f, "does not speak the fleet's protocol"),
-            FrameError::WrongFormat(n) => write!(
-                f,
-                "speaks format {n}, this build {FRAME_FORMAT}: upgrade the older one"
-            ),
-            FrameError::WrongFleet => write!(f, "is of another fleet: compare fleet.id"),
-            FrameError::WrongKey => {
-                write!(f, "has none of this relay's keys, or sends what is not its own: compare fleet.keys")
-            }
-            FrameError::TooLong => write!(f, "sends a frame longer than {MAX_FRAME_BYTES} bytes"),
-        }
-    }
-}
-
-/// One side of a connection.
+/// One side of a connection: bytes of the socket in, messages out, and back.
 pub struct FrameSession {
     keys: Vec<Vec<u8>>,
-    key: usize,
+    /// The position of the key in use.
+    key_index: usize,
     fleet: u64,
-    dials: bool,
-    mine: [u8; NUMBER],
-    theirs: Option<[u8; NUMBER]>,
-    sent: u64,
-    got: u64,
-    inbox: Vec<u8>,
+    is_dialler: bool,
+    own_nonce: [u8; NONCE_BYTES],
+    /// The peer's nonce; none before its hello has arrived.
+    peer_nonce: Option<[u8; NONCE_BYTES]>,
+    sent_frames: u64,
+    received_frames: u64,
+    /// Received bytes that are not a whole hello or frame yet.
+    incoming: Vec<u8>,
     outgoing: Vec<u8>,
 }
 
 impl FrameSession {
-    /// The side that dials, or the one that is dialled. The first key seals, each opens; `number` must be random.
-    pub fn new(dials: bool, keys: Vec<Vec<u8>>, fleet: u64, number: [u8; NUMBER]) -> FrameSession {
-        let (inbox, out) = (Vec::new(), Vec::new());
+    /// The side that dials, or the one that accepts. The first key authenticates what is sent first, all are accepted;
+    /// `nonce` must be random.
+    pub fn new(
+        is_dialler: bool,
+        keys: Vec<Vec<u8>>,
+        fleet: u64,
+        nonce: [u8; NONCE_BYTES],
+    ) -> FrameSession {
         let mut session = FrameSession {
             keys,
-            key: 0,
+            key_index: 0,
             fleet,
-            dials,
-            mine: number,
-            theirs: None,
-            sent: 0,
-            got: 0,
-            inbox,
-            outgoing: out,
+            is_dialler,
+            own_nonce: nonce,
+            peer_nonce: None,
+            sent_frames: 0,
+            received_frames: 0,
+            incoming: Vec::new(),
+            outgoing: Vec::new(),
         };
-        if dials {
-            session.hello();
+        if is_dialler {
+            session.send_hello();
         }
         session
     }
 
-    /// Whether frames can be sent.
+    /// Whether the peer's hello has arrived, so that frames can be sent.
     pub fn is_established(&self) -> bool {
-        self.theirs.is_some()
+        self.peer_nonce.is_some()
     }
 
-    /// What is to be written to the socket.
+    /// Bytes to write to the socket; the caller removes what it has written.
     pub fn outgoing(&mut self) -> &mut Vec<u8> {
         &mut self.outgoing
     }
 
-    fn hash(&self, key: usize) -> Hash {
-        // Any length of key will do: this cannot fail.
-        Hash::new_from_slice(&self.keys[key]).unwrap_or_else(|_| unreachable!())
+    fn new_hash(&self, key_index: usize) -> Hash {
+        // HMAC takes keys of any length: this cannot fail.
+        Hash::new_from_slice(&self.keys[key_index]).unwrap_or_else(|_| unreachable!())
     }
 
-    fn hello(&mut self) {
+    fn send_hello(&mut self) {
         let mut hello = MAGIC.to_vec();
         hello.push(FRAME_FORMAT);
         hello.extend_from_slice(&self.fleet.to_be_bytes());
-        hello.extend_from_slice(&self.mine);
-        let mut hash = self.hash(self.key);
+        hello.extend_from_slice(&self.own_nonce);
+        let mut hash = self.new_hash(self.key_index);
         hash.update(&hello);
-        // Who answers shows that it has heard the number of whoever dialled.
-        hash.update(&self.theirs.unwrap_or_default());
+        // The accepting side thereby proves that its hello answers the dialler's.
+        hash.update(&self.peer_nonce.unwrap_or_default());
         hello.extend_from_slice(&hash.finalize().into_bytes());
         self.outgoing.extend_from_slice(&hello);
     }
 
-    fn heard(&mut self, hello: &[u8]) -> Result<(), FrameError> {
-        if hello[..3] != MAGIC {
+    /// Checks the peer's hello, and selects the key that it uses.
+    fn receive_hello(&mut self, hello: &[u8]) -> Result<(), FrameError> {
+        if hello[..FORMAT_OFFSET] != MAGIC {
             return Err(FrameError::WrongProtocol);
         }
-        if hello[3] != FRAME_FORMAT {
-            return Err(FrameError::WrongFormat(hello[3]));
+        let format = hello[FORMAT_OFFSET];
+        if format != FRAME_FORMAT {
+            return Err(FrameError::WrongFormat(format));
         }
-        if hello[4..12] != self.fleet.to_be_bytes() {
+        if hello[FLEET_OFFSET..NONCE_OFFSET] != self.fleet.to_be_bytes() {
             return Err(FrameError::WrongFleet);
         }
-        let (said, tag) = hello.split_at(HELLO_BYTES - TAG);
-        let knows = |key: &usize| {
-            let mut hash = self.hash(*key);
-            hash.update(said);
-            hash.update(&if self.dials { self.mine } else { [0; NUMBER] });
+        let (content, tag) = hello.split_at(HELLO_BYTES - TAG_BYTES);
+        let answered_nonce = if self.is_dialler {
+            self.own_nonce
+        } else {
+            [0; NONCE_BYTES]
+        };
+        let is_valid_with = |key_index: &usize| {
+            let mut hash = self.new_hash(*key_index);
+            hash.update(content);
+            hash.update(&answered_nonce);
             hash.verify_slice(tag).is_ok()
         };
-        self.key = (0..self.keys.len())
-            .find(knows)
+        self.key_index = (0..self.keys.len())
+            .find(is_valid_with)
             .ok_or(FrameError::WrongKey)?;
-        let mut theirs = [0; NUMBER];
-        theirs.copy_from_slice(&said[12..]);
-        self.theirs = Some(theirs);
-        if !self.dials {
-            self.hello();
+        let mut peer_nonce = [0; NONCE_BYTES];
+        peer_nonce.copy_from_slice(&content[NONCE_OFFSET..]);
+        self.peer_nonce = Some(peer_nonce);
+        if !self.is_dialler {
+            self.send_hello();
         }
         Ok(())
     }
 
-    fn tag(&self, by_dialler: bool, place: u64, body: &[u8]) -> Hash {
-        let (a, b) = (self.mine, self.theirs.unwrap_or_default());
-        let (first, second) = if self.dials { (a, b) } else { (b, a) };
-        let mut hash = self.hash(self.key);
-        hash.update(&first);
-        hash.update(&second);
-        hash.update(&[u8::from(by_dialler)]);
-        hash.update(&place.to_be_bytes());
+    /// The hash of a frame, over both nonces, its direction, its sequence number and its body.
+    fn frame_hash(&self, from_dialler: bool, sequence: u64, body: &[u8]) -> Hash {
+        let peer_nonce = self.peer_nonce.unwrap_or_default();
+        let (dialler_nonce, acceptor_nonce) = if self.is_dialler {
+            (self.own_nonce, peer_nonce)
+        } else {
+            (peer_nonce, self.own_nonce)
+        };
+        let mut hash = self.new_hash(self.key_index);
+        hash.update(&dialler_nonce);
+        hash.update(&acceptor_nonce);
+        hash.update(&[u8::from(from_dialler)]);
+        hash.update(&sequence.to_be_bytes());
         hash.update(body);
         hash
     }
 
-    /// Puts a message into a frame. False where it is too long for one, or the other side has not answered yet.
+    /// Puts a message into a frame. Returns false where it is too long for one, or the connection is not established yet.
     pub fn send(&mut self, body: &[u8]) -> bool {
-        if self.theirs.is_none() || body.len() + TAG > MAX_FRAME_BYTES {
+        let length = body.len() + TAG_BYTES;
+        if !self.is_established() || length > MAX_FRAME_BYTES {
             return false;
         }
-        let tag = self
-            .tag(self.dials, self.sent, body)
-            .finalize()
-            .into_bytes();
-        self.sent += 1;
+        let hash = self.frame_hash(self.is_dialler, self.sent_frames, body);
+        self.sent_frames += 1;
         self.outgoing
-            .extend_from_slice(&((body.len() + TAG) as u32).to_be_bytes());
+            .extend_from_slice(&(length as u32).to_be_bytes());
         self.outgoing.extend_from_slice(body);
-        self.outgoing.extend_from_slice(&tag);
+        self.outgoing
+            .extend_from_slice(&hash.finalize().into_bytes());
         true
     }
 
-    /// Takes what has come; the messages in it.
+    /// Takes bytes that the socket has received. Returns the messages that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, FrameError> {
-        self.inbox.extend_from_slice(bytes);
-        let (mut at, mut messages) = (0, Vec::new());
-        if self.theirs.is_none() {
-            // Said as soon as it can be seen, not after a wait for the rest.
-            if self.inbox.iter().zip(&MAGIC).any(|(a, b)| a != b) {
+        self.incoming.extend_from_slice(bytes);
+        if !self.is_established() {
+            // At the first wrong byte, without a wait for the rest of a hello.
+            let starts_as_hello = self.incoming.iter().zip(&MAGIC).all(|(a, b)| a == b);
+            if !starts_as_hello {
                 return Err(FrameError::WrongProtocol);
             }
-            if self.inbox.len() < HELLO_BYTES {
-                return Ok(messages);
+            if self.incoming.len() < HELLO_BYTES {
+                return Ok(Vec::new());
             }
-            let hello: Vec<u8> = self.inbox.drain(..HELLO_BYTES).collect();
-            self.heard(&hello)?;
+            let hello: Vec<u8> = self.incoming.drain(..HELLO_BYTES).collect();
+            self.receive_hello(&hello)?;
         }
+        self.receive_frames()
+    }
+
+    /// Takes the complete frames out of the received bytes.
+    fn receive_frames(&mut self) -> Result<Vec<Vec<u8>>, FrameError> {
+        let mut messages = Vec::new();
+        let mut consumed = 0;
         loop {
-            let rest = &self.inbox[at..];
-            let Some(length) = rest
-                .first_chunk::<LENGTH>()
-                .map(|b| u32::from_be_bytes(*b) as usize)
-            else {
+            let rest = &self.incoming[consumed..];
+            let Some(length) = rest.first_chunk::<LENGTH_BYTES>() else {
                 break;
             };
-            if !(TAG..=MAX_FRAME_BYTES).contains(&length) {
+            let length = u32::from_be_bytes(*length) as usize;
+            if !(TAG_BYTES..=MAX_FRAME_BYTES).contains(&length) {
                 return Err(FrameError::TooLong);
             }
-            let Some(frame) = rest.get(LENGTH..LENGTH + length) else {
+            let Some(frame) = rest.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
                 break;
             };
-            let (body, tag) = frame.split_at(length - TAG);
-            self.tag(!self.dials, self.got, body)
+            let (body, tag) = frame.split_at(length - TAG_BYTES);
+            self.frame_hash(!self.is_dialler, self.received_frames, body)
                 .verify_slice(tag)
                 .map_err(|_| FrameError::WrongKey)?;
-            self.got += 1;
+            self.received_frames += 1;
             messages.push(body.to_vec());
-            at += LENGTH + length;
+            consumed += LENGTH_BYTES + length;
         }
-        self.inbox.drain(..at);
+        self.incoming.drain(..consumed);
         Ok(messages)
     }
 }
--- a/crates/control/src/wire/mod.rs
+++ b/crates/control/src/wire/mod.rs
@@ -3,6 +3,9 @@
 mod encoding;
 pub mod mac;
 pub mod message;
+mod operator;
+mod renewal;
+mod updates;
 
 pub use crate::relay;
 pub use encoding::{decode, encode};
