--- a/crates/control/tests/model.rs
+++ b/crates/control/tests/model.rs
@@ -1,9 +1,9 @@
-//! Prepare, lease, close and commit as a model that is searched whole: three relays, two proposals, any order of
-//! questions, answers, losses, restarts and changes of leader. Time goes in steps; a lease lasts `LEASE` of them, and the
-//! leader waits `WAIT`, one more, for what relays' clocks may differ.
+//! A model of the lease protocol (prepare, seal, commit) and an exhaustive search of its states: three relays, two proposals,
+//! any order of requests, responses, losses, restarts and changes of leader. Time goes in steps; a lease lasts `LEASE` of
+//! them, and the leader waits `WAIT`, one more, for the drift of clocks.
 //!
-//! The consensus log is taken for granted here: what is modelled is what rests on it. Each safeguard that the proof in
-//! `docs/design/control.md` names is left out once, and the search must then find two policies at once.
+//! The consensus log is assumed to be correct. Each safeguard that the proof in `docs/design/control.md` names is left out
+//! once, and the search must then find two policies at once.
 
 use stateright::{Checker, Model, Property};
 
@@ -13,28 +13,28 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Phase {
-    Rest,
+    Idle,
     Preparing,
     Sealed,
 }
 
-/// A question on its way, or the answer to it.
+/// A request in flight, or the response to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Mail {
+enum Message {
     None,
-    /// Asked so long ago, by a relay with this epoch that has prepared, and stopped for, the change under way.
-    Question {
+    /// Its age in steps, and the epoch of the relay, and whether that has prepared, and stopped for, the proposal.
+    Request {
         age: u8,
         epoch: u8,
         prepared: bool,
         revoked: bool,
     },
-    Answer {
+    Response {
         age: u8,
         grant: bool,
         epoch: u8,
         prepare: bool,
-        close: bool,
+        revoke: bool,
     },
 }
 
@@ -45,11 +45,11 @@
     lease: u8,
     prepared: bool,
     revoked: bool,
-    mail: Mail,
-    /// What the leader knows: steps for which the relay may still have a lease, whether it has prepared and stopped.
+    message: Message,
+    /// What the leader knows: steps for which the relay may still hold a lease, and whether it has prepared and stopped.
     granted: u8,
     has_prepared: bool,
-    has_yielded: bool,
+    has_revoked: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -57,26 +57,26 @@
     epoch: u8,
     phase: Phase,
     proposals: u8,
-    /// Steps for which leases of an earlier leader may still run, and how often there has been a new one.
-    unsettled: u8,
-    leaders: u8,
-    /// Steps since the change was closed, up to `WAIT`.
-    closed: u8,
+    /// Steps for which leases of an earlier leader may still run, and how many changes of leader there were.
+    predecessor_lease: u8,
+    leader_changes: u8,
+    /// Steps since the proposal was sealed, up to `WAIT`.
+    sealed_for: u8,
     /// The newest epoch that any client was admitted under.
-    served: u8,
+    admitted_epoch: u8,
     relays: [Relay; RELAYS],
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Propose,
-    Close,
+    Seal,
     Commit,
     NewLeader,
     Time,
-    Ask(usize),
+    Send(usize),
     Answer(usize),
-    Hear(usize),
+    Receive(usize),
     Lose(usize),
     Restart(usize),
 }
@@ -86,24 +86,28 @@
 enum Without {
     Nothing,
     /// The commit waits for no lease.
-    Wait,
-    /// A new leader does not wait for leases of the one before.
-    Settling,
-    /// A lease runs from its grant, not from the question.
-    LeaseFromQuestion,
-    /// A relay that says that it stopped keeps its lease.
+    LeaseWait,
+    /// A new leader does not wait for leases of its predecessor.
+    PredecessorWait,
+    /// A lease runs from its grant, not from the request.
+    LeaseFromRequest,
+    /// A relay that reports that it stopped keeps its lease.
     Stop,
     /// A restarted relay keeps its lease.
     FreshStart,
-    /// Leases are granted on the old policy after it is closed.
-    ClosedGrants,
+    /// Leases are granted on the old policy after the proposal is sealed.
+    NoGrantWhenSealed,
 }
 
 struct Protocol(Without);
 
 impl Protocol {
-    fn may_run(fleet: &Fleet, done: impl Fn(&Relay) -> bool) -> bool {
-        fleet.unsettled > 0 || fleet.relays.iter().any(|r| r.granted > 0 && !done(r))
+    fn may_hold_lease(fleet: &Fleet, done: impl Fn(&Relay) -> bool) -> bool {
+        fleet.predecessor_lease > 0
+            || fleet
+                .relays
+                .iter()
+                .any(|relay| relay.granted > 0 && !done(relay))
     }
 }
 
@@ -117,49 +121,49 @@
             lease: 0,
             prepared: false,
             revoked: false,
-            mail: Mail::None,
+            message: Message::None,
             granted: 0,
             has_prepared: false,
-            has_yielded: false,
+            has_revoked: false,
         };
         let relays = [relay; RELAYS];
-        let phase = Phase::Rest;
+        let phase = Phase::Idle;
         vec![Fleet {
             epoch: 0,
             phase,
             proposals: 0,
-            unsettled: 0,
-            leaders: 0,
-            closed: 0,
-            served: 0,
+            predecessor_lease: 0,
+            leader_changes: 0,
+            sealed_for: 0,
+            admitted_epoch: 0,
             relays,
         }]
     }
 
     fn actions(&self, fleet: &Fleet, steps: &mut Vec<Step>) {
         match fleet.phase {
-            Phase::Rest if fleet.proposals < 2 => steps.push(Step::Propose),
-            Phase::Preparing if !Self::may_run(fleet, |r| r.has_prepared) => {
-                steps.push(Step::Close)
+            Phase::Idle if fleet.proposals < 2 => steps.push(Step::Propose),
+            Phase::Preparing if !Self::may_hold_lease(fleet, |relay| relay.has_prepared) => {
+                steps.push(Step::Seal)
             }
             Phase::Sealed
-                if self.0 == Without::Wait
-                    || fleet.closed >= WAIT
-                    || !Self::may_run(fleet, |r| r.has_yielded) =>
+                if self.0 == Without::LeaseWait
+                    || fleet.sealed_for >= WAIT
+                    || !Self::may_hold_lease(fleet, |relay| relay.has_revoked) =>
             {
                 steps.push(Step::Commit)
             }
             _ => {}
         }
-        if fleet.leaders < 1 {
+        if fleet.leader_changes < 1 {
             steps.push(Step::NewLeader);
         }
         steps.push(Step::Time);
         for (n, relay) in fleet.relays.iter().enumerate() {
-            match relay.mail {
-                Mail::None => steps.push(Step::Ask(n)),
-                Mail::Question { .. } => steps.extend([Step::Answer(n), Step::Lose(n)]),
-                Mail::Answer { .. } => steps.extend([Step::Hear(n), Step::Lose(n)]),
+            match relay.message {
+                Message::None => steps.push(Step::Send(n)),
+                Message::Request { .. } => steps.extend([Step::Answer(n), Step::Lose(n)]),
+                Message::Response { .. } => steps.extend([Step::Receive(n), Step::Lose(n)]),
             }
             if relay.lease > 0 || relay.prepared {
                 steps.push(Step::Restart(n));
@@ -171,46 +175,50 @@
         let mut next = fleet.clone();
         match step {
             Step::Propose => (next.phase, next.proposals) = (Phase::Preparing, fleet.proposals + 1),
-            Step::Close => (next.phase, next.closed) = (Phase::Sealed, 0),
+            Step::Seal => (next.phase, next.sealed_for) = (Phase::Sealed, 0),
             Step::Commit => {
-                (next.phase, next.epoch) = (Phase::Rest, fleet.epoch + 1);
+                (next.phase, next.epoch) = (Phase::Idle, fleet.epoch + 1);
                 for relay in &mut next.relays {
-                    (relay.has_prepared, relay.has_yielded) = (false, false);
+                    (relay.has_prepared, relay.has_revoked) = (false, false);
                 }
             }
             Step::NewLeader => {
-                next.leaders += 1;
-                next.unsettled = if self.0 == Without::Settling { 0 } else { WAIT };
-                // It has to see the close itself for the time since.
-                next.closed = 0;
+                next.leader_changes += 1;
+                next.predecessor_lease = if self.0 == Without::PredecessorWait {
+                    0
+                } else {
+                    WAIT
+                };
+                // It counts the time since the seal only from its own election on.
+                next.sealed_for = 0;
                 for relay in &mut next.relays {
-                    (relay.granted, relay.has_prepared, relay.has_yielded) = (0, false, false);
+                    (relay.granted, relay.has_prepared, relay.has_revoked) = (0, false, false);
                 }
             }
             Step::Time => {
-                next.unsettled = fleet.unsettled.saturating_sub(1);
+                next.predecessor_lease = fleet.predecessor_lease.saturating_sub(1);
                 if fleet.phase == Phase::Sealed {
-                    next.closed = (fleet.closed + 1).min(WAIT);
+                    next.sealed_for = (fleet.sealed_for + 1).min(WAIT);
                 }
                 for relay in &mut next.relays {
                     relay.lease = relay.lease.saturating_sub(1);
                     relay.granted = relay.granted.saturating_sub(1);
-                    match &mut relay.mail {
-                        Mail::Question { age, .. } | Mail::Answer { age, .. } => {
+                    match &mut relay.message {
+                        Message::Request { age, .. } | Message::Response { age, .. } => {
                             *age = (*age + 1).min(LEASE)
                         }
-                        Mail::None => {}
+                        Message::None => {}
                     }
                 }
             }
-            Step::Ask(n) => {
+            Step::Send(n) => {
                 let Relay {
                     epoch,
                     prepared,
                     revoked,
                     ..
                 } = fleet.relays[n];
-                next.relays[n].mail = Mail::Question {
+                next.relays[n].message = Message::Request {
                     age: 0,
                     epoch,
                     prepared,
@@ -218,73 +226,73 @@
                 };
             }
             Step::Answer(n) => {
-                let Mail::Question {
+                let Message::Request {
                     age,
                     epoch,
                     prepared,
                     revoked,
-                } = fleet.relays[n].mail
+                } = fleet.relays[n].message
                 else {
                     return None;
                 };
                 let current = epoch == fleet.epoch;
-                let close = fleet.phase == Phase::Sealed && self.0 != Without::ClosedGrants;
+                let revoke = fleet.phase == Phase::Sealed && self.0 != Without::NoGrantWhenSealed;
                 let prepare = fleet.phase == Phase::Preparing && current;
-                let grant = current && !close;
+                let grant = current && !revoke;
                 let relay = &mut next.relays[n];
-                // What it says of a change that is over counts for none that came later.
+                // A report on an earlier proposal counts for none that comes later.
                 relay.has_prepared = prepared && current;
-                relay.has_yielded = revoked && current;
+                relay.has_revoked = revoked && current;
                 if grant {
                     relay.granted = WAIT;
                 }
-                relay.mail = Mail::Answer {
+                relay.message = Message::Response {
                     age,
                     grant,
                     epoch: fleet.epoch,
                     prepare,
-                    close,
+                    revoke,
                 };
             }
-            Step::Hear(n) => {
-                let Mail::Answer {
+            Step::Receive(n) => {
+                let Message::Response {
                     age,
                     grant,
                     epoch,
                     prepare,
-                    close,
-                } = fleet.relays[n].mail
+                    revoke,
+                } = fleet.relays[n].message
                 else {
                     return None;
                 };
                 let relay = &mut next.relays[n];
-                relay.mail = Mail::None;
+                relay.message = Message::None;
                 if epoch > relay.epoch {
                     (relay.epoch, relay.lease, relay.prepared, relay.revoked) =
                         (epoch, 0, false, false);
                 } else if grant && epoch == relay.epoch {
-                    let age = if self.0 == Without::LeaseFromQuestion {
+                    let age = if self.0 == Without::LeaseFromRequest {
                         0
                     } else {
                         age
                     };
                     relay.lease = relay.lease.max(LEASE - age.min(LEASE));
                     if relay.lease > 0 {
-                        next.served = fleet.served.max(epoch);
+                        next.admitted_epoch = fleet.admitted_epoch.max(epoch);
                     }
                 }
                 let relay = &mut next.relays[n];
                 if prepare && epoch == relay.epoch {
                     relay.prepared = true;
                 }
-                if close && epoch == relay.epoch {
+                if revoke && epoch == relay.epoch {
                     relay.revoked = true;
                     if self.0 != Without::Stop {
                         relay.lease = 0;
                     }
                 }
             }
-            Step::Lose(n) => next.relays[n].mail = Mail::None,
+            Step::Lose(n) => next.relays[n].message = Message::None,
             Step::Restart(n) => {
                 let relay = &mut next.relays[n];
                 if self.0 != Without::FreshStart {
@@ -292,10 +300,10 @@
                 } else {
                     relay.lease = LEASE;
                 }
-                (relay.prepared, relay.revoked, relay.mail) = (false, false, Mail::None);
+                (relay.prepared, relay.revoked, relay.message) = (false, false, Message::None);
             }
         }
-        // Relays are alike: states that differ in their order only are one.
+        // Relays are interchangeable: states that differ in their order only are equal.
         next.relays.sort();
         Some(next)
     }
@@ -306,12 +314,12 @@
                 fleet
                     .relays
                     .iter()
-                    .all(|relay| relay.lease == 0 || relay.epoch >= fleet.served)
+                    .all(|relay| relay.lease == 0 || relay.epoch >= fleet.admitted_epoch)
             }),
             Property::sometimes(
-                "two changes take hold and are served",
+                "two proposals take force and are served",
                 |_, fleet: &Fleet| {
-                    fleet.served == 2 && fleet.relays.iter().all(|relay| relay.lease > 0)
+                    fleet.admitted_epoch == 2 && fleet.relays.iter().all(|relay| relay.lease > 0)
                 },
             ),
         ]
@@ -321,33 +329,33 @@
 fn search(without: Without) -> (usize, bool, bool) {
     let checker = Protocol(without).checker().threads(2).spawn_bfs().join();
     let broken = checker.discovery("one policy").is_some();
-    let lives = checker
-        .discovery("two changes take hold and are served")
+    let completes = checker
+        .discovery("two proposals take force and are served")
         .is_some();
-    (checker.unique_state_count(), broken, lives)
+    (checker.unique_state_count(), broken, completes)
 }
 
 #[test]
 fn no_order_of_events_lets_two_policies_be_served_at_once() {
-    let (states, broken, lives) = search(Without::Nothing);
+    let (states, broken, completes) = search(Without::Nothing);
     println!("{states} states");
     assert!(
-        !broken && lives,
-        "{states} states: broken {broken}, comes to an end {lives}"
+        !broken && completes,
+        "{states} states: broken {broken}, completes {completes}"
     );
-    // A model that hardly moves would prove nothing.
+    // A model with few states would prove nothing.
     assert!(states > 10_000, "{states} states");
 }
 
 #[test]
 fn without_any_one_safeguard_two_policies_are_found() {
     let safeguards = [
-        Without::Wait,
-        Without::Settling,
-        Without::LeaseFromQuestion,
+        Without::LeaseWait,
+        Without::PredecessorWait,
+        Without::LeaseFromRequest,
         Without::Stop,
         Without::FreshStart,
-        Without::ClosedGrants,
+        Without::NoGrantWhenSealed,
     ];
     for without in safeguards {
         assert!(
--- a/crates/control/tests/wire_names.rs
+++ b/crates/control/tests/wire_names.rs
@@ -1,5 +1,5 @@
-//! Names on the wire and in stored files that differ from the code's: builds from before the code was renamed have to go on
-//! understanding them, and the ledgers that they wrote have to stay readable.
+//! Names on the wire and in stored files that differ from the code's: builds of before the names changed have to understand
+//! them, and the ledgers that they wrote have to stay readable.
 
 use ciborium::Value;
 use jaspermoor_control::jobs::assignment::{Assignment, Job, Jobs};
@@ -11,7 +11,7 @@
 };
 use serde::Serialize;
 
-/// All keys of maps and all texts in a value as it is written.
+/// All keys of maps and all texts in an encoded value.
 fn names(value: &impl Serialize) -> Vec<String> {
     fn collect(value: &Value, names: &mut Vec<String>) {
         match value {
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn names_of_builds_before_the_renaming_stay_on_the_wire_and_in_stored_files() {
-    // Parts that have nothing to say may be left out, so these have something.
+fn serialized_names_stay_as_builds_before_the_renaming_wrote_them() {
+    // Fields with their default may be left out, so these have another value.
     let renew = RenewRequest {
         revoked: Some(1),
         membership_version: 1,
