--- a/crates/control/src/broadcast/allowance/tests.rs
+++ b/crates/control/src/broadcast/allowance/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn it_gives_no_more_than_it_was_allowed_and_first_to_those_that_lack_most() {
+fn a_pool_permits_at_most_its_allowance_and_serves_the_largest_need_first() {
     let mut pool = AllowancePool::new(7);
     let (mut one, mut two) = (relay(10, 0, 0), relay(12, 5, 5));
     assert!(
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_nobody_lacks_lapses_when_the_next_allowance_comes() {
+fn unused_allowance_expires_when_the_next_one_arrives() {
     let mut pool = AllowancePool::new(7);
     let mut one = relay(2, 0, 0);
     allow(&mut pool, 7, 10);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_relay_that_comes_with_more_than_was_given_here_keeps_it() {
+fn a_relay_keeps_permits_that_another_voter_gave() {
     let mut one = relay(5, 3, 9);
     assert_eq!((one.to_be_told(), one.lacking()), (None, 0));
     one.report(MigrationStatus {
--- a/crates/control/src/broadcast/broadcaster/tests.rs
+++ b/crates/control/src/broadcast/broadcaster/tests.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_word_is_as_old_as_it_is_and_one_of_an_owner_of_before_stops_its_sender() {
+fn an_updates_age_includes_its_delays_and_a_stale_token_stops_the_sender() {
     let (mut broadcaster, jobs) = (Broadcaster::default(), jobs(2));
     assert_eq!(
         updates(broadcaster.handle_subscribe(1_000_000, 7, follow("n3", 1, &[]), &jobs)).updates,
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_word_without_an_age_or_a_job_is_not_kept_and_who_is_silent_is_told_nothing() {
+fn updates_without_age_or_job_are_dropped_and_silent_relays_receive_none() {
     let (mut broadcaster, jobs) = (Broadcaster::default(), jobs(1));
     broadcaster.handle_subscribe(0, 7, follow("n3", 1, &[]), &jobs);
     assert!(
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn owners_hear_what_relays_say_to_their_kind_of_jobs() {
+fn owners_receive_reports_for_their_kinds_of_jobs() {
     let (mut broadcaster, jobs) = (Broadcaster::default(), jobs(1));
     broadcaster.handle_subscribe(0, 7, follow("n3", 5, &[]), &jobs);
     assert_eq!(
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn who_follows_is_delivered_changes_from_what_it_has_and_an_older_build_the_whole() {
+fn subscribers_receive_changes_from_their_version_and_older_builds_full_updates() {
     let (mut broadcaster, jobs, mut owner) = (Broadcaster::new(1), jobs(1), table(2));
     let told = broadcaster.handle_subscribe(1_000_000, 7, follows("n3", 1, "a", &[]), &jobs);
     assert!(
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn changes_without_those_before_them_are_not_taken_and_the_receipt_says_so() {
+fn changes_with_a_gap_are_rejected_and_the_receipt_names_the_stored_version() {
     let (mut broadcaster, jobs, mut owner) = (Broadcaster::new(1), jobs(1), table(3));
     broadcaster.handle_subscribe(1_000_000, 7, follows("n3", 1, "a", &[]), &jobs);
     for (changes, stamp) in [
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_relay_that_the_voter_has_forgotten_is_told_so() {
+fn an_unknown_or_silent_relay_must_resubscribe() {
     let (mut broadcaster, jobs) = (Broadcaster::new(1), jobs(1));
     broadcaster.handle_subscribe(0, 7, follows("n3", 4, "a", &[]), &jobs);
     assert!(
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn an_owner_is_told_one_summary_and_each_relay_its_own_permits() {
+fn an_owner_receives_one_summary_and_each_relay_its_own_permits() {
     let mut jobs = Jobs::default();
     jobs.apply(Assignment::Open(vec![moves::KIND.into()]));
     jobs.apply(Assignment::Assign(vec![(moves::KIND.into(), relay("n1"))]));
--- a/crates/control/src/broadcast/quantise/tests.rs
+++ b/crates/control/src/broadcast/quantise/tests.rs
@@ -4,7 +4,7 @@
 const THRESHOLDS: [f32; 8] = [0.3, 0.4, 0.6, 0.7, 0.75, 0.9, 1.0, 1.5];
 
 #[test]
-fn a_told_load_is_on_the_same_side_of_each_threshold() {
+fn a_quantised_load_is_on_the_same_side_of_each_threshold() {
     for n in 0..160_000u32 {
         let measured = n as f32 / 100_000.0;
         let told = load(level(measured).unwrap());
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn counts_are_told_to_within_a_few_hundredths_and_a_told_load_has_its_own_level() {
+fn quantised_counts_are_within_a_few_hundredths_and_keep_their_level() {
     for n in 2..100_000u32 {
         let told = load(level(n as f32).unwrap());
         assert!(
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_is_no_load_has_no_level() {
+fn invalid_loads_have_no_level() {
     for odd in [-0.1, f32::NAN, f32::INFINITY, f32::NEG_INFINITY] {
         assert_eq!(level(odd), None);
     }
--- a/crates/control/src/broadcast/stream/tests.rs
+++ b/crates/control/src/broadcast/stream/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_window_knows_what_came_in_whatever_order() {
+fn the_window_records_sequences_in_any_order() {
     let window = received(&[1, 2, 5, 4, 40, 38, 2]);
     let has: Vec<u64> = (1..=41).filter(|sequence| window.has(*sequence)).collect();
     assert_eq!(has, [38, 40], "what is 33 and more behind counts as lost");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn changes_start_from_what_was_sent_and_from_what_was_acknowledged_where_that_is_lost() {
+fn changes_start_from_the_sent_version_or_the_acknowledged_one_after_a_loss() {
     let mut stream = Stream::new(3, [("a".to_string(), (1, 4))]);
     assert!(!stream.lacks("a", (1, 4)) && stream.lacks("a", (1, 5)) && stream.lacks("b", (1, 1)));
     assert_eq!((send(&mut stream, 0, 5), send(&mut stream, 10, 6)), (1, 2));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_is_in_flight_is_bounded_and_what_falls_out_is_sent_again() {
+fn deliveries_in_flight_are_bounded_and_evicted_ones_are_sent_again() {
     let mut stream = Stream::new(3, []);
     stream.send(0, vec![("b".into(), (1, 1))]);
     for version in 1..=IN_FLIGHT as u64 {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_bucket_fills_at_its_rate_and_owes_no_more_than_a_second() {
+fn a_token_bucket_fills_at_its_rate_and_its_debt_is_at_most_one_second() {
     let mut bucket = TokenBucket::new(0);
     assert!(!bucket.has_any());
     bucket.take(5_000, 1_000);
--- a/crates/control/src/broadcast/subscriber/tests.rs
+++ b/crates/control/src/broadcast/subscriber/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_word_is_no_younger_than_its_way_was_long_and_none_of_before_is_obeyed() {
+fn an_updates_age_includes_its_transit_time_and_stale_updates_are_rejected() {
     let mut subscriber = subscriber();
     let (voter, number) = asks(&mut subscriber, 1_000_000, false)[0];
     let hears = |subscriber: &mut Subscriber, now, updates| {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn one_that_has_just_started_asks_for_the_token_first() {
+fn a_relay_that_just_started_asks_for_unknown_tokens_first() {
     let mut subscriber = subscriber();
     let (voter, number) = asks(&mut subscriber, 0, false)[0];
     let said = updates(number, 0, &[(3, 1, 0)]);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn it_follows_the_next_voter_where_one_is_silent_and_as_an_owner_all() {
+fn a_relay_fails_over_from_a_silent_voter_and_as_an_owner_contacts_all() {
     let mut subscriber = subscriber();
     let first = asks(&mut subscriber, 1, false)[0].0;
     assert_eq!(asks(&mut subscriber, 2, false), [], "not before it is time");
--- a/crates/control/src/broadcast/table/tests.rs
+++ b/crates/control/src/broadcast/table/tests.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn changes_without_those_before_and_older_ones_are_refused() {
+fn changes_with_a_gap_and_old_changes_are_rejected() {
     let (mut owner, mut receiver) = (Table::new(5), Table::new(5));
     for n in 1..=4 {
         round(&mut owner, n * 500_000, &[report(70, 0, n as f32 / 10.0)]);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_voter_hands_on_what_it_took_and_ages_only_grow() {
+fn a_voter_forwards_the_table_and_ages_only_grow() {
     let (mut owner, mut voter, mut relay) = (Table::new(5), Table::new(5), Table::new(5));
     round(
         &mut owner,
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_table_of_lost_backends_is_begun_anew() {
+fn a_table_with_many_lost_endpoints_is_rebuilt() {
     let (mut owner, mut receiver) = (Table::new(5), Table::new(5));
     round(&mut owner, 0, &[report(70, 0, 0.5), report(80, 0, 0.2)]);
     receiver.apply(0, owner.changes(0)).unwrap();
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_new_report_of_the_same_level_is_told_from_a_repeated_one() {
+fn a_new_report_of_the_same_level_differs_from_a_repeated_one() {
     let (mut owner, mut receiver) = (Table::new(5), Table::new(5));
     let mut told = Vec::new();
     for (n, load) in [0.51, 0.51, 0.52, 0.53, 0.53].into_iter().enumerate() {
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn the_same_bytes_go_to_all_and_few_are_kept() {
+fn encoded_changes_are_shared_and_bounded() {
     let mut owner = Table::new(5);
     for n in 1..=100 {
         round(&mut owner, n, &[report(70, 0, 0.1), report(n, 0, 0.2)]);
--- a/crates/control/src/jobs/fence.rs
+++ b/crates/control/src/jobs/fence.rs
@@ -1,35 +1,41 @@
-//! What a receiver of orders knows: the highest token of each job. An older order is refused, whenever it comes.
+//! Fencing: rejects commands that a former owner of a job sent.
 //!
-//! Guards against: an order that was in a socket, or in a stopped process, while the job was given to another; and a
-//! receiver that has started anew without a disk: it obeys nobody before it knows how far the tokens are, and asks about
-//! those that were given before.
+//! Input: the fencing tokens of commands, the latest token of the fleet when this receiver started, and answers of the
+//! leader about single jobs. Output: a [`FenceDecision`] for each command.
+//!
+//! Guards against: a command that was delayed in a socket or in a paused process while its job was assigned to another
+//! relay, and a receiver that restarted without stored state: it accepts nothing before it knows how far the tokens are,
+//! and asks for the token of each job that was assigned before it started.
 
 use crate::jobs::assignment::FencingToken;
 use crate::{InjectedBug, InjectedBugs};
 use std::collections::BTreeMap;
 
-/// What becomes of an order.
+#[cfg(test)]
+mod tests;
+
+/// What a receiver must do with a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceDecision {
-    /// Obey.
+    /// Execute it.
     Accept,
-    /// It is of an owner of before: the token that the job has now. The sender must stop.
+    /// Reject it, and tell the sender to stop: the job's current token is this one.
     Stale(FencingToken),
-    /// It may be either: ask the fleet which token the job has now, say so to [`Fence::known`], and look again.
+    /// Ask the leader for the job's token, pass the answer to [`Fence::learn_token`], and check the command again.
     Unknown,
 }
 
-/// See the module's text.
+/// The highest fencing token of each job that this receiver knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fence {
     injected: InjectedBugs,
-    /// The last token that was given when this receiver started; none before it was told.
-    set_floor: Option<FencingToken>,
+    /// The latest token of the fleet when this receiver started; none until it is known.
+    floor: Option<FencingToken>,
     highest: BTreeMap<String, FencingToken>,
 }
 
 impl Fence {
-    /// One with a fault in it: for tests of the checkers.
+    /// A fence with an injected fault, for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(injected: InjectedBugs) -> Fence {
         Fence {
@@ -38,69 +44,33 @@
         }
     }
 
-    /// The last token that the fleet has given. What counts is the first word since the start: later tokens are seen
-    /// with their orders.
-    pub fn set_floor(&mut self, last: FencingToken) {
-        self.set_floor.get_or_insert(last);
+    /// Sets the latest token that the fleet has issued. Only the first call counts: later tokens arrive with their
+    /// commands.
+    pub fn set_floor(&mut self, last_token: FencingToken) {
+        self.floor.get_or_insert(last_token);
     }
 
-    /// The token that a job has now.
+    /// Records the current token of a job, as the leader answered. An older one than is known changes nothing.
     pub fn learn_token(&mut self, name: &str, token: FencingToken) {
         let highest = self.highest.entry(name.into()).or_insert(token);
         *highest = token.max(*highest);
     }
 
-    /// What becomes of an order with this token.
+    /// Decides about a command for this job with this token, and records the token if it is accepted.
     pub fn check(&mut self, name: &str, token: FencingToken) -> FenceDecision {
-        match (self.highest.get(name), self.set_floor) {
+        match (self.highest.get(name), self.floor) {
             _ if self.injected.is(InjectedBug::NoFence) => FenceDecision::Accept,
-            (None, _) if self.injected.is(InjectedBug::TrustFirst) => self.obey(name, token),
+            (None, _) if self.injected.is(InjectedBug::TrustFirst) => self.accept(name, token),
             (Some(highest), _) if token < *highest => FenceDecision::Stale(*highest),
-            (Some(_), _) => self.obey(name, token),
-            // Given since this receiver started: any later one has a higher token, and none before has.
-            (None, Some(floor)) if token > floor => self.obey(name, token),
+            (Some(_), _) => self.accept(name, token),
+            // Issued since this receiver started, so no older owner can have it.
+            (None, Some(floor)) if token > floor => self.accept(name, token),
             (None, _) => FenceDecision::Unknown,
         }
     }
 
-    fn obey(&mut self, name: &str, token: FencingToken) -> FenceDecision {
+    fn accept(&mut self, name: &str, token: FencingToken) -> FenceDecision {
         self.learn_token(name, token);
         FenceDecision::Accept
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn none_older_than_the_highest_is_obeyed_also_by_a_receiver_that_has_just_started() {
-        let mut fence = Fence::default();
-        assert_eq!(
-            fence.check("a", 5),
-            FenceDecision::Unknown,
-            "before it knows how far the tokens are"
-        );
-        fence.set_floor(5);
-        fence.set_floor(9);
-        assert_eq!(
-            fence.check("a", 5),
-            FenceDecision::Unknown,
-            "it may be of an owner of before"
-        );
-        assert_eq!(fence.check("a", 6), FenceDecision::Accept);
-        assert_eq!(fence.check("a", 5), FenceDecision::Stale(6));
-        assert_eq!(fence.check("a", 6), FenceDecision::Accept);
-        fence.learn_token("b", 4);
-        assert_eq!(
-            (fence.check("b", 3), fence.check("b", 4)),
-            (FenceDecision::Stale(4), FenceDecision::Accept)
-        );
-        fence.learn_token("b", 2);
-        assert_eq!(
-            fence.check("b", 3),
-            FenceDecision::Stale(4),
-            "a late word takes nothing back"
-        );
-    }
-}
--- a/crates/control/src/jobs/load_watch/tests.rs
+++ b/crates/control/src/jobs/load_watch/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_round_asks_each_once_few_at_a_time_and_tells_who_answered() {
+fn a_round_probes_each_endpoint_once_with_bounded_concurrency_and_reports_the_answers() {
     let (mut watch, of) = (LoadWatch::default(), columns(&["x0"]));
     assert_eq!(watch.tick(0, || 0..6), [0, 1, 2, 3]);
     watch.health_checked(1_000, 0, Some(vec![0.5]));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn who_reaches_nobody_gives_up_after_a_while() {
+fn a_watch_that_reaches_no_endpoint_fails_after_a_while() {
     let mut watch = LoadWatch::default();
     for n in 0..7 {
         let now = n * ROUND;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn columns_are_known_by_name_and_what_does_not_fit_is_left_out() {
+fn columns_are_matched_by_name_and_malformed_rows_are_skipped() {
     let of = vec![(7, 5, vec![0.25, 3.0]), (8, 5, vec![1.0])];
     let loads = LoadReports {
         columns: columns(&["x0", "active"]),
--- a/crates/control/src/jobs/moves/tests.rs
+++ b/crates/control/src/jobs/moves/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn no_more_are_permitted_than_the_rate_whoever_owns_the_job() {
+fn permitted_migrations_stay_below_the_rate_also_when_the_owner_changes() {
     let (mut mover, mut permitted) = (MigrationPacer::default(), [0u64; 3]);
     let mut total = 0;
     for turn in 0..40u64 {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn who_waits_for_nothing_or_is_silent_is_given_nothing_and_nothing_is_saved_up() {
+fn idle_or_silent_relays_get_no_permits_and_tokens_are_capped() {
     let mut mover = MigrationPacer::default();
     says(&mut mover, 0, 0, 0, 5, 5);
     mover.tick(0, 100);
