--- a/crates/control/src/broadcast/allowance.rs
+++ b/crates/control/src/broadcast/allowance.rs
@@ -1,14 +1,16 @@
-//! A voter's share of the fleet's moves: it divides what the owner of moves allows it among the relays that follow it.
+//! A voter's share of the fleet's migrations: distributes the owner's allowance among the relays that follow the voter.
 //!
-//! Two numbers that only grow bound the moves: the allowance of a voter's process, which the owner raises, and what each
-//! relay's process may have made since its start, which its voter raises. Each raise by one is paid for: by the owner with
-//! its credit, by the voter with its allowance. Whoever begins anew (another owner, another voter of the same relay)
-//! goes on from what the other side says to have, which is a number that was paid for. So no number ever exceeds what
-//! was paid for it in all, whatever is lost, late or doubled, and the fleet makes no more moves than owners had credit.
+//! Input: allowances of the owner of migrations, and reports of relays. Output: permits for each relay, and one summary
+//! of all of them for the owner.
 //!
-//! Guards against: an allowance for the process before this one (it bears the process), one that was given for relays that
-//! do not wait any more (what is left over lapses when the next one comes), and a relay that says to wait for more than
-//! anybody has.
+//! Two counters that only grow bound the migrations: the allowance of a voter's process, which the owner raises, and the
+//! permits of a relay's process since its start, which its voter raises. Each increment is paid for: by the owner from
+//! its token bucket, by the voter from its allowance. A new owner, or a new voter of the same relay, continues from the
+//! value that the other side reports, which was paid for. So no counter exceeds what was paid for it, whatever messages
+//! are lost, late or duplicated.
+//!
+//! Guards against: an allowance for the voter's previous process (it names the process), one for relays that no longer
+//! wait (the unused rest expires when the next one arrives), and a relay that claims to wait for more than anyone has.
 
 use super::message::{Allowance, MovesSummary};
 use crate::jobs::moves::MigrationStatus;
@@ -16,34 +18,36 @@
 #[cfg(test)]
 mod tests;
 
-/// Permits that are given at one call, at most.
-const AT_ONCE: u64 = 4_096;
+/// Maximum number of permits that one call distributes.
+const MAX_PERMITS_PER_CALL: u64 = 4_096;
 
-/// What a relay has reported of its moves, and what it is permitted.
+/// What one relay reports of its migrations, and what it is permitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayMoves {
     reported: MigrationStatus,
+    /// Migrations that the relay may have made since its start.
     permitted: u64,
 }
 
 impl RelayMoves {
-    /// It reports. What it was permitted it keeps.
+    /// Records a report. Permits given before remain.
     pub fn report(&mut self, reported: MigrationStatus) {
         self.reported = reported;
         self.permitted = self.permitted.max(reported.permitted);
     }
 
-    /// An owner of an older build permits it this, and has paid for it.
-    pub fn permit(&mut self, upto: u64) {
-        self.permitted = self.permitted.max(upto);
+    /// Raises the permits to a number that an owner of an older build gave, and paid for, directly.
+    pub fn permit(&mut self, permitted: u64) {
+        self.permitted = self.permitted.max(permitted);
     }
 
-    /// What it may have made since its start, where it does not know that.
-    pub fn to_be_told(&self) -> Option<u64> {
+    /// The permitted number of migrations, if the relay does not know it yet.
+    pub fn unreported_permits(&self) -> Option<u64> {
         (self.permitted > self.reported.permitted).then_some(self.permitted)
     }
 
-    fn lacking(&self) -> u64 {
+    /// Number of waiting connections without a permit.
+    fn unmet_demand(&self) -> u64 {
         self.reported
             .completed
             .saturating_add(self.reported.waiting)
@@ -51,17 +55,19 @@
     }
 }
 
-/// See the module's text.
+/// The allowance of this voter's process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AllowancePool {
-    /// This process.
+    /// Identifies this process.
     instance: u64,
+    /// Highest allowance that the owner gave.
     allowed: u64,
+    /// Part of it that was distributed or has expired.
     used: u64,
 }
 
 impl AllowancePool {
-    /// Of a process that has just started.
+    /// The pool of a process that has just started.
     pub fn new(instance: u64) -> AllowancePool {
         AllowancePool {
             instance,
@@ -69,34 +75,39 @@
         }
     }
 
-    /// The owner has said how much it allows. What is left of the allowance before lapses: nothing is saved up here.
+    /// Takes an allowance of the owner. The unused rest of the previous one expires, so that none accumulates here. An
+    /// allowance for another process, or a lower one, changes nothing.
     pub fn allow(&mut self, allowance: Allowance) {
         if allowance.instance == self.instance && allowance.permitted >= self.allowed {
-            (self.used, self.allowed) = (self.allowed, allowance.permitted);
+            self.used = self.allowed;
+            self.allowed = allowance.permitted;
         }
     }
 
-    /// Gives what is left to those that lack most; the places of those that are permitted more now.
+    /// Distributes the unused allowance, each permit to the relay with the largest unmet demand. Returns the indexes of
+    /// the relays whose permits grew.
     pub fn divide(&mut self, relays: &mut [&mut RelayMoves]) -> Vec<usize> {
         let mut raised = Vec::new();
-        for _ in 0..(self.allowed - self.used).min(AT_ONCE) {
-            let most = relays
+        let available = self.allowed - self.used;
+        for _ in 0..available.min(MAX_PERMITS_PER_CALL) {
+            let neediest = relays
                 .iter_mut()
                 .enumerate()
-                .max_by_key(|(_, relay)| relay.lacking());
-            let Some((place, relay)) = most.filter(|(_, relay)| relay.lacking() > 0) else {
+                .max_by_key(|(_, relay)| relay.unmet_demand());
+            let Some((index, relay)) = neediest.filter(|(_, relay)| relay.unmet_demand() > 0)
+            else {
                 break;
             };
             relay.permitted += 1;
             self.used += 1;
-            raised.push(place);
+            raised.push(index);
         }
         raised.sort_unstable();
         raised.dedup();
         raised
     }
 
-    /// What the owner is told.
+    /// Summary of this pool and these relays for the owner.
     pub fn summary<'a>(&self, relays: impl Iterator<Item = &'a RelayMoves>) -> MovesSummary {
         let mut summary = MovesSummary {
             instance: self.instance,
@@ -107,9 +118,9 @@
         for relay in relays {
             summary.relays += 1;
             summary.waiting = summary.waiting.saturating_add(relay.reported.waiting);
-            summary.made = summary.made.saturating_add(relay.reported.completed);
+            summary.completed = summary.completed.saturating_add(relay.reported.completed);
             summary.permitted = summary.permitted.saturating_add(relay.permitted);
-            summary.lacking = summary.lacking.saturating_add(relay.lacking());
+            summary.unmet_demand = summary.unmet_demand.saturating_add(relay.unmet_demand());
         }
         summary
     }
--- a/crates/control/src/broadcast/allowance/tests.rs
+++ b/crates/control/src/broadcast/allowance/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-fn relay(waiting: u64, made: u64, permitted: u64) -> RelayMoves {
+fn relay(waiting: u64, completed: u64, permitted: u64) -> RelayMoves {
     let mut relay = RelayMoves::default();
     relay.report(MigrationStatus {
         waiting,
-        completed: made,
+        completed,
         permitted,
     });
     relay
 }
 
-fn allow(pool: &mut AllowancePool, instance: u64, upto: u64) {
+fn allow(pool: &mut AllowancePool, instance: u64, permitted: u64) {
     pool.allow(Allowance {
         instance,
-        permitted: upto,
+        permitted,
     });
 }
 
@@ -23,32 +23,35 @@
     let (mut one, mut two) = (relay(10, 0, 0), relay(12, 5, 5));
     assert!(
         pool.divide(&mut [&mut one, &mut two]).is_empty(),
-        "nothing is allowed"
+        "there is no allowance"
     );
     allow(&mut pool, 6, 100);
     assert!(
         pool.divide(&mut [&mut one, &mut two]).is_empty(),
-        "that is for the process before"
+        "it is for the previous process"
     );
     allow(&mut pool, 7, 4);
     assert_eq!(pool.divide(&mut [&mut one, &mut two]), [0, 1]);
-    assert_eq!((one.to_be_told(), two.to_be_told()), (Some(1), Some(8)));
+    assert_eq!(
+        (one.unreported_permits(), two.unreported_permits()),
+        (Some(1), Some(8))
+    );
     assert!(pool.divide(&mut [&mut one, &mut two]).is_empty());
     allow(&mut pool, 7, 3);
     assert!(
         pool.divide(&mut [&mut one, &mut two]).is_empty(),
-        "a late one allows nothing"
+        "a late allowance changes nothing"
     );
     let summary = pool.summary([one, two].iter());
     assert_eq!(
-        (summary.allowed, summary.used, summary.lacking),
+        (summary.allowed, summary.used, summary.unmet_demand),
         (4, 4, 9 + 9)
     );
     assert_eq!(
         (
             summary.relays,
             summary.waiting,
-            summary.made,
+            summary.completed,
             summary.permitted
         ),
         (2, 22, 5, 9)
@@ -61,7 +64,7 @@
     let mut one = relay(2, 0, 0);
     allow(&mut pool, 7, 10);
     pool.divide(&mut [&mut one]);
-    assert_eq!(one.to_be_told(), Some(2));
+    assert_eq!(one.unreported_permits(), Some(2));
     one.report(MigrationStatus {
         waiting: 100,
         completed: 2,
@@ -69,17 +72,17 @@
     });
     allow(&mut pool, 7, 11);
     pool.divide(&mut [&mut one]);
-    assert_eq!(one.to_be_told(), Some(3), "eight have lapsed");
+    assert_eq!(one.unreported_permits(), Some(3), "eight have expired");
 }
 
 #[test]
 fn a_relay_keeps_permits_that_another_voter_gave() {
     let mut one = relay(5, 3, 9);
-    assert_eq!((one.to_be_told(), one.lacking()), (None, 0));
+    assert_eq!((one.unreported_permits(), one.unmet_demand()), (None, 0));
     one.report(MigrationStatus {
         waiting: u64::MAX,
         completed: u64::MAX,
         permitted: 1,
     });
-    assert_eq!(one.to_be_told(), Some(9), "it is told again");
+    assert_eq!(one.unreported_permits(), Some(9), "it is sent again");
 }
--- a/crates/control/src/broadcast/broadcaster/tests.rs
+++ b/crates/control/src/broadcast/broadcaster/tests.rs
@@ -1,7 +1,10 @@
 use super::*;
-use crate::broadcast::message::{Allowance, Delivered};
-use crate::broadcast::table::Table;
+use crate::broadcast::message::{Allowance, Delivered, Poll, Submission, VERSION};
+use crate::broadcast::table::{LoadReport, Table};
 use crate::jobs::assignment::Assignment;
+use crate::jobs::assignment::{FencingToken, Jobs};
+use crate::jobs::moves;
+use crate::wire::message::{Message, Publish, RelayId, Report, Subscribe};
 use crate::wire::message::{Update, Updates};
 
 fn relay(name: &str) -> RelayId {
@@ -26,7 +29,7 @@
     jobs
 }
 
-fn follow(name: &str, number: u64, knows: &[(FencingToken, u64)]) -> Subscribe {
+fn subscribe_as_older_build(name: &str, number: u64, knows: &[(FencingToken, u64)]) -> Subscribe {
     let knows = knows
         .iter()
         .map(|(token, number)| ("load/a".to_string(), *token, *number))
@@ -70,39 +73,55 @@
 fn an_updates_age_includes_its_delays_and_a_stale_token_stops_the_sender() {
     let (mut broadcaster, jobs) = (Broadcaster::default(), jobs(2));
     assert_eq!(
-        updates(broadcaster.handle_subscribe(1_000_000, 7, follow("n3", 1, &[]), &jobs)).updates,
+        updates(broadcaster.handle_subscribe(
+            1_000_000,
+            7,
+            subscribe_as_older_build("n3", 1, &[]),
+            &jobs
+        ))
+        .updates,
         []
     );
-    // Sent 100 ms after the stamp, true 50 ms before that, held back for a second on its way.
+    // Sent 100 ms after the stamp, valid 50 ms before that, and delayed for a second on its way.
     let out = broadcaster.handle_publish(
         2_100_000,
         8,
         publish(2, 1, 50_000, 1_000_000, 100_000),
         &jobs,
     );
-    let [(7, Message::Updates(told))] = &out[..] else {
+    let [(7, Message::Updates(sent))] = &out[..] else {
         panic!("{out:?}")
     };
-    // And a hundredth of each span, by which clocks may differ.
+    // Each span is lengthened by one hundredth, the maximum clock drift.
     assert_eq!(
-        (told.sequence, told.request_age, told.updates[0].age),
+        (sent.sequence, sent.request_age, sent.updates[0].age),
         (1, 1_100_000, 1_051_500)
     );
     let stale = broadcaster.handle_publish(2_200_000, 9, publish(1, 9, 0, 2_000_000, 0), &jobs);
     assert_eq!(stale, [(9, Message::StaleToken("load/a".into(), 2))]);
-    // Whoever missed it is told again, whoever has it is not.
+    // It is sent again only to a relay that lacks it.
     assert_eq!(
-        updates(broadcaster.handle_subscribe(2_300_000, 7, follow("n3", 2, &[]), &jobs))
-            .updates
-            .len(),
+        updates(broadcaster.handle_subscribe(
+            2_300_000,
+            7,
+            subscribe_as_older_build("n3", 2, &[]),
+            &jobs
+        ))
+        .updates
+        .len(),
         1
     );
     assert_eq!(
-        updates(broadcaster.handle_subscribe(2_400_000, 7, follow("n3", 3, &[(2, 1)]), &jobs))
-            .updates,
+        updates(broadcaster.handle_subscribe(
+            2_400_000,
+            7,
+            subscribe_as_older_build("n3", 3, &[(2, 1)]),
+            &jobs
+        ))
+        .updates,
         []
     );
-    // A token that this voter's log does not have yet is newer than all that it knows.
+    // A token that the log of this voter does not have yet is accepted.
     assert_eq!(
         broadcaster
             .handle_publish(2_500_000, 8, publish(3, 1, 0, 2_400_000, 0), &jobs)
@@ -116,7 +135,7 @@
 #[test]
 fn updates_without_age_or_job_are_dropped_and_silent_relays_receive_none() {
     let (mut broadcaster, jobs) = (Broadcaster::default(), jobs(1));
-    broadcaster.handle_subscribe(0, 7, follow("n3", 1, &[]), &jobs);
+    broadcaster.handle_subscribe(0, 7, subscribe_as_older_build("n3", 1, &[]), &jobs);
     assert!(
         broadcaster
             .handle_publish(1_000, 8, publish(1, 1, 0, 0, 0), &jobs)
@@ -138,20 +157,23 @@
         broadcaster
             .handle_publish(3_000_000, 8, publish(1, 1, 0, 1, 0), &jobs)
             .is_empty(),
-        "nobody follows any more"
+        "no relay follows any longer"
     );
 }
 
 #[test]
 fn owners_receive_reports_for_their_kinds_of_jobs() {
     let (mut broadcaster, jobs) = (Broadcaster::default(), jobs(1));
-    broadcaster.handle_subscribe(0, 7, follow("n3", 5, &[]), &jobs);
+    broadcaster.handle_subscribe(0, 7, subscribe_as_older_build("n3", 5, &[]), &jobs);
     assert_eq!(
-        updates(broadcaster.handle_subscribe(10, 8, follow("n4", 1, &[]), &jobs)).reports,
+        updates(broadcaster.handle_subscribe(10, 8, subscribe_as_older_build("n4", 1, &[]), &jobs))
+            .reports,
         [],
         "it owns nothing"
     );
-    let reports = updates(broadcaster.handle_subscribe(20, 9, follow("n1", 2, &[]), &jobs)).reports;
+    let reports =
+        updates(broadcaster.handle_subscribe(20, 9, subscribe_as_older_build("n1", 2, &[]), &jobs))
+            .reports;
     let seen: Vec<_> = reports
         .iter()
         .map(|(relay, age, of)| (&relay.name[..], *age, of[0].payload[0]))
@@ -159,8 +181,8 @@
     assert_eq!(seen, [("n3", 20, 5), ("n4", 10, 1), ("n1", 0, 2)]);
 }
 
-/// A relay of this build follows: in that zone, with these tables.
-fn follows(name: &str, number: u64, zone: &str, tables: &[(FencingToken, u64)]) -> Subscribe {
+/// A subscription of this build: in that zone, with these tables.
+fn subscribe(name: &str, number: u64, zone: &str, tables: &[(FencingToken, u64)]) -> Subscribe {
     let tables = tables
         .iter()
         .map(|(token, version)| ("load/a".to_string(), *token, *version))
@@ -170,7 +192,7 @@
         version: VERSION,
         zone: zone.into(),
         reports: Vec::new(),
-        ..follow(name, number, &[])
+        ..subscribe_as_older_build(name, number, &[])
     }
 }
 
@@ -185,13 +207,21 @@
     }
 }
 
+fn load_report(load: f32) -> LoadReport {
+    LoadReport {
+        endpoint: 7,
+        age: 0,
+        values: vec![load],
+    }
+}
+
 fn table(versions: u64) -> Table {
     let mut table = Table::new(1);
     for version in 1..=versions {
         table.update(
             version,
             &["x0".to_string()],
-            &[(7, 0, vec![version as f32 / 10.0])],
+            &[load_report(version as f32 / 10.0)],
         );
     }
     table
@@ -225,11 +255,11 @@
 #[test]
 fn subscribers_receive_changes_from_their_version_and_older_builds_full_updates() {
     let (mut broadcaster, jobs, mut owner) = (Broadcaster::new(1), jobs(1), table(2));
-    let told = broadcaster.handle_subscribe(1_000_000, 7, follows("n3", 1, "a", &[]), &jobs);
+    let messages = broadcaster.handle_subscribe(1_000_000, 7, subscribe("n3", 1, "a", &[]), &jobs);
     assert!(
-        matches!(&told[..], [Message::Updates(of), Message::Delivery(_)] if of.version == VERSION)
+        matches!(&messages[..], [Message::Updates(of), Message::Delivery(_)] if of.version == VERSION)
     );
-    broadcaster.handle_subscribe(1_000_000, 8, follow("n4", 1, &[]), &jobs);
+    broadcaster.handle_subscribe(1_000_000, 8, subscribe_as_older_build("n4", 1, &[]), &jobs);
     let out =
         broadcaster.handle_submission(1_100_000, 9, submit(owner.changes(0), 1_000_000), &jobs);
     let older = out.iter().find(|(to, _)| *to == 8).unwrap();
@@ -238,21 +268,22 @@
     );
     assert!(matches!(&out.last().unwrap().1, Message::Receipt(of) if of.version == 2));
     assert_eq!(deliveries(out), [(7, vec![(0, 2)])]);
-    // The next one from there; to who comes with an older version, from that.
-    owner.update(3, &["x0".to_string()], &[(7, 0, vec![0.9])]);
+    // The next changes start from that version, and for a relay with an older version from that one.
+    owner.update(3, &["x0".to_string()], &[load_report(0.9)]);
     let out =
         broadcaster.handle_submission(1_200_000, 9, submit(owner.changes(2), 1_100_000), &jobs);
     assert_eq!(deliveries(out), [(7, vec![(2, 3)])]);
-    let told = broadcaster.handle_subscribe(1_300_000, 10, follows("n5", 1, "a", &[(1, 2)]), &jobs);
-    let Some(Message::Delivery(delivery)) = told.last() else {
-        panic!("{told:?}")
+    let messages =
+        broadcaster.handle_subscribe(1_300_000, 10, subscribe("n5", 1, "a", &[(1, 2)]), &jobs);
+    let Some(Message::Delivery(delivery)) = messages.last() else {
+        panic!("{messages:?}")
     };
     assert_eq!(versions_of(&delivery.updates[0]), (2, 3));
-    // What was lost is delivered again, from what was acknowledged.
+    // A lost delivery is sent again, from the acknowledged version.
     let delivery = broadcaster
         .handle_poll(1_400_000, 7, poll(2, 1, 1), &jobs)
         .unwrap();
-    assert_eq!(delivery.updates, [], "it may be on its way");
+    assert_eq!(delivery.updates, [], "it may be in flight");
     let delivery = broadcaster
         .handle_poll(2_300_000, 7, poll(3, 1, 1), &jobs)
         .unwrap();
@@ -262,7 +293,7 @@
 #[test]
 fn changes_with_a_gap_are_rejected_and_the_receipt_names_the_stored_version() {
     let (mut broadcaster, jobs, mut owner) = (Broadcaster::new(1), jobs(1), table(3));
-    broadcaster.handle_subscribe(1_000_000, 7, follows("n3", 1, "a", &[]), &jobs);
+    broadcaster.handle_subscribe(1_000_000, 7, subscribe("n3", 1, "a", &[]), &jobs);
     for (changes, stamp) in [
         (owner.changes(2).to_vec(), 1_000_000),
         (owner.changes(0).to_vec(), 0),
@@ -283,7 +314,7 @@
 #[test]
 fn an_unknown_or_silent_relay_must_resubscribe() {
     let (mut broadcaster, jobs) = (Broadcaster::new(1), jobs(1));
-    broadcaster.handle_subscribe(0, 7, follows("n3", 4, "a", &[]), &jobs);
+    broadcaster.handle_subscribe(0, 7, subscribe("n3", 4, "a", &[]), &jobs);
     assert!(
         !broadcaster
             .handle_poll(10, 7, poll(5, 4, 0), &jobs)
@@ -320,34 +351,34 @@
     jobs.apply(Assignment::Assign(vec![(moves::KIND.into(), relay("n1"))]));
     let mut broadcaster = Broadcaster::new(5);
     let report = |waiting| {
-        let moving = moves::MigrationStatus {
+        let status = moves::MigrationStatus {
             waiting,
             ..moves::MigrationStatus::default()
         };
         vec![Report {
             kind: moves::KIND.into(),
-            payload: moving.encode(),
+            payload: status.encode(),
         }]
     };
     for n in 0..50 {
         let follow = Subscribe {
             reports: report(n),
-            ..follows(&format!("n{n}"), 1, "a", &[])
+            ..subscribe(&format!("n{n}"), 1, "a", &[])
         };
         broadcaster.handle_subscribe(0, n, follow, &jobs);
     }
     let older = Subscribe {
         reports: report(100),
-        ..follow("n99", 1, &[])
+        ..subscribe_as_older_build("n99", 1, &[])
     };
     broadcaster.handle_subscribe(0, 99, older, &jobs);
-    let allow = |upto| Submission {
+    let allow = |permitted| Submission {
         job: moves::KIND.into(),
         token: 1,
         sequence: 3,
         allowance: Some(Allowance {
             instance: 5,
-            permitted: upto,
+            permitted,
         }),
         ..Submission::default()
     };
@@ -362,9 +393,9 @@
     );
     assert!(
         Message::Receipt(receipt.clone()).encode().len() < 120,
-        "whatever the relays"
+        "for any number of relays"
     );
-    // Those that wait with most go first: 100 down to 50, and n49.
+    // The relay with the largest demand comes first: from 100 down to 50, and one permit for n49.
     let [(99, Message::Updates(updates)), ..] = &out[..] else {
         panic!("{out:?}")
     };
@@ -372,5 +403,5 @@
     assert_eq!(permits.by_relay, [(relay("n99"), 51)]);
     assert_eq!(out.len(), 2);
     let out = broadcaster.handle_submission(1_000, 200, allow(53), &jobs);
-    assert_eq!(out.len(), 3, "49 lacking at one, 49 at the other: {out:?}");
+    assert_eq!(out.len(), 3, "both have an unmet demand of 49: {out:?}");
 }
--- a/crates/control/src/broadcast/channel.rs
+++ b/crates/control/src/broadcast/channel.rs
@@ -1,4 +1,9 @@
-//! The newest update of one job at a voter: a table, or a whole update as owners of older builds publish it.
+//! Channel: the newest update of one job at a voter, which is a table, or a full update of an owner of an older build.
+//!
+//! Input: updates and changes of tables, whose token the caller has checked. Output: what a relay lacks, with its age.
+//!
+//! Guards against: updates that arrive late or twice (the newest token and version wins), and updates that are too old to
+//! be used (they are not sent).
 
 use super::message::Delivered;
 use super::stream::HeldVersion;
@@ -9,131 +14,149 @@
 use crate::Micros;
 use serde_bytes::ByteBuf;
 
-/// An update older than that is not handed on: whoever could use it asks for itself.
-const OLD: Micros = 30_000_000;
+/// An update is not sent after this time: relays then use their own load probes.
+const MAX_UPDATE_AGE: Micros = 30_000_000;
 
-/// See the module's text.
+/// The newest update of a job. Default: none.
 #[derive(Default)]
 pub struct Channel {
     content: Content,
-    /// When it was true, at the earliest, by this voter's clock.
-    at: Micros,
+    /// Earliest time, by the voter's clock, at which the content was valid.
+    valid_since: Micros,
 }
 
 #[derive(Default)]
 enum Content {
     #[default]
-    Nothing,
-    Whole(Update),
-    /// A table, and the same as a whole update's text once somebody needed that.
-    Table(Box<Table>, Option<Vec<u8>>),
+    Empty,
+    Full(Update),
+    Table {
+        table: Box<Table>,
+        /// The table as the payload of a full update, once a relay of an older build has needed it.
+        full_payload: Option<Vec<u8>>,
+    },
 }
 
 impl Channel {
-    /// The token of the owner whose update it is.
+    /// Fencing token of the owner that published the update; 0 if there is none.
     pub fn token(&self) -> FencingToken {
-        self.have().0
+        self.held().token
     }
 
-    /// Token and number of the update.
-    pub fn have(&self) -> HeldVersion {
+    /// Token and version of the update.
+    pub fn held(&self) -> HeldVersion {
         match &self.content {
-            Content::Nothing => (0, 0),
-            Content::Whole(update) => (update.token, update.sequence),
-            Content::Table(table, _) => (table.token(), table.version()),
+            Content::Empty => HeldVersion::default(),
+            Content::Full(update) => HeldVersion::new(update.token, update.sequence),
+            Content::Table { table, .. } => HeldVersion::new(table.token(), table.version()),
         }
     }
 
-    /// Whether it is too old to be handed on.
+    /// Whether the update is too old to be sent.
     pub fn is_old(&self, now: Micros) -> bool {
-        now >= self.at + OLD
+        now >= self.valid_since + MAX_UPDATE_AGE
     }
 
-    /// The version of the table under this token that changes can start from; zero where there is none.
+    /// Version of the table under this token, from which changes can start; 0 if there is none.
     pub fn version(&self, token: FencingToken) -> Version {
         match &self.content {
-            Content::Table(table, _) if table.token() == token => table.version(),
+            Content::Table { table, .. } if table.token() == token => table.version(),
             _ => 0,
         }
     }
 
-    /// Takes a whole update, where it is newer, or whatever it is; whether it was taken.
-    pub fn take_whole(&mut self, at: Micros, update: Update, whatever: bool) -> bool {
-        let newer = (update.token, update.sequence) > self.have();
-        if newer || whatever {
-            (self.content, self.at) = (Content::Whole(update), at);
+    /// Stores a full update if it is newer, or in any case if `is_forced`. Returns whether it was stored.
+    pub fn store_full(&mut self, valid_since: Micros, update: Update, is_forced: bool) -> bool {
+        let is_newer = HeldVersion::new(update.token, update.sequence) > self.held();
+        let is_stored = is_newer || is_forced;
+        if is_stored {
+            self.content = Content::Full(update);
+            self.valid_since = valid_since;
         }
-        newer || whatever
+        is_stored
     }
 
-    /// Takes changes of the table under a token that were sent then at the earliest; whether they were taken.
-    pub fn take_changes(&mut self, sent: Micros, token: FencingToken, changes: &[u8]) -> bool {
-        let same = matches!(&self.content, Content::Table(table, _) if table.token() == token);
-        if !same {
-            let mut table = Table::new(token);
-            let taken = table.apply(sent, changes).is_ok();
-            if taken {
-                (self.content, self.at) = (Content::Table(Box::new(table), None), sent);
+    /// Applies changes of the table under this token that were sent at `sent_at` at the earliest. A table of another token
+    /// replaces the content. Returns whether they were applied.
+    pub fn apply_changes(&mut self, sent_at: Micros, token: FencingToken, changes: &[u8]) -> bool {
+        match &mut self.content {
+            Content::Table {
+                table,
+                full_payload,
+            } if table.token() == token => {
+                if table.apply(sent_at, changes).is_err() {
+                    return false;
+                }
+                *full_payload = None;
+            }
+            _ => {
+                let mut table = Table::new(token);
+                if table.apply(sent_at, changes).is_err() {
+                    return false;
+                }
+                self.content = Content::Table {
+                    table: Box::new(table),
+                    full_payload: None,
+                };
             }
-            return taken;
-        }
-        let Content::Table(table, whole) = &mut self.content else {
-            return false;
-        };
-        let taken = table.apply(sent, changes).is_ok();
-        if taken {
-            (*whole, self.at) = (None, sent);
         }
-        taken
+        self.valid_since = sent_at;
+        true
     }
 
-    /// What a relay that takes deliveries is told, which has so much; and about how many bytes that is.
+    /// The update for a relay that takes deliveries and has this version, and its approximate size in bytes.
     pub fn delivered(&mut self, now: Micros, job: &str, has: HeldVersion) -> (Delivered, usize) {
-        let (token, number) = self.have();
-        let age = now.saturating_sub(self.at).div_ceil(1_000);
+        let held = self.held();
         let mut delivered = Delivered {
             job: job.into(),
-            token,
-            age_ms: age,
+            token: held.token,
+            age_ms: now.saturating_sub(self.valid_since).div_ceil(1_000),
             ..Delivered::default()
         };
-        let bytes = match &mut self.content {
-            Content::Nothing => Vec::new(),
-            Content::Whole(update) => {
-                delivered.sequence = number;
-                update.payload.clone()
+        let content_bytes = match &mut self.content {
+            Content::Empty => {
+                delivered.full = Some(ByteBuf::new());
+                0
             }
-            Content::Table(table, _) => {
-                let from = if has.0 == token { has.1 } else { 0 };
-                table.changes(from).to_vec()
+            Content::Full(update) => {
+                delivered.sequence = held.version;
+                delivered.full = Some(ByteBuf::from(update.payload.clone()));
+                update.payload.len()
+            }
+            Content::Table { table, .. } => {
+                let from = if has.token == held.token {
+                    has.version
+                } else {
+                    0
+                };
+                let changes = table.changes(from).to_vec();
+                let length = changes.len();
+                delivered.changes = Some(ByteBuf::from(changes));
+                length
             }
         };
-        let size = bytes.len() + job.len();
-        if matches!(self.content, Content::Table(..)) {
-            delivered.changes = Some(ByteBuf::from(bytes));
-        } else {
-            delivered.full = Some(ByteBuf::from(bytes));
-        }
-        (delivered, size)
+        (delivered, content_bytes + job.len())
     }
 
-    /// What a relay of an older build is told.
-    pub fn whole(&mut self, now: Micros, job: &str) -> Update {
-        let (token, number) = self.have();
-        let age = now.saturating_sub(self.at);
-        let body = match &mut self.content {
-            Content::Nothing => Vec::new(),
-            Content::Whole(update) => update.payload.clone(),
-            Content::Table(table, whole) => whole
+    /// The update for a relay of an older build.
+    pub fn full_update(&mut self, now: Micros, job: &str) -> Update {
+        let held = self.held();
+        let payload = match &mut self.content {
+            Content::Empty => Vec::new(),
+            Content::Full(update) => update.payload.clone(),
+            Content::Table {
+                table,
+                full_payload,
+            } => full_payload
                 .get_or_insert_with(|| LoadReports::of_table(table).encode())
                 .clone(),
         };
         Update {
             job: job.into(),
-            token,
-            sequence: number,
-            age,
-            payload: body,
+            token: held.token,
+            sequence: held.version,
+            age: now.saturating_sub(self.valid_since),
+            payload,
         }
     }
 }
--- a/crates/control/src/broadcast/feed.rs
+++ b/crates/control/src/broadcast/feed.rs
@@ -1,217 +1,264 @@
-//! What a voter has to tell: the newest update of each job, and who is told what of it.
+//! Feed: the newest update of each job at a voter, and which of them are sent to a relay.
+//!
+//! Input: subscriptions with what the relays have. Output: deliveries, or full updates for relays of older builds.
+//!
+//! Guards against: a relay that cannot receive as fast as owners publish (a token bucket limits what it is sent; updates
+//! of its own zone go first, then those that waited longest).
 
 use super::channel::Channel;
 use super::message::{Delivered, Delivery};
 use super::stream::HeldVersion;
-use super::subscription::{Compact, Subscription};
-use crate::jobs::assignment::Jobs;
+use super::subscription::{DeliveryState, Subscription};
+use crate::jobs::assignment::{Job, Jobs};
 use crate::jobs::moves::{self, MigrationPermits};
 use crate::wire::message::{Message, Update, Updates};
 use crate::{InjectedBug, InjectedBugs, Micros};
 use std::collections::BTreeMap;
 
-/// Bytes a second of updates that a relay is sent, but for those that it needs most; and a relay that owns a job with
-/// updates, which has its own traffic besides.
-const RATE: u64 = 1_600;
-const RATE_OF_OWNER: u64 = 1_100;
-/// What a message and an update in it cost beside the update's body, about.
-const MESSAGE_BYTES: usize = 36;
-const UPDATE_BYTES: usize = 28;
+/// Rate at which a relay is sent updates that are not of its zone, in bytes per second.
+const BYTES_PER_SECOND: u64 = 1_600;
+/// The same for a relay that owns a job with updates, since it has that traffic as well.
+const OWNER_BYTES_PER_SECOND: u64 = 1_100;
+/// Approximate overhead of a message, in bytes.
+const MESSAGE_OVERHEAD_BYTES: usize = 36;
+/// Approximate overhead of an update in a message, in bytes.
+const UPDATE_OVERHEAD_BYTES: usize = 28;
 
-/// See the module's text.
+/// The updates that a voter has.
 #[derive(Default)]
 pub(super) struct Feed {
     pub injected: InjectedBugs,
     pub channels: BTreeMap<String, Channel>,
-    /// The token and number of what the owner of moves said last.
-    pub moves: HeldVersion,
+    /// Newest update of the owner of migrations.
+    pub migrations: HeldVersion,
 }
 
-/// Why a relay is told something.
+/// Why a delivery is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Why {
-    /// It has asked, and is answered also where there is nothing to tell.
-    Answer,
+pub(super) enum Trigger {
+    /// The relay sent a request. It gets a response also if there are no updates.
+    Request,
     /// A job has a new update.
-    Spread,
-    /// It is permitted more moves.
-    MigrationPermits,
+    NewUpdate,
+    /// The relay has new permits.
+    NewPermits,
 }
 
-/// A job whose update a relay lacks: what is not near goes last, then what was sent last.
-type Lacking = (bool, Micros, String);
+/// A job whose newest update a relay has not been sent, in the order of sending.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct MissingUpdate {
+    is_of_other_zone: bool,
+    last_sent_at: Micros,
+    job: String,
+}
+
+/// Updates of a delivery, and the versions that they lead to.
+#[derive(Default)]
+struct Batch {
+    updates: Vec<Delivered>,
+    versions: Vec<(String, HeldVersion)>,
+}
 
 impl Feed {
-    /// Forgets updates of jobs that there are no more, and those that nobody can use.
+    /// Drops updates that are too old, and those of jobs that no longer exist.
     pub fn retain(&mut self, now: Micros, jobs: &Jobs) {
         self.channels
             .retain(|name, channel| jobs.by_name.contains_key(name) && !channel.is_old(now));
     }
 
-    /// What a relay is told now of a job, or of all that it lacks.
-    pub fn tell(
+    /// The message to a relay after a change of this job; none if there is nothing to send now.
+    pub fn notify(
         &mut self,
         now: Micros,
         subscription: &mut Subscription,
         jobs: &Jobs,
         job: &str,
     ) -> Option<Message> {
-        if subscription.compact.is_some() {
-            let why = if job == moves::KIND {
-                Why::MigrationPermits
+        if subscription.deliveries.is_some() {
+            let trigger = if job == moves::KIND {
+                Trigger::NewPermits
             } else {
-                Why::Spread
+                Trigger::NewUpdate
             };
             return self
-                .deliver(now, subscription, jobs, why)
+                .deliver(now, subscription, jobs, trigger)
                 .map(Message::Delivery);
         }
-        let updates = self.whole_updates(now, subscription, Some(job));
+        let updates = self.full_updates(now, subscription, Some(job));
         (!updates.is_empty()).then(|| {
             Message::Updates(Updates {
                 updates,
-                ..subscription.answer(now)
+                ..subscription.response(now)
             })
         })
     }
 
-    /// What a relay is told now: what it needs most, then what it has waited for longest, as far as its bucket goes. An
-    /// answer is told also where it is empty.
+    /// The delivery to a relay, with as many updates as its token bucket allows. None if the relay does not support
+    /// deliveries, or if there are no updates and the relay did not send a request.
     pub fn deliver(
         &mut self,
         now: Micros,
         subscription: &mut Subscription,
         jobs: &Jobs,
-        why: Why,
+        trigger: Trigger,
     ) -> Option<Delivery> {
-        let (lacking, owns) = self.lacking(now, subscription, jobs);
-        let permitted = subscription.moves.and_then(|moves| moves.to_be_told());
-        let compact = subscription.compact.as_mut()?;
-        let rate = if owns { RATE_OF_OWNER } else { RATE };
-        compact.bucket.fill(now, rate);
-        let (mut updates, versions) = self.changes(now, compact, lacking, rate);
-        // Said again with each answer, until the relay reports that it knows.
-        let is_due = why != Why::Spread || !updates.is_empty();
-        if let Some(permitted) = permitted.filter(|_| self.moves.0 > 0 && is_due) {
-            let (job, (token, _)) = (moves::KIND.to_string(), self.moves);
-            updates.push(Delivered {
-                job,
-                token,
+        let rate = if self.owns_published_job(subscription, jobs) {
+            OWNER_BYTES_PER_SECOND
+        } else {
+            BYTES_PER_SECOND
+        };
+        let missing = self.missing_updates(now, subscription, jobs);
+        let permits = subscription
+            .migrations
+            .and_then(|migrations| migrations.unreported_permits());
+        let deliveries = subscription.deliveries.as_mut()?;
+        deliveries.token_bucket.fill(now, rate);
+        let mut batch = self.batch(now, deliveries, missing, rate);
+        // Permits are repeated with each response, until the relay reports that it knows them.
+        let may_send_permits = trigger != Trigger::NewUpdate || !batch.updates.is_empty();
+        if may_send_permits && self.migrations.token > 0 {
+            batch.updates.extend(permits.map(|permitted| Delivered {
+                job: moves::KIND.to_string(),
+                token: self.migrations.token,
                 permitted,
                 ..Delivered::default()
-            });
+            }));
         }
-        if updates.is_empty() && why != Why::Answer {
+        if batch.updates.is_empty() && trigger != Trigger::Request {
             return None;
         }
-        compact.bucket.take(MESSAGE_BYTES, rate);
-        let sequence = if versions.is_empty() {
+        deliveries.token_bucket.take(MESSAGE_OVERHEAD_BYTES, rate);
+        let sequence = if batch.versions.is_empty() {
             0
         } else {
-            compact.stream.send(now, versions)
+            deliveries.stream.send(now, batch.versions)
         };
         Some(Delivery {
             incarnation: subscription.relay.incarnation,
-            request_sequence: subscription.number,
-            request_age_ms: (now - subscription.heard) / 1_000,
-            stream: compact.stream.number,
+            request_sequence: subscription.sequence,
+            request_age_ms: (now - subscription.last_request_at) / 1_000,
+            stream: deliveries.stream.id,
             sequence,
             reports_version: subscription.reports_version,
             must_resubscribe: false,
-            updates,
+            updates: batch.updates,
         })
     }
 
-    /// The jobs whose newest update a relay was not sent, in the order in which it is to be, and whether it owns one that
-    /// has updates.
-    fn lacking(
+    /// Whether a relay owns migrations, or a job that has an update here.
+    fn owns_published_job(&self, subscription: &Subscription, jobs: &Jobs) -> bool {
+        let is_owner = |name: &str| {
+            jobs.by_name
+                .get(name)
+                .is_some_and(|job| is_owned_by(job, subscription))
+        };
+        is_owner(moves::KIND) || self.channels.keys().any(|name| is_owner(name))
+    }
+
+    /// Jobs of other owners whose newest update a relay has not been sent, in the order of sending.
+    fn missing_updates(
         &self,
         now: Micros,
         subscription: &Subscription,
         jobs: &Jobs,
-    ) -> (Vec<Lacking>, bool) {
-        let owns_moves = jobs
-            .by_name
-            .get(moves::KIND)
-            .is_some_and(|job| job.owner.as_ref() == Some(&subscription.relay));
-        let (mut lacking, mut owns_any) = (Vec::new(), owns_moves);
-        let Some(Compact { stream, zone, .. }) = &subscription.compact else {
-            return (lacking, false);
+    ) -> Vec<MissingUpdate> {
+        let Some(DeliveryState { stream, zone, .. }) = &subscription.deliveries else {
+            return Vec::new();
         };
+        let mut missing = Vec::new();
         for (name, channel) in &self.channels {
-            let owner = jobs.by_name.get(name).and_then(|job| job.owner.as_ref());
-            let owns = owner == Some(&subscription.relay);
-            owns_any |= owns;
-            if !owns && !channel.is_old(now) && stream.lacks(name, channel.have()) {
-                let near = name.split_once('/').is_some_and(|(_, of)| of == zone);
-                lacking.push((!near, stream.sent_at(name), name.clone()));
+            let is_own = jobs
+                .by_name
+                .get(name)
+                .is_some_and(|job| is_owned_by(job, subscription));
+            if is_own || channel.is_old(now) || !stream.lacks(name, channel.held()) {
+                continue;
             }
+            let is_of_zone = name
+                .split_once('/')
+                .is_some_and(|(_, job_zone)| job_zone == zone);
+            missing.push(MissingUpdate {
+                is_of_other_zone: !is_of_zone,
+                last_sent_at: stream.sent_at(name),
+                job: name.clone(),
+            });
         }
-        lacking.sort_unstable();
-        (lacking, owns_any)
+        missing.sort_unstable();
+        missing
     }
 
-    /// Updates of those jobs as far as the bucket goes, and the versions that they lead to.
-    fn changes(
+    /// The updates that the token bucket allows. Those of the relay's zone are sent even if it is empty.
+    fn batch(
         &mut self,
         now: Micros,
-        compact: &mut Compact,
-        lacking: Vec<Lacking>,
+        deliveries: &mut DeliveryState,
+        missing: Vec<MissingUpdate>,
         rate: u64,
-    ) -> (Vec<Delivered>, Vec<(String, HeldVersion)>) {
-        let (mut updates, mut versions) = (Vec::new(), Vec::new());
-        for (far, _, name) in lacking {
-            if far && !compact.bucket.has_any() {
+    ) -> Batch {
+        let mut batch = Batch::default();
+        for MissingUpdate {
+            is_of_other_zone,
+            job,
+            ..
+        } in missing
+        {
+            if is_of_other_zone && !deliveries.token_bucket.has_bytes() {
                 break;
             }
-            let Some(channel) = self.channels.get_mut(&name) else {
+            let Some(channel) = self.channels.get_mut(&job) else {
                 continue;
             };
-            let (delivered, bytes) = channel.delivered(now, &name, compact.stream.sent(&name));
-            compact.bucket.take(bytes + UPDATE_BYTES, rate);
-            updates.push(delivered);
-            versions.push((name, channel.have()));
+            let (delivered, bytes) = channel.delivered(now, &job, deliveries.stream.sent(&job));
+            deliveries
+                .token_bucket
+                .take(bytes + UPDATE_OVERHEAD_BYTES, rate);
+            batch.updates.push(delivered);
+            batch.versions.push((job, channel.held()));
         }
-        (updates, versions)
+        batch
     }
 
-    /// Updates that a relay of an older build lacks, of one job or of all.
-    pub fn whole_updates(
+    /// Full updates that a relay of an older build lacks, of one job or of all.
+    pub fn full_updates(
         &mut self,
         now: Micros,
         subscription: &Subscription,
         job: Option<&str>,
     ) -> Vec<Update> {
-        let injected = self.injected;
-        let lacks = |name: &str, have: HeldVersion| {
-            let wanted = job.is_none_or(|job| job == name);
-            let knows = subscription
-                .knows
+        let ignores_versions = self.injected.is(InjectedBug::NoFence);
+        let lacks = |name: &str, newest: HeldVersion| {
+            let is_wanted = job.is_none_or(|job| job == name);
+            let is_known = subscription
+                .known_updates
                 .get(name)
-                .is_some_and(|knows| *knows >= have);
-            wanted && (!knows || injected.is(InjectedBug::NoFence))
+                .is_some_and(|known| *known >= newest);
+            is_wanted && (!is_known || ignores_versions)
         };
         let mut updates = Vec::new();
         for (name, channel) in &mut self.channels {
-            if lacks(name, channel.have()) && !channel.is_old(now) {
-                updates.push(channel.whole(now, name));
+            if lacks(name, channel.held()) && !channel.is_old(now) {
+                updates.push(channel.full_update(now, name));
             }
         }
-        let permitted = subscription.moves.and_then(|moves| moves.to_be_told());
-        if let Some(permitted) = permitted.filter(|_| lacks(moves::KIND, self.moves)) {
-            let body = MigrationPermits {
+        let permits = subscription
+            .migrations
+            .and_then(|migrations| migrations.unreported_permits());
+        if let Some(permitted) = permits.filter(|_| lacks(moves::KIND, self.migrations)) {
+            let permits = MigrationPermits {
                 by_relay: vec![(subscription.relay.clone(), permitted)],
-            }
-            .encode();
-            let (job, (token, number)) = (moves::KIND.to_string(), self.moves);
+            };
             updates.push(Update {
-                job,
-                token,
-                sequence: number,
+                job: moves::KIND.to_string(),
+                token: self.migrations.token,
+                sequence: self.migrations.version,
                 age: 0,
-                payload: body,
+                payload: permits.encode(),
             });
         }
         updates
     }
 }
+
+fn is_owned_by(job: &Job, subscription: &Subscription) -> bool {
+    job.owner.as_ref() == Some(&subscription.relay)
+}
--- a/crates/control/src/broadcast/message.rs
+++ b/crates/control/src/broadcast/message.rs
@@ -1,80 +1,80 @@
-//! The compact messages of the spread of reports and updates. They go only to a peer that has shown, by [`VERSION`] in its
-//! `Follow` or in the answer to one, that it knows them.
+//! Compact messages of the broadcast. They are sent only to a peer that has shown that it supports them, by [`VERSION`]
+//! in its `Subscribe` or in its response to one.
 //!
-//! Names are one letter on the wire, since these messages are most of what a fleet sends; what has its empty value is
-//! left out. As everywhere, a part that is not known is passed over.
+//! Names on the wire have one letter, since these messages are most of what a fleet sends. Fields with their default
+//! value are left out, and unknown fields are ignored.
 
 use super::table::Version;
 use crate::jobs::assignment::FencingToken;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The protocol that this build speaks: what a peer says that knows the messages of this module.
+/// Version of the broadcast protocol of this build. A peer with this version or a higher one supports these messages.
 pub const VERSION: u32 = 1;
 
 fn is_default<T: Default + PartialEq>(value: &T) -> bool {
     *value == T::default()
 }
 
-/// A relay that follows a voter asks what is new, and says what it has received.
+/// Request of a subscribed relay for new updates, with an acknowledgement of those that it received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Poll {
-    /// The start of the process that asks.
+    /// Incarnation of the relay's process.
     #[serde(rename = "s")]
     pub incarnation: u64,
-    /// Grows with each poll and each `Follow`.
+    /// Grows with each poll and each subscription of that process.
     #[serde(rename = "n")]
     pub sequence: u64,
-    /// The number of the `Follow` with which its stream of deliveries began.
+    /// Sequence number of the subscription that started the stream of deliveries.
     #[serde(rename = "q")]
     pub stream: u64,
-    /// The highest sequence number that it received in that stream.
+    /// Highest sequence number that was received in the stream; 0 if there is none.
     #[serde(rename = "h", skip_serializing_if = "is_default")]
     pub highest: u64,
-    /// Which of the 32 before it were received: bit 0 stands for the one right before.
+    /// Which of the 32 sequence numbers below the highest were received; bit 0 is the one right below it.
     #[serde(rename = "m", skip_serializing_if = "is_default")]
     pub received_bitmap: u32,
-    /// Its reports, where the voter has not acknowledged this version of them.
+    /// Reports of the relay; none if the voter has acknowledged this version of them.
     #[serde(rename = "r", skip_serializing_if = "is_default")]
     pub reports: Option<Reports>,
 }
 
-/// What a relay reports to the owners of jobs.
+/// Reports of a relay to the owners of jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Reports {
     /// Grows with each change.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Kind and text of each.
+    /// Kind of job and content of each report.
     #[serde(rename = "o")]
     pub reports: Vec<(String, serde_bytes::ByteBuf)>,
 }
 
-/// What a voter delivers to a relay that follows it.
+/// Updates that a voter sends to a subscribed relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Delivery {
-    /// The start of the process that it is for.
+    /// Incarnation of the process that it is for.
     #[serde(rename = "s")]
     pub incarnation: u64,
-    /// The last question that the voter heard of it.
+    /// Sequence number of the last request that the voter received from that process.
     #[serde(rename = "n")]
     pub request_sequence: u64,
-    /// How long ago that was, in milliseconds, rounded down.
+    /// Age of that request when the delivery was sent, in milliseconds, rounded down.
     #[serde(rename = "a", skip_serializing_if = "is_default")]
     pub request_age_ms: u64,
-    /// The stream, and the place in it, from one on.
+    /// The stream of deliveries.
     #[serde(rename = "q")]
     pub stream: u64,
-    /// See `stream`.
+    /// Sequence number in the stream, from 1; 0 for a delivery that needs no acknowledgement.
     #[serde(rename = "h", skip_serializing_if = "is_default")]
     pub sequence: u64,
-    /// The version of the relay's reports that the voter has.
+    /// Version of the relay's reports that the voter has.
     #[serde(rename = "v", skip_serializing_if = "is_default")]
     pub reports_version: u64,
-    /// The voter does not know the relay: it must follow anew.
+    /// The voter does not know the stream: the relay must subscribe again.
     #[serde(rename = "u", skip_serializing_if = "is_default")]
     pub must_resubscribe: bool,
     /// Updates of jobs.
@@ -82,125 +82,125 @@
     pub updates: Vec<Delivered>,
 }
 
-/// An update of one job.
+/// An update of one job. It has one of `changes`, `full` and `permitted`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Delivered {
-    /// The job, and the token of its owner.
+    /// Name of the job.
     #[serde(rename = "j")]
     pub job: String,
-    /// See `job`.
+    /// Fencing token of the job's owner.
     #[serde(rename = "t")]
     pub token: FencingToken,
-    /// The number of the update, where it is a whole one.
+    /// Sequence number of a full update.
     #[serde(rename = "n", skip_serializing_if = "is_default")]
     pub sequence: u64,
-    /// At most so old when it was sent on, in milliseconds, rounded up.
+    /// Maximum age when it was sent, in milliseconds, rounded up.
     #[serde(rename = "a", skip_serializing_if = "is_default")]
     pub age_ms: u64,
     /// Changes of the job's table.
     #[serde(rename = "c", skip_serializing_if = "Option::is_none")]
     pub changes: Option<serde_bytes::ByteBuf>,
-    /// The update as a whole, as an owner of an older build tells it.
+    /// A full update, as owners of older builds publish it.
     #[serde(rename = "w", skip_serializing_if = "Option::is_none")]
     pub full: Option<serde_bytes::ByteBuf>,
-    /// Moves that this relay may have made since its start.
+    /// Number of migrations that this relay is permitted since its start.
     #[serde(rename = "p", skip_serializing_if = "is_default")]
     pub permitted: u64,
 }
 
-/// An owner hands a voter what is to be told to the relays, and asks for the summary of what they report.
+/// Update that an owner sends to a voter for its subscribers. The voter answers with a [`Receipt`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Submission {
-    /// The start of the owner's process.
+    /// Incarnation of the owner's process.
     #[serde(rename = "s")]
     pub incarnation: u64,
-    /// Grows with each; the receipt bears it.
+    /// Grows with each submission; the receipt repeats it.
     #[serde(rename = "n")]
     pub sequence: u64,
-    /// The job, and the token under which it is said.
+    /// Name of the job.
     #[serde(rename = "j")]
     pub job: String,
-    /// See `job`.
+    /// Fencing token of the owner.
     #[serde(rename = "t")]
     pub token: FencingToken,
-    /// The last moment of the voter's clock that the voter has told this owner, and how long ago that was here.
+    /// The voter's clock as the owner received it last; 0 if it did not.
     #[serde(rename = "k")]
     pub stamp: Micros,
-    /// See `stamp`.
+    /// How long ago that was, by the owner's clock.
     #[serde(rename = "e")]
     pub stamp_age: Micros,
     /// Changes of the job's table, from a version that the voter has.
     #[serde(rename = "c", skip_serializing_if = "Option::is_none")]
     pub changes: Option<serde_bytes::ByteBuf>,
-    /// The allowance of moves.
+    /// Allowance of migrations for this voter.
     #[serde(rename = "m", skip_serializing_if = "Option::is_none")]
     pub allowance: Option<Allowance>,
 }
 
-/// How many moves the relays that follow a voter may be permitted by it, since that voter's process began.
+/// How many migrations a voter may permit to the relays that follow it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Allowance {
-    /// Which process it is for. None other may use it.
+    /// The voter's process that it is for. No other may use it.
     #[serde(rename = "i")]
     pub instance: u64,
-    /// So many. It only grows.
+    /// Number of migrations since that process started. It only grows.
     #[serde(rename = "u")]
     pub permitted: u64,
 }
 
-/// What a voter says to a submission.
+/// Answer of a voter to a submission.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Receipt {
-    /// The start of the process that it is for, and the number of the submission.
+    /// Incarnation of the owner's process.
     #[serde(rename = "s")]
-    pub start: u64,
-    /// See `start`.
+    pub incarnation: u64,
+    /// Sequence number of the submission.
     #[serde(rename = "n")]
-    pub number: u64,
-    /// The job.
+    pub sequence: u64,
+    /// Name of the job.
     #[serde(rename = "j")]
     pub job: String,
-    /// The version of the job's table under this owner's token that the voter has.
+    /// Version of the job's table that the voter has under this owner's token; 0 if it has none.
     #[serde(rename = "v", skip_serializing_if = "is_default")]
     pub version: Version,
     /// The voter's clock.
     #[serde(rename = "k")]
     pub stamp: Micros,
-    /// For the owner of moves: what the relays that follow this voter report.
+    /// For the owner of migrations: what the relays that follow this voter report.
     #[serde(rename = "m", skip_serializing_if = "Option::is_none")]
     pub moves: Option<MovesSummary>,
 }
 
-/// What all relays that follow a voter report of their moves, in one.
+/// Summary of the migrations of all relays that follow a voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MovesSummary {
     /// The voter's process.
     #[serde(rename = "i")]
     pub instance: u64,
-    /// The highest allowance that it was given, and what it has permitted or let lapse of that.
+    /// Highest allowance that the voter received.
     #[serde(rename = "u")]
     pub allowed: u64,
-    /// See `allowed`.
+    /// Part of the allowance that was distributed or has expired.
     #[serde(rename = "g")]
     pub used: u64,
-    /// Relays that report moves.
+    /// Number of relays that report migrations.
     #[serde(rename = "n", skip_serializing_if = "is_default")]
     pub relays: u64,
-    /// Sums over them: connections that wait, that were moved, and moves permitted.
+    /// Sum over the relays: connections that wait to be migrated.
     #[serde(rename = "w", skip_serializing_if = "is_default")]
     pub waiting: u64,
-    /// See `waiting`.
+    /// Sum over the relays: migrations made since their start.
     #[serde(rename = "d", skip_serializing_if = "is_default")]
-    pub made: u64,
-    /// See `waiting`.
+    pub completed: u64,
+    /// Sum over the relays: migrations permitted since their start.
     #[serde(rename = "p", skip_serializing_if = "is_default")]
     pub permitted: u64,
-    /// Connections that wait and that nothing is permitted for yet.
+    /// Sum over the relays: waiting connections without a permit.
     #[serde(rename = "l", skip_serializing_if = "is_default")]
-    pub lacking: u64,
+    pub unmet_demand: u64,
 }
--- a/crates/control/src/broadcast/mod.rs
+++ b/crates/control/src/broadcast/mod.rs
@@ -1,5 +1,5 @@
-//! Reports of relays up to the owners of jobs, and updates of owners down to all relays, by way of the voters.
-//! `docs/design/broadcast.md` says what was weighed and why it holds.
+//! Broadcast: reports of relays to the owners of jobs, and updates of owners to all relays, by way of the voters.
+//! `docs/design/broadcast.md` has the design and the argument for it.
 
 pub mod allowance;
 pub mod broadcaster;
@@ -11,3 +11,4 @@
 pub mod subscriber;
 mod subscription;
 pub mod table;
+mod token_bucket;
--- a/crates/control/src/broadcast/quantise.rs
+++ b/crates/control/src/broadcast/quantise.rs
@@ -1,56 +1,67 @@
-//! Loads as levels: numbers so coarse that a level changes only where a decision may change, and so small that a level is
-//! one or two bytes.
+//! Quantised loads: levels so coarse that a level changes only where a decision may change, and so small that a level
+//! takes one or two bytes.
 //!
-//! Up to [`LINEAR`] a level is a twentieth wide. All thresholds of the decisions (0.3, 0.4, 0.6, 0.7, 0.75, 0.9 and 1.0 of
-//! a backend's capacity) are borders of such levels, and a level stands for its middle, so a load that is told is on the
-//! same side of each threshold as the load that was measured. Above that levels grow by a sixteenth of an octave: counts of
-//! connections, which the decisions only add up and divide, are within about 2.2% of what was measured.
+//! Input: a load, in units of an endpoint's capacity or as a count. Output: its level, and the load that a level stands
+//! for.
+//!
+//! Below [`LINEAR_LEVELS`] a level is 0.05 wide. All thresholds of the decisions (0.3, 0.4, 0.6, 0.7, 0.75, 0.9 and 1.0)
+//! are boundaries of levels, and a level stands for its midpoint, so a quantised load is on the same side of each
+//! threshold as the original. Above that a level is a sixteenth of an octave wide: counts of connections, which the
+//! decisions only add and divide, are within about 2.2% of the original.
 
 #[cfg(test)]
 mod tests;
 
-/// A load as it is told.
+/// A quantised load.
 pub type Level = u16;
 
-/// Levels in a load of one.
-const PER_UNIT: f32 = 20.0;
-/// Levels of equal width: they reach up to a load of 1.6.
-const LINEAR: Level = 32;
-/// Levels in an octave above that.
-const PER_OCTAVE: f32 = 16.0;
-/// The highest level: 2^60, more than anything that is counted.
-const HIGHEST: f32 = 1_000.0;
+/// Linear levels per unit of load.
+const LEVELS_PER_UNIT: f32 = 20.0;
+/// Number of linear levels: they reach a load of 1.6.
+const LINEAR_LEVELS: Level = 32;
+/// Logarithmic levels per octave of load.
+const LEVELS_PER_OCTAVE: f32 = 16.0;
+/// Highest logarithmic level: a load above 2^60, more than any count.
+const MAX_LOGARITHMIC_LEVEL: f32 = 1_000.0;
 
-/// The level of a load; none for what is no load: a negative or infinite number, or none at all.
+/// The level of a load; none for a negative, infinite or undefined number.
 pub fn level(load: f32) -> Option<Level> {
     if !load.is_finite() || load < 0.0 {
         return None;
     }
-    let border = f32::from(LINEAR) / PER_UNIT;
-    if load < border {
-        return Some(linear(load));
+    let max_linear_load = f32::from(LINEAR_LEVELS) / LEVELS_PER_UNIT;
+    if load < max_linear_load {
+        return Some(linear_level(load));
     }
-    let above = ((load / border).log2() * PER_OCTAVE).floor().min(HIGHEST);
-    Some(LINEAR + above as Level)
+    let octaves = (load / max_linear_load).log2();
+    let logarithmic_level = (octaves * LEVELS_PER_OCTAVE)
+        .floor()
+        .min(MAX_LOGARITHMIC_LEVEL);
+    Some(LINEAR_LEVELS + logarithmic_level as Level)
 }
 
-/// The level of a load below [`LINEAR`]. A product of floats may fall short of a border that the load has reached.
-fn linear(load: f32) -> Level {
-    let level = (load * PER_UNIT) as Level;
-    let next = f32::from(level + 1) / PER_UNIT;
-    let level = if load >= next { level + 1 } else { level };
-    if load < f32::from(level) / PER_UNIT {
+/// The level of a load in the linear range. The product is rounded, so the level is corrected by comparing the load with
+/// its boundaries.
+fn linear_level(load: f32) -> Level {
+    let product = (load * LEVELS_PER_UNIT) as Level;
+    let next_boundary = f32::from(product + 1) / LEVELS_PER_UNIT;
+    let level = if load >= next_boundary {
+        product + 1
+    } else {
+        product
+    };
+    if load < f32::from(level) / LEVELS_PER_UNIT {
         level - 1
     } else {
         level
     }
 }
 
-/// The load that a level stands for: its middle.
+/// The load that a level stands for: its midpoint.
 pub fn load(level: Level) -> f32 {
-    if level < LINEAR {
-        return (f32::from(level) + 0.5) / PER_UNIT;
+    if level < LINEAR_LEVELS {
+        return (f32::from(level) + 0.5) / LEVELS_PER_UNIT;
     }
-    let octaves = (f32::from(level - LINEAR) + 0.5) / PER_OCTAVE;
-    f32::from(LINEAR) / PER_UNIT * octaves.exp2()
+    let octaves = (f32::from(level - LINEAR_LEVELS) + 0.5) / LEVELS_PER_OCTAVE;
+    f32::from(LINEAR_LEVELS) / LEVELS_PER_UNIT * octaves.exp2()
 }
--- a/crates/control/src/broadcast/stream.rs
+++ b/crates/control/src/broadcast/stream.rs
@@ -1,12 +1,11 @@
-//! What one relay was sent and has received: a voter's account of it, and the relay's own.
+//! Streams of deliveries: which versions a voter sent to one relay, and which of them the relay has acknowledged.
 //!
-//! Deliveries of a stream bear sequence numbers. A relay says with each poll which of the last ones it has. The voter
-//! writes changes from the version that it sent last, and from the one that was acknowledged where that is lost. A relay
-//! that lacks what changes start from refuses them, and follows anew.
+//! The deliveries of a stream have sequence numbers, and each poll of the relay acknowledges those that arrived. The
+//! voter writes changes from the version that it sent last, or from the acknowledged one if that was lost. A relay that
+//! lacks the version that changes start from rejects them and subscribes again.
 //!
-//! Guards against: a slow relay (only the newest version of each job is ever sent; nothing queues here), a burst (a bucket of
-//! bytes bounds what a relay is sent; what it needs most goes first, then what it has waited for longest), and
-//! acknowledgements of a stream of before.
+//! Guards against: a slow relay (only the newest version of each job is ever sent, and nothing is queued), lost
+//! deliveries (they are sent again), and acknowledgements of an earlier stream.
 
 use crate::jobs::assignment::FencingToken;
 use crate::Micros;
@@ -15,200 +14,201 @@
 #[cfg(test)]
 mod tests;
 
-/// Deliveries whose acknowledgement may still come.
-const IN_FLIGHT: usize = 33;
-/// A delivery that is not acknowledged by then is taken for lost.
-const LOST_AFTER: Micros = 1_000_000;
-/// Bytes that a bucket holds at most, and owes at most, in milliseconds of its rate.
-const BURST_MS: u64 = 1_000;
+/// Sequence numbers below the highest that an acknowledgement covers: the bits of its bitmap.
+const BITMAP_BITS: u64 = u32::BITS as u64;
+/// Maximum number of unacknowledged deliveries: those that one acknowledgement can cover.
+const MAX_IN_FLIGHT: usize = 33;
+/// A delivery that is not acknowledged after this time is lost.
+const ACKNOWLEDGEMENT_TIMEOUT: Micros = 1_000_000;
+
+/// Which update of a job someone has. Ordered by token, then by version: both only grow.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct HeldVersion {
+    /// Fencing token of the owner that published it; 0 if there is none.
+    pub token: FencingToken,
+    /// Sequence number or table version under that token.
+    pub version: u64,
+}
 
-/// Token and version of what somebody has of a job. Tokens of owners only grow, and versions under a token.
-pub type HeldVersion = (FencingToken, u64);
+impl HeldVersion {
+    /// The version with this number under this token.
+    pub fn new(token: FencingToken, version: u64) -> HeldVersion {
+        HeldVersion { token, version }
+    }
+}
 
-/// The relay's side: which deliveries came.
+/// The relay's acknowledgement: which deliveries of a stream it has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedSequences {
-    /// The number of the `Follow` with which the stream began.
+    /// Sequence number of the subscription that started the stream.
     pub stream: u64,
     /// See [`super::message::Poll::highest`].
     pub highest: u64,
-    /// See [`super::message::Poll::before`].
-    pub before: u32,
+    /// See [`super::message::Poll::received_bitmap`].
+    pub bitmap: u32,
 }
 
 impl ReceivedSequences {
-    /// A delivery was taken.
+    /// Records a received delivery. One of another stream, or without a sequence number (0), changes nothing.
     pub fn add(&mut self, stream: u64, sequence: u64) {
         if stream != self.stream || sequence == 0 {
             return;
         }
         if sequence > self.highest {
-            let by = sequence - self.highest;
-            let shifted = if by < 32 { self.before << by } else { 0 };
-            let last = if self.highest > 0 && by <= 32 {
-                1 << (by - 1)
-            } else {
-                0
-            };
-            (self.highest, self.before) = (sequence, shifted | last);
-        } else if sequence < self.highest && self.highest - sequence <= 32 {
-            self.before |= 1 << (self.highest - sequence - 1);
+            self.advance(sequence);
+        } else if sequence < self.highest {
+            let distance = self.highest - sequence;
+            if distance <= BITMAP_BITS {
+                self.bitmap |= 1 << (distance - 1);
+            }
         }
     }
 
-    fn has(&self, sequence: u64) -> bool {
-        let behind = self.highest.wrapping_sub(sequence);
-        behind == 0
-            || (sequence < self.highest && behind <= 32 && self.before & 1 << (behind - 1) != 0)
-    }
-}
-
-/// A bucket of bytes that fills at a rate. What must go out may leave it in debt.
-#[derive(Clone, Copy, Debug)]
-pub struct TokenBucket {
-    /// In thousandths of a byte.
-    level: i64,
-    at: Micros,
-}
-
-impl TokenBucket {
-    /// One that begins to fill.
-    pub fn new(now: Micros) -> TokenBucket {
-        TokenBucket { level: 0, at: now }
+    /// Makes a sequence number the highest. Bit 0 of the bitmap stands for the one right below the highest.
+    fn advance(&mut self, sequence: u64) {
+        let distance = sequence - self.highest;
+        let shifted = if distance < BITMAP_BITS {
+            self.bitmap << distance
+        } else {
+            0
+        };
+        let has_former_highest = self.highest > 0 && distance <= BITMAP_BITS;
+        let former_highest_bit = if has_former_highest {
+            1 << (distance - 1)
+        } else {
+            0
+        };
+        self.highest = sequence;
+        self.bitmap = shifted | former_highest_bit;
     }
 
-    /// Time has passed; whether there is anything in it.
-    pub fn fill(&mut self, now: Micros, bytes_a_second: u64) -> bool {
-        let most = (bytes_a_second * BURST_MS) as i64;
-        let ms = (now.saturating_sub(self.at) / 1_000).min(2 * BURST_MS);
-        if ms > 0 {
-            self.level = (self.level + (ms * bytes_a_second) as i64).min(most);
-            self.at += now.saturating_sub(self.at) / 1_000 * 1_000;
+    fn has(&self, sequence: u64) -> bool {
+        if sequence >= self.highest {
+            return sequence == self.highest;
         }
-        self.level > 0
-    }
-
-    /// So many bytes go out.
-    pub fn take(&mut self, bytes: usize, bytes_a_second: u64) {
-        let least = -((bytes_a_second * BURST_MS) as i64);
-        self.level = (self.level - bytes as i64 * 1_000).max(least);
-    }
-
-    /// Whether there is anything in it.
-    pub fn has_any(&self) -> bool {
-        self.level > 0
+        let distance = self.highest - sequence;
+        distance <= BITMAP_BITS && self.bitmap & 1 << (distance - 1) != 0
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct JobState {
+    /// Newest version that the relay has acknowledged.
     acknowledged: HeldVersion,
+    /// Newest version that was sent and is not known to be lost.
     sent: HeldVersion,
     sent_at: Micros,
 }
 
-struct Sent {
+struct SentDelivery {
     sequence: u64,
-    at: Micros,
-    of: Vec<(String, HeldVersion)>,
+    sent_at: Micros,
+    versions: Vec<(String, HeldVersion)>,
 }
 
-/// The voter's side.
+/// The voter's state of a stream.
 pub struct Stream {
-    /// The number of the `Follow` with which it began.
-    pub number: u64,
-    sequence: u64,
+    /// Sequence number of the subscription that started the stream; identifies it.
+    pub id: u64,
+    last_sequence: u64,
     jobs: BTreeMap<String, JobState>,
-    in_flight: VecDeque<Sent>,
+    in_flight: VecDeque<SentDelivery>,
 }
 
 impl Stream {
-    /// A relay follows, and has these.
-    pub fn new(number: u64, has: impl IntoIterator<Item = (String, HeldVersion)>) -> Stream {
-        let state = |(job, have)| {
-            (
-                job,
-                JobState {
-                    acknowledged: have,
-                    sent: have,
-                    sent_at: 0,
-                },
-            )
+    /// A stream for a relay that subscribed with this sequence number and has these versions.
+    pub fn new(id: u64, held: impl IntoIterator<Item = (String, HeldVersion)>) -> Stream {
+        let job_state = |(job, version)| {
+            let state = JobState {
+                acknowledged: version,
+                sent: version,
+                sent_at: 0,
+            };
+            (job, state)
         };
         Stream {
-            number,
-            sequence: 0,
-            jobs: has.into_iter().map(state).collect(),
+            id,
+            last_sequence: 0,
+            jobs: held.into_iter().map(job_state).collect(),
             in_flight: VecDeque::new(),
         }
     }
 
-    /// A poll says what was received.
+    /// Handles an acknowledgement. A delivery is lost if a later one arrived without it, or after a timeout; one that
+    /// arrives late after all still counts until the timeout.
     pub fn acknowledged(&mut self, now: Micros, received: ReceivedSequences) {
-        if received.stream != self.number {
+        if received.stream != self.id {
             return;
         }
-        let lost = |sent: &Sent| sent.sequence < received.highest || now >= sent.at + LOST_AFTER;
-        for sent in std::mem::take(&mut self.in_flight) {
-            let has = received.has(sent.sequence);
-            for (job, have) in &sent.of {
-                let state = self.jobs.entry(job.clone()).or_default();
-                if has {
-                    state.acknowledged = state.acknowledged.max(*have);
-                    state.sent = state.sent.max(state.acknowledged);
-                } else if lost(&sent) && state.sent == *have {
-                    // It is sent again, as if it never had been.
-                    state.sent = state.acknowledged;
-                }
+        for delivery in std::mem::take(&mut self.in_flight) {
+            let is_timed_out = now >= delivery.sent_at + ACKNOWLEDGEMENT_TIMEOUT;
+            if received.has(delivery.sequence) {
+                self.confirm(&delivery);
+                continue;
             }
-            if !has && now < sent.at + LOST_AFTER {
-                self.in_flight.push_back(sent);
+            if is_timed_out || delivery.sequence < received.highest {
+                self.revert(&delivery);
+            }
+            if !is_timed_out {
+                self.in_flight.push_back(delivery);
+            }
+        }
+    }
+
+    fn confirm(&mut self, delivery: &SentDelivery) {
+        for (job, version) in &delivery.versions {
+            let state = self.jobs.entry(job.clone()).or_default();
+            state.acknowledged = state.acknowledged.max(*version);
+            state.sent = state.sent.max(state.acknowledged);
+        }
+    }
+
+    /// Treats the versions of a lost delivery as not sent.
+    fn revert(&mut self, delivery: &SentDelivery) {
+        for (job, version) in &delivery.versions {
+            let state = self.jobs.entry(job.clone()).or_default();
+            if state.sent == *version {
+                state.sent = state.acknowledged;
             }
         }
     }
 
-    /// Whether a job's newest version has not been sent.
+    /// Whether the newest version of a job has not been sent.
     pub fn lacks(&self, job: &str, newest: HeldVersion) -> bool {
         self.sent(job) < newest
     }
 
-    /// What the relay was sent of a job, whether it came or not.
+    /// The version of a job that was sent last and is not known to be lost.
     pub fn sent(&self, job: &str) -> HeldVersion {
-        self.jobs.get(job).map_or((0, 0), |state| state.sent)
+        self.jobs
+            .get(job)
+            .map_or(HeldVersion::default(), |state| state.sent)
     }
 
-    /// When a job's last version was sent.
+    /// When a version of a job was sent last; 0 if never.
     pub fn sent_at(&self, job: &str) -> Micros {
         self.jobs.get(job).map_or(0, |state| state.sent_at)
     }
 
-    /// A delivery goes out with these versions; its sequence number.
-    pub fn send(&mut self, now: Micros, of: Vec<(String, HeldVersion)>) -> u64 {
-        self.sequence += 1;
-        for (job, have) in &of {
+    /// Records a delivery with these versions and returns its sequence number. If too many deliveries are in flight, the
+    /// oldest counts as lost.
+    pub fn send(&mut self, now: Micros, versions: Vec<(String, HeldVersion)>) -> u64 {
+        self.last_sequence += 1;
+        for (job, version) in &versions {
             let state = self.jobs.entry(job.clone()).or_default();
-            (state.sent, state.sent_at) = (*have, now);
+            state.sent = *version;
+            state.sent_at = now;
         }
-        if self.in_flight.len() == IN_FLIGHT {
+        if self.in_flight.len() == MAX_IN_FLIGHT {
             if let Some(oldest) = self.in_flight.pop_front() {
-                for (job, have) in oldest.of {
-                    let state = self.jobs.entry(job).or_default();
-                    if state.sent == have {
-                        state.sent = state.acknowledged;
-                    }
-                }
+                self.revert(&oldest);
             }
         }
-        self.in_flight.push_back(Sent {
-            sequence: self.sequence,
-            at: now,
-            of,
+        self.in_flight.push_back(SentDelivery {
+            sequence: self.last_sequence,
+            sent_at: now,
+            versions,
         });
-        self.sequence
-    }
-
-    /// Forgets jobs that there are no more.
-    pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
-        self.jobs.retain(|job, _| exists(job));
+        self.last_sequence
     }
 }
--- a/crates/control/src/broadcast/stream/tests.rs
+++ b/crates/control/src/broadcast/stream/tests.rs
@@ -12,14 +12,18 @@
 }
 
 fn send(stream: &mut Stream, now: Micros, version: u64) -> u64 {
-    stream.send(now, vec![("a".into(), (1, version))])
+    stream.send(now, vec![("a".into(), HeldVersion::new(1, version))])
 }
 
 #[test]
 fn the_window_records_sequences_in_any_order() {
     let window = received(&[1, 2, 5, 4, 40, 38, 2]);
     let has: Vec<u64> = (1..=41).filter(|sequence| window.has(*sequence)).collect();
-    assert_eq!(has, [38, 40], "what is 33 and more behind counts as lost");
+    assert_eq!(
+        has,
+        [38, 40],
+        "more than 32 below the highest counts as lost"
+    );
     let window = received(&[2, 4, 3, 34]);
     let has: Vec<u64> = (1..=41).filter(|sequence| window.has(*sequence)).collect();
     assert_eq!(has, [2, 3, 4, 34]);
@@ -30,55 +34,44 @@
 
 #[test]
 fn changes_start_from_the_sent_version_or_the_acknowledged_one_after_a_loss() {
-    let mut stream = Stream::new(3, [("a".to_string(), (1, 4))]);
-    assert!(!stream.lacks("a", (1, 4)) && stream.lacks("a", (1, 5)) && stream.lacks("b", (1, 1)));
+    let mut stream = Stream::new(3, [("a".to_string(), HeldVersion::new(1, 4))]);
+    assert!(
+        !stream.lacks("a", HeldVersion::new(1, 4))
+            && stream.lacks("a", HeldVersion::new(1, 5))
+            && stream.lacks("b", HeldVersion::new(1, 1))
+    );
     assert_eq!((send(&mut stream, 0, 5), send(&mut stream, 10, 6)), (1, 2));
-    assert!(!stream.lacks("a", (1, 6)));
+    assert!(!stream.lacks("a", HeldVersion::new(1, 6)));
     stream.acknowledged(20, received(&[1]));
-    assert_eq!(stream.sent("a"), (1, 6), "it is on its way");
-    stream.acknowledged(LOST_AFTER + 10, received(&[1]));
-    assert_eq!(stream.sent("a"), (1, 5), "it is lost");
-    // One that is overtaken is lost, too; if it comes later, it counts.
-    send(&mut stream, LOST_AFTER + 20, 7);
-    send(&mut stream, LOST_AFTER + 20, 7);
-    stream.acknowledged(LOST_AFTER + 30, received(&[1, 4]));
-    assert_eq!(stream.sent("a"), (1, 7));
-    // An acknowledgement of another stream says nothing.
-    send(&mut stream, LOST_AFTER + 40, 8);
+    assert_eq!(stream.sent("a"), HeldVersion::new(1, 6), "it is in flight");
+    stream.acknowledged(ACKNOWLEDGEMENT_TIMEOUT + 10, received(&[1]));
+    assert_eq!(stream.sent("a"), HeldVersion::new(1, 5), "it is lost");
+    // A delivery that was overtaken is lost as well; if it arrives later, it counts.
+    send(&mut stream, ACKNOWLEDGEMENT_TIMEOUT + 20, 7);
+    send(&mut stream, ACKNOWLEDGEMENT_TIMEOUT + 20, 7);
+    stream.acknowledged(ACKNOWLEDGEMENT_TIMEOUT + 30, received(&[1, 4]));
+    assert_eq!(stream.sent("a"), HeldVersion::new(1, 7));
+    // An acknowledgement of another stream is ignored.
+    send(&mut stream, ACKNOWLEDGEMENT_TIMEOUT + 40, 8);
     stream.acknowledged(
-        LOST_AFTER + 50,
+        ACKNOWLEDGEMENT_TIMEOUT + 50,
         ReceivedSequences {
             stream: 2,
             highest: 5,
-            before: u32::MAX,
+            bitmap: u32::MAX,
         },
     );
-    stream.acknowledged(2 * LOST_AFTER + 50, received(&[]));
-    assert_eq!(stream.sent("a"), (1, 7));
+    stream.acknowledged(2 * ACKNOWLEDGEMENT_TIMEOUT + 50, received(&[]));
+    assert_eq!(stream.sent("a"), HeldVersion::new(1, 7));
 }
 
 #[test]
 fn deliveries_in_flight_are_bounded_and_evicted_ones_are_sent_again() {
     let mut stream = Stream::new(3, []);
-    stream.send(0, vec![("b".into(), (1, 1))]);
-    for version in 1..=IN_FLIGHT as u64 {
+    stream.send(0, vec![("b".into(), HeldVersion::new(1, 1))]);
+    for version in 1..=MAX_IN_FLIGHT as u64 {
         send(&mut stream, 0, version);
     }
-    assert_eq!(stream.in_flight.len(), IN_FLIGHT);
-    assert!(stream.lacks("b", (1, 1)));
-}
-
-#[test]
-fn a_token_bucket_fills_at_its_rate_and_its_debt_is_at_most_one_second() {
-    let mut bucket = TokenBucket::new(0);
-    assert!(!bucket.has_any());
-    bucket.take(5_000, 1_000);
-    assert!(
-        !bucket.fill(1_000_000, 1_000),
-        "a second's debt is paid back"
-    );
-    assert!(bucket.fill(1_001_000, 1_000));
-    assert!(bucket.fill(900_000_000, 1_000));
-    bucket.take(1_000, 1_000);
-    assert!(!bucket.has_any(), "nothing beyond a second is saved up");
+    assert_eq!(stream.in_flight.len(), MAX_IN_FLIGHT);
+    assert!(stream.lacks("b", HeldVersion::new(1, 1)));
 }
--- a/crates/control/src/broadcast/subscription.rs
+++ b/crates/control/src/broadcast/subscription.rs
@@ -1,102 +1,117 @@
-//! What a voter keeps of a relay that follows it.
+//! Subscription: a voter's state of one relay that follows it.
+//!
+//! Guards against: a relay that is gone (it counts as silent after a timeout), and reports that are too many or too long.
 
 use super::allowance::RelayMoves;
 use super::message::VERSION;
-use super::stream::{HeldVersion, Stream, TokenBucket};
+use super::stream::{HeldVersion, Stream};
+use super::token_bucket::TokenBucket;
 use crate::jobs::assignment::FencingToken;
 use crate::jobs::moves::{self, MigrationStatus};
 use crate::wire::message::{RelayId, Report, Subscribe, Updates};
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Who has not asked for so long follows no more.
-const SILENT: Micros = 3_000_000;
-/// The longest report of a relay, in bytes, and kinds of reports of one relay.
-const MOST_REPORT: usize = 1024;
-const MOST_REPORTS: usize = 8;
+/// A relay that has not sent a request for this time follows no longer.
+const SUBSCRIPTION_TIMEOUT: Micros = 3_000_000;
+/// Maximum size of a report, in bytes. Longer ones are dropped.
+const MAX_REPORT_BYTES: usize = 1024;
+/// Maximum number of reports of one relay. Further ones are dropped.
+const MAX_REPORTS_PER_RELAY: usize = 8;
 
-/// A relay that follows.
+/// A relay that follows this voter.
 pub(super) struct Subscription {
     pub relay: RelayId,
-    /// The last question, and when it came.
-    pub number: u64,
-    pub heard: Micros,
-    /// What it said to have of whole updates.
-    pub knows: BTreeMap<String, HeldVersion>,
+    /// Sequence number of the latest request.
+    pub sequence: u64,
+    /// When the latest request arrived.
+    pub last_request_at: Micros,
+    /// Full updates that the relay has, by job.
+    pub known_updates: BTreeMap<String, HeldVersion>,
     pub reports: Vec<Report>,
     pub reports_version: u64,
-    pub moves: Option<RelayMoves>,
-    /// None where its build knows no deliveries.
-    pub compact: Option<Compact>,
+    /// Migrations of the relay, if it reports any.
+    pub migrations: Option<RelayMoves>,
+    /// None if the relay's build does not support deliveries.
+    pub deliveries: Option<DeliveryState>,
 }
 
-/// What is kept of a relay that takes deliveries.
-pub(super) struct Compact {
+/// State of the deliveries to a relay.
+pub(super) struct DeliveryState {
     pub stream: Stream,
-    pub bucket: TokenBucket,
-    /// Where it stands: updates of that zone are what it needs most.
+    pub token_bucket: TokenBucket,
+    /// Zone of the relay: updates of its jobs are urgent.
     pub zone: String,
 }
 
 impl Subscription {
-    /// The subscription that a relay asks for. What it was permitted before it keeps, where it is the same process.
-    pub fn new(now: Micros, follow: Subscribe, before: Option<&Subscription>) -> Subscription {
-        let before = before.filter(|before| before.relay == follow.relay);
-        let of = |of: Vec<(String, FencingToken, u64)>| {
-            of.into_iter()
-                .map(|(job, token, number)| (job, (token, number)))
-        };
-        let compact = (follow.version >= VERSION).then(|| Compact {
-            stream: Stream::new(follow.sequence, of(follow.tables)),
-            bucket: before
-                .and_then(|before| Some(before.compact.as_ref()?.bucket))
-                .unwrap_or(TokenBucket::new(now)),
-            zone: follow.zone,
+    /// The subscription that a relay requests. Its permits and its token bucket are taken from the previous one, if that
+    /// is of the same process.
+    pub fn new(now: Micros, request: Subscribe, previous: Option<&Subscription>) -> Subscription {
+        let previous = previous.filter(|previous| previous.relay == request.relay);
+        let deliveries = (request.version >= VERSION).then(|| DeliveryState {
+            stream: Stream::new(request.sequence, held_versions(request.tables)),
+            token_bucket: previous
+                .and_then(|previous| previous.deliveries.as_ref())
+                .map_or(TokenBucket::new(now), |deliveries| deliveries.token_bucket),
+            zone: request.zone,
         });
         let mut subscription = Subscription {
-            relay: follow.relay,
-            number: follow.sequence,
-            heard: now,
-            knows: of(follow.known_updates).collect(),
+            relay: request.relay,
+            sequence: request.sequence,
+            last_request_at: now,
+            known_updates: held_versions(request.known_updates).collect(),
             reports: Vec::new(),
-            reports_version: follow.reports_version,
-            moves: before.and_then(|before| before.moves),
-            compact,
+            reports_version: request.reports_version,
+            migrations: previous.and_then(|previous| previous.migrations),
+            deliveries,
         };
-        subscription.take_reports(follow.reports);
+        subscription.set_reports(request.reports);
         subscription
     }
 
-    /// Whether it follows no more.
+    /// Whether the relay follows no longer.
     pub fn is_silent(&self, now: Micros) -> bool {
-        now >= self.heard + SILENT
+        now >= self.last_request_at + SUBSCRIPTION_TIMEOUT
     }
 
-    /// It reports anew.
-    pub fn take_reports(&mut self, reports: Vec<Report>) {
+    /// Replaces the relay's reports.
+    pub fn set_reports(&mut self, reports: Vec<Report>) {
         self.reports = reports;
         self.reports
-            .retain(|report| report.payload.len() <= MOST_REPORT);
-        self.reports.truncate(MOST_REPORTS);
-        let of_moves = self
+            .retain(|report| report.payload.len() <= MAX_REPORT_BYTES);
+        self.reports.truncate(MAX_REPORTS_PER_RELAY);
+        let migration_report = self
             .reports
             .iter()
             .find(|report| report.kind == moves::KIND);
-        match of_moves.and_then(|report| MigrationStatus::decode(&report.payload)) {
-            Some(moving) => self.moves.get_or_insert_default().report(moving),
-            None => self.moves = None,
+        match migration_report.and_then(|report| MigrationStatus::decode(&report.payload)) {
+            Some(status) => self.migrations.get_or_insert_default().report(status),
+            None => self.migrations = None,
         }
     }
 
-    /// An answer that says nothing yet but the voter's clock.
-    pub fn answer(&self, now: Micros) -> Updates {
+    /// A response to the latest request, with the voter's clock and without updates.
+    pub fn response(&self, now: Micros) -> Updates {
         Updates {
             incarnation: self.relay.incarnation,
-            sequence: self.number,
-            request_age: now - self.heard,
+            sequence: self.sequence,
+            request_age: now - self.last_request_at,
             stamp: now,
-            version: if self.compact.is_some() { VERSION } else { 0 },
+            version: if self.deliveries.is_some() {
+                VERSION
+            } else {
+                0
+            },
             ..Updates::default()
         }
     }
 }
+
+fn held_versions(
+    versions: Vec<(String, FencingToken, u64)>,
+) -> impl Iterator<Item = (String, HeldVersion)> {
+    versions
+        .into_iter()
+        .map(|(job, token, version)| (job, HeldVersion::new(token, version)))
+}
--- a/crates/control/src/broadcast/table/tests.rs
+++ b/crates/control/src/broadcast/table/tests.rs
@@ -1,15 +1,20 @@
+use super::encode::MAX_CACHED_CHANGES;
+use super::update::LOST_ENDPOINT_TIMEOUT;
 use super::*;
 
 fn columns() -> Vec<String> {
     vec!["x0".into(), "active".into()]
 }
 
-/// A report of a backend: its number, when, and a load.
-fn report(backend: u64, age: Micros, load: f32) -> Report {
-    (backend, age, vec![load, 3.0])
+fn report(endpoint: u64, age: Micros, load: f32) -> LoadReport {
+    LoadReport {
+        endpoint,
+        age,
+        values: vec![load, 3.0],
+    }
 }
 
-fn round(table: &mut Table, now: Micros, reports: &[Report]) {
+fn round(table: &mut Table, now: Micros, reports: &[LoadReport]) {
     table.update(now, &columns(), reports);
 }
 
@@ -19,7 +24,7 @@
         .iter()
         .map(|row| {
             (
-                row.backend,
+                row.endpoint,
                 row.loads().next().map(|load| (load * 1_000.0).round()),
             )
         })
@@ -41,11 +46,11 @@
         receiver
             .rows()
             .iter()
-            .map(|row| row.seen)
+            .map(|row| row.seen_at)
             .collect::<Vec<_>>(),
         [9_000_000, 8_989_900]
     );
-    // One changes, one is seen unchanged, and a third comes.
+    // One row changes, one is unchanged, and a third is added.
     round(
         &mut owner,
         1_500_000,
@@ -59,15 +64,15 @@
     assert!(changes.len() < owner.changes(0).len());
     receiver.apply(9_500_000, &changes).unwrap();
     assert_eq!(receiver.digest(), owner.digest());
-    assert_eq!(receiver.rows()[1].seen, 9_500_000 - 30_300);
-    // Nothing changes, and one does not answer: its time stays.
+    assert_eq!(receiver.rows()[1].seen_at, 9_500_000 - 30_300);
+    // No row changes, and one endpoint does not answer: its time stays.
     round(
         &mut owner,
         2_000_000,
         &[report(80, 0, 0.21), report(90, 0, 0.1)],
     );
     receiver.apply(10_000_000, owner.changes(2)).unwrap();
-    let seen: Vec<Micros> = receiver.rows().iter().map(|row| row.seen).collect();
+    let seen: Vec<Micros> = receiver.rows().iter().map(|row| row.seen_at).collect();
     assert_eq!(seen, [9_500_000, 10_000_000, 10_000_000]);
     assert_eq!(receiver.confirmed().count(), 2);
 }
@@ -82,7 +87,7 @@
     assert_eq!(receiver.apply(0, &late), Err(TableError::Gap));
     receiver.apply(0, owner.changes(0)).unwrap();
     assert_eq!(receiver.apply(0, &late), Err(TableError::Old));
-    // From an older version than the receiver has they hold more than it lacks, and fit.
+    // Changes from an older version than the receiver has contain more than it lacks, and apply.
     round(&mut owner, 3_000_000, &[report(70, 0, 0.8)]);
     assert_eq!(receiver.apply(0, owner.changes(2)), Ok(()));
     assert_eq!(receiver.digest(), owner.digest());
@@ -100,7 +105,7 @@
     relay.apply(3_000_000, voter.changes(0)).unwrap();
     for (owner, relay) in owner.rows().iter().zip(relay.rows()) {
         assert!(
-            3_000_000 - relay.seen >= 1_000_000 - owner.seen,
+            3_000_000 - relay.seen_at >= 1_000_000 - owner.seen_at,
             "{owner:?} {relay:?}"
         );
     }
@@ -122,23 +127,37 @@
     let (mut owner, mut receiver) = (Table::new(5), Table::new(5));
     round(&mut owner, 0, &[report(70, 0, 0.5), report(80, 0, 0.2)]);
     receiver.apply(0, owner.changes(0)).unwrap();
-    round(&mut owner, LOST, &[report(80, 0, 0.2)]);
-    receiver.apply(LOST, owner.changes(1)).unwrap();
+    round(&mut owner, LOST_ENDPOINT_TIMEOUT, &[report(80, 0, 0.2)]);
+    receiver
+        .apply(LOST_ENDPOINT_TIMEOUT, owner.changes(1))
+        .unwrap();
     assert_eq!(
         loads(&receiver),
         [(80, Some(225.0))],
-        "whole, though a version is known"
+        "the whole table, though the receiver has a version"
     );
     round(
         &mut owner,
-        LOST + 1,
+        LOST_ENDPOINT_TIMEOUT + 1,
         &[report(80, 0, 0.2), report(70, 0, 0.2)],
     );
-    receiver.apply(LOST, owner.changes(2)).unwrap();
+    receiver
+        .apply(LOST_ENDPOINT_TIMEOUT, owner.changes(2))
+        .unwrap();
     assert_eq!(receiver.digest(), owner.digest());
-    // Other columns are another table.
-    owner.update(LOST + 2, &["qps".to_string()], &[(80, 0, vec![0.1])]);
-    receiver.apply(LOST, owner.changes(3)).unwrap();
+    // Other columns start a new table.
+    owner.update(
+        LOST_ENDPOINT_TIMEOUT + 2,
+        &["qps".to_string()],
+        &[LoadReport {
+            endpoint: 80,
+            age: 0,
+            values: vec![0.1],
+        }],
+    );
+    receiver
+        .apply(LOST_ENDPOINT_TIMEOUT, owner.changes(3))
+        .unwrap();
     assert_eq!(
         (receiver.digest(), receiver.columns().len()),
         (owner.digest(), 1)
@@ -148,14 +167,14 @@
 #[test]
 fn a_new_report_of_the_same_level_differs_from_a_repeated_one() {
     let (mut owner, mut receiver) = (Table::new(5), Table::new(5));
-    let mut told = Vec::new();
+    let mut loads = Vec::new();
     for (n, load) in [0.51, 0.51, 0.52, 0.53, 0.53].into_iter().enumerate() {
         round(&mut owner, n as Micros, &[report(70, 0, load)]);
         receiver.apply(0, owner.changes(n as Version)).unwrap();
-        told.extend(receiver.rows()[0].loads().next());
+        loads.extend(receiver.rows()[0].loads().next());
     }
-    let news: Vec<bool> = told.windows(2).map(|pair| pair[0] != pair[1]).collect();
-    assert_eq!(news, [false, true, true, false]);
+    let is_new: Vec<bool> = loads.windows(2).map(|pair| pair[0] != pair[1]).collect();
+    assert_eq!(is_new, [false, true, true, false]);
 }
 
 #[test]
@@ -170,7 +189,7 @@
         let (first, to) = versions(owner.changes(from)).unwrap();
         assert!(first <= from && to == 100);
     }
-    assert!(owner.encoded.len() <= ENCODED + 1);
+    assert!(owner.encoded.len() <= MAX_CACHED_CHANGES + 1);
 }
 
 #[test]
@@ -181,16 +200,16 @@
     for cut in 0..whole.len() {
         assert_eq!(receiver.apply(0, &whole[..cut]), Err(TableError::Damaged));
     }
-    for place in 0..whole.len() {
+    for index in 0..whole.len() {
         for bits in 1..=255u8 {
             let mut bytes = whole.clone();
-            bytes[place] ^= bits;
+            bytes[index] ^= bits;
             let _ = Table::new(5).apply(0, &bytes);
         }
     }
     receiver.apply(0, &whole).unwrap();
     let before = receiver.digest();
-    // Of another table: it names another backend at a place that is taken.
+    // Changes of another table: they name another endpoint at an index that is taken.
     let mut other = Table::new(5);
     round(&mut other, 0, &[report(70, 0, 0.5)]);
     round(&mut other, 0, &[report(99, 0, 0.5)]);
--- a/crates/control/src/jobs/load_watch.rs
+++ b/crates/control/src/jobs/load_watch.rs
@@ -1,174 +1,203 @@
-//! The load watch of a zone: its owner probes each backend there, round by round, and tells all relays what they said.
+//! Load watch: the job of probing the load of a zone's endpoints for all relays.
 //!
-//! Guards against: an owner that reaches no backend (what failed is not told, so nobody takes a backend for gone on its
-//! word, and after a while it gives the job up), a round that never ends (it is told as far as it came), and probes
-//! that pile up (so many are out at a time).
+//! Input: the time, the endpoints of the zone, and the results of probes. Output: endpoints to probe, and once a round the
+//! reports of those that answered.
+//!
+//! Guards against: an owner that reaches no endpoint (failed probes are not published, so no relay takes an endpoint for
+//! down because of them, and after a while the owner relinquishes the job), a round that never ends (it is published after
+//! a timeout), and too many concurrent probes.
 
-use crate::broadcast::table::{Row, Table};
+use crate::broadcast::table::{LoadReport, Row, Table};
 use crate::{wire, Micros};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, VecDeque};
 
 #[cfg(test)]
 mod tests;
 
-/// The kind of these jobs: `load/ZONE`.
+/// Kind of these jobs; their names are `load/ZONE`.
 pub const KIND: &str = "load";
-/// A round begins so long after the one before, in microseconds: the deployments' backends refresh what they say of their
-/// load every 570 to 1,400 ms.
-const ROUND: Micros = 500_000;
-/// A round is told after so long, whoever has not answered: a probe may take 250 ms a step.
-const ROUND_END: Micros = 300_000;
-/// Probes that are out at a time: the relay keeps as many for its own decisions.
-const OUT: usize = 4;
-/// An owner that reaches no backend for so long gives the job up.
-const USELESS: Micros = 3_000_000;
-
-/// What an owner tells: each backend's load as its columns say it, and how old that is.
+/// Interval between the starts of two rounds. Endpoints refresh their reports every 570 to 1,400 ms.
+const ROUND_INTERVAL: Micros = 500_000;
+/// A round is published after this time, even if endpoints have not answered: a step of a probe may take 250 ms.
+const ROUND_TIMEOUT: Micros = 300_000;
+/// Maximum number of concurrent probes: as many as a relay has for its own decisions.
+const MAX_CONCURRENT_PROBES: usize = 4;
+/// An owner that has reached no endpoint for this time relinquishes the job.
+const UNREACHABLE_TIMEOUT: Micros = 3_000_000;
+
+/// Load reports of a round, as owners of older builds publish them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadReports {
-    /// The names of the columns.
+    /// Names of the columns.
     pub columns: Vec<String>,
-    /// Each backend that answered: its number, how long before the word was sent, and its columns.
+    /// Reports of the endpoints that answered. Their ages are those at the time of sending.
     #[serde(rename = "of")]
-    pub reports: Vec<(u64, Micros, Vec<f32>)>,
+    pub reports: Vec<LoadReport>,
 }
 
 impl LoadReports {
-    /// As it is told.
+    /// The reports as bytes.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
-    /// As it was told; none where it is nothing of the kind.
+    /// The reports from bytes; none if the bytes cannot be decoded.
     pub fn decode(bytes: &[u8]) -> Option<LoadReports> {
         wire::decode(bytes)
     }
 
-    /// A table as owners of older builds tell it: the rows that its version has seen.
+    /// The rows of a table that its current version saw.
     pub fn of_table(table: &Table) -> LoadReports {
-        let row = |row: &Row| {
-            (
-                row.backend,
-                table.at().saturating_sub(row.seen),
-                row.loads().collect(),
-            )
+        let report = |row: &Row| LoadReport {
+            endpoint: row.endpoint,
+            age: table.at().saturating_sub(row.seen_at),
+            values: row.loads().collect(),
         };
         LoadReports {
             columns: table.columns().to_vec(),
-            reports: table.confirmed().map(row).collect(),
+            reports: table.confirmed().map(report).collect(),
         }
     }
 
-    /// What is said in these columns: each backend's age and values. Nothing where a column is missing, or a row is not as
-    /// long as the head: the sender's settings are others.
-    pub fn rows<'a>(
-        &'a self,
-        columns: &[String],
-    ) -> impl Iterator<Item = (u64, Micros, Vec<f32>)> + 'a {
-        let at = |column: &String| self.columns.iter().position(|c| c == column);
-        let places: Option<Vec<usize>> = columns.iter().map(at).collect();
-        let row = move |(server, age, row): &'a (u64, Micros, Vec<f32>)| {
-            let places = places
-                .as_ref()
-                .filter(|_| row.len() == self.columns.len())?;
-            Some((
-                *server,
-                *age,
-                places
-                    .iter()
-                    .filter_map(|at| row.get(*at).copied())
-                    .collect(),
-            ))
-        };
-        self.reports.iter().filter_map(row)
+    /// The reports with only these columns, in this order. Reports with a wrong number of values are left out; all are if
+    /// a column is missing, since the sender then has other settings.
+    pub fn rows<'a>(&'a self, columns: &[String]) -> impl Iterator<Item = LoadReport> + 'a {
+        let indexes = column_indexes(&self.columns, columns);
+        self.reports.iter().filter_map(move |report| {
+            let indexes = indexes.as_ref()?;
+            if report.values.len() != self.columns.len() {
+                return None;
+            }
+            Some(LoadReport {
+                endpoint: report.endpoint,
+                age: report.age,
+                values: select_values(&report.values, indexes),
+            })
+        })
     }
 }
 
-/// See the module's text.
+/// Index of each wanted column among the available ones; none if one is missing.
+pub(super) fn column_indexes(available: &[String], wanted: &[String]) -> Option<Vec<usize>> {
+    let index_of = |column: &String| available.iter().position(|other| other == column);
+    wanted.iter().map(index_of).collect()
+}
+
+/// The values with these indexes; missing ones are skipped.
+pub(super) fn select_values(values: &[f32], indexes: &[usize]) -> Vec<f32> {
+    indexes
+        .iter()
+        .filter_map(|index| values.get(*index).copied())
+        .collect()
+}
+
+/// Result of a successful probe.
+#[derive(Clone, Debug)]
+struct ProbeResult {
+    received_at: Micros,
+    values: Vec<f32>,
+}
+
+/// State of the owner of a load watch. Default: no round has started.
 #[derive(Clone, Debug, Default)]
 pub struct LoadWatch {
-    began: Option<Micros>,
-    /// Of this round: who is to be probed, who is out, and who has answered when.
-    todo: Vec<u64>,
-    out: Vec<u64>,
-    health_checked: BTreeMap<u64, (Micros, Vec<f32>)>,
-    told: bool,
-    /// Since when no backend has answered, though some were asked.
-    vain: Option<Micros>,
+    /// Start of the current round.
+    round_started_at: Option<Micros>,
+    /// Endpoints that are still to be probed in this round.
+    waiting: VecDeque<u64>,
+    /// Endpoints whose probes have not ended.
+    in_flight: Vec<u64>,
+    /// Endpoints that have answered in this round.
+    answered: BTreeMap<u64, ProbeResult>,
+    /// Whether this round has been published.
+    is_published: bool,
+    /// Since when all probes have failed.
+    failing_since: Option<Micros>,
 }
 
 impl LoadWatch {
-    /// Time has passed: which of the zone's backends are to be probed now. Who is listed is asked once a round.
-    pub fn tick<L>(&mut self, now: Micros, listed: impl FnOnce() -> L) -> Vec<u64>
+    /// Returns the endpoints to probe now. `endpoints` lists those of the zone; it is called at the start of each round.
+    pub fn tick<L>(&mut self, now: Micros, endpoints: impl FnOnce() -> L) -> Vec<u64>
     where
         L: IntoIterator<Item = u64>,
     {
-        if self.began.is_none_or(|began| now >= began + ROUND) {
-            (self.began, self.told) = (Some(now), false);
-            self.todo = listed().into_iter().collect();
-            self.out.clear();
-            self.health_checked.clear();
+        let is_round_due = self
+            .round_started_at
+            .is_none_or(|started_at| now >= started_at + ROUND_INTERVAL);
+        if is_round_due {
+            self.round_started_at = Some(now);
+            self.is_published = false;
+            self.waiting = endpoints().into_iter().collect();
+            self.in_flight.clear();
+            self.answered.clear();
         }
-        let free = OUT.saturating_sub(self.out.len()).min(self.todo.len());
-        let next: Vec<u64> = self.todo.drain(..free).collect();
-        self.out.extend(&next);
-        next
+        let free_slots = MAX_CONCURRENT_PROBES.saturating_sub(self.in_flight.len());
+        let count = free_slots.min(self.waiting.len());
+        let probes: Vec<u64> = self.waiting.drain(..count).collect();
+        self.in_flight.extend(&probes);
+        probes
     }
 
-    /// A probe has ended, with what the backend said.
-    pub fn health_checked(&mut self, now: Micros, server: u64, report: Option<Vec<f32>>) {
-        let Some(at) = self.out.iter().position(|out| *out == server) else {
+    /// Handles the end of a probe; `report` is none if it failed. Endpoints without a probe in flight are ignored.
+    pub fn health_checked(&mut self, now: Micros, endpoint: u64, report: Option<Vec<f32>>) {
+        let Some(index) = self.in_flight.iter().position(|other| *other == endpoint) else {
             return;
         };
-        self.out.remove(at);
-        match report.filter(|report| !report.is_empty()) {
-            Some(report) => {
-                self.vain = None;
-                self.health_checked.insert(server, (now, report));
+        self.in_flight.remove(index);
+        match report.filter(|values| !values.is_empty()) {
+            Some(values) => {
+                self.failing_since = None;
+                let result = ProbeResult {
+                    received_at: now,
+                    values,
+                };
+                self.answered.insert(endpoint, result);
             }
-            None => _ = self.vain.get_or_insert(now),
+            None => _ = self.failing_since.get_or_insert(now),
         }
     }
 
-    /// What is to be told now: once a round, when all have answered or it has lasted long enough.
+    /// Returns the reports to publish, once a round: when all endpoints have answered, or after the timeout.
     pub fn take_reports(&mut self, now: Micros, columns: &[String]) -> Option<LoadReports> {
-        let began = self.began?;
-        let done = self.todo.is_empty() && self.out.is_empty();
-        if self.told || !(done || now >= began + ROUND_END) {
+        let started_at = self.round_started_at?;
+        let is_complete = self.waiting.is_empty() && self.in_flight.is_empty();
+        let is_timed_out = now >= started_at + ROUND_TIMEOUT;
+        if self.is_published || !(is_complete || is_timed_out) {
             return None;
         }
-        // Also where there is nothing to tell: the round is over, and nothing is due before the next.
-        self.told = true;
-        if self.health_checked.is_empty() {
+        // Also if there is nothing to publish: the round is over, and nothing is due before the next.
+        self.is_published = true;
+        if self.answered.is_empty() {
             return None;
         }
-        let row = |(server, (at, report)): (&u64, &(Micros, Vec<f32>))| {
-            (*server, now - at, report.clone())
+        let report = |(endpoint, result): (&u64, &ProbeResult)| LoadReport {
+            endpoint: *endpoint,
+            age: now - result.received_at,
+            values: result.values.clone(),
         };
         Some(LoadReports {
             columns: columns.to_vec(),
-            reports: self.health_checked.iter().map(row).collect(),
+            reports: self.answered.iter().map(report).collect(),
         })
     }
 
-    /// Why it is of no use to the fleet, by its own measure.
+    /// Why this owner should relinquish the job, if it should.
     pub fn failure(&self, now: Micros) -> Option<&'static str> {
-        self.vain
-            .filter(|since| now >= since + USELESS)
+        self.failing_since
+            .filter(|since| now >= since + UNREACHABLE_TIMEOUT)
             .map(|_| "it reaches no backend of the zone")
     }
 
-    /// When it has something to do next though nothing comes.
+    /// When [`LoadWatch::tick`] or [`LoadWatch::take_reports`] has something to do next, if no probe ends before.
     pub fn next_tick(&self) -> Micros {
-        self.began.map_or(0, |began| {
-            began
-                + if self.told {
-                    ROUND
-                } else {
-                    ROUND_END.min(ROUND)
-                }
-        })
+        let delay = if self.is_published {
+            ROUND_INTERVAL
+        } else {
+            ROUND_TIMEOUT.min(ROUND_INTERVAL)
+        };
+        self.round_started_at
+            .map_or(0, |started_at| started_at + delay)
     }
 }
--- a/crates/control/src/jobs/moves.rs
+++ b/crates/control/src/jobs/moves.rs
@@ -1,15 +1,15 @@
-//! The fleet's moves of standing connections to their sites' new cells: one owner paces them for all relays.
+//! Migration pacing: the job of limiting the rate at which all relays migrate established connections to other endpoints.
 //!
-//! Each relay says how many of its connections wait to be moved and how many it has moved since its start. The owner
-//! permits each relay a number of moves since that start, which only grows: a word that comes late or twice permits
-//! nothing more. A relay without a word moves nobody.
+//! Each relay reports how many of its connections wait and how many it has migrated since its start. The owner permits
+//! each relay a number of migrations since that start, which only grows, so a message that arrives late or twice permits
+//! nothing more. A relay without a permit migrates nothing.
 //!
-//! Voters merge what the relays that follow them say into one summary, and divide what the owner allows them: see
-//! [`crate::broadcast::allowance`], which says why the bound holds. Relays that follow voters of builds before that are
-//! permitted one by one.
+//! Voters merge the reports of the relays that follow them into one summary and distribute the allowance that the owner
+//! gives them; [`crate::broadcast::allowance`] has the argument for the bound. Relays that follow voters of older builds
+//! get their permits one by one.
 //!
-//! Guards against: more moves a second than the policy allows for the whole fleet, also over a change of owner (a new one
-//! begins with what relays say to be permitted and without credit), and a relay that has gone (it is given nothing).
+//! Guards against: more migrations per second than the policy allows the fleet, also when the owner changes (a new one
+//! starts with the permits that are reported and without tokens), and a relay that is gone (it gets no permits).
 
 use crate::broadcast::message::{Allowance, MovesSummary};
 use crate::wire::relay::RelayId;
@@ -20,118 +20,120 @@
 #[cfg(test)]
 mod tests;
 
-/// The kind of this job, which is its name, too.
+/// Kind of this job, which is also its name.
 pub const KIND: &str = "moves";
-/// A relay that has said nothing for so long is given nothing.
-const SILENT: Micros = 3_000_000;
-/// Permits are given so often.
-const TURN: Micros = 250_000;
-/// Credit at most, in time: what nobody asked for is not saved up.
-const SAVED: Micros = 1_000_000;
-
-/// What a relay says of its moves.
+/// A relay or voter that has not reported for this time gets no permits.
+const REPORT_TIMEOUT: Micros = 3_000_000;
+/// Interval at which permits are given.
+const PERMIT_INTERVAL: Micros = 250_000;
+/// Size of the token bucket, as the time in which the rate fills it. Permits that no relay needs do not accumulate.
+const MAX_BURST: Micros = 1_000_000;
+/// Tokens that one permit costs: the bucket gains the rate, in migrations per second, with each microsecond.
+const TOKENS_PER_PERMIT: u64 = 1_000_000;
+
+/// Report of a relay about its migrations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MigrationStatus {
-    /// Connections that wait to be moved.
+    /// Connections that wait to be migrated.
     pub waiting: u64,
-    /// Moved since its start.
+    /// Migrations since the relay's start.
     #[serde(rename = "made")]
     pub completed: u64,
-    /// Permitted since its start.
+    /// Permitted migrations since the relay's start, as far as it knows.
     pub permitted: u64,
 }
 
 impl MigrationStatus {
-    /// As it is said.
+    /// The report as bytes.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
-    /// As it was said; none where it is nothing of the kind.
+    /// The report from bytes; none if the bytes cannot be decoded.
     pub fn decode(bytes: &[u8]) -> Option<MigrationStatus> {
         wire::decode(bytes)
     }
 }
 
-/// What the owner tells: how many moves each relay may have made since its start.
+/// Permits of the owner for single relays.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MigrationPermits {
-    /// See there.
+    /// Relays, and the number of migrations that each is permitted since its start.
     #[serde(rename = "of")]
     pub by_relay: Vec<(RelayId, u64)>,
 }
 
 impl MigrationPermits {
-    /// As it is told.
+    /// The permits as bytes.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
-    /// As it was told; none where it is nothing of the kind.
+    /// The permits from bytes; none if the bytes cannot be decoded.
     pub fn decode(bytes: &[u8]) -> Option<MigrationPermits> {
         wire::decode(bytes)
     }
 
-    /// What this process may have made.
+    /// The number of migrations that a relay's process is permitted, if it is named.
     pub fn for_relay(&self, relay: &RelayId) -> Option<u64> {
         self.by_relay
             .iter()
-            .find(|(of, _)| of == relay)
-            .map(|(_, upto)| *upto)
+            .find(|(permitted_relay, _)| permitted_relay == relay)
+            .map(|(_, permitted)| *permitted)
     }
 }
 
-/// Who asks for moves.
+/// Who requests permits.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Claimant {
+enum Requester {
     /// A relay that follows a voter of an older build.
-    RelayId(RelayId),
-    /// A voter, by its number and that of its process, for all relays that follow it.
-    Voter(u64, u64),
+    Relay(RelayId),
+    /// A process of a voter, for all relays that follow it.
+    Voter { voter: u64, instance: u64 },
 }
 
-/// What it says.
-enum Said {
-    RelayId(MigrationStatus),
+/// Latest report of a requester.
+enum Demand {
+    Relay(MigrationStatus),
     Voter(MovesSummary),
 }
 
-struct Known {
-    said: Said,
-    at: Micros,
-    /// What it was permitted, in all. Raised by one at a time, each paid for with credit.
-    upto: u64,
+struct RequesterState {
+    demand: Demand,
+    reported_at: Micros,
+    /// Permits in total. Each increment costs tokens.
+    permitted: u64,
 }
 
-impl Known {
-    /// Connections that wait and that nothing was permitted for.
-    fn lacking(&self) -> u64 {
-        match &self.said {
-            Said::RelayId(said) => said
+impl RequesterState {
+    /// Number of waiting connections without a permit.
+    fn unmet_demand(&self) -> u64 {
+        match &self.demand {
+            Demand::Relay(status) => status
                 .completed
-                .saturating_add(said.waiting)
-                .saturating_sub(self.upto),
-            Said::Voter(said) => said
-                .lacking
-                .saturating_sub(self.upto.saturating_sub(said.used)),
+                .saturating_add(status.waiting)
+                .saturating_sub(self.permitted),
+            Demand::Voter(summary) => {
+                let not_distributed = self.permitted.saturating_sub(summary.used);
+                summary.unmet_demand.saturating_sub(not_distributed)
+            }
         }
     }
 }
 
-/// See the module's text.
+/// The owner's state: a token bucket, and what relays and voters report. Default: nothing is known, the bucket is empty.
 #[derive(Default)]
 pub struct MigrationPacer {
-    claims: BTreeMap<Claimant, Known>,
-    last: Option<Micros>,
-    /// In moves times microseconds a second.
-    credit: u64,
+    requesters: BTreeMap<Requester, RequesterState>,
+    last_tick: Option<Micros>,
+    tokens: u64,
     permitted_total: u64,
 }
 
 impl MigrationPacer {
-    /// One that goes on where the last checkpoint says.
+    /// A pacer that continues from a checkpoint; an empty or damaged one counts as zero.
     pub fn resume(checkpoint: &[u8]) -> MigrationPacer {
         MigrationPacer {
             permitted_total: checkpoint.try_into().map_or(0, u64::from_be_bytes),
@@ -139,111 +141,141 @@
         }
     }
 
-    /// How far it is, for the log.
+    /// The checkpoint for the log.
     pub fn checkpoint(&self) -> Vec<u8> {
         self.permitted_total.to_be_bytes().to_vec()
     }
 
-    /// Moves that were permitted since the job began, by all its owners.
+    /// Migrations that all owners have permitted since the job was created, up to the latest checkpoint and by this one.
     pub fn permitted_total(&self) -> u64 {
         self.permitted_total
     }
 
     /// When permits are given next.
     pub fn next_tick(&self) -> Micros {
-        self.last.map_or(0, |last| last + TURN)
+        self.last_tick
+            .map_or(0, |last_tick| last_tick + PERMIT_INTERVAL)
     }
 
-    /// A relay has said how its moves are. What it said before that comes later changes nothing.
-    pub fn handle_report(&mut self, at: Micros, relay: RelayId, said: &[u8]) {
-        let Some(said) = MigrationStatus::decode(said) else {
+    /// Handles the report of a relay that was valid at this time at the earliest. An older report than the latest is
+    /// ignored.
+    pub fn handle_report(&mut self, reported_at: Micros, relay: RelayId, report: &[u8]) {
+        let Some(status) = MigrationStatus::decode(report) else {
             return;
         };
-        let new = || Known {
-            said: Said::RelayId(said),
-            at,
-            upto: said.permitted,
-        };
-        let known = self
-            .claims
-            .entry(Claimant::RelayId(relay))
-            .or_insert_with(new);
-        let Said::RelayId(before) = known.said else {
+        let state = self
+            .requesters
+            .entry(Requester::Relay(relay))
+            .or_insert_with(|| RequesterState {
+                demand: Demand::Relay(status),
+                reported_at,
+                permitted: status.permitted,
+            });
+        let Demand::Relay(previous) = &state.demand else {
             return;
         };
-        if said.completed >= before.completed && at >= known.at {
-            (known.said, known.at) = (Said::RelayId(said), at);
-            known.upto = known.upto.max(said.permitted);
+        if status.completed >= previous.completed && reported_at >= state.reported_at {
+            state.demand = Demand::Relay(status);
+            state.reported_at = reported_at;
+            state.permitted = state.permitted.max(status.permitted);
         }
     }
 
-    /// A voter has said how the moves of the relays are that follow it. It goes on from the allowance that it has.
-    pub fn handle_summary(&mut self, now: Micros, voter: u64, said: MovesSummary) {
-        let new = || Known {
-            said: Said::Voter(said),
-            at: now,
-            upto: said.allowed,
+    /// Handles the summary of a voter. Its allowance continues from the one that it reports. An older summary than the
+    /// latest is ignored.
+    pub fn handle_summary(&mut self, now: Micros, voter: u64, summary: MovesSummary) {
+        let requester = Requester::Voter {
+            voter,
+            instance: summary.instance,
         };
-        let claimant = Claimant::Voter(voter, said.instance);
-        let known = self.claims.entry(claimant).or_insert_with(new);
-        let Said::Voter(before) = &known.said else {
+        let state = self
+            .requesters
+            .entry(requester)
+            .or_insert_with(|| RequesterState {
+                demand: Demand::Voter(summary),
+                reported_at: now,
+                permitted: summary.allowed,
+            });
+        let Demand::Voter(previous) = &state.demand else {
             return;
         };
-        if said.used >= before.used {
-            (known.said, known.at) = (Said::Voter(said), now);
-            known.upto = known.upto.max(said.allowed);
+        if summary.used >= previous.used {
+            state.demand = Demand::Voter(summary);
+            state.reported_at = now;
+            state.permitted = state.permitted.max(summary.allowed);
         }
     }
 
-    /// What a voter may permit in all, as far as it has said which process it is.
+    /// The allowance of a voter's latest process; none until the voter has reported.
     pub fn allowance(&self, voter: u64) -> Option<Allowance> {
-        let of = Claimant::Voter(voter, 0)..=Claimant::Voter(voter, u64::MAX);
-        let (claimant, known) = self.claims.range(of).max_by_key(|(_, known)| known.at)?;
-        let Claimant::Voter(_, instance) = claimant else {
+        let all_instances = Requester::Voter { voter, instance: 0 }..=Requester::Voter {
+            voter,
+            instance: u64::MAX,
+        };
+        let (requester, state) = self
+            .requesters
+            .range(all_instances)
+            .max_by_key(|(_, state)| state.reported_at)?;
+        let Requester::Voter { instance, .. } = requester else {
             return None;
         };
         Some(Allowance {
             instance: *instance,
-            permitted: known.upto,
+            permitted: state.permitted,
         })
     }
 
-    /// Time has passed: what is permitted now, at so many moves a second for the whole fleet. Those that wait with most go
-    /// first.
+    /// Gives permits at this rate, in migrations per second of the whole fleet, each to the requester with the largest
+    /// unmet demand. Returns the permits for single relays, if there are new ones or a relay does not know its permits yet.
     pub fn tick(&mut self, now: Micros, per_second: u64) -> Option<MigrationPermits> {
-        let last = *self.last.get_or_insert(now);
-        if now < last + TURN {
+        let last_tick = *self.last_tick.get_or_insert(now);
+        if now < last_tick + PERMIT_INTERVAL {
             return None;
         }
-        let second = 1_000_000;
-        self.credit =
-            (self.credit + (now - last).min(SAVED) * per_second).min(per_second.max(1) * SAVED);
-        self.last = Some(now);
-        self.claims.retain(|_, known| now < known.at + SILENT);
-        let mut gave = false;
-        while self.credit >= second {
-            let Some(known) = self.claims.values_mut().max_by_key(|known| known.lacking()) else {
+        self.last_tick = Some(now);
+        let added = (now - last_tick).min(MAX_BURST) * per_second;
+        self.tokens = (self.tokens + added).min(per_second.max(1) * MAX_BURST);
+        self.requesters
+            .retain(|_, state| now < state.reported_at + REPORT_TIMEOUT);
+        let has_new_permits = self.spend_tokens();
+        self.permits_for_relays(has_new_permits)
+    }
+
+    /// Gives permits until the tokens are spent or no demand is left. Returns whether it gave any.
+    fn spend_tokens(&mut self) -> bool {
+        let mut has_new_permits = false;
+        while self.tokens >= TOKENS_PER_PERMIT {
+            let neediest = self
+                .requesters
+                .values_mut()
+                .max_by_key(|state| state.unmet_demand());
+            let Some(state) = neediest.filter(|state| state.unmet_demand() > 0) else {
                 break;
             };
-            if known.lacking() == 0 {
-                break;
-            }
-            known.upto += 1;
-            (self.credit, self.permitted_total, gave) =
-                (self.credit - second, self.permitted_total + 1, true);
+            state.permitted += 1;
+            self.tokens -= TOKENS_PER_PERMIT;
+            self.permitted_total += 1;
+            has_new_permits = true;
         }
-        let mut of = Vec::new();
-        let mut waits = false;
-        for (claimant, known) in &self.claims {
-            let (Claimant::RelayId(relay), Said::RelayId(said)) = (claimant, &known.said) else {
+        has_new_permits
+    }
+
+    /// The permits of relays that follow voters of older builds. They are repeated while a relay does not know its permits,
+    /// since a message may be lost.
+    fn permits_for_relays(&self, has_new_permits: bool) -> Option<MigrationPermits> {
+        let mut by_relay = Vec::new();
+        let mut has_unknown_permits = false;
+        for (requester, state) in &self.requesters {
+            let (Requester::Relay(relay), Demand::Relay(status)) = (requester, &state.demand)
+            else {
                 continue;
             };
-            waits |= said.permitted < known.upto;
-            if known.upto > 0 {
-                of.push((relay.clone(), known.upto));
+            has_unknown_permits |= status.permitted < state.permitted;
+            if state.permitted > 0 {
+                by_relay.push((relay.clone(), state.permitted));
             }
         }
-        // Said again while somebody waits for it: a word may be lost.
-        ((gave || waits) && !of.is_empty()).then_some(MigrationPermits { by_relay: of })
+        let must_send = (has_new_permits || has_unknown_permits) && !by_relay.is_empty();
+        must_send.then_some(MigrationPermits { by_relay })
     }
 }
--- /dev/null
+++ b/crates/control/src/jobs/worker/takeover.rs
@@ -0,0 +1,83 @@
+//! Starts jobs that this relay has been assigned, and stops those that it may no longer act on.
+
+use super::{ActiveJob, JobState, LoadJob, MigrationJob, Worker, WorkerCommand};
+use crate::jobs::assignment::FencingToken;
+use crate::jobs::owner::OwnedJob;
+use crate::jobs::{load_watch, moves};
+use crate::lease::client::LeaseClient;
+use crate::wire::relay::job_kind;
+use crate::Micros;
+
+impl Worker {
+    /// Brings the active jobs in line with those that the lease allows to act on now.
+    pub(super) fn take_over(
+        &mut self,
+        now: Micros,
+        lease_client: &LeaseClient,
+        commands: &mut Vec<WorkerCommand>,
+    ) {
+        let Some(owner) = lease_client.owner() else {
+            return;
+        };
+        self.jobs.retain(|name, job| {
+            let may_act = owner
+                .may_act(now, name)
+                .is_some_and(|owned| owned.token == job.token);
+            if !may_act {
+                commands.push(WorkerCommand::Log(format!(
+                    "fleet: acts on {name} no more, token {}",
+                    job.token
+                )));
+            }
+            may_act
+        });
+        for name in owner.names() {
+            let Some(owned) = owner.may_act(now, name) else {
+                continue;
+            };
+            if self.jobs.contains_key(name) {
+                continue;
+            }
+            let job = ActiveJob {
+                token: owned.token,
+                state: self.initial_state(now, name, owned),
+            };
+            self.jobs.insert(name.into(), job);
+            commands.push(WorkerCommand::Log(format!(
+                "fleet: acts on {name}, token {}, from step {}",
+                owned.token, owned.checkpoint_step
+            )));
+        }
+    }
+
+    fn initial_state(&self, now: Micros, name: &str, owned: &OwnedJob) -> JobState {
+        match job_kind(name) {
+            load_watch::KIND => {
+                let last_sequence = self.subscriber.last_sequence();
+                JobState::LoadWatch(Box::new(LoadJob::new(owned.token, last_sequence)))
+            }
+            moves::KIND => JobState::Migrations(MigrationJob::new(now, &owned.checkpoint)),
+            _ => JobState::Idle,
+        }
+    }
+
+    /// Stops a job of which a voter knows this token, and relinquishes it if the token is newer than the own.
+    pub fn handle_stale_token(
+        &mut self,
+        now: Micros,
+        lease_client: &mut LeaseClient,
+        job: &str,
+        token: FencingToken,
+    ) {
+        let Some(owner) = lease_client.owner_mut() else {
+            return;
+        };
+        let is_stale = owner
+            .may_act(now, job)
+            .is_some_and(|owned| owned.token < token);
+        if is_stale {
+            owner.relinquish(job, "a voter knows a newer token");
+        }
+        self.jobs.remove(job);
+    }
+}
--- a/crates/lab/src/faults/virtual_fleet.rs
+++ b/crates/lab/src/faults/virtual_fleet.rs
@@ -698,7 +698,7 @@
                 }
                 WorkerCommand::LoadReports(rows) => rows
                     .iter()
-                    .for_each(|(server, at, row)| self.word(n, *server, *at, row)),
+                    .for_each(|load| self.word(n, load.endpoint, load.seen_at, &load.values)),
                 WorkerCommand::PermitMigrations(upto) => {
                     let moving = &mut self.processes[n].moving;
                     moving.permitted = moving.permitted.max(upto);
--- a/src/net/fleet/jobs.rs
+++ b/src/net/fleet/jobs.rs
@@ -210,7 +210,7 @@
                     });
                     resources.book.insert(
                         rows.into_iter()
-                            .map(|(server, at, row)| (EndpointId(server), at, row)),
+                            .map(|load| (EndpointId(load.endpoint), load.seen_at, load.values)),
                     );
                 }
                 WorkerCommand::PermitMigrations(upto) => self.decisions.permit_migrations(upto),
