--- a/src/net/fleet/jobs.rs
+++ b/src/net/fleet/jobs.rs
@@ -208,13 +208,12 @@
                     resources.book.evict(boottime(), |server| {
                         resources.directory.endpoint(server).is_some()
                     });
-                    resources
-                        .book
-                        .insert(rows.into_iter().map(|(server, at, row)| LoadReport {
-                            endpoint: EndpointId(server),
-                            measured_at: at,
-                            columns: row,
-                        }));
+                    let reports = rows.into_iter().map(|load| LoadReport {
+                        endpoint: EndpointId(load.endpoint),
+                        measured_at: load.seen_at,
+                        columns: load.values,
+                    });
+                    resources.book.insert(reports);
                 }
                 WorkerCommand::PermitMigrations(upto) => self.decisions.permit_migrations(upto),
                 WorkerCommand::Log(line) => log(&line),
