--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -130,7 +130,7 @@
     match asked.what {
         What::Init(_) => {
             let voter = voter()?;
-            Ledger::found(
+            Ledger::create_for_new_fleet(
                 &setup.directory,
                 &setup.owner(),
                 &setup.numbers(),
@@ -140,7 +140,7 @@
         }
         What::Join(_) => {
             let voter = voter()?;
-            Ledger::join(&setup.directory, &setup.owner(), incarnation)?;
+            Ledger::create_for_joining_voter(&setup.directory, &setup.owner(), incarnation)?;
             made(voter);
             println!(
                 "start this relay, then: jaspermoor fleet --operator FILE add {voter} --address ADDRESS"
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -87,7 +87,7 @@
                     let stored = self
                         .ledger
                         .as_ref()
-                        .map_or(Ok(()), |ledger| ledger.prepare(&proposal));
+                        .map_or(Ok(()), |ledger| ledger.save_prepared(&proposal));
                     if let Err(e) = stored {
                         // Unanswered, it will be given up, and the fleet keeps what it has.
                         log(&format!("fleet: a proposal cannot be stored: {e}"));
@@ -103,14 +103,22 @@
     /// These vote now. Stored also where its own log says so: it may vote no more when it starts again, and then its
     /// operator file may name nobody who does (seed 2147 of the virtual fleet).
     pub(super) fn seat(&mut self, membership: Membership) {
-        if let Some(Err(e)) = self.ledger.as_ref().map(|ledger| ledger.seat(&membership)) {
+        if let Some(Err(e)) = self
+            .ledger
+            .as_ref()
+            .map(|ledger| ledger.save_membership(&membership))
+        {
             log(&format!("fleet: the voters cannot be stored: {e}"));
         }
         self.membership = membership;
     }
 
     pub(super) fn adopt(&mut self, policy: &Policy) {
-        if let Some(Err(e)) = self.ledger.as_ref().map(|ledger| ledger.adopt(policy)) {
+        if let Some(Err(e)) = self
+            .ledger
+            .as_ref()
+            .map(|ledger| ledger.save_policy(policy))
+        {
             // After a restart it asks for the policy before it admits anybody.
             log(&format!("fleet: the policy cannot be stored: {e}"));
         }
--- a/src/net/fleet/messages.rs
+++ b/src/net/fleet/messages.rs
@@ -128,7 +128,7 @@
             return Ok(());
         }
         match &self.ledger {
-            Some(ledger) if !stored.is_empty() => ledger.store(stored),
+            Some(ledger) if !stored.is_empty() => ledger.persist_log(stored),
             _ => Ok(()),
         }
     }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -151,10 +151,10 @@
         let (mut ledger, mut kept, mut retry) = (None, Policy::default(), None);
         match Ledger::open(&setup.directory, &setup.owner()) {
             Ok(opened) => {
-                kept = opened.policy()?;
+                kept = opened.load_policy()?;
                 ledger = Some(opened);
             }
-            Err(e) if e.held => retry = Some(0),
+            Err(e) if e.is_in_use() => retry = Some(0),
             // It follows the fleet all the same; what it cannot do without its ledger is vote.
             Err(e) => log(&format!("fleet: {e}; this relay does not vote")),
         }
@@ -174,7 +174,7 @@
         let mut lease_client = LeaseClient::new(relay, setup.numbers(), kept, setup.times(), alone);
         let membership = ledger
             .as_ref()
-            .map_or(Ok(None), Ledger::membership)?
+            .map_or(Ok(None), Ledger::load_membership)?
             .unwrap_or_default();
         lease_client.learn_membership(&membership);
         let now = boottime();
--- a/src/net/fleet/voting.rs
+++ b/src/net/fleet/voting.rs
@@ -24,7 +24,7 @@
         let (Some(ledger), Some(number)) = (&self.ledger, self.setup.fleet.voter) else {
             return Ok(());
         };
-        let kept = ledger.kept()?;
+        let kept = ledger.load_log()?;
         let voter = Voter::new(
             number,
             ledger.incarnation()?,
@@ -82,8 +82,14 @@
                 self.retry = None;
                 // It has followed the fleet meanwhile: what it has is newer than what stands there.
                 let policy = self.lease_client.policy().clone();
-                let newer = ledger.policy().is_ok_and(|kept| kept.epoch < policy.epoch);
-                if let Err(e) = if newer { ledger.adopt(&policy) } else { Ok(()) } {
+                let newer = ledger
+                    .load_policy()
+                    .is_ok_and(|kept| kept.epoch < policy.epoch);
+                if let Err(e) = if newer {
+                    ledger.save_policy(&policy)
+                } else {
+                    Ok(())
+                } {
                     return log(&format!("fleet: {e}; this relay does not vote"));
                 }
                 self.ledger = Some(ledger);
@@ -91,7 +97,7 @@
                     log(&format!("fleet: {e}"));
                 }
             }
-            Err(e) if e.held => self.retry = Some(now + LEDGER_RETRY),
+            Err(e) if e.is_in_use() => self.retry = Some(now + LEDGER_RETRY),
             Err(e) => {
                 self.retry = None;
                 log(&format!("fleet: {e}; this relay does not vote"));
--- /dev/null
+++ b/src/platform/ledger/mod.rs
@@ -0,0 +1,200 @@
+//! The durable state of a relay in a fleet: the policy in force, a prepared proposal, the latest membership and, for a
+//! voter, its replicated log and vote. One file; each method that writes is one transaction, synced before it returns.
+//!
+//! What must be durable before what:
+//!
+//! - [`Ledger::persist_log`] before any message of the voter that follows from the batch is sent (Raft's rule: a vote
+//!   or an acknowledgement that a crash could undo must not leave the process).
+//! - [`Ledger::save_prepared`] before the relay answers that it is prepared for the proposal.
+//! - [`Ledger::save_policy`] before clients are admitted under the policy. A relay that cannot save it may serve all the
+//!   same: after a restart it has no lease until it has the fleet's policy.
+//! - [`Ledger::save_membership`] whenever the membership changes: after a restart the operator file may name no voter.
+//!
+//! Guards against: a voter whose disk was lost and that returns under its old number without its vote (its ledger must
+//! be created explicitly, by `fleet init` or `fleet join`), a ledger of another fleet or relay, and a file that is
+//! damaged or of another format (refused with a remedy; nothing is overwritten).
+
+mod error;
+mod schema;
+mod store;
+#[cfg(test)]
+mod tests;
+
+pub use error::{LedgerError, LedgerErrorCause};
+
+use jaspermoor_control::log::membership::Membership;
+use jaspermoor_control::log::state::{Policy, Proposal};
+use jaspermoor_control::log::storage::{PersistBatch, PersistedLog, RaftLog};
+use jaspermoor_control::wire;
+use schema::{key, FILE_NAME};
+use std::path::Path;
+use store::{Store, WriteStep};
+
+/// The number that [`Owner::voter`] has for a relay without a vote.
+const NO_VOTER: u64 = 0;
+
+/// The relay that a ledger belongs to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Owner {
+    /// The fleet's id.
+    pub fleet: String,
+    /// The voter's number; 0 for a relay without a vote.
+    pub voter: u64,
+}
+
+impl Owner {
+    /// The stored form.
+    fn to_bytes(&self) -> Vec<u8> {
+        format!("{}\n{}", self.voter, self.fleet).into_bytes()
+    }
+
+    /// The same relay before it became a voter.
+    fn without_vote(&self) -> Owner {
+        Owner {
+            fleet: self.fleet.clone(),
+            voter: NO_VOTER,
+        }
+    }
+}
+
+/// An open ledger. At most one process has it open at a time.
+pub struct Ledger {
+    store: Store,
+}
+
+impl Ledger {
+    /// Opens the ledger in a directory. It is created for a relay without a vote; a voter's must exist.
+    ///
+    /// # Errors
+    ///
+    /// A voter's ledger that is missing; one that another process has open; one of another owner or format; a damaged
+    /// file; a failed read or write.
+    pub fn open(directory: &Path, owner: &Owner) -> Result<Ledger, LedgerError> {
+        let file = directory.join(FILE_NAME);
+        if owner.voter != NO_VOTER && !file.exists() {
+            let cause = LedgerErrorCause::MissingVoterLedger { voter: owner.voter };
+            return Err(LedgerError::new(&file, cause));
+        }
+        let store = Store::open(&file)?;
+        match store.get(key::OWNER)? {
+            None => store.put(WriteStep::Owner, key::OWNER, &owner.to_bytes())?,
+            Some(stored) if stored != owner.to_bytes() => {
+                return Err(store.error(LedgerErrorCause::OwnerMismatch));
+            }
+            Some(_) => {}
+        }
+        Ok(Ledger { store })
+    }
+
+    /// Creates the ledger of a voter of a new fleet.
+    ///
+    /// `voters` are the numbers of all founding voters. `incarnation` is a random number that identifies this disk for
+    /// as long as it exists; it is not 0.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Ledger::open`]; and a ledger of a voter that exists already, which is left unchanged.
+    pub fn create_for_new_fleet(
+        directory: &Path,
+        owner: &Owner,
+        voters: &[u64],
+        incarnation: u64,
+    ) -> Result<(), LedgerError> {
+        let log = RaftLog::for_new_fleet(voters);
+        Ledger::create(directory, owner, &log, incarnation)
+    }
+
+    /// Creates the ledger of a voter that joins an existing fleet; `incarnation` and errors as in
+    /// [`Ledger::create_for_new_fleet`].
+    pub fn create_for_joining_voter(
+        directory: &Path,
+        owner: &Owner,
+        incarnation: u64,
+    ) -> Result<(), LedgerError> {
+        let log = RaftLog::for_joining_voter();
+        Ledger::create(directory, owner, &log, incarnation)
+    }
+
+    /// One transaction, so that a crash leaves no voter without a log. A ledger of the same relay without a vote becomes
+    /// the voter's, and its policy stays.
+    fn create(
+        directory: &Path,
+        owner: &Owner,
+        log: &RaftLog,
+        incarnation: u64,
+    ) -> Result<(), LedgerError> {
+        let store = Store::open(&directory.join(FILE_NAME))?;
+        let stored_owner = store.get(key::OWNER)?;
+        if stored_owner.is_some_and(|stored| stored != owner.without_vote().to_bytes()) {
+            return Err(store.error(LedgerErrorCause::AlreadyExists));
+        }
+        store.write(WriteStep::CreateVoter, |values, log_entries| {
+            values.insert(key::OWNER, owner.to_bytes().as_slice())?;
+            values.insert(key::INCARNATION, &incarnation.to_be_bytes()[..])?;
+            schema::write_log_batch(values, log_entries, &log.persist_all())
+        })
+    }
+
+    /// The random number that identifies a voter's disk; 0 for a relay without a vote.
+    pub fn incarnation(&self) -> Result<u64, LedgerError> {
+        let bytes = self.store.get(key::INCARNATION)?.unwrap_or_default();
+        Ok(bytes.try_into().map_or(0, u64::from_be_bytes))
+    }
+
+    /// The replicated log as it was persisted last.
+    pub fn load_log(&self) -> Result<PersistedLog, LedgerError> {
+        Ok(PersistedLog {
+            entries: self.store.log_entries()?,
+            hard_state: self.store.get(key::HARD_STATE)?,
+            snapshot: self.store.get(key::SNAPSHOT)?,
+        })
+    }
+
+    /// Persists a batch of the replicated log. Must succeed before a message that follows from the batch is sent.
+    pub fn persist_log(&self, batch: &PersistBatch) -> Result<(), LedgerError> {
+        self.store.write(WriteStep::Log, |values, log_entries| {
+            schema::write_log_batch(values, log_entries, batch)
+        })
+    }
+
+    /// The policy that was in force last; the default one, of epoch 0, where none was saved.
+    pub fn load_policy(&self) -> Result<Policy, LedgerError> {
+        match self.store.get(key::POLICY)? {
+            None => Ok(Policy::default()),
+            Some(bytes) => wire::decode(&bytes)
+                .ok_or_else(|| self.store.error(LedgerErrorCause::UndecodablePolicy)),
+        }
+    }
+
+    /// Saves the policy to start with after a restart, and removes the prepared proposal. Before the relay serves under
+    /// the policy.
+    pub fn save_policy(&self, policy: &Policy) -> Result<(), LedgerError> {
+        self.store.write(WriteStep::Policy, |values, _| {
+            values.insert(key::POLICY, wire::encode(policy).as_slice())?;
+            values.remove(key::PREPARED)?;
+            Ok(())
+        })
+    }
+
+    /// Saves a proposal that this relay has checked. Before the relay answers that it is prepared for it.
+    pub fn save_prepared(&self, proposal: &Proposal) -> Result<(), LedgerError> {
+        let bytes = wire::encode(proposal);
+        self.store.put(WriteStep::Prepared, key::PREPARED, &bytes)
+    }
+
+    /// The latest known membership; none while that of the operator file holds.
+    pub fn load_membership(&self) -> Result<Option<Membership>, LedgerError> {
+        let decode = |bytes: Vec<u8>| {
+            wire::decode(&bytes)
+                .ok_or_else(|| self.store.error(LedgerErrorCause::UndecodableMembership))
+        };
+        self.store.get(key::MEMBERSHIP)?.map(decode).transpose()
+    }
+
+    /// Saves the membership to start with after a restart.
+    pub fn save_membership(&self, membership: &Membership) -> Result<(), LedgerError> {
+        let bytes = wire::encode(membership);
+        self.store
+            .put(WriteStep::Membership, key::MEMBERSHIP, &bytes)
+    }
+}
