--- a/crates/lab/src/scale/hollow/relay.rs
+++ b/crates/lab/src/scale/hollow/relay.rs
@@ -13,7 +13,7 @@
 use jaspermoor::decision_service::{DecisionService, Hooks};
 use jaspermoor::decisions::api::{EndpointState, ListedEndpoint, Settings};
 use jaspermoor::load::LoadReportCache;
-use jaspermoor::net::fleet::{Fleet, Handle, JobResources, Setup};
+use jaspermoor::net::fleet::{Fleet, FleetSettings, Handle, JobResources};
 use jaspermoor::ops::metrics::Metrics;
 use jaspermoor::ops::traffic::Direction;
 use jaspermoor::platform::directory::Directory;
@@ -54,7 +54,7 @@
         let opened = Fleet::open(setup, name, Rules::default(), decisions.clone());
         let mut fleet = opened.map_err(|e| format!("{name}: {e}"))?;
         if !options.watched_zones.is_empty() || options.paced_moves {
-            fleet.work_with(resources(zone, options, directory, prober));
+            fleet.enable_jobs(resources(zone, options, directory, prober));
         }
         let (handle, metrics) = (fleet.handle(), Arc::<Metrics>::default());
         let (number, figures) = (Arc::<AtomicI32>::default(), metrics.clone());
@@ -77,7 +77,7 @@
 
     /// Ends it, as the program does when it is told to stop: its jobs are given up first.
     pub fn end(self) {
-        self.handle.end();
+        self.handle.shutdown();
         let _ = self.thread.join();
     }
 
@@ -114,7 +114,7 @@
     DecisionService::new(Settings::default(), 1, Vec::new(), orders)
 }
 
-fn setup(name: &str, options: &FleetOptions) -> Setup {
+fn setup(name: &str, options: &FleetOptions) -> FleetSettings {
     let voter = |(number, address): &(u64, _)| FleetVoter {
         number: *number,
         address: *address,
@@ -136,7 +136,7 @@
         },
     };
     let directory = fleet.directory.clone();
-    Setup {
+    FleetSettings {
         fleet,
         keys: vec![options.key.clone().into_bytes()],
         directory,
@@ -154,10 +154,10 @@
     JobResources {
         directory: directory.clone(),
         zones: options.watched_zones.clone(),
-        columns: COLUMNS.map(String::from).into(),
-        zone,
-        probes: true,
-        book,
+        report_columns: COLUMNS.map(String::from).into(),
+        own_zone: zone,
+        may_check_health: true,
+        load_reports: book,
     }
 }
 
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -7,7 +7,7 @@
 use jaspermoor::config::policy;
 use jaspermoor::config::Config;
 use jaspermoor::net::core::Xmpp;
-use jaspermoor::net::fleet::Setup;
+use jaspermoor::net::fleet::FleetSettings;
 use std::path::PathBuf;
 
 /// Reads and checks a configuration.
@@ -53,15 +53,15 @@
         None => println!("{}: opens no XMPP", path.display()),
     }
     policy::tuning(&file)?;
-    if let Some(setup) = Setup::of(&file)? {
-        let vote = setup
+    if let Some(settings) = FleetSettings::from_operator_file(&file)? {
+        let vote = settings
             .fleet
             .voter
             .map_or("without a vote".into(), |n| format!("as voter {n}"));
         println!(
             "{}: in the fleet '{}' {vote}",
             path.display(),
-            setup.fleet.id
+            settings.fleet.id
         );
     }
     Ok(())
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -6,7 +6,7 @@
 use super::Failure;
 use argh::FromArgs;
 use jaspermoor::config::operator::OperatorFile;
-use jaspermoor::net::fleet::{random_number, Setup};
+use jaspermoor::net::fleet::{random_u64, FleetSettings};
 use jaspermoor::platform::ledger::Ledger;
 use jaspermoor_control::log::membership::MembershipChange;
 use jaspermoor_control::wire::message::{OperatorRequest, OperatorResponse};
@@ -104,7 +104,7 @@
 /// Runs it.
 pub fn run(asked: FleetOf) -> Result<(), Failure> {
     let file = OperatorFile::load(&asked.operator)?;
-    let Some(setup) = Setup::of(&file)? else {
+    let Some(setup) = FleetSettings::from_operator_file(&file)? else {
         return Err(file.error("fleet", "is missing").into());
     };
     let voter = || {
@@ -122,25 +122,23 @@
             setup.fleet.id
         );
     };
-    let mut incarnation = [0; 8];
-    incarnation.copy_from_slice(&random_number()[..8]);
-    // Never 0, which stands for one that nobody knows yet.
-    let incarnation = u64::from_be_bytes(incarnation).max(1);
+    // Never 0, which stands for an unknown incarnation.
+    let incarnation = random_u64().max(1);
     let mut voters = Voters::new(setup.clone(), Duration::from_secs(asked.wait));
     match asked.what {
         What::Init(_) => {
             let voter = voter()?;
             Ledger::create_for_new_fleet(
                 &setup.directory,
-                &setup.owner(),
-                &setup.numbers(),
+                &setup.ledger_owner(),
+                &setup.voter_numbers(),
                 incarnation,
             )?;
             made(voter);
         }
         What::Join(_) => {
             let voter = voter()?;
-            Ledger::create_for_joining_voter(&setup.directory, &setup.owner(), incarnation)?;
+            Ledger::create_for_joining_voter(&setup.directory, &setup.ledger_owner(), incarnation)?;
             made(voter);
             println!(
                 "start this relay, then: jaspermoor fleet --operator FILE add {voter} --address ADDRESS"
--- a/src/cli/policy.rs
+++ b/src/cli/policy.rs
@@ -5,7 +5,7 @@
 use argh::FromArgs;
 use jaspermoor::config::operator::OperatorFile;
 use jaspermoor::config::policy;
-use jaspermoor::net::fleet::{random_number, Setup};
+use jaspermoor::net::fleet::{random_number, FleetSettings};
 use jaspermoor_control::log::state::{
     Policy, Proposal, ProposalId, ProposalOutcome, ProposalPhase,
 };
@@ -222,7 +222,7 @@
         return Ok(());
     }
     let file = OperatorFile::load(&asked.operator)?;
-    let Some(setup) = Setup::of(&file)? else {
+    let Some(setup) = FleetSettings::from_operator_file(&file)? else {
         return Err(file
             .error("fleet", "is missing: this relay is in no fleet")
             .into());
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -13,7 +13,7 @@
 use jaspermoor::log::{self, log, Format};
 use jaspermoor::net::core::{Core, Xmpp};
 use jaspermoor::net::engine::{Engine, Speaks};
-use jaspermoor::net::fleet::{Fleet, JobResources, Setup};
+use jaspermoor::net::fleet::{Fleet, FleetSettings, JobResources};
 use jaspermoor::net::listen::Listener;
 use jaspermoor::ops::admin::{Admin, Staffed};
 use jaspermoor::ops::bans::Bans;
@@ -112,10 +112,15 @@
         .transpose()?
         .unwrap_or_default();
     decisions.apply_policy(cells.clone(), tuning);
-    let mut fleet = match operator.as_ref().map(Setup::of).transpose()?.flatten() {
+    let mut fleet = match operator
+        .as_ref()
+        .map(FleetSettings::from_operator_file)
+        .transpose()?
+        .flatten()
+    {
         // Before the first client: until it has a lease nobody is admitted.
-        Some(setup) => Some(Fleet::open(
-            setup,
+        Some(settings) => Some(Fleet::open(
+            settings,
             &config.name,
             Rules { cells, tuning },
             decisions.clone(),
@@ -134,14 +139,14 @@
         if jobs.load_watch {
             engine.watch(book.clone());
         }
-        fleet.work_with(JobResources {
+        fleet.enable_jobs(JobResources {
             directory: core.directory.clone(),
             zones: config.names.zones.clone(),
-            columns: config.names.columns.clone(),
-            zone: config.settings.zone,
-            probes: config.settings.may_check_health
+            report_columns: config.names.columns.clone(),
+            own_zone: config.settings.zone,
+            may_check_health: config.settings.may_check_health
                 && config.settings.report_columns.contains(&ReportColumn::Load),
-            book,
+            load_reports: book,
         });
     }
     let fleet_handle = fleet.as_ref().map(Fleet::handle);
@@ -235,7 +240,7 @@
             reload(&mut config, &source, &core, operator.as_ref());
         } else if !std::mem::replace(&mut stopping, true) {
             // Its jobs first: others have them before it has gone.
-            fleet_handle.iter().for_each(|fleet| fleet.stop());
+            fleet_handle.iter().for_each(|fleet| fleet.drain());
             control.stop();
             log(&format!(
                 "{}: signal {signal}, moving the standing connections",
--- a/src/cli/voters.rs
+++ b/src/cli/voters.rs
@@ -1,7 +1,7 @@
 //! Asking the voters of a fleet, as staff do: one after the other, until the leader answers.
 
 use super::Failure;
-use jaspermoor::net::fleet::{random_number, Setup};
+use jaspermoor::net::fleet::{random_number, FleetSettings};
 use jaspermoor_control::wire::mac::FrameSession;
 use jaspermoor_control::wire::message::{FleetStatus, Message, OperatorRequest, OperatorResponse};
 use std::io::{Read, Write};
@@ -15,7 +15,7 @@
 
 /// Asks the voters, one after the other, until the leader answers or the time is up.
 pub struct Voters {
-    setup: Setup,
+    setup: FleetSettings,
     /// Up to when an answer is waited for.
     pub until: Instant,
     /// Numbers and addresses: the operator file's, and what voters say of others.
@@ -26,7 +26,7 @@
 
 impl Voters {
     /// Those of the operator file, waited for so long in all.
-    pub fn new(setup: Setup, wait: Duration) -> Voters {
+    pub fn new(setup: FleetSettings, wait: Duration) -> Voters {
         let known = setup
             .fleet
             .voters
@@ -90,7 +90,7 @@
         let mut session = FrameSession::new(
             true,
             self.setup.keys.clone(),
-            self.setup.id(),
+            self.setup.wire_id(),
             random_number(),
         );
         socket.write_all(session.outgoing())?;
--- a/src/net/fleet/link.rs
+++ b/src/net/fleet/link.rs
@@ -1,4 +1,7 @@
-//! One link to another process of the fleet: its socket, its session, and the messages that wait for it.
+//! One link to another process of the fleet: its socket, its authenticated session and its outbound queue.
+//!
+//! Guards against: a peer that accepts no bytes (the queue is bounded, and replaceable messages are dropped first), and
+//! one that sends without pause (a read takes a bounded piece).
 
 use crate::decisions::api::Micros;
 use crate::net::poll::{Interest, Poller};
@@ -10,91 +13,103 @@
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// Messages that wait for one link: beyond that the replaceable are left out.
-const QUEUE: usize = 256;
-/// Bytes that a link has not taken: as long as there are more, messages wait.
-const UNSENT: usize = 1024 * 1024;
-/// Bytes read of a link in a turn: one that sends at full speed must not hold up the others.
-const PIECE: usize = 64 * 1024;
-
-/// What each side says first, in the figures.
+/// Identifies a link for as long as the process runs; also its token in the poller.
+pub(super) type LinkId = u64;
+/// The listening socket's token in the poller.
+pub(super) const LISTENER: u64 = 1;
+/// The id of the first link.
+pub(super) const FIRST_LINK: LinkId = 16;
+
+/// Messages in the outbound queue of a link; beyond that, replaceable ones are dropped.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// Unsent bytes of a link. While there are more, messages stay in the queue, where they can still be dropped.
+const MAX_UNSENT_BYTES: usize = 1024 * 1024;
+/// Bytes read from a link at once, so that a fast sender does not starve the other links.
+const READ_BYTES: usize = 64 * 1024;
+
+/// The message type of a session's hello in the metrics.
 const HELLO_KIND: &str = "hello";
 
-/// Why a link is of no use any more.
+/// Waits for bytes, and not for space to send.
+pub(super) const READ_ONLY: Interest = Interest {
+    read: true,
+    write: false,
+    end: false,
+};
+/// Waits for the end of a dial.
+const WRITE_ONLY: Interest = Interest {
+    read: false,
+    write: true,
+    end: false,
+};
+/// Waits for bytes and for space to send.
+const READ_WRITE: Interest = Interest {
+    read: true,
+    write: true,
+    end: false,
+};
+
+/// Why a link was closed.
 #[derive(Debug)]
-pub(super) enum LinkEnd {
-    /// The other side has ended it.
-    Ended,
-    /// It broke.
-    Broke,
-    /// What came is not a message of this fleet.
-    FrameError(FrameError),
-    /// Its queue is full of what must not be left out.
+pub(super) enum CloseReason {
+    /// The peer closed it.
+    ClosedByPeer,
+    /// A read or a write failed.
+    Broken,
+    /// The peer sent bytes that are no frame of this fleet.
+    InvalidFrame(FrameError),
+    /// The queue is full of messages that must not be dropped.
     QueueFull,
-    /// It stood, but took nothing.
+    /// The peer accepted no bytes for too long.
     Stuck,
-    /// The voter could not be reached.
+    /// The dial failed.
     Unreachable,
 }
 
-/// See the module's text.
+/// A link to another process of the fleet.
 pub(super) struct Link {
     pub(super) socket: TcpStream,
     session: FrameSession,
-    /// The voter that was dialled; none for a link that came in.
-    pub(super) voter: Option<u64>,
+    /// The voter that was dialled; none for an accepted link.
+    pub(super) dialled_voter: Option<u64>,
     connecting: bool,
-    /// What the poller watches its socket for.
+    /// What the poller watches the socket for.
     watched: Interest,
     queue: VecDeque<Message>,
-    /// Since when it has taken nothing of what waits.
-    blocked: Option<Micros>,
+    /// Since when the peer has accepted none of the unsent bytes; none where there are none.
+    blocked_since: Option<Micros>,
 }
 
 impl Link {
-    /// One whose dial has begun.
+    /// A link to a voter, whose dial has begun.
     pub(super) fn dialled(socket: TcpStream, session: FrameSession, voter: u64) -> Link {
-        let watched = Interest {
-            read: false,
-            write: true,
-            end: false,
-        };
         Link {
-            voter: Some(voter),
+            dialled_voter: Some(voter),
             connecting: true,
-            ..Link::new(socket, session, watched)
+            ..Link::new(socket, session, WRITE_ONLY)
         }
     }
 
-    /// One that came in.
+    /// A link that another process has dialled.
     pub(super) fn accepted(socket: TcpStream, session: FrameSession) -> Link {
-        Link::new(
-            socket,
-            session,
-            Interest {
-                read: true,
-                write: false,
-                end: false,
-            },
-        )
+        Link::new(socket, session, READ_ONLY)
     }
 
     fn new(socket: TcpStream, session: FrameSession, watched: Interest) -> Link {
-        let (queue, blocked) = (VecDeque::new(), None);
         Link {
             socket,
             session,
-            voter: None,
+            dialled_voter: None,
             connecting: false,
             watched,
-            queue,
-            blocked,
+            queue: VecDeque::new(),
+            blocked_since: None,
         }
     }
 
-    /// Begins to be watched under this token.
-    pub(super) fn watch(&self, poller: &Poller, token: u64) -> io::Result<()> {
-        poller.watch(&self.socket, token, None, Some(self.watched))
+    /// Registers the socket with the poller.
+    pub(super) fn watch(&self, poller: &Poller, id: LinkId) -> io::Result<()> {
+        poller.watch(&self.socket, id, None, Some(self.watched))
     }
 
     /// Whether its dial has not ended yet.
@@ -102,119 +117,117 @@
         self.connecting
     }
 
-    /// Its dial has ended: it stands where the socket takes bytes and has no error.
-    pub(super) fn connected(&mut self, writable: bool) -> Result<(), LinkEnd> {
+    /// Ends the dial: the link is connected where the socket is writable and has no error.
+    pub(super) fn finish_connecting(&mut self, writable: bool) -> Result<(), CloseReason> {
         if !matches!(self.socket.take_error(), Ok(None)) || !writable {
-            return Err(LinkEnd::Unreachable);
+            return Err(CloseReason::Unreachable);
         }
         self.connecting = false;
         Ok(())
     }
 
-    /// Whether it has taken nothing since that moment.
-    pub(super) fn blocked_since(&self, moment: Micros) -> bool {
-        self.blocked.is_some_and(|since| since <= moment)
+    /// Whether the peer has accepted no bytes since that moment or longer.
+    pub(super) fn is_blocked_since(&self, moment: Micros) -> bool {
+        self.blocked_since.is_some_and(|since| since <= moment)
     }
 
-    /// Lets a message wait for the link. Where too many do, the oldest that a later one makes needless is left out.
-    pub(super) fn push(&mut self, message: Message) -> Result<(), LinkEnd> {
-        if self.queue.len() >= QUEUE {
+    /// Queues a message. Where the queue is full, the oldest message that a later one replaces is dropped.
+    pub(super) fn enqueue(&mut self, message: Message) -> Result<(), CloseReason> {
+        if self.queue.len() >= MAX_QUEUED_MESSAGES {
             match self.queue.iter().position(Message::replaceable) {
-                Some(at) => drop(self.queue.remove(at)),
-                None => return Err(LinkEnd::QueueFull),
+                Some(index) => drop(self.queue.remove(index)),
+                None => return Err(CloseReason::QueueFull),
             }
         }
         self.queue.push_back(message);
         Ok(())
     }
 
-    /// Writes what waits, as far as the socket takes it.
+    /// Sends queued messages, as far as the session is established and the socket accepts bytes.
     pub(super) fn flush(
         &mut self,
         poller: &Poller,
-        token: u64,
+        id: LinkId,
         traffic: &Traffic,
-    ) -> Result<(), LinkEnd> {
+    ) -> Result<(), CloseReason> {
         if self.connecting {
             return Ok(());
         }
-        while self.session.is_established() && self.session.outgoing().len() < UNSENT {
+        self.frame_queued(traffic);
+        let written = self.write()?;
+        let unsent = !self.session.outgoing().is_empty();
+        self.blocked_since = match (unsent, written) {
+            (false, _) => None,
+            (true, 0) => self.blocked_since.or_else(|| Some(boottime())),
+            (true, _) => Some(boottime()),
+        };
+        self.set_interest(poller, id, if unsent { READ_WRITE } else { READ_ONLY });
+        Ok(())
+    }
+
+    /// Moves messages from the queue into frames of the session.
+    fn frame_queued(&mut self, traffic: &Traffic) {
+        while self.session.is_established() && self.session.outgoing().len() < MAX_UNSENT_BYTES {
             let Some(message) = self.queue.pop_front() else {
                 break;
             };
             let bytes = message.encode();
             if self.session.send(&bytes) {
-                traffic.count(
-                    Direction::Sent,
-                    message.kind(),
-                    bytes.len() + FRAME_OVERHEAD,
-                );
+                let frame_bytes = bytes.len() + FRAME_OVERHEAD;
+                traffic.count(Direction::Sent, message.kind(), frame_bytes);
             }
         }
-        let written = self.write()?;
-        let waits = !self.session.outgoing().is_empty();
-        self.blocked = match (waits, written) {
-            (false, _) => None,
-            (true, 0) => self.blocked.or_else(|| Some(boottime())),
-            (true, _) => Some(boottime()),
-        };
-        let wanted = Interest {
-            read: true,
-            write: waits,
-            end: false,
-        };
-        if wanted != self.watched {
-            let _ = poller.watch(&self.socket, token, Some(self.watched), Some(wanted));
-            self.watched = wanted;
+    }
+
+    fn set_interest(&mut self, poller: &Poller, id: LinkId, interest: Interest) {
+        if interest != self.watched {
+            let _ = poller.watch(&self.socket, id, Some(self.watched), Some(interest));
+            self.watched = interest;
         }
-        Ok(())
     }
 
-    /// Writes bytes until the socket takes no more; how many it took.
-    fn write(&mut self) -> Result<usize, LinkEnd> {
-        let out = self.session.outgoing();
+    /// Writes until the socket accepts no more; the number of bytes that it accepted.
+    fn write(&mut self) -> Result<usize, CloseReason> {
+        let unsent = self.session.outgoing();
         let mut written = 0;
-        while written < out.len() {
-            match (&self.socket).write(&out[written..]) {
+        while written < unsent.len() {
+            match (&self.socket).write(&unsent[written..]) {
                 Ok(n) if n > 0 => written += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if timed_out(&e) => break,
-                _ => return Err(LinkEnd::Broke),
+                _ => return Err(CloseReason::Broken),
             }
         }
-        out.drain(..written);
+        unsent.drain(..written);
         Ok(written)
     }
 
-    /// Reads what has come; the messages in it that this build knows.
-    pub(super) fn read(&mut self, traffic: &Traffic) -> Result<Vec<Message>, LinkEnd> {
-        let mut piece = vec![0; PIECE];
-        let n = match (&self.socket).read(&mut piece) {
-            Ok(0) => return Err(LinkEnd::Ended),
+    /// Reads what has arrived; returns the messages in it, without those of types that this build does not know.
+    pub(super) fn read(&mut self, traffic: &Traffic) -> Result<Vec<Message>, CloseReason> {
+        let mut buffer = vec![0; READ_BYTES];
+        let received = match (&self.socket).read(&mut buffer) {
+            Ok(0) => return Err(CloseReason::ClosedByPeer),
             Ok(n) => n,
             Err(e) if timed_out(&e) || e.kind() == io::ErrorKind::Interrupted => {
                 return Ok(Vec::new())
             }
-            Err(_) => return Err(LinkEnd::Broke),
+            Err(_) => return Err(CloseReason::Broken),
         };
-        let knew = self.session.is_established();
+        let was_established = self.session.is_established();
         let frames = self
             .session
-            .feed(&piece[..n])
-            .map_err(LinkEnd::FrameError)?;
-        if !knew && self.session.is_established() {
+            .feed(&buffer[..received])
+            .map_err(CloseReason::InvalidFrame)?;
+        if !was_established && self.session.is_established() {
             traffic.count(Direction::Sent, HELLO_KIND, HELLO_BYTES);
             traffic.count(Direction::Received, HELLO_KIND, HELLO_BYTES);
         }
-        let decoded = |bytes: &Vec<u8>| {
+        let decode = |bytes: &Vec<u8>| {
             let message = Message::decode(bytes)?;
-            traffic.count(
-                Direction::Received,
-                message.kind(),
-                bytes.len() + FRAME_OVERHEAD,
-            );
+            let frame_bytes = bytes.len() + FRAME_OVERHEAD;
+            traffic.count(Direction::Received, message.kind(), frame_bytes);
             Some(message)
         };
-        Ok(frames.iter().filter_map(decoded).collect())
+        Ok(frames.iter().filter_map(decode).collect())
     }
 }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,300 +1,295 @@
-//! The fleet: one thread that talks to the voters, keeps the ledger, and tells the decisions which policy holds and up to
-//! when clients may be admitted under it. What it decides is [`jaspermoor_control`]'s; this is sockets, disk and clock.
+//! The driver of the fleet's control plane. The protocol is [`jaspermoor_control`]'s, without I/O or clock; this module
+//! gives it sockets, the durable ledger and the time, in one thread.
 //!
-//! It is a thread of its own because a ledger's sync waits for the disk, and no client may wait for that. Without
-//! `[fleet]` in the operator file there is none: no listener, no thread, no file.
+//! Inputs: the operator file's `[fleet]`, messages of the voters and of other relays, results of health checks.
+//! Outputs: the policy and the admission lease, handed to the [`DecisionService`]; messages to the voters; metrics.
+//! Without `[fleet]` there is no thread, no listener and no file.
 //!
-//! Guards against: a voter that is slow or hostile (bounded frames and queues, the replaceable goes first), one that
-//! vanished (a link that takes nothing is dialled anew), and a full or failing disk (the vote ends, service does not).
+//! It is a thread of its own because a synced write waits for the disk, and no client may wait for that.
+//!
+//! Guards against: a voter that is slow or hostile (bounded frames and queues; replaceable messages are dropped first),
+//! one that stopped without closing its connection (a link that accepts no bytes is closed and dialled again), and a
+//! full or failing disk (this relay stops to vote and goes on to serve).
+//!
+//! Files: `settings` checks the configuration; `event_loop` is the order of work; `dispatch` hands each message to its
+//! driver (`lease_driver`, `voter_driver`, `job_driver`); `peers` and `link` are the connections; `status` is what
+//! operators see.
 
-mod jobs;
-mod lease;
+mod dispatch;
+mod error;
+mod event_loop;
+mod job_driver;
+mod lease_driver;
 mod link;
-mod links;
-mod messages;
-mod setup;
+mod peers;
+mod settings;
+mod status;
 #[cfg(test)]
 mod tests;
-mod voting;
+mod voter_driver;
 
-pub use jobs::JobResources;
-pub use setup::Setup;
+pub use error::OpenError;
+pub use job_driver::JobResources;
+pub use settings::FleetSettings;
 
 use crate::config::operator;
 use crate::config::policy::{self, Rules};
 use crate::decision_service::DecisionService;
 use crate::decisions::api::Micros;
 use crate::log::log;
-use crate::net::poll::{Events, Poller};
+use crate::net::poll::Poller;
 use crate::ops::metrics::Metrics;
-use crate::platform::ledger::Ledger;
-use crate::sys::{boottime, Wake};
-use jaspermoor_control::jobs::worker::Worker;
+use crate::platform::ledger::{Ledger, LedgerError};
+use crate::sys::Wake;
+use dispatch::Inbound;
 use jaspermoor_control::lease::client::{LeaderlessMode, LeaseClient};
 use jaspermoor_control::log::membership::Membership;
 use jaspermoor_control::log::state::Policy;
 use jaspermoor_control::log::voter::Voter;
-use jaspermoor_control::wire::message::{Message, RelayId};
-use link::Link;
+use jaspermoor_control::wire::message::RelayId;
+use job_driver::JobRunner;
+use link::{Link, LinkId};
+use peers::VoterPeer;
+use status::Status;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpListener;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
-use std::time::Duration;
 
-/// The longest wait between two turns.
-const LONGEST_WAIT: Micros = crate::decisions::api::SECOND;
-/// The token of the listening socket, and of the first link.
-const LISTEN: u64 = 1;
-const FIRST_LINK: u64 = 16;
-/// Who asks from within this process.
-const LOCAL: u64 = u64::MAX;
+/// Bytes of a [`random_number`].
+const RANDOM_BYTES: usize = 16;
+/// What errors call the file of a policy that came from the fleet.
+const POLICY_NAME: &str = "policy";
 
-/// What other threads may ask of the fleet's.
+/// Lets other threads end the work of the fleet's thread.
 #[derive(Clone)]
 pub struct Handle {
-    stop: Arc<AtomicBool>,
-    end: Arc<AtomicBool>,
+    drain: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
     wake: Wake,
 }
 
 impl Handle {
-    /// The relay stops: it gives its jobs up, so that others have them before it has gone.
-    pub fn stop(&self) {
-        self.stop.store(true, Relaxed);
+    /// Releases the jobs of this relay, so that others take them before it has stopped. The thread goes on.
+    pub fn drain(&self) {
+        self.drain.store(true, Relaxed);
         (self.wake)();
     }
 
-    /// The same, and [`Fleet::run`] returns then: for processes that outlive the relay.
-    pub fn end(&self) {
-        // In this order: it must not return before it has given its jobs up.
-        self.stop.store(true, Relaxed);
-        self.end.store(true, Relaxed);
+    /// Releases the jobs, after which [`Fleet::run`] returns: for processes that outlive the relay.
+    pub fn shutdown(&self) {
+        // In this order: the thread must not see the shutdown without the drain.
+        self.drain.store(true, Relaxed);
+        self.shutdown.store(true, Relaxed);
         (self.wake)();
     }
 }
 
-/// A random number, which nobody can guess: for sessions, proposals and disks.
-pub fn random_number() -> [u8; 16] {
-    let mut number = [0; 16];
-    // Without random numbers nothing may be authenticated: a process that cannot have any must not go on.
+/// An unpredictable random number, for sessions, proposals and incarnations.
+///
+/// # Panics
+///
+/// Where the system has no random numbers: nothing could be authenticated.
+pub fn random_number() -> [u8; RANDOM_BYTES] {
+    let mut number = [0; RANDOM_BYTES];
     getrandom::fill(&mut number)
         .unwrap_or_else(|e| panic!("the system gives no random numbers: {e}"));
     number
 }
 
-/// See the module's text.
+/// An unpredictable random number of 64 bits; see [`random_number`].
+pub fn random_u64() -> u64 {
+    let mut number = [0; 8];
+    number.copy_from_slice(&random_number()[..8]);
+    u64::from_be_bytes(number)
+}
+
+/// A relay's membership in its fleet: state of the thread that [`Fleet::run`] is.
 pub struct Fleet {
-    setup: Setup,
-    name: String,
-    own: Rules,
+    settings: FleetSettings,
+    relay_name: String,
+    /// The operator file's own cells and parameters, in force while the fleet has no policy.
+    local_rules: Rules,
     decisions: Arc<DecisionService>,
     poller: Poller,
+    /// Open while this relay votes.
     listener: Option<TcpListener>,
-    links: BTreeMap<u64, Link>,
-    next_token: u64,
-    /// The link to each voter, and when it was last dialled.
-    voters: BTreeMap<u64, (Option<u64>, Micros)>,
-    /// Who votes, as it was told last.
+    links: BTreeMap<LinkId, Link>,
+    next_link_id: LinkId,
+    /// Voters that were dialled, by their number.
+    voter_peers: BTreeMap<u64, VoterPeer>,
+    /// The latest known membership: the addresses of voters that the operator file does not name.
     membership: Membership,
+    /// None while another process has it open, and where it cannot be used.
     ledger: Option<Ledger>,
+    /// When to open the ledger again; none where that is pointless.
+    ledger_retry_at: Option<Micros>,
+    /// None on a relay that does not vote.
     voter: Option<Voter>,
     lease_client: LeaseClient,
-    /// What it does for the fleet, and what it needs for that; none where the operator file wants no jobs.
-    work: Option<(Worker, JobResources)>,
+    /// None where the operator file enables no jobs.
+    jobs: Option<JobRunner>,
     handle: Handle,
-    /// It has given its jobs up.
-    stopped: bool,
-    /// When the ledger is asked for again.
-    retry: Option<Micros>,
-    leads: Option<u64>,
-    /// Founders that this one has not heard yet.
-    missing: Vec<u64>,
-    admits: bool,
-    /// The policy in force is one that this build does not understand: nobody is admitted, whatever lease it has.
-    foreign: bool,
-    /// Messages of this process to its own voter, and answers of it.
-    inbox: VecDeque<(u64, Message)>,
+    /// Whether the jobs were released since [`Handle::drain`].
+    jobs_released: bool,
+    /// Whether this build does not understand the policy in force. No client is admitted then, whatever the lease.
+    policy_unsupported: bool,
+    /// Received messages that wait to be dispatched, with those that this process sent to itself.
+    inbox: VecDeque<Inbound>,
+    status: Status,
     metrics: Arc<Metrics>,
 }
 
+/// What a start found on the disk.
+struct StoredState {
+    ledger: Option<Ledger>,
+    policy: Policy,
+    ledger_retry_at: Option<Micros>,
+}
+
 impl Fleet {
-    /// Opens what it needs. Until it has run, no client is admitted but where relays that are alone serve; `own` are the
-    /// operator file's own cells and parameters, for as long as the fleet has no policy.
+    /// Opens the ledger and, on a voter, the listener.
+    ///
+    /// From here on clients are admitted only under a lease, except by a relay that is configured to serve without a
+    /// leader. `local_rules` are the operator file's own cells and parameters, in force while the fleet has no policy.
+    ///
+    /// # Errors
+    ///
+    /// A ledger that can be opened and not read, a listener that cannot be opened, no poller. A ledger that cannot be
+    /// opened is logged: the relay follows its fleet, and does not vote.
     pub fn open(
-        setup: Setup,
+        settings: FleetSettings,
         name: &str,
-        own: Rules,
+        local_rules: Rules,
         decisions: Arc<DecisionService>,
-    ) -> Result<Fleet, Box<dyn std::error::Error>> {
-        // For as long as the process runs.
+    ) -> Result<Fleet, OpenError> {
         #[cfg(feature = "injected-bugs")]
-        {
-            // Once a process: the library holds a lock for as long as a set-up lasts, and a second one would wait for good.
-            static POINTS: std::sync::Once = std::sync::Once::new();
-            POINTS.call_once(|| std::mem::forget(fail::FailScenario::setup()));
-            let later = std::env::var("JASPERMOOR_BUILD").is_ok_and(|build| build == "later");
-            jaspermoor_control::wire::LATER.store(later, Relaxed);
-        }
+        set_up_injection();
         let poller = Poller::new()?;
-        let mut start = [0; 8];
-        start.copy_from_slice(&random_number()[..8]);
         let relay = RelayId {
             name: name.into(),
-            incarnation: u64::from_be_bytes(start),
-        };
-        let alone = match setup.fleet.alone {
-            operator::LeaderlessMode::Refuse => LeaderlessMode::Reject,
-            operator::LeaderlessMode::Serve => LeaderlessMode::Serve,
+            incarnation: random_u64(),
         };
-        let (mut ledger, mut kept, mut retry) = (None, Policy::default(), None);
-        match Ledger::open(&setup.directory, &setup.owner()) {
-            Ok(opened) => {
-                kept = opened.load_policy()?;
-                ledger = Some(opened);
-            }
-            Err(e) if e.is_in_use() => retry = Some(0),
-            // It follows the fleet all the same; what it cannot do without its ledger is vote.
-            Err(e) => log(&format!("fleet: {e}; this relay does not vote")),
+        let stored = load_stored_state(&settings)?;
+        let mut policy = stored.policy;
+        let policy_unsupported = !apply_stored_policy(&policy, &decisions);
+        if policy_unsupported {
+            policy = Policy::default();
         }
-        let mut foreign = false;
-        if kept.epoch > 0 {
-            match policy::read(Path::new("policy"), &kept.text) {
-                Ok(rules) => decisions.apply_policy(rules.cells, rules.tuning),
-                Err(e) => {
-                    log(&format!(
-                        "fleet: the policy of epoch {} is not understood by this build: {e}",
-                        kept.epoch
-                    ));
-                    (kept, foreign) = (Policy::default(), true);
-                }
-            }
-        }
-        let mut lease_client = LeaseClient::new(relay, setup.numbers(), kept, setup.times(), alone);
-        let membership = ledger
-            .as_ref()
-            .map_or(Ok(None), Ledger::load_membership)?
-            .unwrap_or_default();
+        let mut lease_client = LeaseClient::new(
+            relay,
+            settings.voter_numbers(),
+            policy,
+            settings.timing(),
+            leaderless_mode(settings.fleet.alone),
+        );
+        let stored_membership = match &stored.ledger {
+            Some(ledger) => ledger.load_membership()?,
+            None => None,
+        };
+        let membership = stored_membership.unwrap_or_default();
         lease_client.learn_membership(&membership);
-        let now = boottime();
         #[cfg(feature = "injected-bugs")]
-        let lease_client = lease_client.with_injected(injected(), now);
-        decisions.set_admission_lease(if foreign {
-            0
-        } else {
-            lease_client.admit_until(now)
-        });
+        let lease_client = lease_client.with_injected(injected_bugs(), crate::sys::boottime());
         let handle = Handle {
-            stop: Arc::default(),
-            end: Arc::default(),
+            drain: Arc::default(),
+            shutdown: Arc::default(),
             wake: poller.wake(),
         };
         let mut fleet = Fleet {
-            name: name.into(),
-            work: None,
-            handle,
-            stopped: false,
-            own,
+            settings,
+            relay_name: name.into(),
+            local_rules,
             decisions,
             poller,
             listener: None,
             links: BTreeMap::new(),
-            next_token: FIRST_LINK,
-            voters: BTreeMap::new(),
+            next_link_id: link::FIRST_LINK,
+            voter_peers: BTreeMap::new(),
             membership,
-            ledger,
+            ledger: stored.ledger,
+            ledger_retry_at: stored.ledger_retry_at,
             voter: None,
             lease_client,
-            retry,
-            leads: None,
-            missing: Vec::new(),
-            admits: false,
-            foreign,
+            jobs: None,
+            handle,
+            jobs_released: false,
+            policy_unsupported,
             inbox: VecDeque::new(),
+            status: Status::default(),
             metrics: Arc::default(),
-            setup,
         };
-        fleet.take_vote()?;
+        // The lease before the listener: nothing may be admitted or answered without it.
+        fleet.publish_admission_lease();
+        fleet.start_voting()?;
         Ok(fleet)
     }
 
-    /// What other threads may ask of it.
+    /// Lets other threads end this one's work.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
+}
 
-    /// Runs until [`Handle::end`], or for as long as the process does; its figures are among these.
-    pub fn run(mut self, metrics: Arc<Metrics>) {
-        self.metrics = metrics;
-        self.metrics.control.on.store(true, Relaxed);
-        self.poller.own();
-        let (mut events, mut ready) = (Events::default(), Vec::new());
-        loop {
-            let ends = self.handle.end.load(Relaxed);
-            self.turn();
-            if ends {
-                return;
-            }
-            let now = boottime();
-            let wait = Duration::from_micros(self.due(now).saturating_sub(now));
-            self.poller.wait(wait, &mut events, &mut ready);
-            for ready in ready.drain(..) {
-                self.ready(ready);
-            }
-        }
+fn leaderless_mode(configured: operator::LeaderlessMode) -> LeaderlessMode {
+    match configured {
+        operator::LeaderlessMode::Refuse => LeaderlessMode::Reject,
+        operator::LeaderlessMode::Serve => LeaderlessMode::Serve,
     }
+}
 
-    /// When it has something to do next though nothing comes.
-    fn due(&self, now: Micros) -> Micros {
-        let voter = self
-            .voter
-            .as_ref()
-            .map(|_| now + self.setup.times().tick / 2);
-        let worker = self.work.as_ref().map(|(worker, _)| worker.next_tick());
-        let due = [
-            Some(self.lease_client.next_tick()),
-            voter,
-            worker,
-            self.retry,
-        ];
-        due.into_iter()
-            .flatten()
-            .fold(now + LONGEST_WAIT, Micros::min)
+fn load_stored_state(settings: &FleetSettings) -> Result<StoredState, LedgerError> {
+    let mut stored = StoredState {
+        ledger: None,
+        policy: Policy::default(),
+        ledger_retry_at: None,
+    };
+    match Ledger::open(&settings.directory, &settings.ledger_owner()) {
+        Ok(ledger) => {
+            stored.policy = ledger.load_policy()?;
+            stored.ledger = Some(ledger);
+        }
+        Err(e) if e.is_in_use() => stored.ledger_retry_at = Some(0),
+        // Without a ledger the relay cannot vote; it follows the fleet all the same.
+        Err(e) => log(&format!("fleet: {e}; this relay does not vote")),
     }
+    Ok(stored)
+}
 
-    fn turn(&mut self) {
-        let now = boottime();
-        if self.retry.is_some_and(|at| now >= at) {
-            self.reopen(now);
-        }
-        if let Some(voter) = &mut self.voter {
-            voter.tick(now);
-            if self
-                .lease_client
-                .learn_membership(&voter.state().membership)
-            {
-                let membership = voter.state().membership.clone();
-                self.seat(membership);
-            }
+/// Puts the stored policy in force; false where this build does not understand it.
+fn apply_stored_policy(policy: &Policy, decisions: &DecisionService) -> bool {
+    if policy.epoch == 0 {
+        return true;
+    }
+    match policy::read(Path::new(POLICY_NAME), &policy.text) {
+        Ok(rules) => {
+            decisions.apply_policy(rules.cells, rules.tuning);
+            true
         }
-        let effect = self.lease_client.tick(now);
-        self.carry_out(effect.into_iter().collect());
-        self.work();
-        if self.handle.stop.load(Relaxed) && !std::mem::replace(&mut self.stopped, true) {
-            let effect = self.lease_client.release_jobs(now);
-            self.carry_out(effect.into_iter().collect());
+        Err(e) => {
+            log(&format!(
+                "fleet: the policy of epoch {} is not understood by this build: {e}",
+                policy.epoch
+            ));
+            false
         }
-        self.do_jobs();
-        self.work();
-        self.publish();
-        self.close_stuck(now);
     }
 }
 
-/// The fault that a test has injected in this process.
+/// Prepares fail points and the wire format of a later build, once a process.
+#[cfg(feature = "injected-bugs")]
+fn set_up_injection() {
+    // The library holds a lock as long as a scenario lasts: a second one would wait forever.
+    static SCENARIO: std::sync::Once = std::sync::Once::new();
+    SCENARIO.call_once(|| std::mem::forget(fail::FailScenario::setup()));
+    let later_build = std::env::var("JASPERMOOR_BUILD").is_ok_and(|build| build == "later");
+    jaspermoor_control::wire::LATER.store(later_build, Relaxed);
+}
+
+/// The bug that a test has injected into this process.
 #[cfg(feature = "injected-bugs")]
-fn injected() -> jaspermoor_control::InjectedBugs {
+fn injected_bugs() -> jaspermoor_control::InjectedBugs {
     let name = std::env::var("JASPERMOOR_INJECTED_BUG").unwrap_or_default();
     jaspermoor_control::InjectedBugs(jaspermoor_control::InjectedBug::by_name(&name))
 }
--- a/src/net/fleet/tests.rs
+++ b/src/net/fleet/tests.rs
@@ -1,14 +1,15 @@
-//! The part of a relay in its fleet, without sockets.
+//! The fleet's thread without its sockets: which jobs a relay offers to do, and when it may admit clients.
 
-use super::setup::KEY_LEAST;
+use super::settings::MIN_KEY_BYTES;
 use super::*;
 use crate::config::operator::FleetVoter;
 use crate::decision_service::Hooks;
 use crate::decisions::api::Settings;
 use crossbeam_channel::bounded;
+use jaspermoor_control::wire::message::RenewRequest;
 use std::path::PathBuf;
 
-fn setup(dir: &Path, jobs: operator::Jobs) -> Setup {
+fn settings(dir: &Path, jobs: operator::Jobs) -> FleetSettings {
     let voter = FleetVoter {
         number: 1,
         address: ([127, 0, 0, 1], 1).into(),
@@ -25,96 +26,96 @@
         patience_ms: 10_000,
         jobs,
     };
-    Setup {
+    FleetSettings {
         fleet,
-        keys: vec![vec![7; KEY_LEAST]],
+        keys: vec![vec![7; MIN_KEY_BYTES]],
         directory: dir.into(),
     }
 }
 
-/// One whose settings allow no probes, and that wants the load watch only, once could do jobs of every kind.
-#[test]
-fn a_relay_takes_the_jobs_that_its_file_and_settings_let_it_do_and_no_others() {
+/// Decisions without a relay that uses them.
+fn decisions() -> Arc<DecisionService> {
+    let (check_health, _) = bounded(1);
+    let hooks = Hooks {
+        watch_endpoint_list: Box::new(|_| ()),
+        check_health,
+    };
+    DecisionService::new(Settings::default(), 1, Vec::new(), hooks)
+}
+
+fn open(settings: FleetSettings, decisions: Arc<DecisionService>) -> Fleet {
+    Fleet::open(settings, "n1", Rules::default(), decisions).unwrap()
+}
+
+/// Kinds and names of the jobs that a relay offers, separated by spaces; none where it offers none. Its second zone has
+/// a name that is too long for a job.
+fn offered_jobs(jobs: operator::Jobs, may_check_health: bool) -> Option<(String, String)> {
     let dir = tempfile::tempdir().unwrap();
-    let kinds = |load_watch, paced_moves, probes| {
+    let mut fleet = open(settings(dir.path(), jobs), decisions());
+    fleet.enable_jobs(JobResources {
+        directory: Arc::default(),
+        zones: vec!["a".into(), "b".repeat(90)],
+        report_columns: vec!["x0".into()],
+        own_zone: 0,
+        may_check_health,
+        load_reports: Arc::default(),
+    });
+    let mut renewal = RenewRequest::default();
+    fleet.lease_client.owner()?.fill_request(&mut renewal);
+    let capabilities = renewal.capabilities;
+    Some((
+        capabilities.kinds.join(" "),
+        capabilities.expected_jobs.join(" "),
+    ))
+}
+
+#[test]
+fn a_relay_offers_only_the_jobs_that_its_file_and_settings_allow() {
+    let offered = |load_watch, paced_moves, may_check_health| {
         let jobs = operator::Jobs {
             load_watch,
             paced_moves,
             compact_updates: false,
         };
-        let (watch, (probe, _)) = (Box::new(|_| ()), bounded(1));
-        let decisions = DecisionService::new(
-            Settings::default(),
-            1,
-            Vec::new(),
-            Hooks {
-                watch_endpoint_list: watch,
-                check_health: probe,
-            },
-        );
-        let mut fleet =
-            Fleet::open(setup(dir.path(), jobs), "n1", Rules::default(), decisions).unwrap();
-        let (zones, columns) = (vec!["a".into(), "b".repeat(90)], vec!["x0".into()]);
-        let (directory, book) = (Arc::default(), Arc::default());
-        fleet.work_with(JobResources {
-            directory,
-            zones,
-            columns,
-            zone: 0,
-            probes,
-            book,
-        });
-        let mut renew = jaspermoor_control::wire::message::RenewRequest::default();
-        fleet.lease_client.owner()?.fill_request(&mut renew);
-        Some((
-            renew.capabilities.kinds.join(" "),
-            renew.capabilities.expected_jobs.join(" "),
-        ))
+        offered_jobs(jobs, may_check_health)
     };
-    let some = |kinds: &str, opens: &str| Some((kinds.to_string(), opens.to_string()));
-    assert_eq!(kinds(false, false, true), None);
-    assert_eq!(kinds(true, false, false), None, "it may not probe");
+    let some = |kinds: &str, names: &str| Some((kinds.to_string(), names.to_string()));
+    assert_eq!(offered(false, false, true), None);
+    assert_eq!(offered(true, false, false), None, "it may not check health");
     assert_eq!(
-        kinds(true, false, true),
+        offered(true, false, true),
         some("load", "load/a"),
         "the other zone's name is too long"
     );
-    assert_eq!(kinds(true, true, false), some("moves", "moves"));
-    assert_eq!(kinds(true, true, true), some("load moves", "load/a moves"));
+    assert_eq!(offered(true, true, false), some("moves", "moves"));
+    assert_eq!(
+        offered(true, true, true),
+        some("load moves", "load/a moves")
+    );
 }
 
-/// A relay of an older build comes back to a policy that it does not know: it once logged that it refuses clients,
-/// and served them under its own rules.
 #[test]
-fn nobody_is_admitted_under_a_policy_that_this_build_does_not_understand() {
+fn no_client_is_admitted_under_a_policy_that_this_build_does_not_understand() {
     let dir = tempfile::tempdir().unwrap();
-    let setup = setup(dir.path(), operator::Jobs::default());
-    let (watch, (probe, _)) = (Box::new(|_| ()), bounded(1));
-    let decisions = DecisionService::new(
-        Settings::default(),
-        1,
-        Vec::new(),
-        Hooks {
-            watch_endpoint_list: watch,
-            check_health: probe,
-        },
-    );
-    let open = || Fleet::open(setup.clone(), "n1", Rules::default(), decisions.clone()).unwrap();
+    let settings = settings(dir.path(), operator::Jobs::default());
+    let decisions = decisions();
     let policy = |epoch, text: &str| Policy {
         epoch,
         text: text.into(),
         ..Policy::default()
     };
-    let mut fleet = open();
+    let mut fleet = open(settings.clone(), decisions.clone());
     assert!(decisions.may_admit());
-    fleet.adopt(&policy(1, "[of_a_later_build]"));
-    fleet.publish();
+    fleet.adopt_policy(&policy(1, "[of_a_later_build]"));
+    fleet.publish_status();
     assert!(!decisions.may_admit());
-    // Nor after a restart, with that policy on its disk.
+
+    // Nor after a restart with that policy on the disk.
     drop(fleet);
-    let mut fleet = open();
+    let mut fleet = open(settings, decisions.clone());
     assert!(!decisions.may_admit());
-    fleet.adopt(&policy(2, "[parameters]\nepsilon = 1.5"));
-    fleet.publish();
+
+    fleet.adopt_policy(&policy(2, "[parameters]\nepsilon = 1.5"));
+    fleet.publish_status();
     assert!(decisions.may_admit());
 }
