--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,17 +1,17 @@
-//! The sub-commands: what is asked for on the command line, and the order in which the parts start.
+//! The sub-commands of the command line, one a file or folder; `serve` also fixes the order in which the relay starts.
 
 pub mod cells;
 pub mod check;
 pub mod fleet;
-pub mod jobs;
+mod operator_client;
+mod output;
 pub mod policy;
 pub mod serve;
-mod voters;
 
-/// What ends a sub-command early.
+/// Why a sub-command failed: its text is printed, and the exit code is that of a failure.
 pub type Failure = Box<dyn std::error::Error>;
 
-/// The value of a variable of the environment.
+/// The value of an environment variable; none where it is not set or not Unicode.
 pub fn env(key: &str) -> Option<String> {
     std::env::var(key).ok()
 }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -135,9 +135,9 @@
         .and_then(|file| file.operator.fleet.as_ref())
         .map(|fleet| fleet.jobs);
     if let (Some(fleet), Some(jobs)) = (&mut fleet, jobs) {
-        let book = Arc::new(LoadReportCache::default());
+        let load_reports = Arc::new(LoadReportCache::default());
         if jobs.load_watch {
-            engine.watch(book.clone());
+            engine.watch(load_reports.clone());
         }
         fleet.enable_jobs(JobResources {
             directory: core.directory.clone(),
@@ -146,7 +146,7 @@
             own_zone: config.settings.zone,
             may_check_health: config.settings.may_check_health
                 && config.settings.report_columns.contains(&ReportColumn::Load),
-            load_reports: book,
+            load_reports,
         });
     }
     let fleet_handle = fleet.as_ref().map(Fleet::handle);
--- a/src/main.rs
+++ b/src/main.rs
@@ -19,8 +19,8 @@
     Serve(serve::Serve),
     Check(check::Check),
     Cells(cells::CellsOf),
-    Fleet(fleet::FleetOf),
-    Policy(policy::PolicyOf),
+    Fleet(fleet::FleetCommand),
+    Policy(policy::PolicyCommand),
     Version(Version),
 }
 
