--- a/crates/control/src/jobs/worker/takeover.rs
+++ b/crates/control/src/jobs/worker/takeover.rs
@@ -5,7 +5,7 @@
 use crate::jobs::owner::OwnedJob;
 use crate::jobs::{load_watch, moves};
 use crate::lease::client::LeaseClient;
-use crate::wire::relay::job_kind;
+use crate::relay::job_kind;
 use crate::Micros;
 
 impl Worker {
--- a/crates/control/src/jobs/worker/updates.rs
+++ b/crates/control/src/jobs/worker/updates.rs
@@ -8,8 +8,8 @@
 use crate::jobs::load_watch::{self, LoadReports};
 use crate::jobs::moves::{self, MigrationPermits};
 use crate::lease::client::LeaseClient;
+use crate::relay::job_kind;
 use crate::wire::message::Updates;
-use crate::wire::relay::job_kind;
 use crate::Micros;
 
 impl Worker {
