--- a/src/cells/map.rs
+++ b/src/cells/map.rs
@@ -1,7 +1,7 @@
 //! The cell map: the cell of each site and of each endpoint, and where a new connection goes.
 //!
-//! Built anew for each operator file and looked up for each placement. Both lookups use rendezvous hashing with weights:
-//! a cell that is added takes its share of sites and endpoints from all others, and nothing else changes its cell.
+//! Built for each operator file and looked up for each placement. Both lookups use rendezvous hashing with weights: a
+//! cell that is added gets its fraction of sites and endpoints from all other cells, and nothing else changes its cell.
 
 use crate::decisions::api::EndpointId;
 use std::cmp::Reverse;
@@ -56,7 +56,7 @@
 }
 
 impl Placement {
-    /// The cell that takes the connection.
+    /// The cell that the connection goes to.
     pub fn cell(self) -> Option<usize> {
         match self {
             Placement::Home(cell) | Placement::Borrowed(cell) => Some(cell),
@@ -219,8 +219,8 @@
             return Placement::Rejected;
         }
         let can_lend = |cell: &usize| {
-            let has_room = borrowed.get(*cell).is_some_and(|n| *n < max_borrowed);
-            *cell != home && usable.get(*cell) == Some(&true) && has_room
+            let below_limit = borrowed.get(*cell).is_some_and(|n| *n < max_borrowed);
+            *cell != home && usable.get(*cell) == Some(&true) && below_limit
         };
         self.cells_in_order(CellMap::slot(site) as u64)
             .find(can_lend)
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Inputs are the operator file and the endpoint list; no I/O and no clock. All relays with the same file and the same
 //! list come to the same answers. Guards against a site that is admitted everywhere once its own cell is gone, and
-//! against one endpoint's removal changing the cell of others.
+//! against one endpoint's removal changing the cell of another endpoint.
 
 mod faults;
 mod map;
--- a/src/decision_service/admission.rs
+++ b/src/decision_service/admission.rs
@@ -1,7 +1,7 @@
 //! The admission lease: until when this process may admit new clients.
 //!
-//! Guards against a process that was stopped or suspended and goes on admitting clients under a policy that the fleet
-//! has replaced meanwhile. Input: the expiry of the lease. Output: whether it is valid at this moment.
+//! Guards against a process that was suspended and then admits clients under a policy that the fleet has replaced.
+//! Input: the expiry of the lease. Output: whether it is valid at this moment.
 
 use crate::decisions::api::{Micros, SECOND};
 use crate::sys::boottime;
--- a/src/decision_service/callbacks.rs
+++ b/src/decision_service/callbacks.rs
@@ -1,4 +1,4 @@
-//! Effects that are carried out once the lock is free: calls to the handles of requests, and log lines.
+//! Effects that are carried out after the lock is released: calls to the handles of requests, and log lines.
 
 use super::api::RequestHandle;
 use std::sync::Arc;
--- a/src/decision_service/cell_map.rs
+++ b/src/decision_service/cell_map.rs
@@ -19,8 +19,8 @@
     new_balancer: usize,
 }
 
-/// A manually ejected endpoint that has left a cell.
-struct LeftEjection {
+/// A manual ejection in the balancer of a cell that the endpoint has left.
+struct StaleEjection {
     balancer: usize,
     endpoint: EndpointId,
 }
@@ -38,8 +38,8 @@
             .collect();
         self.cells = cells;
         let handed_over = self.release_handed_over_connections(now, callbacks);
-        let left_ejections = self.reassign_endpoints(known_balancers, now, callbacks);
-        self.reapply_manual_ejections(left_ejections, now, callbacks);
+        let stale_ejections = self.reassign_endpoints(known_balancers, now, callbacks);
+        self.reapply_manual_ejections(stale_ejections, now, callbacks);
         for id in handed_over {
             self.adopt_connection(id, now, callbacks);
         }
@@ -67,7 +67,7 @@
     }
 
     /// Ends the connections in their old balancers that are handed over with their endpoint. Without it, a process
-    /// that takes connections over before it knows the fleet's map would migrate all of them once it does.
+    /// that takes connections over before it knows the fleet's map would migrate all of them under that map.
     fn release_handed_over_connections(
         &mut self,
         now: Micros,
@@ -129,9 +129,9 @@
         known_balancers: usize,
         now: Micros,
         callbacks: &mut Vec<Callback>,
-    ) -> Vec<LeftEjection> {
+    ) -> Vec<StaleEjection> {
         let mut updates = self.empty_updates();
-        let mut left_ejections = Vec::new();
+        let mut stale_ejections = Vec::new();
         let endpoints: Vec<EndpointId> = self.endpoints.keys().copied().collect();
         for endpoint in endpoints {
             let new_balancer = self.mapped_balancer(endpoint);
@@ -143,7 +143,7 @@
             }
             let old_balancer = std::mem::replace(&mut known.balancer, new_balancer);
             if self.manually_ejected.contains(&endpoint) {
-                left_ejections.push(LeftEjection {
+                stale_ejections.push(StaleEjection {
                     balancer: old_balancer,
                     endpoint,
                 });
@@ -170,18 +170,18 @@
             let event = Event::EndpointList { kind, endpoints };
             self.dispatch(balancer, now, event, callbacks);
         }
-        left_ejections
+        stale_ejections
     }
 
     /// Takes a manual ejection along with its endpoint: when the operator lifts it, the old cell is not notified, and
     /// the endpoint may be assigned to that cell again.
     fn reapply_manual_ejections(
         &mut self,
-        left_ejections: Vec<LeftEjection>,
+        stale_ejections: Vec<StaleEjection>,
         now: Micros,
         callbacks: &mut Vec<Callback>,
     ) {
-        for LeftEjection { balancer, endpoint } in left_ejections {
+        for StaleEjection { balancer, endpoint } in stale_ejections {
             let event = Event::ManualEjection {
                 endpoint,
                 ejected: false,
--- a/src/decision_service/endpoint_list.rs
+++ b/src/decision_service/endpoint_list.rs
@@ -7,8 +7,8 @@
 };
 
 impl ServiceState {
-    /// Applies an update of the endpoint list. Every balancer gets one, also without endpoints: that an update came
-    /// tells it that its list is fresh.
+    /// Applies an update of the endpoint list. Every balancer gets one, also without endpoints: an update
+    /// shows that its list is fresh.
     pub fn update_endpoints(
         &mut self,
         kind: EndpointListKind,
--- a/src/decision_service/in_flight.rs
+++ b/src/decision_service/in_flight.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Decisions that a request may have unread: an attempt, and the final answer that overtakes it, with some to spare.
+/// Decisions that may be unread at one time: an attempt, and the final answer that overtakes it, with some to spare.
 const MAILBOX_CAPACITY: usize = 4;
 
 /// A request that awaits its decisions.
@@ -41,7 +41,7 @@
 pub(super) struct InFlight {
     /// Index of the cell balancer that decides for it.
     pub balancer: usize,
-    /// The request, with its id once it is in the table.
+    /// The request; the table assigns its id.
     pub request: Request,
     /// Whether its cell serves it for another one.
     pub borrowed: bool,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Puts a decision into the mailbox. Nobody may be there to read it any more.
+    /// Puts a decision into the mailbox; dropped if the receiver is gone.
     pub fn send(&self, decision: Decision) {
         let _ = self.decisions.try_send(decision);
     }
--- a/src/decision_service/mod.rs
+++ b/src/decision_service/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! Users see neither events nor actions. They [submit](DecisionService::submit) a request, read its [`Decision`]s,
 //! report how each attempt ended, and fire the timers; the service turns this into [`Event`]s of the balancer of the
-//! request's cell and carries out the actions that it returns. It knows nothing of sockets or client protocols.
+//! request's cell and carries out the actions that it returns. It depends on no socket or client protocol.
 //!
-//! Lock order: there is one lock. Handles of requests, log lines and the waker are called once it is free, in the order
-//! in which the actions came; only [`Hooks::watch_endpoint_list`] and the callback of `submit` are called with it held.
+//! There is one lock. While it is held, only [`Hooks::watch_endpoint_list`] and the callback of `submit` are called;
+//! after it is released, first the waker, then the handles of requests and the log, in the order of the actions.
 
 mod actions;
 mod admission;
@@ -91,7 +91,7 @@
         self.started_at + self.started.elapsed().as_micros() as Micros
     }
 
-    /// Time left until a moment of [`DecisionService::now`]; zero once it has passed.
+    /// Time left until a moment of [`DecisionService::now`]; zero if it has passed.
     pub fn time_until(&self, until: Micros) -> Duration {
         Duration::from_micros(until.saturating_sub(self.now()))
     }
@@ -103,7 +103,7 @@
     }
 
     /// Whether a new client may be admitted now. Checked right before each placement and before the first byte of each
-    /// attempt, so that a process that was stopped meanwhile sends nothing under a policy that has been replaced.
+    /// attempt, so that a process that was suspended sends nothing under a policy that has been replaced.
     pub fn may_admit(&self) -> bool {
         self.lease.is_valid()
     }
@@ -208,7 +208,7 @@
 
     /// Fires the timers whose deadline has come and sleeps until the next one, for a second at most.
     pub fn fire_timers_and_sleep(&self) {
-        let (state, next_deadline) = self.fire_due_timers();
+        let (state, next_deadline) = self.fire_expired_timers();
         let sleep = next_deadline.map_or(MAX_SLEEP, |deadline| {
             self.time_until(deadline).min(MAX_SLEEP)
         });
@@ -217,14 +217,14 @@
 
     /// Fires the timers whose deadline has come; returns the next deadline.
     pub fn fire_timers(&self) -> Option<Micros> {
-        self.fire_due_timers().1
+        self.fire_expired_timers().1
     }
 
     /// The lock stays with the caller: no timer can be set between the look at the next deadline and the sleep.
-    fn fire_due_timers(&self) -> (MutexGuard<'_, ServiceState>, Option<Micros>) {
+    fn fire_expired_timers(&self) -> (MutexGuard<'_, ServiceState>, Option<Micros>) {
         loop {
             let mut state = self.lock();
-            let Some(owner) = state.timers.pop_due(self.now()) else {
+            let Some(owner) = state.timers.pop_expired(self.now()) else {
                 let next_deadline = state.timers.next_deadline();
                 return (state, next_deadline);
             };
@@ -248,7 +248,7 @@
         });
     }
 
-    /// Changes the state, frees the lock, and then makes the callbacks that the change asks for.
+    /// Changes the state, releases the lock, and then makes the callbacks that the change asks for.
     fn update(
         &self,
         mut state: MutexGuard<'_, ServiceState>,
--- a/src/decision_service/requests.rs
+++ b/src/decision_service/requests.rs
@@ -11,7 +11,7 @@
 
 impl DecisionService {
     /// Takes a request and gives it its id; its decisions arrive in the returned mailbox. `registered` gets the id
-    /// before the first decision, so that the request can be withdrawn meanwhile; it is called with the lock held.
+    /// before the first decision, so that the request can be withdrawn while it waits; it is called with the lock held.
     pub fn submit(
         &self,
         request: Request,
@@ -75,8 +75,8 @@
         id
     }
 
-    /// Reports that an attempt has connected, after `elapsed`. False if the request has had its final answer
-    /// meanwhile: the caller must then close the connection.
+    /// Reports that an attempt has connected, after `elapsed`. False if the request already has its final
+    /// answer: the caller must then close the connection.
     pub fn connected(&self, id: RequestId, elapsed: Micros) -> bool {
         let mut state = self.lock();
         let Some(entry) = state.in_flight.unanswered_mut(id) else {
--- a/src/decision_service/state.rs
+++ b/src/decision_service/state.rs
@@ -1,8 +1,8 @@
 //! The state behind the lock: the cell balancers, the endpoint list, what is in flight, timers and migrations.
 //!
-//! Cells are counted in two ways. A *cell index* is the number of a cell in the present map; a *balancer index* is the
-//! place of its balancer in [`ServiceState::balancers`]. A balancer whose cell has left the map keeps its place for as
-//! long as connections of that cell last, so the two differ after a change of the map.
+//! A cell has two indices: its *cell index* in the present map, and its *balancer index* in
+//! [`ServiceState::balancers`]. A balancer whose cell has left the map keeps its index, because connections of that cell
+//! may last; so the two differ after a change of the map.
 
 use super::api::{CellMetrics, Hooks};
 use super::cell_balancer::CellBalancer;
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Counts the endpoints of each cell anew.
+    /// Recounts the endpoints of each cell.
     pub fn recount_endpoints(&mut self) {
         for cell in &mut self.balancers {
             cell.metrics.endpoints = 0;
--- a/src/decision_service/timers.rs
+++ b/src/decision_service/timers.rs
@@ -13,7 +13,7 @@
     Balancer {
         /// Index of the cell balancer.
         balancer: usize,
-        /// Returned to it as it was.
+        /// Identifies the timer to that balancer.
         token: u64,
     },
     /// The next migration of a connection whose site has another cell.
@@ -45,7 +45,7 @@
     }
 
     /// Takes the first timer if its deadline has come.
-    pub fn pop_due(&mut self, now: Micros) -> Option<TimerOwner> {
+    pub fn pop_expired(&mut self, now: Micros) -> Option<TimerOwner> {
         if self.next_deadline()? > now {
             return None;
         }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -127,8 +127,8 @@
         });
     }
 
-    /// Requests health checks for the load watch. A check for which there is no room fails at once, so that the watch's
-    /// round ends.
+    /// Requests health checks for the load watch. A check that does not fit into the queue fails at once, so that the
+    /// watch's round ends.
     pub fn request_checks(&self, endpoints: impl IntoIterator<Item = EndpointId>) {
         let mut state = self.lock();
         for endpoint in endpoints {
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -263,8 +263,12 @@
     fleet.relay.wait_for("reason=handed-over");
     for client in &mut connections {
         assert_eq!(client.read_line(), "MOVE");
-        let mut rest = String::new();
-        assert_eq!(client.socket.read_line(&mut rest).unwrap(), 0, "{rest}");
+        let mut next_line = String::new();
+        assert_eq!(
+            client.socket.read_line(&mut next_line).unwrap(),
+            0,
+            "{next_line}"
+        );
     }
     until("the migrations to end", || {
         (second.figure("cell_moves_waiting") == Some(0)).then_some(())
@@ -291,11 +295,11 @@
     // The endpoint with most of the site's connections goes to cell `b`.
     let requests = fleet.requests_by_backend("a");
     let moved = if requests[0] > requests[1] { 0 } else { 1 };
-    let kept = 1 - moved;
+    let staying = 1 - moved;
     let moved_name = format!("s-{}", moved + 1);
-    let kept_name = format!("s-{}", kept + 1);
+    let staying_name = format!("s-{}", staying + 1);
     let file = OPERATOR_FILE
-        .replace("\"s-1\", \"s-2\"", &format!("\"{kept_name}\""))
+        .replace("\"s-1\", \"s-2\"", &format!("\"{staying_name}\""))
         .replace(
             "\"s-3\", \"s-4\"",
             &format!("\"{moved_name}\", \"s-3\", \"s-4\""),
@@ -321,7 +325,7 @@
         assert!(fleet.open(&format!("n{n}"), SITE_IN_A).is_up());
     }
     let requests = fleet.requests_by_backend("n");
-    assert_eq!(requests[kept], 6, "{requests:?}");
+    assert_eq!(requests[staying], 6, "{requests:?}");
 }
 
 /// A change that makes the operator file invalid.
