--- a/src/net/fleet/job_driver.rs
+++ b/src/net/fleet/job_driver.rs
@@ -91,7 +91,7 @@
 }
 
 impl Fleet {
-    /// Lets this relay own jobs of the fleet and follow those of others, as far as its operator file and settings allow.
+    /// Lets this relay own jobs of the fleet and follow those of others, as its operator file and settings allow.
     pub fn enable_jobs(&mut self, resources: JobResources) {
         let jobs = self.settings.fleet.jobs;
         if !jobs.any() {
--- a/src/net/fleet/lease_driver.rs
+++ b/src/net/fleet/lease_driver.rs
@@ -98,7 +98,7 @@
     pub(super) fn adopt_policy(&mut self, policy: &Policy) {
         if let Some(ledger) = &self.ledger {
             if let Err(e) = ledger.save_policy(policy) {
-                // Safe to go on: after a restart the relay has no lease until it has the fleet's policy.
+                // After a restart the relay needs a lease, and with it this policy, before it admits clients.
                 log(&format!("fleet: the policy cannot be stored: {e}"));
             }
         }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -167,31 +167,19 @@
         #[cfg(feature = "injected-bugs")]
         set_up_injection();
         let poller = Poller::new()?;
-        let relay = RelayId {
-            name: name.into(),
-            incarnation: random_u64(),
-        };
         let stored = load_stored_state(&settings)?;
-        let mut policy = stored.policy;
-        let policy_unsupported = !apply_stored_policy(&policy, &decisions);
-        if policy_unsupported {
-            policy = Policy::default();
-        }
-        let mut lease_client = LeaseClient::new(
-            relay,
-            settings.voter_numbers(),
-            policy,
-            settings.timing(),
-            leaderless_mode(settings.fleet.alone),
-        );
+        let policy_unsupported = !apply_stored_policy(&stored.policy, &decisions);
+        let policy = if policy_unsupported {
+            Policy::default()
+        } else {
+            stored.policy
+        };
         let stored_membership = match &stored.ledger {
             Some(ledger) => ledger.load_membership()?,
             None => None,
         };
         let membership = stored_membership.unwrap_or_default();
-        lease_client.learn_membership(&membership);
-        #[cfg(feature = "injected-bugs")]
-        let lease_client = lease_client.with_injected(injected_bugs(), crate::sys::boottime());
+        let lease_client = new_lease_client(&settings, name, policy, &membership);
         let handle = Handle {
             drain: Arc::default(),
             shutdown: Arc::default(),
@@ -232,6 +220,26 @@
     }
 }
 
+/// The lease client of this process. Its random incarnation tells it apart from earlier processes of this relay.
+fn new_lease_client(
+    settings: &FleetSettings,
+    name: &str,
+    policy: Policy,
+    membership: &Membership,
+) -> LeaseClient {
+    let relay = RelayId {
+        name: name.into(),
+        incarnation: random_u64(),
+    };
+    let voters = settings.voter_numbers();
+    let mode = leaderless_mode(settings.fleet.alone);
+    let mut lease_client = LeaseClient::new(relay, voters, policy, settings.timing(), mode);
+    lease_client.learn_membership(membership);
+    #[cfg(feature = "injected-bugs")]
+    let lease_client = lease_client.with_injected(injected_bugs(), crate::sys::boottime());
+    lease_client
+}
+
 fn leaderless_mode(configured: operator::LeaderlessMode) -> LeaderlessMode {
     match configured {
         operator::LeaderlessMode::Refuse => LeaderlessMode::Reject,
--- a/src/platform/ledger/mod.rs
+++ b/src/platform/ledger/mod.rs
@@ -6,8 +6,8 @@
 //! - [`Ledger::persist_log`] before any message of the voter that follows from the batch is sent (Raft's rule: a vote
 //!   or an acknowledgement that a crash could undo must not leave the process).
 //! - [`Ledger::save_prepared`] before the relay answers that it is prepared for the proposal.
-//! - [`Ledger::save_policy`] before clients are admitted under the policy. A relay that cannot save it may serve all the
-//!   same: after a restart it has no lease until it has the fleet's policy.
+//! - [`Ledger::save_policy`] before clients are admitted under the policy. A relay that cannot save it goes on: after a
+//!   restart it needs a lease, and with it the fleet's policy, unless it is set to serve without a leader.
 //! - [`Ledger::save_membership`] whenever the membership changes: after a restart the operator file may name no voter.
 //!
 //! Guards against: a voter whose disk was lost and that returns under its old number without its vote (its ledger must
