--- a/crates/control/src/injected_bugs.rs
+++ b/crates/control/src/injected_bugs.rs
@@ -21,7 +21,7 @@
     GrantClosed,
     /// A voter sends messages before its log is durable, and loses it in a crash.
     SkipStore,
-    /// Voters accept a voter whose disk was lost and made anew as the one that they knew.
+    /// Voters accept a voter with a replaced disk as the one that they knew.
     TrustReborn,
     /// An owner continues to act on its jobs though its lease has run out.
     OwnForever,
--- a/crates/control/src/lease/client.rs
+++ b/crates/control/src/lease/client.rs
@@ -1,8 +1,8 @@
 //! Lease client: the policy that a relay has, and the lease under which it may admit clients.
 //!
 //! A lease runs from when the relay requested it, by a clock that counts the time during which the machine was suspended. It
-//! is checked right before each client is placed, so a process that was paused places nobody under a policy that may have
-//! been replaced meanwhile. A process that has just started admits nobody before it has a lease of its own.
+//! is checked right before each client is placed, so a process that was paused places no client under a policy that may have
+//! been replaced. A process that has just started admits no client before it has a lease of its own.
 //!
 //! Guards against: responses to requests from before the relay stopped or changed its policy (ignored), a lease that outlives
 //! a restart, and a proposal that this build does not understand (rejected with the reason; the fleet keeps its policy).
@@ -21,8 +21,8 @@
 const MAX_TRACKED_REQUESTS: usize = 32;
 /// A request without a response is repeated, at the next voter, after this part of the renewal interval.
 const RETRY_DIVISOR: Micros = 2;
-/// A relay that has stopped for a sealed proposal renews after this part of the renewal interval: the proposal is in force
-/// within a moment.
+/// A relay that has stopped for a sealed proposal renews after this part of the renewal interval: the proposal takes force
+/// shortly.
 const SEALED_RENEW_DIVISOR: Micros = 10;
 
 /// What a relay does while no leader answers it.
--- a/crates/control/src/log/voter/founding.rs
+++ b/crates/control/src/log/voter/founding.rs
@@ -1,6 +1,6 @@
 //! Founding a fleet: the founders introduce their disks to each other, and vote only once each knows all others.
 //!
-//! Guards against: a founder whose disk was lost and made anew. Voters past the founding answer it that it is no member.
+//! Guards against: a founder whose disk was lost and replaced. Voters past the founding answer it that it is no member.
 
 use super::Voter;
 use crate::wire;
@@ -8,9 +8,9 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// A founder introduces itself so often until it knows all others, in microseconds.
+/// Time between two introductions of a founder that does not know all others yet, in microseconds.
 const INTRODUCTION_INTERVAL: Micros = 200_000;
-/// A voter past the founding answers each founder at most so often, in microseconds.
+/// The shortest time between two answers to one founder after the founding, in microseconds.
 const MIN_ANSWER_INTERVAL: Micros = INTRODUCTION_INTERVAL / 2;
 
 /// The exchange of introductions, as one founder sees it.
--- a/crates/control/src/log/voter/job_assignment.rs
+++ b/crates/control/src/log/voter/job_assignment.rs
@@ -3,8 +3,8 @@
 //! A relay owns a job by an entry of the log and acts on it while its lease on its jobs runs. A job is revoked by one entry
 //! and released by a later one, after its owner has confirmed that it stopped, or its lease cannot run any more.
 //!
-//! Guards against: two owners of one job, a job that moves with each relay that restarts, and a job that circulates among
-//! relays none of which can do it.
+//! Guards against: two owners of one job, jobs that move whenever a relay restarts, and a job that circulates among relays of
+//! which none can do it.
 
 use super::leadership::{AssignmentRun, Leadership, RelayProgress};
 use super::Voter;
@@ -15,18 +15,19 @@
 use crate::wire::message::OperatorResponse;
 use crate::{InjectedBug, Micros};
 
-/// The assignment is run so often where the jobs have not changed, in microseconds: it sees expired leases no later.
+/// Time between two runs of the assignment where the jobs have not changed, in microseconds: bounds how late an expired
+/// lease is noticed.
 const ASSIGNMENT_INTERVAL: Micros = 200_000;
 /// The shortest time between two revocations for balance, in microseconds: a relay that restarts moves no jobs.
 const REBALANCE_INTERVAL: Micros = 10_000_000;
-/// Jobs that are relinquished again within this time, in microseconds, back off.
+/// A job that is relinquished again within this time backs off, in microseconds.
 const RELINQUISH_WINDOW: Micros = 60_000_000;
 /// The first backoff of a job that was relinquished twice, in microseconds; it doubles each further time.
 const MIN_RELINQUISH_BACKOFF: Micros = 5_000_000;
 /// How often the backoff doubles at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Backoff of a job that its owners relinquish: it is assigned to nobody while it lasts.
+/// Backoff of a job that its owners relinquish: it is not assigned while the backoff lasts.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RelinquishBackoff {
     /// How often in a row the job was relinquished, each time within [`RELINQUISH_WINDOW`] of the time before.
@@ -79,7 +80,7 @@
             .collect()
     }
 
-    /// Whether a job's owner has confirmed that it stopped: it has, by the first version of the jobs that revokes the job.
+    /// Whether a job's owner has confirmed that it stopped, by reporting the version of the jobs that revokes it.
     fn has_stopped(&self, owner: &RelayId, job: &Job) -> bool {
         let confirmed = self.relays.get(owner).and_then(|relay| relay.jobs_version);
         match (job.revoked_at, confirmed) {
@@ -113,7 +114,7 @@
 }
 
 impl Voter {
-    /// Releases jobs whose owners cannot act on them any more, assigns those that nobody owns, and revokes some where a relay
+    /// Releases jobs whose owners cannot act on them any more, assigns those without an owner, and revokes some where a relay
     /// owns more than its share.
     pub(super) fn assign_jobs(&mut self) {
         let (now, jobs_version) = (self.now, self.state.jobs.version);
@@ -172,13 +173,13 @@
         let mut plan = AssignmentPlan::default();
         for (name, job) in &self.state.jobs.by_name {
             let Some(owner) = &job.owner else { continue };
-            let has_lapsed = !may_act(owner) || self.is_given_early(leadership, owner);
+            let cannot_act = !may_act(owner) || self.is_given_early(leadership, owner);
             if job.revoked_at.is_some() {
-                if has_lapsed || leadership.has_stopped(owner, job) {
+                if cannot_act || leadership.has_stopped(owner, job) {
                     plan.release.push((name.clone(), job.token));
                 }
-            } else if has_lapsed || job.paused {
-                let reason = if has_lapsed {
+            } else if cannot_act || job.paused {
+                let reason = if cannot_act {
                     "nothing is heard of it"
                 } else {
                     "it is held"
@@ -199,14 +200,14 @@
             .is_some_and(|progress| progress.may_hold_jobs_lease(self.now, &self.timing))
     }
 
-    /// With the bug injected: whether an owner is taken for lapsed as soon as it is late with a renewal.
+    /// With the bug injected: whether an owner is late with a renewal, and therefore taken to have no lease.
     fn is_given_early(&self, leadership: &Leadership, owner: &RelayId) -> bool {
         let is_late =
             |relay: &RelayProgress| self.now >= relay.last_seen + self.timing.renew_interval;
         self.injected.is(InjectedBug::GiveEarly) && leadership.relays.get(owner).is_none_or(is_late)
     }
 
-    /// Jobs that nobody may act on just now, and why.
+    /// Jobs that no relay may act on now, and why.
     pub(super) fn unassigned_jobs(&self) -> Vec<(String, String)> {
         let Some(leadership) = &self.leadership else {
             return Vec::new();
@@ -299,7 +300,7 @@
     }
 }
 
-/// Who relinquished a job last, and why, as the end of a sentence; empty where nobody did.
+/// The relay that relinquished a job last, and why, as the end of a sentence; empty where none did.
 fn last_relinquished(job: &Job) -> String {
     match &job.relinquished_by {
         Some((relay, reason)) => format!("; {relay}: {reason}"),
--- a/crates/control/src/log/voter/leadership.rs
+++ b/crates/control/src/log/voter/leadership.rs
@@ -175,7 +175,7 @@
             || self.now >= self.timing.lease_expired_by(leadership.since)
     }
 
-    /// Forgets relays that have not renewed for long: their leases have run out.
+    /// Forgets relays whose last renewal is older than a proposal's timeout and a lease: their leases have run out.
     pub(super) fn forget_silent_relays(&mut self) {
         let (now, timing) = (self.now, self.timing);
         let timeout = timing.proposal_timeout + timing.lease_expired_by(0);
--- a/crates/control/src/log/voter/membership.rs
+++ b/crates/control/src/log/voter/membership.rs
@@ -9,14 +9,14 @@
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry};
 
-/// A learner that is at most so many entries behind the commit index has caught up: the rest is on its way.
+/// The most entries that a learner may be behind the commit index to count as caught up: those are in flight.
 const MAX_LEARNER_LAG: u64 = 8;
 
 /// How far a member has come, as its leader knows.
 pub(super) struct MemberProgress {
     /// Its number.
     pub number: u64,
-    /// Whether it has answered lately.
+    /// Whether it has answered within the last election timeout.
     pub is_active: bool,
     /// How many entries of the leader's log it lacks.
     pub entries_behind: u64,
--- a/crates/control/src/log/voter/mod.rs
+++ b/crates/control/src/log/voter/mod.rs
@@ -39,21 +39,21 @@
 pub use ready::Ready;
 use std::collections::BTreeMap;
 
-/// A leader sends a heartbeat every so many ticks.
+/// Ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
 /// Ticks without a leader before the voter with the lowest number stands for election.
 const ELECTION_TICKS: usize = 10;
-/// Each further number waits so many ticks longer, so that two voters seldom stand at once.
+/// Ticks by which the election timeout of each further number is longer, so that two voters seldom stand at once.
 const ELECTION_TICKS_STEP: usize = 3;
 /// Numbers after which the election timeouts repeat.
 const ELECTION_TIMEOUTS: usize = 8;
-/// Messages with entries that may be in flight to one voter.
+/// The most messages with entries in flight to one voter.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// The most entries in one message to a voter, in bytes.
+/// The most bytes of entries in one message to a voter.
 const MAX_MESSAGE_BYTES: u64 = 64 * 1024;
-/// Ticks that a voter makes up for at most after a pause: messages of the leader may wait to be read meanwhile.
+/// The most ticks that a voter makes up for after a pause, while messages of the leader may still be unread.
 const MAX_TICKS_BEHIND: u64 = 3;
-/// A proposal that has not entered the log, or a snapshot that was not acknowledged, is sent again after so long, in
+/// Time after which a command that did not enter the log, or a snapshot that was not acknowledged, is sent again, in
 /// microseconds.
 const RESEND_INTERVAL: Micros = 1_000_000;
 
--- a/crates/control/src/log/voter/read_confirmation.rs
+++ b/crates/control/src/log/voter/read_confirmation.rs
@@ -88,7 +88,8 @@
         if !self.node.raft.commit_to_current_term() {
             return;
         }
-        // One at a time: requests that arrive meanwhile share the next one, so the cost does not grow with the relays.
+        // One at a time: requests that arrive before it is complete share the next one, so the cost does not grow with the
+        // number of relays.
         if self.confirmations.is_under_way(self.now, self.timing.tick) {
             return;
         }
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Rejects the requests whose confirmation can arrive no more, because this voter leads no more.
+    /// Rejects the requests in flight where this voter does not lead any more: no confirmation will arrive for them.
     pub(super) fn reject_unconfirmed(&mut self) {
         if self.leader_term().is_some() {
             return;
--- a/crates/control/src/wire/operator.rs
+++ b/crates/control/src/wire/operator.rs
@@ -69,7 +69,7 @@
     /// Each member's number, whether it has answered lately, and how many entries of the log it lacks.
     #[serde(rename = "seats")]
     pub voters: Vec<(VoterId, bool, u64)>,
-    /// Jobs that nobody may act on now, and why.
+    /// Jobs that no relay may act on now, and why.
     #[serde(rename = "idle")]
     pub unassigned_jobs: Vec<(String, String)>,
 }
--- a/crates/control/src/wire/renewal.rs
+++ b/crates/control/src/wire/renewal.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RenewResponse {
-    /// The incarnation of the process that it answers: sequences begin anew with each.
+    /// The incarnation of the process that it answers: sequences start over with each.
     #[serde(rename = "start")]
     pub incarnation: u64,
     /// The sequence of the request that it answers.
--- a/crates/control/src/wire/updates.rs
+++ b/crates/control/src/wire/updates.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Updates {
-    /// The incarnation of the subscriber's process: sequences begin anew with each.
+    /// The incarnation of the subscriber's process: sequences start over with each.
     #[serde(rename = "start")]
     pub incarnation: u64,
     /// The sequence of the subscriber's last request that has arrived.
