--- a/crates/control/src/broadcast/subscriber/updates.rs
+++ b/crates/control/src/broadcast/subscriber/updates.rs
@@ -66,6 +66,17 @@
     sequence: u64,
 }
 
+/// How far the updates of a delivery were accepted, from best to worst.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Acceptance {
+    /// All of them, or they are not needed.
+    Complete,
+    /// The token of a job is not known yet.
+    UnknownToken,
+    /// Changes of a table do not fit the version that this relay has.
+    MissingVersion,
+}
+
 impl Subscriber {
     /// Handles a voter's response in the format of older builds, which also starts a stream of deliveries. `last_token`
     /// is the last token that the fleet has issued, if a leader has told this process.
@@ -152,29 +163,13 @@
             self.acknowledged_reports = self.acknowledged_reports.max(delivery.reports_version);
         }
         self.set_token_floor(last_token);
-        let mut is_complete = true;
-        for update in delivery.updates {
-            match self.fence.check(&update.job, update.token) {
-                FenceDecision::Accept => match self.accept_delivered(sent_at, update) {
-                    Ok(command) => received.commands.extend(command),
-                    Err(TableError::Old) => {}
-                    Err(TableError::Gap | TableError::Damaged) => {
-                        is_complete = false;
-                        // The voter overestimates what this relay has: subscribe again and list it.
-                        if is_current_stream {
-                            self.stream_voter = None;
-                        }
-                    }
-                },
-                FenceDecision::Stale(_) => received.rejected += 1,
-                FenceDecision::Unknown => {
-                    is_complete = false;
-                    received.unknown_tokens.push(update.job);
-                }
-            }
+        let acceptance = self.accept_all(sent_at, delivery.updates, &mut received);
+        if acceptance == Acceptance::MissingVersion && is_current_stream {
+            // The voter overestimates what this relay has: subscribe again and list it.
+            self.stream_voter = None;
         }
         // An incomplete delivery is not acknowledged, so that the voter repeats it.
-        if is_complete {
+        if acceptance == Acceptance::Complete {
             self.received.add(delivery.stream, delivery.sequence);
         }
         received
@@ -210,6 +205,33 @@
         }
     }
 
+    /// Accepts the updates of a delivery, as far as their tokens and versions allow.
+    fn accept_all(
+        &mut self,
+        sent_at: Micros,
+        updates: Vec<Delivered>,
+        received: &mut ReceivedUpdates,
+    ) -> Acceptance {
+        let mut acceptance = Acceptance::Complete;
+        for update in updates {
+            match self.fence.check(&update.job, update.token) {
+                FenceDecision::Accept => match self.accept_delivered(sent_at, update) {
+                    Ok(command) => received.commands.extend(command),
+                    Err(TableError::Old) => {}
+                    Err(TableError::Gap | TableError::Damaged) => {
+                        acceptance = Acceptance::MissingVersion;
+                    }
+                },
+                FenceDecision::Stale(_) => received.rejected += 1,
+                FenceDecision::Unknown => {
+                    acceptance = acceptance.max(Acceptance::UnknownToken);
+                    received.unknown_tokens.push(update.job);
+                }
+            }
+        }
+        acceptance
+    }
+
     /// Accepts an update of a delivery. None if it is a duplicate, or of a kind that only later builds know.
     fn accept_delivered(
         &mut self,
--- a/crates/control/src/jobs/mod.rs
+++ b/crates/control/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs of the fleet: who owns them, what fences their owners' commands, and what each kind does.
+//! Jobs of the fleet: which relay owns each, how stale commands of former owners are fenced, and what each kind does.
 
 pub mod assignment;
 pub mod fence;
--- a/crates/control/src/jobs/zones/tests.rs
+++ b/crates/control/src/jobs/zones/tests.rs
@@ -2,20 +2,20 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A fleet of nine relays in three zones, and what each sees.
+/// A fleet of nine relays in three zones.
 struct Fleet {
     zones: ZoneFailover,
     now: Micros,
-    rooms: BTreeMap<String, ZoneCapacity>,
-    /// Each change, with when it was.
-    log: Vec<(Micros, String, ZoneState, u8)>,
+    capacities: BTreeMap<String, ZoneCapacity>,
+    /// Time, zone, state and share of each change.
+    changes: Vec<(Micros, String, ZoneState, u8)>,
 }
 
 impl Fleet {
     fn new(load: f64) -> Fleet {
         let mut zones = ZoneFailover::default();
         zones.add_zones(ZONES);
-        let room = |zone: &str| {
+        let capacity = |zone: &str| {
             (
                 zone.to_string(),
                 ZoneCapacity {
@@ -27,37 +27,43 @@
         Fleet {
             zones,
             now: 0,
-            rooms: ZONES.map(room).into(),
-            log: Vec::new(),
+            capacities: ZONES.map(capacity).into(),
+            changes: Vec::new(),
         }
     }
 
-    /// So many seconds, in each quarter of which every relay says what it sees: the failures of ten tries in a zone.
-    fn play(&mut self, seconds: u64, sees: impl Fn(usize, &str, &str) -> u32) {
+    /// Runs for this many seconds. Every quarter second each relay reports its observations; `failures` gives the failed
+    /// ones of ten attempts for the number of the relay, its zone and the observed zone.
+    fn run(&mut self, seconds: u64, failures: impl Fn(usize, &str, &str) -> u32) {
         for _ in 0..seconds * 4 {
             self.now += SECOND / 4;
             for relay in 0..9 {
                 let own = ZONES[relay % 3];
-                let sight = |zone: &&str| ZoneObservation {
+                let observation = |zone: &&str| ZoneObservation {
                     zone: zone.to_string(),
                     attempts: 10,
-                    failed: sees(relay, own, zone),
+                    failed: failures(relay, own, zone),
                 };
-                let seen = ZoneObservations {
+                let observations = ZoneObservations {
                     observer_zone: own.into(),
-                    zones: ZONES.iter().map(sight).collect(),
+                    zones: ZONES.iter().map(observation).collect(),
                 };
-                let seen = ZoneObservations::decode(&seen.encode()).unwrap();
+                let observations = ZoneObservations::decode(&observations.encode()).unwrap();
                 self.zones
-                    .handle_observations(self.now, &format!("n{relay}"), seen);
+                    .handle_observations(self.now, &format!("n{relay}"), observations);
             }
             let before = self.zones.status();
-            for (name, zone) in self.zones.tick(self.now, &self.rooms).into_iter().flatten() {
+            for (name, zone) in self
+                .zones
+                .tick(self.now, &self.capacities)
+                .into_iter()
+                .flatten()
+            {
                 if before
                     .get(&name)
                     .is_none_or(|b| (b.state, b.share) != (zone.state, zone.share))
                 {
-                    self.log.push((self.now, name, zone.state, zone.share));
+                    self.changes.push((self.now, name, zone.state, zone.share));
                 }
             }
         }
@@ -75,69 +81,74 @@
 #[test]
 fn a_dead_zone_is_ejected_within_two_seconds_and_returns_in_steps_without_relapse() {
     let mut fleet = Fleet::new(4.0);
-    fleet.play(3, |_, _, _| 0);
-    fleet.play(2, dead("b"));
+    fleet.run(3, |_, _, _| 0);
+    fleet.run(2, dead("b"));
     assert_eq!(
         (fleet.zone("b").state, fleet.zone("b").share),
         (ZoneState::Ejected, 0)
     );
-    assert!(fleet.log.iter().all(|(at, ..)| *at <= 5 * SECOND));
-    fleet.play(8, dead("b"));
+    assert!(fleet.changes.iter().all(|(at, ..)| *at <= 5 * SECOND));
+    fleet.run(8, dead("b"));
     assert_eq!(
         fleet.zone("b").state,
         ZoneState::Ejected,
-        "not before its least time"
+        "the minimum duration has not passed"
+    );
+    fleet.run(60, |_, _, _| 0);
+    let shares: Vec<u8> = fleet.changes.iter().map(|(.., share)| *share).collect();
+    assert_eq!(
+        shares,
+        [100, 0, 1, 5, 10, 25, 50, 100],
+        "{:?}",
+        fleet.changes
     );
-    fleet.play(60, |_, _, _| 0);
-    let shares: Vec<u8> = fleet.log.iter().map(|(.., share)| *share).collect();
-    assert_eq!(shares, [100, 0, 1, 5, 10, 25, 50, 100], "{:?}", fleet.log);
     assert_eq!(fleet.zone("b").state, ZoneState::Healthy);
 }
 
 #[test]
 fn a_minority_of_relays_or_a_single_zone_ejects_no_zone() {
     let mut fleet = Fleet::new(4.0);
-    fleet.play(
+    fleet.run(
         20,
         |relay, _, of| if relay < 3 && of == "b" { 10 } else { 0 },
     );
-    assert_eq!(fleet.log, [], "three of nine, of three zones");
-    fleet.play(
+    assert_eq!(fleet.changes, [], "three of nine, of three zones");
+    fleet.run(
         20,
         |_, own, of| if own == "a" && of == "b" { 10 } else { 0 },
     );
-    assert_eq!(fleet.log, [], "cut off from one zone only");
-    // Relays that see nothing work are ill, however many of a zone there are.
-    fleet.play(20, |_, own, _| if own == "c" { 10 } else { 0 });
-    assert_eq!(fleet.log, []);
+    assert_eq!(fleet.changes, [], "one zone is cut off from another");
+    // Relays that observe only failures have a fault of their own, even all relays of a zone.
+    fleet.run(20, |_, own, _| if own == "c" { 10 } else { 0 });
+    assert_eq!(fleet.changes, []);
 }
 
 #[test]
 fn a_fault_of_all_zones_ejects_none_and_only_one_zone_is_ejected_at_a_time() {
     let mut fleet = Fleet::new(2.0);
-    fleet.play(20, |_, _, _| 8);
+    fleet.run(20, |_, _, _| 8);
     assert!(
         ZONES.iter().all(|zone| fleet.zone(zone).share == 100),
         "{:?}",
-        fleet.log
+        fleet.changes
     );
     assert!(fleet.zone("a").reason.contains("nobody leaves"));
     let mut fleet = Fleet::new(2.0);
-    fleet.play(3, dead("a"));
-    fleet.play(10, |_, _, of| if of == "c" { 0 } else { 10 });
+    fleet.run(3, dead("a"));
+    fleet.run(10, |_, _, of| if of == "c" { 0 } else { 10 });
     assert_eq!((fleet.zone("a").share, fleet.zone("b").share), (0, 100));
 }
 
 #[test]
 fn load_beyond_the_capacity_of_the_other_zones_stays() {
-    // Of 10 each can do, the others have room for 1 each beyond 8.
+    // Each of the others has a capacity of 10 and may be loaded up to 9: 1 more than its load of 8.
     let mut fleet = Fleet::new(8.0);
-    fleet.play(5, dead("b"));
+    fleet.run(5, dead("b"));
     let b = fleet.zone("b");
     assert_eq!((b.state, b.share), (ZoneState::Ejected, 75), "{}", b.reason);
     assert!(b.reason.contains("a part only"));
     let mut fleet = Fleet::new(9.5);
-    fleet.play(5, dead("b"));
+    fleet.run(5, dead("b"));
     assert_eq!(fleet.zone("b").share, 100);
     assert!(
         fleet.zone("b").reason.contains("no room"),
@@ -149,27 +160,30 @@
 #[test]
 fn a_zone_that_fails_again_goes_back_a_step_and_waits_longer_each_time() {
     let mut fleet = Fleet::new(4.0);
-    fleet.play(3, dead("b"));
-    // Bad from a tenth of its traffic on: two of ten tries fail there.
+    fleet.run(3, dead("b"));
+    // From 10% of its traffic on, two of ten attempts fail.
     for _ in 0..200 {
         let share = fleet.zone("b").share;
-        fleet.play(
+        fleet.run(
             1,
             move |_, _, of| if of == "b" && share >= 10 { 2 } else { 0 },
         );
     }
     let steps: Vec<(Micros, u8)> = fleet
-        .log
+        .changes
         .iter()
         .map(|(at, .., share)| (*at, *share))
         .collect();
-    let tenths: Vec<Micros> = steps
+    let times_at_ten_percent: Vec<Micros> = steps
         .iter()
         .filter(|(_, share)| *share == 10)
         .map(|(at, _)| *at)
         .collect();
-    assert!(tenths.len() >= 2, "{steps:?}");
-    let pauses: Vec<Micros> = tenths.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(times_at_ten_percent.len() >= 2, "{steps:?}");
+    let pauses: Vec<Micros> = times_at_ten_percent
+        .windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .collect();
     assert!(
         pauses.windows(2).all(|pair| pair[1] >= pair[0]),
         "{pauses:?}"
@@ -184,7 +198,7 @@
 fn operators_set_a_zones_share_and_a_load_peak_delays_a_return() {
     let mut fleet = Fleet::new(4.0);
     fleet.zones.set_manual_share(0, "b", Some(0)).unwrap();
-    fleet.play(30, |_, _, _| 0);
+    fleet.run(30, |_, _, _| 0);
     assert_eq!(
         (fleet.zone("b").state, fleet.zone("b").share),
         (ZoneState::Manual, 0)
@@ -193,31 +207,38 @@
         .zones
         .set_manual_share(0, "x", None)
         .unwrap_err()
+        .to_string()
         .contains("there are a, b, c"));
     fleet.zones.set_manual_share(fleet.now, "b", None).unwrap();
-    fleet.rooms.values_mut().for_each(|room| room.load = 9.0);
-    fleet.play(30, |_, _, _| 0);
+    fleet
+        .capacities
+        .values_mut()
+        .for_each(|zone| zone.load = 9.0);
+    fleet.run(30, |_, _, _| 0);
     assert_eq!(fleet.zone("b").share, 0, "{}", fleet.zone("b").reason);
-    fleet.rooms.values_mut().for_each(|room| room.load = 4.0);
-    fleet.play(40, |_, _, _| 0);
+    fleet
+        .capacities
+        .values_mut()
+        .for_each(|zone| zone.load = 4.0);
+    fleet.run(40, |_, _, _| 0);
     assert_eq!(fleet.zone("b").state, ZoneState::Healthy);
 }
 
 #[test]
 fn a_new_owner_resumes_the_states_and_returns_no_faster() {
     let mut fleet = Fleet::new(4.0);
-    fleet.play(3, dead("b"));
-    let told = fleet.zones.status();
+    fleet.run(3, dead("b"));
+    let statuses = fleet.zones.status();
     let mut next = ZoneFailover::default();
-    next.resume(fleet.now, &told);
+    next.resume(fleet.now, &statuses);
     fleet.zones = next;
     let since = fleet.now;
-    fleet.play(9, |_, _, _| 0);
+    fleet.run(9, |_, _, _| 0);
     assert_eq!(fleet.zone("b").state, ZoneState::Ejected);
-    fleet.play(60, |_, _, _| 0);
+    fleet.run(60, |_, _, _| 0);
     assert_eq!(fleet.zone("b").state, ZoneState::Healthy);
     assert!(fleet
-        .log
+        .changes
         .iter()
         .filter(|(at, ..)| *at > since)
         .all(|(_, name, ..)| name == "b"));
