--- /dev/null
+++ b/tests/older_build/process.rs
@@ -0,0 +1,130 @@
+//! A relay process at ports that the test has chosen: its log lines are not read, since they may change.
+
+use super::peers;
+use std::fs;
+use std::io::{Read, Write};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::time::Duration;
+
+/// A port of this machine that nothing listens at.
+pub fn free_address() -> SocketAddr {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    listener.local_addr().unwrap()
+}
+
+/// An entry of the endpoint list.
+pub fn endpoint(name: &str, address: SocketAddr) -> String {
+    format!(
+        "{{\"id\":\"{name}\",\"addr\":\"{address}\",\"zone\":\"x\",\"kind\":\"a\",\"cell\":0,\
+         \"state\":\"active\",\"weight\":1.0,\"started_ms\":0}}"
+    )
+}
+
+pub struct RelayProcess {
+    child: Child,
+    directory: PathBuf,
+    pub clients: SocketAddr,
+    admin: SocketAddr,
+}
+
+impl RelayProcess {
+    /// Starts a relay that knows these endpoints, in a directory of its own, with an operator file unless it is empty.
+    pub fn start(endpoints: &[String], operator: &str) -> RelayProcess {
+        let directory = peers::file("").with_extension("directory");
+        fs::create_dir_all(&directory).unwrap();
+        let (clients, admin) = (free_address(), free_address());
+        let config = peers::config(free_address(), endpoints)
+            .replace(
+                "\"listen\":\"127.0.0.1:0\"",
+                &format!("\"listen\":\"{clients}\""),
+            )
+            .replacen('{', &format!("{{\"admin\":\"{admin}\","), 1);
+        let config_file = directory.join("config.json");
+        fs::write(&config_file, config).unwrap();
+        let mut command = peers::program("serve", &config_file);
+        if !operator.is_empty() {
+            let file = directory.join("operator.toml");
+            fs::write(&file, operator).unwrap();
+            prepare_fleet(&file, operator);
+            command.arg("--operator").arg(file);
+        }
+        let child = command
+            .stdout(Stdio::null())
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
+        let relay = RelayProcess {
+            child,
+            directory,
+            clients,
+            admin,
+        };
+        peers::until("the relay", || (relay.ready()).then_some(()));
+        relay
+    }
+
+    fn ready(&self) -> bool {
+        TcpStream::connect(self.admin).is_ok() && self.get("/control/ready").0 == 200
+    }
+
+    /// What the admin address answers.
+    pub fn get(&self, path: &str) -> (u16, String) {
+        let mut caller = TcpStream::connect(self.admin).unwrap();
+        write!(caller, "GET {path} HTTP/1.1\r\nHost: relay\r\n\r\n").unwrap();
+        peers::read_answer(caller)
+    }
+
+    /// A client's connection.
+    pub fn client(&self) -> TcpStream {
+        let client = TcpStream::connect(self.clients).unwrap();
+        let patience = Some(Duration::from_secs(30));
+        client.set_read_timeout(patience).unwrap();
+        client
+    }
+
+    /// What a client that says this is told, up to the end of its connection.
+    pub fn told_to_client(&self, said: &[u8]) -> String {
+        let mut client = self.client();
+        client.write_all(said).unwrap();
+        read_to_end(client)
+    }
+
+    /// Asks the process to stop.
+    pub fn terminate(&self) {
+        let pid = self.child.id().to_string();
+        let status = Command::new("kill").args(["-TERM", &pid]).status();
+        assert!(status.unwrap().success());
+    }
+}
+
+impl Drop for RelayProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = fs::remove_dir_all(&self.directory);
+    }
+}
+
+/// All that comes on a connection; a reset ends it, too.
+pub fn read_to_end(mut client: TcpStream) -> String {
+    let mut told = Vec::new();
+    let _ = client.read_to_end(&mut told);
+    String::from_utf8(told).unwrap()
+}
+
+fn prepare_fleet(operator_file: &Path, operator: &str) {
+    if !operator.contains("[fleet]") {
+        return;
+    }
+    let key = "a key of a fleet, for tests alone, 32 characters and more\n";
+    fs::write(operator_file.with_file_name("fleet.key"), key).unwrap();
+    let status = Command::new(env!("CARGO_BIN_EXE_jaspermoor"))
+        .args(["fleet", "--operator"])
+        .arg(operator_file)
+        .arg("init")
+        .stdout(Stdio::null())
+        .status();
+    assert!(status.unwrap().success());
+}
