--- a/crates/control/tests/older_build/main.rs
+++ b/crates/control/tests/older_build/main.rs
@@ -206,3 +206,35 @@
         _ => false,
     }
 }
+
+/// The metrics page has them as labels.
+#[test]
+fn kinds_of_messages_are_named_as_in_an_older_build() {
+    let kinds = [
+        ("log", "log"),
+        ("founding", "founding"),
+        ("not-a-member", "gone"),
+        ("renew-request", "renew"),
+        ("renew-response", "reply"),
+        ("subscribe", "subscribe"),
+        ("updates", "updates"),
+        ("publish", "publish"),
+        ("poll", "poll"),
+        ("delivery", "delivery"),
+        ("submission", "submission"),
+        ("receipt", "receipt"),
+        ("stale-token", "stale"),
+    ];
+    for (name, message) in samples::messages() {
+        let expected = kinds
+            .iter()
+            .find(|(of, _)| *of == name)
+            .map(|(_, kind)| *kind);
+        let expected = expected.unwrap_or(if name.starts_with("operator-request") {
+            "ask"
+        } else {
+            "answer"
+        });
+        assert_eq!(message.kind(), expected, "{name}");
+    }
+}
