--- a/crates/lab/src/faults/virtual_fleet.rs
+++ b/crates/lab/src/faults/virtual_fleet.rs
@@ -698,7 +698,7 @@
                 }
                 WorkerCommand::LoadReports(rows) => rows
                     .iter()
-                    .for_each(|(server, at, row)| self.word(n, *server, *at, row)),
+                    .for_each(|load| self.word(n, load.endpoint, load.seen_at, &load.values)),
                 WorkerCommand::PermitMigrations(upto) => {
                     let moving = &mut self.processes[n].moving;
                     moving.permitted = moving.permitted.max(upto);
@@ -1056,7 +1056,7 @@
                     if p.reborn {
                         return;
                     }
-                    let text = format!("n{n}: {}", damaged.0);
+                    let text = format!("n{n}: {damaged}");
                     let rule = "a voter keeps what it has answered for";
                     self.seen.broken.push(Broken {
                         rule,
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -7,7 +7,7 @@
 use jaspermoor::config::policy;
 use jaspermoor::config::Config;
 use jaspermoor::net::core::Xmpp;
-use jaspermoor::net::fleet::Setup;
+use jaspermoor::net::fleet::FleetSettings;
 use std::path::PathBuf;
 
 /// Reads and checks a configuration.
@@ -40,9 +40,9 @@
         return Ok(());
     };
     let file = OperatorFile::load(&path)?;
-    let map = Cells::of(&file)?.map;
-    if !map.is_empty() {
-        println!("{}: {} cells", path.display(), map.len());
+    let map = Cells::from_operator_file(&file)?.map;
+    if !map.is_single() {
+        println!("{}: {} cells", path.display(), map.cell_count());
     }
     match Xmpp::of(&file, &config)? {
         Some(xmpp) => println!(
@@ -52,16 +52,16 @@
         ),
         None => println!("{}: opens no XMPP", path.display()),
     }
-    policy::tuning(&file)?;
-    if let Some(setup) = Setup::of(&file)? {
-        let vote = setup
+    policy::parameters(&file)?;
+    if let Some(settings) = FleetSettings::from_operator_file(&file)? {
+        let vote = settings
             .fleet
             .voter
             .map_or("without a vote".into(), |n| format!("as voter {n}"));
         println!(
             "{}: in the fleet '{}' {vote}",
             path.display(),
-            setup.fleet.id
+            settings.fleet.id
         );
     }
     Ok(())
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -13,7 +13,7 @@
 use jaspermoor::log::{self, log, Format};
 use jaspermoor::net::core::{Core, Xmpp};
 use jaspermoor::net::engine::{Engine, Speaks};
-use jaspermoor::net::fleet::{Fleet, JobResources, Setup};
+use jaspermoor::net::fleet::{Fleet, FleetSettings, JobResources};
 use jaspermoor::net::listen::Listener;
 use jaspermoor::ops::admin::{Admin, Staffed};
 use jaspermoor::ops::bans::Bans;
@@ -67,7 +67,7 @@
     };
     let cells = operator
         .as_ref()
-        .map(Cells::of)
+        .map(Cells::from_operator_file)
         .transpose()?
         .unwrap_or_default();
     let listener = match config.accept_fd {
@@ -106,18 +106,23 @@
         },
     );
     // Before the first request: no site is placed by another map.
-    let tuning = operator
+    let parameters = operator
         .as_ref()
-        .map(policy::tuning)
+        .map(policy::parameters)
         .transpose()?
         .unwrap_or_default();
-    decisions.apply_policy(cells.clone(), tuning);
-    let mut fleet = match operator.as_ref().map(Setup::of).transpose()?.flatten() {
+    decisions.apply_policy(cells.clone(), parameters);
+    let mut fleet = match operator
+        .as_ref()
+        .map(FleetSettings::from_operator_file)
+        .transpose()?
+        .flatten()
+    {
         // Before the first client: until it has a lease nobody is admitted.
-        Some(setup) => Some(Fleet::open(
-            setup,
+        Some(settings) => Some(Fleet::open(
+            settings,
             &config.name,
-            Rules { cells, tuning },
+            Rules { cells, parameters },
             decisions.clone(),
         )?),
         None => None,
@@ -130,18 +135,18 @@
         .and_then(|file| file.operator.fleet.as_ref())
         .map(|fleet| fleet.jobs);
     if let (Some(fleet), Some(jobs)) = (&mut fleet, jobs) {
-        let book = Arc::new(LoadReportCache::default());
+        let load_reports = Arc::new(LoadReportCache::default());
         if jobs.load_watch {
-            engine.watch(book.clone());
+            engine.watch(load_reports.clone());
         }
-        fleet.work_with(JobResources {
+        fleet.enable_jobs(JobResources {
             directory: core.directory.clone(),
             zones: config.names.zones.clone(),
-            columns: config.names.columns.clone(),
-            zone: config.settings.zone,
-            probes: config.settings.may_check_health
+            report_columns: config.names.columns.clone(),
+            own_zone: config.settings.zone,
+            may_check_health: config.settings.may_check_health
                 && config.settings.report_columns.contains(&ReportColumn::Load),
-            book,
+            load_reports,
         });
     }
     let fleet_handle = fleet.as_ref().map(Fleet::handle);
@@ -235,7 +240,7 @@
             reload(&mut config, &source, &core, operator.as_ref());
         } else if !std::mem::replace(&mut stopping, true) {
             // Its jobs first: others have them before it has gone.
-            fleet_handle.iter().for_each(|fleet| fleet.stop());
+            fleet_handle.iter().for_each(|fleet| fleet.drain());
             control.stop();
             log(&format!(
                 "{}: signal {signal}, moving the standing connections",
@@ -289,12 +294,12 @@
             fixed.push("fleet");
         }
         let rules = Rules {
-            cells: Cells::of(&file)?,
-            tuning: policy::tuning(&file)?,
+            cells: Cells::from_operator_file(&file)?,
+            parameters: policy::parameters(&file)?,
         };
         Ok((new, fixed, xmpp, rules))
     };
-    let (new, fixed, xmpp, Rules { cells, tuning }) = match read() {
+    let (new, fixed, xmpp, Rules { cells, parameters }) = match read() {
         Ok(read) => read,
         Err(e) => {
             core.metrics.load_errors.fetch_add(1, Relaxed);
@@ -311,7 +316,7 @@
     core.adopt_xmpp(xmpp);
     // A fleet's policy is not replaced by this relay's own file.
     if operator.is_none_or(|file| file.operator.fleet.is_none()) {
-        core.decisions.apply_policy(cells, tuning);
+        core.decisions.apply_policy(cells, parameters);
     }
     *config = new;
     let moved = source.relocate(config.discovery);
