--- a/crates/control/tests/older_build/main.rs
+++ b/crates/control/tests/older_build/main.rs
@@ -123,7 +123,7 @@
 
 fn levels(table: &Table) -> Vec<(u64, Vec<Level>)> {
     let rows = table.rows().iter();
-    rows.map(|row| (row.backend, row.levels.clone())).collect()
+    rows.map(|row| (row.endpoint, row.levels.clone())).collect()
 }
 
 #[test]
--- a/crates/control/tests/older_build/samples.rs
+++ b/crates/control/tests/older_build/samples.rs
@@ -4,7 +4,7 @@
 use jaspermoor_control::broadcast::message::{
     Allowance, Delivered, Delivery, MovesSummary, Poll, Receipt, Reports, Submission,
 };
-use jaspermoor_control::broadcast::table::Table;
+use jaspermoor_control::broadcast::table::{LoadReport, Table};
 use jaspermoor_control::jobs::assignment::{Assignment, Job, Jobs};
 use jaspermoor_control::jobs::load_watch::LoadReports;
 use jaspermoor_control::jobs::moves::{MigrationPermits, MigrationStatus};
@@ -336,8 +336,8 @@
 
 fn receipt() -> Receipt {
     Receipt {
-        start: 0x1_0000_0002,
-        number: 24,
+        incarnation: 0x1_0000_0002,
+        sequence: 24,
         job: "moves".into(),
         version: 78,
         stamp: 7_100_000,
@@ -347,9 +347,9 @@
             used: 280,
             relays: 4,
             waiting: 1_000,
-            made: 270,
+            completed: 270,
             permitted: 285,
-            lacking: 715,
+            unmet_demand: 715,
         }),
     }
 }
@@ -441,8 +441,16 @@
     LoadReports {
         columns: vec!["cpu".into(), "memory".into()],
         reports: vec![
-            (11, 120_000, vec![0.25, 0.5]),
-            (12, 90_000, vec![0.75, 1.5]),
+            LoadReport {
+                endpoint: 11,
+                age: 120_000,
+                values: vec![0.25, 0.5],
+            },
+            LoadReport {
+                endpoint: 12,
+                age: 90_000,
+                values: vec![0.75, 1.5],
+            },
         ],
     }
 }
@@ -475,8 +483,12 @@
     ["cpu".into(), "memory".into()]
 }
 
-fn load_report(endpoint: u64, load: f32) -> (u64, u64, Vec<f32>) {
-    (endpoint, 20_000, vec![load, load / 2.0])
+fn load_report(endpoint: u64, load: f32) -> LoadReport {
+    LoadReport {
+        endpoint,
+        age: 20_000,
+        values: vec![load, load / 2.0],
+    }
 }
 
 pub fn migration_status() -> MigrationStatus {
--- a/tests/older_build/ledgers.rs
+++ b/tests/older_build/ledgers.rs
@@ -118,10 +118,10 @@
     Rows::of_older_build("voter").write(dir.path());
     let ledger = Ledger::open(dir.path(), &owner(1)).unwrap();
     assert_eq!(ledger.incarnation().unwrap(), INCARNATION);
-    assert_eq!(ledger.policy().unwrap(), adopted_policy());
-    assert_eq!(ledger.membership().unwrap(), Some(told_membership()));
+    assert_eq!(ledger.load_policy().unwrap(), adopted_policy());
+    assert_eq!(ledger.load_membership().unwrap(), Some(told_membership()));
 
-    let kept = ledger.kept().unwrap();
+    let kept = ledger.load_log().unwrap();
     let mut voter = Voter::new(1, INCARNATION, &kept, FleetTiming::default(), 0).unwrap();
     // Without a term as leader it applies what was committed before it stopped.
     voter.ready(0);
@@ -150,7 +150,7 @@
 fn a_voters_ledger_has_the_rows_of_an_older_build() {
     let dir = tempfile::tempdir().unwrap();
     let older = Rows::of_older_build("voter");
-    Ledger::found(dir.path(), &owner(1), &[1], INCARNATION).unwrap();
+    Ledger::create_for_new_fleet(dir.path(), &owner(1), &[1], INCARNATION).unwrap();
     let ledger = Ledger::open(dir.path(), &owner(1)).unwrap();
     let stored = PersistBatch {
         hard_state: older.facts.get("vote").cloned(),
@@ -158,7 +158,7 @@
         entries: older.entries.clone().into_iter().collect(),
         compact_to: None,
     };
-    ledger.store(&stored).unwrap();
+    ledger.persist_log(&stored).unwrap();
     store_common_facts(&ledger);
     drop(ledger);
     assert_eq!(Rows::read(dir.path()), older);
@@ -169,8 +169,8 @@
     let dir = tempfile::tempdir().unwrap();
     Rows::of_older_build("relay").write(dir.path());
     let ledger = Ledger::open(dir.path(), &owner(0)).unwrap();
-    assert_eq!(ledger.policy().unwrap(), adopted_policy());
-    assert_eq!(ledger.membership().unwrap(), Some(told_membership()));
+    assert_eq!(ledger.load_policy().unwrap(), adopted_policy());
+    assert_eq!(ledger.load_membership().unwrap(), Some(told_membership()));
 }
 
 #[test]
@@ -195,7 +195,7 @@
 }
 
 fn store_common_facts(ledger: &Ledger) {
-    ledger.adopt(&adopted_policy()).unwrap();
-    ledger.prepare(&prepared_proposal()).unwrap();
-    ledger.seat(&told_membership()).unwrap();
+    ledger.save_policy(&adopted_policy()).unwrap();
+    ledger.save_prepared(&prepared_proposal()).unwrap();
+    ledger.save_membership(&told_membership()).unwrap();
 }
