--- a/crates/control/src/broadcast/broadcaster/mod.rs
+++ b/crates/control/src/broadcast/broadcaster/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Input: the time, messages of relays and owners, and the jobs as this voter's log has them. Output: messages to send.
 //!
-//! Clocks are never compared: each update carries an upper bound of its age, measured from a request and its response, so
+//! Clocks are never compared: each update carries an upper bound of its age, derived from a request and its response, so
 //! an update that was delayed on its way counts as that much older. A load table is encoded once for all relays that have
 //! the same version. Relays and owners of older builds get full updates, and the reports of each relay.
 //!
--- a/crates/control/src/broadcast/quantise.rs
+++ b/crates/control/src/broadcast/quantise.rs
@@ -4,7 +4,7 @@
 //! Input: a load, in units of an endpoint's capacity or as a count. Output: its level, and the load that a level stands
 //! for.
 //!
-//! Below [`LINEAR_LEVELS`] a level is 0.05 wide. All thresholds of the decisions (0.3, 0.4, 0.6, 0.7, 0.75, 0.9 and 1.0)
+//! Below a load of 1.6 a level is 0.05 wide. All thresholds of the decisions (0.3, 0.4, 0.6, 0.7, 0.75, 0.9 and 1.0)
 //! are boundaries of levels, and a level stands for its midpoint, so a quantised load is on the same side of each
 //! threshold as the original. Above that a level is a sixteenth of an octave wide: counts of connections, which the
 //! decisions only add and divide, are within about 2.2% of the original.
--- a/crates/control/src/broadcast/subscriber/updates.rs
+++ b/crates/control/src/broadcast/subscriber/updates.rs
@@ -79,7 +79,7 @@
 
 impl Subscriber {
     /// Handles a voter's response in the format of older builds, which also starts a stream of deliveries. `last_token`
-    /// is the last token that the fleet has issued, if a leader has told this process.
+    /// is the last token that the fleet has issued, if this process knows it.
     pub fn handle_updates(
         &mut self,
         now: Micros,
@@ -129,8 +129,8 @@
         received
     }
 
-    /// Handles a delivery of a voter. `last_token` is the last token that the fleet has issued, if a leader has told this
-    /// process.
+    /// Handles a delivery of a voter. `last_token` is the last token that the fleet has issued, if this process knows
+    /// it.
     pub fn handle_delivery(
         &mut self,
         now: Micros,
--- a/crates/control/src/broadcast/table/changes.rs
+++ b/crates/control/src/broadcast/table/changes.rs
@@ -67,7 +67,7 @@
     u16::try_from(units).unwrap_or(UNKNOWN_AGE)
 }
 
-/// Earliest time at which something of this encoded age was seen; 0 if its age is unknown. Another clock measured the age.
+/// Earliest time at which something of this encoded age was seen; 0 if its age is unknown. The age is a span of another clock.
 pub(super) fn decode_seen_at(now: Micros, age: u16) -> Micros {
     if age == UNKNOWN_AGE {
         return 0;
--- a/crates/control/src/jobs/fence.rs
+++ b/crates/control/src/jobs/fence.rs
@@ -19,7 +19,7 @@
 pub enum FenceDecision {
     /// Execute it.
     Accept,
-    /// Reject it, and tell the sender to stop: the job's current token is this one.
+    /// Reject it and answer with the job's current token, which is this one, so that the sender stops.
     Stale(FencingToken),
     /// Ask the leader for the job's token, pass the answer to [`Fence::learn_token`], and check the command again.
     Unknown,
--- a/crates/control/src/jobs/load_watch.rs
+++ b/crates/control/src/jobs/load_watch.rs
@@ -123,10 +123,10 @@
     where
         L: IntoIterator<Item = u64>,
     {
-        let is_round_due = self
+        let starts_round = self
             .round_started_at
             .is_none_or(|started_at| now >= started_at + ROUND_INTERVAL);
-        if is_round_due {
+        if starts_round {
             self.round_started_at = Some(now);
             self.is_published = false;
             self.waiting = endpoints().into_iter().collect();
--- a/crates/control/src/jobs/load_watch/tests.rs
+++ b/crates/control/src/jobs/load_watch/tests.rs
@@ -88,3 +88,26 @@
     assert_eq!(loads.rows(&columns(&["qps"])).count(), 0);
     assert_eq!(LoadReports::decode(b"what is this"), None);
 }
+
+#[test]
+fn load_reports_are_encoded_as_older_builds_encode_them() {
+    #[derive(Serialize)]
+    struct FormerLoadReports {
+        columns: Vec<String>,
+        of: Vec<(u64, Micros, Vec<f32>)>,
+    }
+    let former = FormerLoadReports {
+        columns: columns(&["x0"]),
+        of: vec![(7, 5, vec![0.25])],
+    };
+    let current = LoadReports {
+        columns: columns(&["x0"]),
+        reports: vec![LoadReport {
+            endpoint: 7,
+            age: 5,
+            values: vec![0.25],
+        }],
+    };
+    assert_eq!(current.encode(), wire::encode(&former));
+    assert_eq!(LoadReports::decode(&wire::encode(&former)), Some(current));
+}
--- a/crates/control/src/jobs/worker/migration_job.rs
+++ b/crates/control/src/jobs/worker/migration_job.rs
@@ -38,9 +38,9 @@
             return;
         };
         self.publish(&mut tick, rate);
-        let is_checkpoint_due = tick.now >= self.checkpointed_at + CHECKPOINT_INTERVAL;
+        let needs_checkpoint = tick.now >= self.checkpointed_at + CHECKPOINT_INTERVAL;
         if self.pacer.permitted_total() > 0
-            && is_checkpoint_due
+            && needs_checkpoint
             && tick.owner.checkpoint(tick.name, self.pacer.checkpoint())
         {
             self.checkpointed_at = tick.now;
--- a/crates/control/src/jobs/zones/state_machine.rs
+++ b/crates/control/src/jobs/zones/state_machine.rs
@@ -206,12 +206,12 @@
 
     /// Goes to the next step, or to the healthy state after the last.
     fn advance(&mut self, now: Micros) {
-        let passed_share = RETURN_SHARES[self.step];
+        let completed_share = RETURN_SHARES[self.step];
         self.step += 1;
         match RETURN_SHARES.get(self.step) {
             Some(100) | None => self.enter(now, ZoneState::Healthy, 100, "it is back".into()),
             Some(share) => {
-                let reason = format!("as good as the others at {passed_share} in a hundred");
+                let reason = format!("as good as the others at {completed_share} in a hundred");
                 self.enter(now, ZoneState::Returning, *share, reason);
             }
         }
