--- a/crates/control/src/log/voter/job_assignment.rs
+++ b/crates/control/src/log/voter/job_assignment.rs
@@ -3,8 +3,7 @@
 //! A relay owns a job by an entry of the log and acts on it while its lease on its jobs runs. A job is revoked by one entry
 //! and released by a later one, after its owner has confirmed that it stopped, or its lease cannot run any more.
 //!
-//! Guards against: two owners of one job, jobs that move whenever a relay restarts, and a job that circulates among relays of
-//! which none can do it.
+//! Guards against: two owners of one job, and jobs that move whenever a relay restarts.
 
 use super::leadership::{AssignmentRun, Leadership, RelayProgress};
 use super::Voter;
@@ -20,36 +19,6 @@
 const ASSIGNMENT_INTERVAL: Micros = 200_000;
 /// The shortest time between two revocations for balance, in microseconds: a relay that restarts moves no jobs.
 const REBALANCE_INTERVAL: Micros = 10_000_000;
-/// A job that is relinquished again within this time backs off, in microseconds.
-const RELINQUISH_WINDOW: Micros = 60_000_000;
-/// The first backoff of a job that was relinquished twice, in microseconds; it doubles each further time.
-const MIN_RELINQUISH_BACKOFF: Micros = 5_000_000;
-/// How often the backoff doubles at most.
-const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-
-/// Backoff of a job that its owners relinquish: it is not assigned while the backoff lasts.
-#[derive(Clone, Copy, Debug, Default)]
-pub(super) struct RelinquishBackoff {
-    /// How often in a row the job was relinquished, each time within [`RELINQUISH_WINDOW`] of the time before.
-    count: u32,
-    last_at: Micros,
-}
-
-impl RelinquishBackoff {
-    fn record(&mut self, now: Micros) {
-        let is_repeated = now < self.last_at + RELINQUISH_WINDOW;
-        self.count = if is_repeated { self.count + 1 } else { 1 };
-        self.last_at = now;
-    }
-
-    fn is_active(&self, now: Micros) -> bool {
-        if self.count < 2 {
-            return false;
-        }
-        let doublings = (self.count - 2).min(MAX_BACKOFF_DOUBLINGS);
-        now < self.last_at + (MIN_RELINQUISH_BACKOFF << doublings)
-    }
-}
 
 impl Leadership {
     /// Counts the jobs among these that owners have relinquished because they could not do them.
--- a/crates/control/src/log/voter/leadership.rs
+++ b/crates/control/src/log/voter/leadership.rs
@@ -1,7 +1,7 @@
 //! What a voter knows while it leads: of each relay, of the proposal under way, and of jobs that were relinquished. All of
 //! it is lost with the leadership; a new leader waits until the leases of its predecessor have run out.
 
-use super::job_assignment::RelinquishBackoff;
+use super::relinquish_backoff::RelinquishBackoff;
 use super::Voter;
 use crate::log::state::ProposalId;
 use crate::relay::{JobCapabilities, RelayId};
--- a/crates/control/src/log/voter/mod.rs
+++ b/crates/control/src/log/voter/mod.rs
@@ -20,6 +20,7 @@
 mod proposals;
 mod read_confirmation;
 mod ready;
+mod relinquish_backoff;
 mod snapshots;
 
 use crate::broadcast::broadcaster::Broadcaster;
