--- a/crates/control/src/broadcast/feed.rs
+++ b/crates/control/src/broadcast/feed.rs
@@ -61,13 +61,13 @@
 
 impl Feed {
     /// Drops updates that are too old, and those of jobs that no longer exist.
-    pub fn retain(&mut self, now: Micros, jobs: &Jobs) {
+    pub(super) fn retain(&mut self, now: Micros, jobs: &Jobs) {
         self.channels
             .retain(|name, channel| jobs.by_name.contains_key(name) && !channel.is_old(now));
     }
 
     /// The message to a relay after a change of this job; none if there is nothing to send now.
-    pub fn notify(
+    pub(super) fn notify(
         &mut self,
         now: Micros,
         subscription: &mut Subscription,
@@ -95,7 +95,7 @@
 
     /// The delivery to a relay, with as many updates as its token bucket allows. None if the relay does not support
     /// deliveries, or if there are no updates and the relay did not send a request.
-    pub fn deliver(
+    pub(super) fn deliver(
         &mut self,
         now: Micros,
         subscription: &mut Subscription,
@@ -219,7 +219,7 @@
     }
 
     /// Full updates that a relay of an older build lacks, of one job or of all.
-    pub fn full_updates(
+    pub(super) fn full_updates(
         &mut self,
         now: Micros,
         subscription: &Subscription,
--- a/crates/control/src/broadcast/message.rs
+++ b/crates/control/src/broadcast/message.rs
@@ -6,16 +6,13 @@
 
 use super::table::Version;
 use crate::jobs::assignment::FencingToken;
+use crate::serialization::is_default;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
 /// Version of the broadcast protocol of this build. A peer with this version or a higher one supports these messages.
 pub const VERSION: u32 = 1;
 
-fn is_default<T: Default + PartialEq>(value: &T) -> bool {
-    *value == T::default()
-}
-
 /// Request of a subscribed relay for new updates, with an acknowledgement of those that it received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
--- a/crates/control/src/broadcast/subscriber/publishing.rs
+++ b/crates/control/src/broadcast/subscriber/publishing.rs
@@ -53,7 +53,7 @@
     pub fn submit(
         &self,
         now: Micros,
-        id: UpdateId,
+        id: UpdateId<'_>,
         mut fill: impl FnMut(u64, &mut Submission),
     ) -> Vec<(u64, Message)> {
         let mut messages = Vec::new();
@@ -89,7 +89,7 @@
     }
 
     /// A full update, valid now, to each voter of an older build whose clock is known.
-    pub fn publish(&self, now: Micros, id: UpdateId, payload: &[u8]) -> Vec<(u64, Message)> {
+    pub fn publish(&self, now: Micros, id: UpdateId<'_>, payload: &[u8]) -> Vec<(u64, Message)> {
         let update = Update {
             job: id.job.into(),
             token: id.token,
--- a/crates/control/src/broadcast/subscriber/voter.rs
+++ b/crates/control/src/broadcast/subscriber/voter.rs
@@ -35,17 +35,17 @@
 
 impl VoterState {
     /// Whether deliveries, polls and submissions may be exchanged with this voter.
-    pub fn supports_deliveries(&self, now: Micros) -> bool {
+    pub(super) fn supports_deliveries(&self, now: Micros) -> bool {
         self.deliveries_supported_at
             .is_some_and(|at| now < at + DELIVERY_SUPPORT_TIMEOUT)
     }
 
     /// Records whether the voter's message showed that it supports deliveries.
-    pub fn set_supports_deliveries(&mut self, now: Micros, is_supported: bool) {
+    pub(super) fn set_supports_deliveries(&mut self, now: Micros, is_supported: bool) {
         self.deliveries_supported_at = is_supported.then_some(now);
     }
 
-    pub fn set_clock(&mut self, now: Micros, voter_time: Micros) {
+    pub(super) fn set_clock(&mut self, now: Micros, voter_time: Micros) {
         self.clock = Some(ClockSample {
             voter_time,
             received_at: now,
@@ -53,17 +53,17 @@
     }
 
     /// The latest clock sample, of any age.
-    pub fn clock(&self) -> Option<ClockSample> {
+    pub(super) fn clock(&self) -> Option<ClockSample> {
         self.clock
     }
 
     /// The latest clock sample, if it is recent enough for a submission.
-    pub fn recent_clock(&self, now: Micros) -> Option<ClockSample> {
+    pub(super) fn recent_clock(&self, now: Micros) -> Option<ClockSample> {
         self.clock
             .filter(|sample| now < sample.received_at + MAX_CLOCK_SAMPLE_AGE)
     }
 
-    pub fn record_request(&mut self, now: Micros, sequence: u64) {
+    pub(super) fn record_request(&mut self, now: Micros, sequence: u64) {
         if self.open_requests.len() == MAX_OPEN_REQUESTS {
             self.open_requests.pop_front();
         }
@@ -74,7 +74,7 @@
     }
 
     /// When the request with this sequence number was sent; none if it is not open.
-    pub fn requested_at(&self, sequence: u64) -> Option<Micros> {
+    pub(super) fn requested_at(&self, sequence: u64) -> Option<Micros> {
         self.open_requests
             .iter()
             .find(|request| request.sequence == sequence)
--- a/crates/control/src/broadcast/subscription.rs
+++ b/crates/control/src/broadcast/subscription.rs
@@ -47,7 +47,11 @@
 impl Subscription {
     /// The subscription that a relay requests. Its permits and its token bucket are taken from the previous one, if that
     /// is of the same process.
-    pub fn new(now: Micros, request: Subscribe, previous: Option<&Subscription>) -> Subscription {
+    pub(super) fn new(
+        now: Micros,
+        request: Subscribe,
+        previous: Option<&Subscription>,
+    ) -> Subscription {
         let previous = previous.filter(|previous| previous.relay == request.relay);
         let deliveries = (request.version >= VERSION).then(|| DeliveryState {
             stream: Stream::new(request.sequence, held_versions(request.tables)),
@@ -71,12 +75,12 @@
     }
 
     /// Whether the relay follows no longer.
-    pub fn is_silent(&self, now: Micros) -> bool {
+    pub(super) fn is_silent(&self, now: Micros) -> bool {
         now >= self.last_request_at + SUBSCRIPTION_TIMEOUT
     }
 
     /// Replaces the relay's reports.
-    pub fn set_reports(&mut self, reports: Vec<Report>) {
+    pub(super) fn set_reports(&mut self, reports: Vec<Report>) {
         self.reports = reports;
         self.reports
             .retain(|report| report.payload.len() <= MAX_REPORT_BYTES);
@@ -92,7 +96,7 @@
     }
 
     /// A response to the latest request, with the voter's clock and without updates.
-    pub fn response(&self, now: Micros) -> Updates {
+    pub(super) fn response(&self, now: Micros) -> Updates {
         Updates {
             incarnation: self.relay.incarnation,
             sequence: self.sequence,
--- a/crates/control/src/broadcast/table/apply.rs
+++ b/crates/control/src/broadcast/table/apply.rs
@@ -26,7 +26,7 @@
 
 impl Checks {
     /// All checks.
-    pub const ALL: Checks = Checks {
+    pub(crate) const ALL: Checks = Checks {
         old: true,
         gap: true,
     };
--- a/crates/control/src/broadcast/table/changes.rs
+++ b/crates/control/src/broadcast/table/changes.rs
@@ -39,12 +39,12 @@
 
 impl Changes {
     /// Whether these are a whole table.
-    pub fn is_whole(&self) -> bool {
+    pub(super) fn is_whole(&self) -> bool {
         self.from == 0
     }
 
     /// Indexes of the changed rows, in ascending order.
-    pub fn changed_indexes(&self) -> Vec<usize> {
+    pub(super) fn changed_indexes(&self) -> Vec<usize> {
         let mut next = 0;
         let to_index = |gap: &u16| {
             let index = next + usize::from(*gap);
--- a/crates/control/src/broadcast/token_bucket.rs
+++ b/crates/control/src/broadcast/token_bucket.rs
@@ -16,7 +16,7 @@
 
 /// A bucket of bytes that fills at a constant rate.
 #[derive(Clone, Copy, Debug)]
-pub struct TokenBucket {
+pub(super) struct TokenBucket {
     /// In thousandths of a byte; negative while in debt.
     level: i64,
     /// Time up to which the bucket is filled.
@@ -25,7 +25,7 @@
 
 impl TokenBucket {
     /// An empty bucket that starts to fill now.
-    pub fn new(now: Micros) -> TokenBucket {
+    pub(super) fn new(now: Micros) -> TokenBucket {
         TokenBucket {
             level: 0,
             filled_at: now,
@@ -33,7 +33,7 @@
     }
 
     /// Adds the bytes for the time since the last call, in whole milliseconds. Returns whether bytes are available.
-    pub fn fill(&mut self, now: Micros, bytes_per_second: u64) -> bool {
+    pub(super) fn fill(&mut self, now: Micros, bytes_per_second: u64) -> bool {
         let elapsed_ms = now.saturating_sub(self.filled_at) / 1_000;
         if elapsed_ms > 0 {
             let max_level = (bytes_per_second * MAX_BURST_MS) as i64;
@@ -45,13 +45,13 @@
     }
 
     /// Removes sent bytes.
-    pub fn take(&mut self, bytes: usize, bytes_per_second: u64) {
+    pub(super) fn take(&mut self, bytes: usize, bytes_per_second: u64) {
         let min_level = -((bytes_per_second * MAX_BURST_MS) as i64);
         self.level = (self.level - bytes as i64 * 1_000).max(min_level);
     }
 
     /// Whether bytes are available.
-    pub fn has_bytes(&self) -> bool {
+    pub(super) fn has_bytes(&self) -> bool {
         self.level > 0
     }
 }
--- a/crates/control/src/jobs/moves.rs
+++ b/crates/control/src/jobs/moves.rs
@@ -1,4 +1,5 @@
-//! Migration pacing: the job of limiting the rate at which all relays migrate established connections to other endpoints.
+//! Migration pacing: the job of limiting the rate at which all relays migrate established connections to other cells.
+//! Migrations away from draining or overloaded endpoints are not counted here.
 //!
 //! Each relay reports how many of its connections wait and how many it has migrated since its start. The owner permits
 //! each relay a number of migrations since that start, which only grows, so a message that arrives late or twice permits
--- a/crates/control/src/jobs/worker/load_job.rs
+++ b/crates/control/src/jobs/worker/load_job.rs
@@ -18,7 +18,7 @@
 
 impl LoadJob {
     /// A job that starts under this token. `last_sequence` is the last that this relay used as an owner.
-    pub fn new(token: FencingToken, last_sequence: u64) -> LoadJob {
+    pub(super) fn new(token: FencingToken, last_sequence: u64) -> LoadJob {
         LoadJob {
             watch: LoadWatch::default(),
             table: Table::after(token, last_sequence),
@@ -27,7 +27,7 @@
     }
 
     /// Probes endpoints, and publishes a round that has ended. Relinquishes the job if no endpoint can be reached.
-    pub fn tick(&mut self, mut tick: JobTick) {
+    pub(super) fn tick(&mut self, mut tick: JobTick<'_>) {
         let zone = tick.name.split_once('/').map_or("", |(_, zone)| zone);
         let probes = self
             .watch
@@ -49,7 +49,7 @@
     }
 
     /// Updates the table, uses it on this relay at once, and sends each voter what it lacks.
-    fn publish(&mut self, tick: &mut JobTick, reports: &LoadReports) {
+    fn publish(&mut self, tick: &mut JobTick<'_>, reports: &LoadReports) {
         self.table
             .update(tick.now, &reports.columns, &reports.reports);
         let loads = table_loads(&self.table, tick.context.report_columns);
@@ -73,20 +73,20 @@
     }
 
     /// Records the version that a voter has.
-    pub fn handle_receipt(&mut self, voter: u64, version: Version) {
+    pub(super) fn handle_receipt(&mut self, voter: u64, version: Version) {
         self.acknowledged.insert(voter, version);
     }
 
     /// Handles the end of a probe; `report` is none if it failed.
-    pub fn health_checked(&mut self, now: Micros, endpoint: u64, report: Option<Vec<f32>>) {
+    pub(super) fn health_checked(&mut self, now: Micros, endpoint: u64, report: Option<Vec<f32>>) {
         self.watch.health_checked(now, endpoint, report);
     }
 
-    pub fn next_tick(&self) -> Micros {
+    pub(super) fn next_tick(&self) -> Micros {
         self.watch.next_tick()
     }
 
-    pub fn table(&self) -> &Table {
+    pub(super) fn table(&self) -> &Table {
         &self.table
     }
 }
--- a/crates/control/src/jobs/worker/migration_job.rs
+++ b/crates/control/src/jobs/worker/migration_job.rs
@@ -21,7 +21,7 @@
 
 impl MigrationJob {
     /// A job that resumes from a checkpoint.
-    pub fn new(now: Micros, checkpoint: &[u8]) -> MigrationJob {
+    pub(super) fn new(now: Micros, checkpoint: &[u8]) -> MigrationJob {
         MigrationJob {
             pacer: MigrationPacer::resume(checkpoint),
             checkpointed_at: now,
@@ -30,7 +30,7 @@
     }
 
     /// Gives permits, and stores a checkpoint at its interval.
-    pub fn tick(&mut self, mut tick: JobTick) {
+    pub(super) fn tick(&mut self, mut tick: JobTick<'_>) {
         if tick.now < self.pacer.next_tick() {
             return;
         }
@@ -48,7 +48,7 @@
     }
 
     /// Gives permits at this rate per second, and sends them to the voters.
-    fn publish(&mut self, tick: &mut JobTick, rate: u64) {
+    fn publish(&mut self, tick: &mut JobTick<'_>, rate: u64) {
         let permits = self.pacer.tick(tick.now, rate);
         let id = UpdateId {
             job: tick.name,
@@ -69,16 +69,16 @@
     }
 
     /// Handles a relay's report; see [`MigrationPacer::handle_report`].
-    pub fn handle_report(&mut self, valid_since: Micros, relay: RelayId, report: &[u8]) {
+    pub(super) fn handle_report(&mut self, valid_since: Micros, relay: RelayId, report: &[u8]) {
         self.pacer.handle_report(valid_since, relay, report);
     }
 
     /// Handles a voter's summary.
-    pub fn handle_summary(&mut self, now: Micros, voter: u64, summary: MovesSummary) {
+    pub(super) fn handle_summary(&mut self, now: Micros, voter: u64, summary: MovesSummary) {
         self.pacer.handle_summary(now, voter, summary);
     }
 
-    pub fn next_tick(&self) -> Micros {
+    pub(super) fn next_tick(&self) -> Micros {
         self.pacer.next_tick()
     }
 }
--- a/crates/control/src/jobs/worker/mod.rs
+++ b/crates/control/src/jobs/worker/mod.rs
@@ -144,7 +144,7 @@
         &mut self,
         now: Micros,
         lease_client: &mut LeaseClient,
-        context: WorkContext,
+        context: WorkContext<'_>,
     ) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         self.take_over(now, lease_client, &mut commands);
@@ -157,7 +157,7 @@
         &mut self,
         now: Micros,
         lease_client: &mut LeaseClient,
-        context: WorkContext,
+        context: WorkContext<'_>,
         commands: &mut Vec<WorkerCommand>,
     ) {
         let Some(owner) = lease_client.owner_mut() else {
@@ -193,7 +193,7 @@
         &mut self,
         now: Micros,
         lease_client: &LeaseClient,
-        context: WorkContext,
+        context: WorkContext<'_>,
         commands: &mut Vec<WorkerCommand>,
     ) {
         let (voters, leader) = lease_client.voters();
@@ -259,7 +259,7 @@
 }
 
 /// This relay's reports to job owners.
-fn reports(context: WorkContext) -> Vec<Report> {
+fn reports(context: WorkContext<'_>) -> Vec<Report> {
     (context.migration_status)()
         .map(|(status, _)| Report {
             kind: moves::KIND.into(),
--- a/crates/control/src/jobs/worker/updates.rs
+++ b/crates/control/src/jobs/worker/updates.rs
@@ -19,7 +19,7 @@
         now: Micros,
         voter: u64,
         lease_client: &LeaseClient,
-        context: WorkContext,
+        context: WorkContext<'_>,
         updates: Updates,
     ) -> Vec<WorkerCommand> {
         let (voters, _) = lease_client.voters();
@@ -36,7 +36,7 @@
         now: Micros,
         voter: u64,
         lease_client: &LeaseClient,
-        context: WorkContext,
+        context: WorkContext<'_>,
         delivery: Delivery,
     ) -> Vec<WorkerCommand> {
         let (voters, _) = lease_client.voters();
@@ -72,7 +72,7 @@
     fn handle_received(
         &mut self,
         lease_client: &LeaseClient,
-        context: WorkContext,
+        context: WorkContext<'_>,
         received: ReceivedUpdates,
     ) -> Vec<WorkerCommand> {
         self.updates_rejected += received.rejected as u64;
@@ -106,7 +106,7 @@
     fn execute(
         &mut self,
         lease_client: &LeaseClient,
-        context: WorkContext,
+        context: WorkContext<'_>,
         command: OwnerCommand,
         commands: &mut Vec<WorkerCommand>,
     ) {
--- a/crates/control/src/jobs/zones/evidence.rs
+++ b/crates/control/src/jobs/zones/evidence.rs
@@ -25,7 +25,7 @@
 
 impl Evidence {
     /// The evidence that these observations give about a zone.
-    pub fn for_zone(zone: &str, observations: &[&ZoneObservations]) -> Evidence {
+    pub(super) fn for_zone(zone: &str, observations: &[&ZoneObservations]) -> Evidence {
         let mut observers = BTreeSet::new();
         let mut bad_observers = BTreeSet::new();
         let mut relay_count = 0;
--- a/crates/control/src/jobs/zones/mod.rs
+++ b/crates/control/src/jobs/zones/mod.rs
@@ -1,4 +1,5 @@
 //! Zone failover: the job of deciding which zones the fleet ejects, and how their traffic returns. No I/O and no clock.
+//! Not wired in yet: no relay runs this job.
 //!
 //! Input: what relays observe of each zone ([`ZoneObservations`]), the capacity and load of the zones, and shares that
 //! operators set. Output: the state and the traffic share of each zone ([`ZoneStatus`]). It takes effect as a part of the
@@ -82,17 +83,17 @@
 pub enum ZoneState {
     /// It gets its full traffic.
     #[default]
-    #[serde(rename = "Well")]
+    #[serde(rename = "well")]
     Healthy,
     /// It is observed to fail, but not for long enough.
     Suspect,
     /// It gets no new traffic, or less.
-    #[serde(rename = "Out")]
+    #[serde(rename = "out")]
     Ejected,
     /// It gets a part of its traffic again, more with each step.
     Returning,
     /// Operators have set its share.
-    #[serde(rename = "Held")]
+    #[serde(rename = "held")]
     Manual,
 }
 
--- a/crates/control/src/jobs/zones/state_machine.rs
+++ b/crates/control/src/jobs/zones/state_machine.rs
@@ -53,7 +53,7 @@
 }
 
 impl Zone {
-    pub fn healthy() -> Zone {
+    pub(super) fn healthy() -> Zone {
         Zone {
             share: 100,
             reason: "it takes its part".into(),
@@ -62,7 +62,7 @@
     }
 
     /// A zone with this status, whose duration starts now. A suspect one starts as healthy.
-    pub fn resume(now: Micros, status: &ZoneStatus) -> Zone {
+    pub(super) fn resume(now: Micros, status: &ZoneStatus) -> Zone {
         let state = match status.state {
             ZoneState::Suspect => ZoneState::Healthy,
             state => state,
@@ -77,7 +77,7 @@
         }
     }
 
-    pub fn status(&self) -> ZoneStatus {
+    pub(super) fn status(&self) -> ZoneStatus {
         ZoneStatus {
             state: self.state,
             share: self.share,
@@ -85,34 +85,34 @@
         }
     }
 
-    pub fn share(&self) -> u8 {
+    pub(super) fn share(&self) -> u8 {
         self.share
     }
 
-    pub fn is_manual(&self) -> bool {
+    pub(super) fn is_manual(&self) -> bool {
         self.state == ZoneState::Manual
     }
 
     /// Whether the zone is ejected, or has not returned completely.
-    pub fn is_ejected(&self) -> bool {
+    pub(super) fn is_ejected(&self) -> bool {
         let is_ejected = matches!(self.state, ZoneState::Ejected | ZoneState::Returning);
         is_ejected && self.share < 100
     }
 
     /// Sets the share that operators want, in percent.
-    pub fn set_manual(&mut self, now: Micros, share: u8) {
+    pub(super) fn set_manual(&mut self, now: Micros, share: u8) {
         let reason = "operators hold it".into();
         self.enter(now, ZoneState::Manual, share.min(100), reason);
     }
 
     /// Leaves the manual state: the zone returns by steps from its share.
-    pub fn clear_manual(&mut self, now: Micros) {
+    pub(super) fn clear_manual(&mut self, now: Micros) {
         let reason = "operators let it go: it returns by steps".into();
         self.enter(now, ZoneState::Ejected, self.share, reason);
     }
 
     /// Makes the transition that the situation requires, if any.
-    pub fn tick(&mut self, situation: Situation) {
+    pub(super) fn tick(&mut self, situation: Situation<'_>) {
         let elapsed = situation.now.saturating_sub(self.since);
         match self.state {
             ZoneState::Manual => {}
@@ -123,7 +123,7 @@
         }
     }
 
-    fn tick_healthy(&mut self, situation: Situation, elapsed: Micros) {
+    fn tick_healthy(&mut self, situation: Situation<'_>, elapsed: Micros) {
         if situation.evidence.is_bad {
             let reason = situation.evidence.description.clone();
             self.enter(situation.now, ZoneState::Suspect, self.share, reason);
@@ -132,7 +132,7 @@
         }
     }
 
-    fn tick_suspect(&mut self, situation: Situation, elapsed: Micros) {
+    fn tick_suspect(&mut self, situation: Situation<'_>, elapsed: Micros) {
         let Situation { now, evidence, .. } = situation;
         let description = &evidence.description;
         if !evidence.is_bad {
@@ -159,7 +159,7 @@
         }
     }
 
-    fn tick_ejected(&mut self, situation: Situation, elapsed: Micros) {
+    fn tick_ejected(&mut self, situation: Situation<'_>, elapsed: Micros) {
         let min_ejection = MIN_EJECTION << self.relapses.min(MAX_DOUBLINGS);
         if elapsed < min_ejection.min(MAX_MIN_EJECTION) {
             return;
@@ -175,7 +175,7 @@
         self.enter(situation.now, ZoneState::Returning, share, reason);
     }
 
-    fn tick_returning(&mut self, situation: Situation, elapsed: Micros) {
+    fn tick_returning(&mut self, situation: Situation<'_>, elapsed: Micros) {
         let max_failure_rate = situation.failure_rate_elsewhere + FAILURE_RATE_MARGIN;
         let failure_rate = situation.evidence.failure_rate;
         let is_worse = failure_rate.is_some_and(|rate| rate > max_failure_rate);
--- a/crates/control/src/lease/client/tests.rs
+++ b/crates/control/src/lease/client/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::wire::message::RenewResponse;
 
 const SECOND: Micros = 1_000_000;
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -6,6 +6,9 @@
 //! The rule that all of it serves: at no moment do two relays admit clients under different policies, and none admits under
 //! an older policy than one that was in force before. `docs/design/control.md` has the proof.
 
+#![deny(missing_docs, unreachable_pub, rust_2018_idioms)]
+#![deny(clippy::too_many_lines, clippy::many_single_char_names)]
+
 pub mod broadcast;
 mod injected_bugs;
 pub mod jobs;
--- a/crates/control/src/log/membership.rs
+++ b/crates/control/src/log/membership.rs
@@ -94,7 +94,7 @@
         bytes: usize,
     },
     /// There are as many members as there may be.
-    #[error("there are {MAX_MEMBERS} membership already; remove one first")]
+    #[error("there are {MAX_MEMBERS} members already; remove one first")]
     TooManyMembers,
     /// Another newcomer has no vote yet.
     #[error("voter {0} is learning the log: one change at a time, or remove {0}")]
--- a/crates/control/src/log/voter/leadership.rs
+++ b/crates/control/src/log/voter/leadership.rs
@@ -45,13 +45,13 @@
 
 impl RelayProgress {
     /// Whether its lease on the policy may still run.
-    pub fn may_hold_lease(&self, now: Micros, timing: &FleetTiming) -> bool {
+    pub(super) fn may_hold_lease(&self, now: Micros, timing: &FleetTiming) -> bool {
         self.lease_granted_at
             .is_some_and(|at| now < timing.lease_expired_by(at))
     }
 
     /// Whether its lease on its jobs may still run.
-    pub fn may_hold_jobs_lease(&self, now: Micros, timing: &FleetTiming) -> bool {
+    pub(super) fn may_hold_jobs_lease(&self, now: Micros, timing: &FleetTiming) -> bool {
         self.jobs_lease_granted_at
             .is_some_and(|at| now < timing.lease_expired_by(at))
     }
@@ -59,7 +59,7 @@
     /// Records a renewal that is about to be answered. Returns whether responses reach the relay: one that has acknowledged
     /// none for the length of a lease holds no lease, and must be granted none until it acknowledges one. Otherwise it would
     /// keep its jobs, and hold up a change of policy, for as long as only its requests arrive.
-    pub fn record_renewal(
+    pub(super) fn record_renewal(
         &mut self,
         request: &RenewRequest,
         now: Micros,
@@ -128,7 +128,7 @@
 
 impl Leadership {
     /// What is known of a relay, from now on also of a new one; none where too many are tracked.
-    pub fn track_relay(&mut self, relay: &RelayId) -> Option<&mut RelayProgress> {
+    pub(super) fn track_relay(&mut self, relay: &RelayId) -> Option<&mut RelayProgress> {
         if !self.relays.contains_key(relay) && self.relays.len() >= MAX_RELAYS {
             return None;
         }
--- a/crates/control/src/timing.rs
+++ b/crates/control/src/timing.rs
@@ -3,8 +3,8 @@
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// How much faster one clock may run than another, in thousandths. Clocks of machines differ by less than 0.1; the rest is
-/// for a clock that is being slewed.
+/// How much faster one clock may run than another, in thousandths. Clocks of machines differ by less than 0.1 thousandths;
+/// the rest is for a clock that is being slewed.
 pub const MAX_CLOCK_DRIFT_PER_MILLE: u64 = 10;
 
 /// The shortest time that may have passed here while another clock measured `duration`.
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetTiming {
     /// One tick of the raft library, in microseconds; 50 ms by default. Bounds how soon a lost leader is replaced: an
-    /// election begins after ten ticks without one, or somewhat more.
+    /// election begins after 10 to 31 ticks without one, depending on the voter's number.
     pub tick: Micros,
     /// How long a lease runs from when the relay requested it, in microseconds; 2 s by default. Bounds how long a relay
     /// without a leader still admits clients, and how long a change waits for a relay that does not answer.
--- a/crates/control/src/wire/message.rs
+++ b/crates/control/src/wire/message.rs
@@ -1,5 +1,5 @@
-//! The messages of the control plane. Names on the wire differ from the code's where builds of before the names changed have
-//! to understand them; `tests/wire_names.rs` pins them.
+//! The messages of the control plane. Where a name on the wire differs from the code's, it is the one that earlier builds
+//! understand; `tests/wire_names.rs` pins them.
 
 pub use super::operator::{FleetStatus, OperatorRequest, OperatorResponse};
 pub use super::renewal::{AssignedJobs, RenewRequest, RenewResponse};
@@ -71,7 +71,7 @@
         wire::encode(self)
     }
 
-    /// The decoded message; none where the bytes are none that this build knows.
+    /// The decoded message; none if the bytes are not a message that this build knows.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         wire::decode(bytes)
     }
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -5,6 +5,9 @@
 //! list come to the same answers. Guards against a site that is admitted everywhere once its own cell is gone, and
 //! against one endpoint's removal changing the cell of another endpoint.
 
+#![warn(unreachable_pub, rust_2018_idioms)]
+#![warn(clippy::too_many_lines, clippy::many_single_char_names)]
+
 mod faults;
 mod map;
 mod operator_file;
--- a/src/cells/reports.rs
+++ b/src/cells/reports.rs
@@ -5,7 +5,7 @@
 use crate::decisions::api::{EndpointState, ListedEndpoint};
 
 /// A listed endpoint with the name under which operators know it.
-pub type NamedEndpoint = (String, ListedEndpoint);
+pub(super) type NamedEndpoint = (String, ListedEndpoint);
 
 impl CellMap {
     /// All cells with their sites and endpoints, and the faults of this list.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -176,7 +176,7 @@
 
 impl Config {
     /// Reads the file that `BALANCER_CONFIG` names, and the other variables, which win over it.
-    pub fn load(env: Env) -> Result<Config, ConfigError> {
+    pub fn load(env: Env<'_>) -> Result<Config, ConfigError> {
         let Some(path) = env("BALANCER_CONFIG") else {
             return bad("BALANCER_CONFIG", "is not set");
         };
@@ -192,7 +192,7 @@
     ///
     /// What can change while the program runs is taken over: classes keep their indexes, and those that
     /// have vanished are shut. The rest stays as it is; the second value names its keys.
-    pub fn reload(&self, env: Env) -> Result<(Config, Vec<&'static str>), ConfigError> {
+    pub fn reload(&self, env: Env<'_>) -> Result<(Config, Vec<&'static str>), ConfigError> {
         let mut new = Config::load(&|key| {
             if key == "BALANCER_DISCOVERY" {
                 None
@@ -242,7 +242,7 @@
     }
 
     /// Reads the text of a configuration.
-    pub fn parse(mut text: Vec<u8>, env: Env) -> Result<Config, ConfigError> {
+    pub fn parse(mut text: Vec<u8>, env: Env<'_>) -> Result<Config, ConfigError> {
         listing::shallow(&text).map_err(|e| ConfigError(format!("BALANCER_CONFIG: {e}")))?;
         let mut top = match simd_json::to_owned_value(&mut text) {
             Ok(top) if top.is_object() => top,
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -423,7 +423,7 @@
     /// The line of the innermost part of a key's path that the file has.
     fn line(&self, key: &str) -> Option<usize> {
         let table = toml::de::DeTable::parse(&self.text).ok()?;
-        let (mut found, mut value) = (None, None::<&toml::de::DeValue>);
+        let (mut found, mut value) = (None, None::<&toml::de::DeValue<'_>>);
         for part in key.split('.') {
             let (name, index) = match part.split_once('[') {
                 Some((name, index)) => (
--- a/src/decision_service/actions.rs
+++ b/src/decision_service/actions.rs
@@ -8,7 +8,7 @@
 
 impl ServiceState {
     /// Dispatches an event to a balancer and carries out its actions.
-    pub fn dispatch(
+    pub(super) fn dispatch(
         &mut self,
         balancer: usize,
         now: Micros,
@@ -98,7 +98,12 @@
     }
 
     /// Gives a request its final answer, unless it has had one.
-    pub fn answer(&mut self, id: RequestId, decision: Decision, callbacks: &mut Vec<Callback>) {
+    pub(super) fn answer(
+        &mut self,
+        id: RequestId,
+        decision: Decision,
+        callbacks: &mut Vec<Callback>,
+    ) {
         let Some(entry) = self.in_flight.unanswered_mut(id) else {
             return;
         };
--- a/src/decision_service/admission.rs
+++ b/src/decision_service/admission.rs
@@ -11,7 +11,8 @@
 /// another policy is in force.
 pub(super) const RETRY_AFTER_WITHOUT_LEASE: Micros = SECOND / 4;
 
-/// Expiry of a lease without an end: the relay belongs to no fleet.
+/// Expiry of a lease without an end: the relay belongs to no fleet, or serves without a leader. The lease client of the
+/// control crate returns the same value.
 const NEVER: Micros = Micros::MAX;
 
 /// When the lease expires, by [`boottime`].
@@ -21,19 +22,19 @@
 
 impl AdmissionLease {
     /// A lease that never expires.
-    pub fn unlimited() -> Self {
+    pub(super) fn unlimited() -> Self {
         AdmissionLease {
             expires_at: AtomicU64::new(NEVER),
         }
     }
 
     /// Sets when the lease expires.
-    pub fn set_expiry(&self, expires_at: Micros) {
+    pub(super) fn set_expiry(&self, expires_at: Micros) {
         self.expires_at.store(expires_at, SeqCst);
     }
 
     /// Whether the lease is valid now.
-    pub fn is_valid(&self) -> bool {
+    pub(super) fn is_valid(&self) -> bool {
         let expires_at = self.expires_at.load(SeqCst);
         expires_at == NEVER || boottime() < expires_at
     }
--- a/src/decision_service/callbacks.rs
+++ b/src/decision_service/callbacks.rs
@@ -17,7 +17,7 @@
 
 impl Callback {
     /// Makes the call.
-    pub fn run(self) {
+    pub(super) fn run(self) {
         match self {
             Callback::DecisionReady(handle) => handle.decision_ready(),
             Callback::CancelAttempt(handle, attempt) => handle.cancel_attempt(attempt),
--- a/src/decision_service/cell_balancer.rs
+++ b/src/decision_service/cell_balancer.rs
@@ -14,7 +14,12 @@
 
 impl CellBalancer {
     /// A balancer without endpoints.
-    pub fn new(cell_name: &str, settings: Settings, parameters: Parameters, seed: u64) -> Self {
+    pub(super) fn new(
+        cell_name: &str,
+        settings: Settings,
+        parameters: Parameters,
+        seed: u64,
+    ) -> Self {
         let mut balancer = Balancer::new(settings, seed);
         balancer.set_parameters(parameters);
         CellBalancer {
--- a/src/decision_service/cell_map.rs
+++ b/src/decision_service/cell_map.rs
@@ -27,7 +27,7 @@
 
 impl ServiceState {
     /// Adopts a cell map and how it is served.
-    pub fn adopt_cells(&mut self, cells: Cells, now: Micros, callbacks: &mut Vec<Callback>) {
+    pub(super) fn adopt_cells(&mut self, cells: Cells, now: Micros, callbacks: &mut Vec<Callback>) {
         if cells.map == self.cells.map {
             self.cells = cells;
             return;
--- a/src/decision_service/endpoint_list.rs
+++ b/src/decision_service/endpoint_list.rs
@@ -9,7 +9,7 @@
 impl ServiceState {
     /// Applies an update of the endpoint list. Every balancer gets one, also without endpoints: an update
     /// shows that its list is fresh.
-    pub fn update_endpoints(
+    pub(super) fn update_endpoints(
         &mut self,
         kind: EndpointListKind,
         listed: Vec<ListedEndpoint>,
@@ -33,7 +33,7 @@
     }
 
     /// An empty list for each balancer.
-    pub fn empty_updates(&self) -> Vec<Vec<ListedEndpoint>> {
+    pub(super) fn empty_updates(&self) -> Vec<Vec<ListedEndpoint>> {
         vec![Vec::new(); self.balancers.len()]
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Applies other settings in all cells.
-    pub fn update_settings(
+    pub(super) fn update_settings(
         &mut self,
         settings: Settings,
         now: Micros,
@@ -63,7 +63,7 @@
     }
 
     /// Records that an operator has ejected an endpoint, or has readmitted it.
-    pub fn record_manual_ejection(&mut self, endpoint: EndpointId, ejected: bool) {
+    pub(super) fn record_manual_ejection(&mut self, endpoint: EndpointId, ejected: bool) {
         if ejected {
             self.manually_ejected.insert(endpoint);
         } else {
--- a/src/decision_service/in_flight.rs
+++ b/src/decision_service/in_flight.rs
@@ -58,7 +58,7 @@
 
 impl InFlight {
     /// A request that awaits its decisions, and where these arrive.
-    pub fn awaiting(
+    pub(super) fn awaiting(
         request: &Request,
         balancer: usize,
         handle: Arc<dyn RequestHandle>,
@@ -78,7 +78,7 @@
     }
 
     /// A connection that another process established; it has no decision to wait for.
-    pub fn established(
+    pub(super) fn established(
         request: &Request,
         balancer: usize,
         endpoint: EndpointId,
@@ -92,8 +92,9 @@
         }
     }
 
-    /// Puts a decision into the mailbox; dropped if the receiver is gone.
-    pub fn send(&self, decision: Decision) {
+    /// Puts a decision into the mailbox; dropped if the receiver is gone. The mailbox holds an attempt and the decisions
+    /// that may overtake it, so it is never full.
+    pub(super) fn send(&self, decision: Decision) {
         let _ = self.decisions.try_send(decision);
     }
 }
@@ -107,7 +108,7 @@
 
 impl InFlightTable {
     /// Adds a request or connection under an id that no other one has.
-    pub fn insert(&mut self, mut entry: InFlight) -> RequestId {
+    pub(super) fn insert(&mut self, mut entry: InFlight) -> RequestId {
         let id = self.next_id();
         entry.request.id = id;
         self.entries.insert(id, entry);
@@ -123,32 +124,32 @@
     }
 
     /// A request or connection.
-    pub fn get(&self, id: RequestId) -> Option<&InFlight> {
+    pub(super) fn get(&self, id: RequestId) -> Option<&InFlight> {
         self.entries.get(&id)
     }
 
     /// A request or connection, to change it.
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlight> {
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlight> {
         self.entries.get_mut(&id)
     }
 
     /// A request that awaits its final answer.
-    pub fn unanswered(&self, id: RequestId) -> Option<&InFlight> {
+    pub(super) fn unanswered(&self, id: RequestId) -> Option<&InFlight> {
         self.get(id).filter(|entry| !entry.answered)
     }
 
     /// A request that awaits its final answer, to change it.
-    pub fn unanswered_mut(&mut self, id: RequestId) -> Option<&mut InFlight> {
+    pub(super) fn unanswered_mut(&mut self, id: RequestId) -> Option<&mut InFlight> {
         self.get_mut(id).filter(|entry| !entry.answered)
     }
 
     /// Removes a request or connection.
-    pub fn remove(&mut self, id: RequestId) -> Option<InFlight> {
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<InFlight> {
         self.entries.remove(&id)
     }
 
     /// All of them, by ascending id.
-    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &InFlight)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (RequestId, &InFlight)> {
         self.entries.iter().map(|(id, entry)| (*id, entry))
     }
 }
--- a/src/decision_service/migration_queue.rs
+++ b/src/decision_service/migration_queue.rs
@@ -17,27 +17,27 @@
 
 impl MigrationQueue {
     /// Adds a connection at the end.
-    pub fn push(&mut self, id: RequestId) {
+    pub(super) fn push(&mut self, id: RequestId) {
         self.waiting.push_back(id);
     }
 
     /// Takes the first connection.
-    pub fn pop(&mut self) -> Option<RequestId> {
+    pub(super) fn pop(&mut self) -> Option<RequestId> {
         self.waiting.pop_front()
     }
 
     /// Replaces all connections that wait.
-    pub fn replace(&mut self, ids: impl IntoIterator<Item = RequestId>) {
+    pub(super) fn replace(&mut self, ids: impl IntoIterator<Item = RequestId>) {
         self.waiting = ids.into_iter().collect();
     }
 
     /// Connections that wait.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.waiting.len()
     }
 
     /// Whether a timer has to be set now for the next migration; from then on it counts as set.
-    pub fn needs_timer(&mut self) -> bool {
+    pub(super) fn needs_timer(&mut self) -> bool {
         let allowed = self
             .permitted
             .is_none_or(|permitted| self.completed < permitted);
@@ -49,32 +49,32 @@
     }
 
     /// The timer has fired.
-    pub fn timer_fired(&mut self) {
+    pub(super) fn timer_fired(&mut self) {
         self.timer_set = false;
     }
 
     /// Counts a migration.
-    pub fn record_completed(&mut self) {
+    pub(super) fn record_completed(&mut self) {
         self.completed += 1;
     }
 
     /// Migrations since the start.
-    pub fn completed(&self) -> u64 {
+    pub(super) fn completed(&self) -> u64 {
         self.completed
     }
 
     /// Migrations that are permitted since the start; none where only time paces them.
-    pub fn permitted(&self) -> Option<u64> {
+    pub(super) fn permitted(&self) -> Option<u64> {
         self.permitted
     }
 
     /// From now on each migration needs a permit.
-    pub fn require_permits(&mut self) {
+    pub(super) fn require_permits(&mut self) {
         self.permitted.get_or_insert(0);
     }
 
     /// Permits this many migrations since the start, if permits are required. A lower number than before is ignored.
-    pub fn permit(&mut self, total: u64) {
+    pub(super) fn permit(&mut self, total: u64) {
         self.permitted = self.permitted.map(|before| before.max(total));
     }
 }
--- a/src/decision_service/migrations.rs
+++ b/src/decision_service/migrations.rs
@@ -17,7 +17,7 @@
 
 impl ServiceState {
     /// Sets the timer of the next migration if a connection waits, the fleet permits one, and no timer is set.
-    pub fn schedule_migration(&mut self, now: Micros) {
+    pub(super) fn schedule_migration(&mut self, now: Micros) {
         if self.migrations.needs_timer() {
             let deadline = now + self.cells.migration_interval;
             self.timers.set(deadline, TimerOwner::Migration);
@@ -25,7 +25,7 @@
     }
 
     /// Migrates the next connection that is still displaced.
-    pub fn migrate_next(&mut self, now: Micros, callbacks: &mut Vec<Callback>) {
+    pub(super) fn migrate_next(&mut self, now: Micros, callbacks: &mut Vec<Callback>) {
         self.migrations.timer_fired();
         while let Some(id) = self.migrations.pop() {
             match self.migration_step(id) {
--- a/src/decision_service/mod.rs
+++ b/src/decision_service/mod.rs
@@ -7,6 +7,9 @@
 //! There is one lock. While it is held, only [`Hooks::watch_endpoint_list`] and the callback of `submit` are called;
 //! after it is released, first the waker, then the handles of requests and the log, in the order of the actions.
 
+#![warn(unreachable_pub, rust_2018_idioms)]
+#![warn(clippy::too_many_lines, clippy::many_single_char_names)]
+
 mod actions;
 mod admission;
 mod api;
--- a/src/decision_service/state.rs
+++ b/src/decision_service/state.rs
@@ -58,7 +58,7 @@
 
 impl ServiceState {
     /// One cell without endpoints.
-    pub fn new(settings: Settings, seed: u64, hooks: Hooks) -> Self {
+    pub(super) fn new(settings: Settings, seed: u64, hooks: Hooks) -> Self {
         let cells = Cells::default();
         let parameters = Parameters::default();
         let balancer = CellBalancer::new(cells.map.name(0), settings.clone(), parameters, seed);
@@ -81,7 +81,7 @@
     }
 
     /// Adds a request or connection and counts it.
-    pub fn register(&mut self, entry: InFlight) -> RequestId {
+    pub(super) fn register(&mut self, entry: InFlight) -> RequestId {
         let metrics = &mut self.balancers[entry.balancer].metrics;
         metrics.in_flight += 1;
         metrics.borrowed += u32::from(entry.borrowed);
@@ -89,7 +89,7 @@
     }
 
     /// Removes a request or connection and counts it no more.
-    pub fn deregister(&mut self, id: RequestId) -> Option<InFlight> {
+    pub(super) fn deregister(&mut self, id: RequestId) -> Option<InFlight> {
         let entry = self.in_flight.remove(id)?;
         let metrics = &mut self.balancers[entry.balancer].metrics;
         metrics.in_flight -= 1;
@@ -98,7 +98,7 @@
     }
 
     /// Places a new request of a site in a cell of the present map.
-    pub fn place(&self, site: u64) -> Placement {
+    pub(super) fn place(&self, site: u64) -> Placement {
         // A single cell takes every request: its balancer answers where no endpoint is usable.
         if self.cells.map.is_single() {
             return Placement::Home(0);
@@ -119,23 +119,23 @@
     }
 
     /// The metrics of a cell of the present map.
-    pub fn cell_metrics(&self, cell: usize) -> &CellMetrics {
+    pub(super) fn cell_metrics(&self, cell: usize) -> &CellMetrics {
         &self.balancers[self.balancer_of_cell[cell]].metrics
     }
 
     /// Index of the balancer of a site's own cell.
-    pub fn home_balancer(&self, site: u64) -> usize {
+    pub(super) fn home_balancer(&self, site: u64) -> usize {
         let (cell, _) = self.cells.map.home(site);
         self.balancer_of_cell[cell]
     }
 
     /// Index of the balancer of the cell to which the present map assigns an endpoint.
-    pub fn mapped_balancer(&self, endpoint: EndpointId) -> usize {
+    pub(super) fn mapped_balancer(&self, endpoint: EndpointId) -> usize {
         self.balancer_of_cell[self.cells.map.cell_of_endpoint(endpoint)]
     }
 
     /// Index of the balancer that has a listed endpoint; by the map where it is not listed.
-    pub fn balancer_of_endpoint(&self, endpoint: EndpointId) -> usize {
+    pub(super) fn balancer_of_endpoint(&self, endpoint: EndpointId) -> usize {
         match self.endpoints.get(&endpoint) {
             Some(known) => known.balancer,
             None => self.mapped_balancer(endpoint),
@@ -143,7 +143,7 @@
     }
 
     /// Recounts the endpoints of each cell.
-    pub fn recount_endpoints(&mut self) {
+    pub(super) fn recount_endpoints(&mut self) {
         for cell in &mut self.balancers {
             cell.metrics.endpoints = 0;
             cell.metrics.usable = false;
--- a/src/decision_service/timers.rs
+++ b/src/decision_service/timers.rs
@@ -35,17 +35,17 @@
 
 impl TimerQueue {
     /// Sets a timer.
-    pub fn set(&mut self, deadline: Micros, owner: TimerOwner) {
+    pub(super) fn set(&mut self, deadline: Micros, owner: TimerOwner) {
         self.timers.push(Reverse(Timer { deadline, owner }));
     }
 
     /// The deadline of the first timer.
-    pub fn next_deadline(&self) -> Option<Micros> {
+    pub(super) fn next_deadline(&self) -> Option<Micros> {
         self.timers.peek().map(|Reverse(timer)| timer.deadline)
     }
 
     /// Takes the first timer if its deadline has come.
-    pub fn pop_expired(&mut self, now: Micros) -> Option<TimerOwner> {
+    pub(super) fn pop_expired(&mut self, now: Micros) -> Option<TimerOwner> {
         if self.next_deadline()? > now {
             return None;
         }
--- a/src/decisions/api.rs
+++ b/src/decisions/api.rs
@@ -76,7 +76,7 @@
     pub id: RequestId,
     /// Index of its class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of its tenant. No rule uses it today.
     pub tenant: u32,
     /// Hash key of the client; 0 where there is none.
     pub client_key: u64,
@@ -157,10 +157,10 @@
         id: RequestId,
         /// Its endpoint.
         endpoint: EndpointId,
-        /// Time since the attempt began.
+        /// Time since the attempt began. No rule uses it today.
         elapsed: Micros,
     },
-    /// The load of an established connection has changed.
+    /// The load of an established connection has changed. No rule uses it today.
     LoadSample {
         /// The connection.
         id: RequestId,
--- a/src/decisions/delay_samples.rs
+++ b/src/decisions/delay_samples.rs
@@ -14,8 +14,8 @@
 const LATE: f32 = 1.0;
 
 impl Balancer {
-    /// A message took this long.
-    pub(super) fn record_delay(
+    /// A message took this long: cuts the cap, counts for load shedding, and may migrate.
+    pub(super) fn react_to_delay(
         &mut self,
         id: RequestId,
         endpoint: EndpointId,
--- a/src/decisions/eligibility.rs
+++ b/src/decisions/eligibility.rs
@@ -4,13 +4,14 @@
 //! idempotency. Guards against: a request to an endpoint that is draining or removed, a second
 //! attempt at the same endpoint, and one that could execute a request twice.
 
-use super::api::{DeduplicationScope, Idempotency};
-use super::endpoints::{Endpoint, EndpointIndex};
+use super::endpoints::EndpointIndex;
+use super::idempotency;
 use super::requests::PendingRequest;
 use super::Balancer;
 
 impl Balancer {
-    /// Whether an endpoint is permitted for a request and not ejected for failures.
+    /// Whether an endpoint is permitted for a request and not ejected for failures. Like
+    /// [`Balancer::is_permitted`], it refills the token bucket of a permitted endpoint.
     pub(super) fn is_eligible(&mut self, index: EndpointIndex, pending: &PendingRequest) -> bool {
         !self.endpoints[index].health.is_ejected(self.now) && self.is_permitted(index, pending)
     }
@@ -21,23 +22,7 @@
         let endpoint = &self.endpoints[index];
         endpoint.availability.ready
             && !pending.attempted.contains(&endpoint.id)
-            && drops_duplicate(endpoint, pending)
+            && idempotency::permits_endpoint(pending, endpoint)
             && self.slow_start_admits(index)
     }
 }
-
-/// Whether an attempt at an endpoint cannot execute a request a second time.
-fn drops_duplicate(endpoint: &Endpoint, pending: &PendingRequest) -> bool {
-    let Some(first) = &pending.possible_execution else {
-        return true;
-    };
-    match pending.class.idempotency {
-        Idempotency::Idempotent => true,
-        Idempotency::NonIdempotent => false,
-        Idempotency::Keyed { scope, .. } => match scope {
-            DeduplicationScope::All => true,
-            DeduplicationScope::Zone => endpoint.zone == first.zone,
-            DeduplicationScope::Cell => endpoint.cell == first.cell,
-        },
-    }
-}
--- a/src/decisions/endpoints.rs
+++ b/src/decisions/endpoints.rs
@@ -103,12 +103,12 @@
 
 impl EndpointTable {
     /// Place of a known endpoint.
-    pub fn find(&self, id: EndpointId) -> Option<EndpointIndex> {
+    pub(super) fn find(&self, id: EndpointId) -> Option<EndpointIndex> {
         self.by_id.get(&id).copied()
     }
 
     /// Place of an endpoint; one that no list has named is added as removed.
-    pub fn find_or_insert(&mut self, id: EndpointId) -> EndpointIndex {
+    pub(super) fn find_or_insert(&mut self, id: EndpointId) -> EndpointIndex {
         let next = self.entries.len();
         let index = *self.by_id.entry(id).or_insert(next);
         if index == next {
@@ -127,43 +127,43 @@
     }
 
     /// All endpoints.
-    pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.entries.iter()
     }
 
     /// Places of the endpoints that take new requests.
-    pub fn ready(&self) -> &[EndpointIndex] {
+    pub(super) fn ready(&self) -> &[EndpointIndex] {
         &self.ready
     }
 
     /// Owner of the slot of h(key, jump) among the ready endpoints.
-    pub fn owner(&self, key: u64, jump: u32) -> Option<EndpointIndex> {
+    pub(super) fn owner(&self, key: u64, jump: u32) -> Option<EndpointIndex> {
         self.find(self.ready_ring.owner(key, jump)?)
     }
 
     /// Owner of the first slot of a key among all that are not removed, if packets are forwarded.
-    pub fn owner_of_established(&self, key: u64) -> Option<EndpointIndex> {
+    pub(super) fn owner_of_established(&self, key: u64) -> Option<EndpointIndex> {
         self.find(self.known_ring.owner(key, 0)?)
     }
 
     /// Own requests and connections at all endpoints.
-    pub fn in_flight(&self) -> u32 {
+    pub(super) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
     /// Own requests and connections that an endpoint of this size has in the mean.
-    pub fn mean_in_flight(&self, size: f32) -> f32 {
+    pub(super) fn mean_in_flight(&self, size: f32) -> f32 {
         self.in_flight as f32 * size / self.ready_size.max(f32::MIN_POSITIVE)
     }
 
     /// Counts a request or connection at an endpoint.
-    pub fn add_in_flight(&mut self, index: EndpointIndex) {
+    pub(super) fn add_in_flight(&mut self, index: EndpointIndex) {
         self.entries[index].in_flight += 1;
         self.in_flight += 1;
     }
 
     /// Counts one less.
-    pub fn remove_in_flight(&mut self, index: EndpointIndex) {
+    pub(super) fn remove_in_flight(&mut self, index: EndpointIndex) {
         self.entries[index].in_flight -= 1;
         self.in_flight -= 1;
     }
--- a/src/decisions/group_plan.rs
+++ b/src/decisions/group_plan.rs
@@ -35,7 +35,7 @@
 
 impl GroupPlan {
     /// Home endpoints of a group, in the order of its jumps.
-    pub fn homes(&self, group: u64) -> Option<&[Home]> {
+    pub(super) fn homes(&self, group: u64) -> Option<&[Home]> {
         self.homes.get(&group).map(Vec::as_slice)
     }
 
@@ -157,8 +157,9 @@
 }
 
 impl Balancer {
-    /// Whether the balancer has seen enough arrivals for estimates of its own about groups and
-    /// loads.
+    /// Whether the balancer has seen enough arrivals for estimates of its own about groups and loads.
+    /// Without them, as in a large fleet where each balancer has little traffic, requests are placed
+    /// by their jumps and by reported loads alone, which are the same at all balancers.
     pub(super) fn has_own_estimates(&self) -> bool {
         self.group_plan.total_arrivals >= self.parameters.group_plan_min_arrivals
     }
--- a/src/decisions/load_reports.rs
+++ b/src/decisions/load_reports.rs
@@ -34,22 +34,24 @@
 
 impl LoadEstimate {
     /// The endpoint cannot be reached, so its report says nothing.
-    pub fn forget_report(&mut self) {
+    pub(super) fn forget_report(&mut self) {
         self.reported_at = None;
     }
 
     /// A request was sent to the endpoint.
-    pub fn record_request(&mut self) {
+    pub(super) fn record_request(&mut self) {
         self.unreported_requests += 1.0;
     }
 
     /// Whether the last report, however old, showed a load below this.
-    pub fn was_reported_below(&self, load: f32) -> bool {
+    pub(super) fn was_reported_below(&self, load: f32) -> bool {
         self.reported_at.is_some() && self.load < load
     }
 
     /// Stores a report. Returns whether it differs from the last one.
     fn record_report(&mut self, load: f32, active: f32, now: Micros) -> bool {
+        // A report that repeats the last load is taken for the same report. Reports that the fleet
+        // distributes differ slightly from the one before where they are new.
         let changed = load != self.load || self.reported_at.is_none();
         if changed {
             // A report was made some time ago: half of the requests since the last one are not in
--- a/src/decisions/load_shedding.rs
+++ b/src/decisions/load_shedding.rs
@@ -24,8 +24,8 @@
     admitted_fraction: f32,
     /// Messages since the last update that missed their objective.
     late_samples: u32,
-    /// Late messages a second for each endpoint in use, averaged.
-    late_fraction: f32,
+    /// Late messages between two updates for each endpoint in use, averaged over the updates.
+    late_messages_per_endpoint: f32,
     updated_at: Micros,
 }
 
@@ -34,7 +34,7 @@
         LoadShedding {
             admitted_fraction: 1.0,
             late_samples: 0,
-            late_fraction: 0.0,
+            late_messages_per_endpoint: 0.0,
             updated_at: 0,
         }
     }
@@ -42,17 +42,17 @@
 
 impl LoadShedding {
     /// A message missed its latency objective.
-    pub fn record_late_message(&mut self) {
+    pub(super) fn record_late_message(&mut self) {
         self.late_samples += 1;
     }
 
-    /// Late messages a second for each endpoint in use.
-    pub fn late_fraction(&self) -> f32 {
-        self.late_fraction
+    /// Late messages between two updates for each endpoint in use, averaged.
+    pub(super) fn late_messages_per_endpoint(&self) -> f32 {
+        self.late_messages_per_endpoint
     }
 
     /// Whether a request is rejected to shed load.
-    pub fn is_shed(&self, request: &Request) -> bool {
+    pub(super) fn is_shed(&self, request: &Request) -> bool {
         self.admitted_fraction < 1.0
             && fraction(client_key(request), SHEDDING_SALT) >= self.admitted_fraction
     }
@@ -68,15 +68,15 @@
         let elapsed_seconds = elapsed.min(MAX_ELAPSED_SECONDS);
         // Averaged, so that one short pause of many endpoints does not look like overload.
         let newest = self.late_samples as f32 / endpoints_in_use as f32;
-        self.late_fraction = (self.late_fraction + newest) / 2.0;
+        self.late_messages_per_endpoint = (self.late_messages_per_endpoint + newest) / 2.0;
         self.late_samples = 0;
         self.updated_at = now;
-        let threshold = parameters.shedding_late_fraction;
-        if self.late_fraction > threshold && capacity_may_be_short {
-            let decrease = parameters.shedding_decrease * self.late_fraction.min(1.0);
+        let threshold = parameters.shedding_late_messages;
+        if self.late_messages_per_endpoint > threshold && capacity_may_be_short {
+            let decrease = parameters.shedding_decrease * self.late_messages_per_endpoint.min(1.0);
             self.admitted_fraction =
                 (self.admitted_fraction * (1.0 - decrease)).max(parameters.min_admitted_fraction);
-        } else if self.late_fraction < threshold / 2.0 {
+        } else if self.late_messages_per_endpoint < threshold / 2.0 {
             let increase = parameters.shedding_increase * elapsed_seconds;
             self.admitted_fraction = (self.admitted_fraction + increase).min(1.0);
         }
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -6,12 +6,16 @@
 //! endpoint is under its cap. Each rule has a file of its own; this one holds the state of a
 //! [`Balancer`] and leads each event to its rule. No I/O, no clock, no protocol.
 
+#![warn(unreachable_pub, rust_2018_idioms)]
+#![warn(clippy::too_many_lines, clippy::many_single_char_names)]
+
 pub mod api;
 mod delay_samples;
 mod discovery_backoff;
 mod eligibility;
 mod endpoints;
 mod group_plan;
+mod idempotency;
 mod load_lookup;
 mod load_reports;
 mod load_shedding;
@@ -56,6 +60,7 @@
     load_shedding: LoadShedding,
     retry_budget: RetryBudget,
     discovery: DiscoveryBackoff,
+    /// Position in the endless round of health checks over the ready endpoints; 0 before it starts.
     health_checks_sent: usize,
 }
 
@@ -110,7 +115,7 @@
                 id,
                 endpoint,
                 delay,
-            } => self.record_delay(id, endpoint, delay, actions)?,
+            } => self.react_to_delay(id, endpoint, delay, actions)?,
             Event::AttemptEnded {
                 id,
                 outcome,
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -25,18 +25,18 @@
 
 impl Health {
     /// Whether the endpoint is ejected for failures at this time.
-    pub fn is_ejected(&self, now: Micros) -> bool {
+    pub(super) fn is_ejected(&self, now: Micros) -> bool {
         now < self.ejected_until
     }
 
     /// A request succeeded: earlier failures no longer count.
-    pub fn record_success(&mut self) {
+    pub(super) fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.ejections = 0;
     }
 
     /// The endpoint showed that it has too much.
-    pub fn cut_cap(&mut self, now: Micros) {
+    pub(super) fn cut_cap(&mut self, now: Micros) {
         self.cap_cut_at = Some(now);
     }
 }
--- a/src/decisions/parameters.rs
+++ b/src/decisions/parameters.rs
@@ -166,16 +166,18 @@
 
     /// Weight of a home endpoint in the own zone relative to one elsewhere.
     local_zone_weight: f32 = 10.0, formerly "near";
-    /// Late messages per endpoint in use from which a group stays with its strained home endpoints.
-    stay_home_late_fraction: f32 = 0.15, formerly "stay_from";
-
-    /// Late messages per endpoint in use from which load is shed.
-    shedding_late_fraction: f32 = 0.4, formerly "shed_from";
-    /// Multiplicative decrease of the admitted fraction a second, at a late fraction of 1.
+    /// Late messages a second per endpoint in use from which a group stays with its first
+    /// candidate.
+    stay_late_messages: f32 = 0.15, formerly "stay_from";
+
+    /// Late messages a second per endpoint in use from which load is shed.
+    shedding_late_messages: f32 = 0.4, formerly "shed_from";
+    /// Multiplicative decrease of the admitted fraction at each update (once a second, or later
+    /// where nothing arrives), at one late message per endpoint or more.
     shedding_decrease: f32 = 0.3, formerly "shed_step";
     /// Lower bound of the admitted fraction.
     min_admitted_fraction: f32 = 0.3, formerly "shed_least";
-    /// Additive increase of the admitted fraction a second.
+    /// Additive increase of the admitted fraction for each second since the last update.
     shedding_increase: f32 = 0.06, formerly "shed_back";
 
     /// Fraction of the set-up objective that an attempt may take while further ones are allowed.
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -45,7 +45,7 @@
             .in_own_zone_with_spare_capacity(&candidates, client)
             .or_else(|| self.home_under_cap(&candidates, client))
             .or_else(|| self.any_with_spare_capacity(&candidates, client))
-            .or_else(|| self.strained_home(&candidates))
+            .or_else(|| self.first_while_strained(&candidates))
             .or_else(|| self.any_under_cap(&candidates, client));
         if chosen.is_some() {
             return chosen;
@@ -156,11 +156,12 @@
         })
     }
 
-    /// Step: while many messages are late, the first home although it is strained. Jumping on would
-    /// make further endpoints pay for the group, and overload would feed itself.
-    fn strained_home(&self, candidates: &Candidates) -> Option<EndpointIndex> {
+    /// Step: while messages are late at many endpoints, the first candidate whatever its load: a
+    /// home of the group, if it has one that is eligible. Jumping on would make further endpoints
+    /// pay for the group, and overload would feed itself.
+    fn first_while_strained(&self, candidates: &Candidates) -> Option<EndpointIndex> {
         let is_strained =
-            self.load_shedding.late_fraction() >= self.parameters.stay_home_late_fraction;
+            self.load_shedding.late_messages_per_endpoint() >= self.parameters.stay_late_messages;
         if !self.has_own_estimates() || !is_strained {
             return None;
         }
@@ -223,9 +224,11 @@
         -(1.0 - fraction(client, endpoint.id.0)).ln() / home.fraction / zone_weight
     }
 
-    /// Whether an endpoint is under its cap for one client: by its load where that is known, else
-    /// by the own connections there. Clients see somewhat different caps, so that they do not all
-    /// turn elsewhere at once.
+    /// Whether an endpoint is under its cap for one client. Clients see somewhat different caps, so
+    /// that they do not all turn elsewhere at once. The cap is, in this order of preference: the
+    /// maximum load, where the balancer has estimates of its own; a maximum load less the client's
+    /// part of the hash band, and the client's part of the warm-up, where only reports tell the
+    /// load; the bounded load of RJ-CH in own connections, where nothing tells it.
     fn is_under_cap(&self, index: EndpointIndex, client: u64) -> bool {
         let endpoint = &self.endpoints[index];
         let client_fraction = fraction(client, endpoint.id.0);
@@ -236,6 +239,7 @@
             return load < self.parameters.max_load;
         }
         let client_load = load + self.parameters.hash_band_width * client_fraction;
+        // After an overload, a part of the clients goes elsewhere until the cap has recovered.
         let warming_client = client_fraction * self.warm_fraction(endpoint);
         client_load < self.parameters.max_load_without_estimates
             && warming_client < self.cap_fraction(endpoint)
--- a/src/decisions/requests.rs
+++ b/src/decisions/requests.rs
@@ -107,7 +107,7 @@
         self.set_timer(at, Timer::Deadline(id), actions);
     }
 
-    /// The final answer has to come by this time already.
+    /// Moves the deadline earlier; a later one than before changes nothing.
     pub(super) fn shorten_deadline(
         &mut self,
         id: RequestId,
@@ -246,7 +246,8 @@
         }
         self.record_execution(index, &mut pending, outcome);
         if outcome == Outcome::Reset {
-            // A broken set-up ends the request; its client connects again.
+            // A set-up that broke in the middle is failed, whatever its class: nobody can tell how
+            // far it came, and the client connects again.
             actions.push(Action::Fail(id));
         } else {
             self.attempt_or_answer(pending, actions);
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -5,16 +5,18 @@
 //! Guards against: retries that overload the endpoints, a request that is executed twice, and an
 //! answer that promises more than is known.
 
-use super::api::{Action, DeduplicationScope, Idempotency, Micros};
+use super::api::{Action, Micros};
+use super::idempotency;
 use super::parameters::Parameters;
-use super::requests::{PendingRequest, Phase};
+use super::requests::PendingRequest;
 use super::ring::{client_key, fraction};
 use super::Balancer;
 
 /// Tokens that a retry takes.
 const RETRY_COST: f32 = 1.0;
-/// The Retry-After is drawn from this fraction of its mean up to this fraction more than one.
-const RETRY_AFTER_JITTER: f32 = 0.5;
+/// The Retry-After is between this multiple of its mean and one more than this multiple: 0.5 to
+/// 1.5.
+const MIN_RETRY_AFTER_FACTOR: f32 = 0.5;
 
 /// Token bucket of the retries: each request earns a fraction of a token for all, each retry takes
 /// one.
@@ -25,14 +27,14 @@
 
 impl RetryBudget {
     /// A full bucket.
-    pub fn full(parameters: &Parameters) -> RetryBudget {
+    pub(super) fn full(parameters: &Parameters) -> RetryBudget {
         RetryBudget {
             tokens: parameters.max_retry_tokens,
         }
     }
 
     /// A first attempt earns tokens. A later one takes a token, unless all before it never began.
-    pub fn record_attempt(&mut self, pending: &PendingRequest, parameters: &Parameters) {
+    pub(super) fn record_attempt(&mut self, pending: &PendingRequest, parameters: &Parameters) {
         let earned = if pending.attempted.is_empty() {
             parameters.retry_budget_ratio
         } else {
@@ -42,7 +44,7 @@
     }
 
     /// Gives back what an attempt took that never began.
-    pub fn refund(&mut self, pending: &PendingRequest, parameters: &Parameters) {
+    pub(super) fn refund(&mut self, pending: &PendingRequest, parameters: &Parameters) {
         self.add(cost_of_next_attempt(pending), parameters);
     }
 
@@ -69,23 +71,13 @@
         self.now < last_moment
             && attempts < self.settings.max_attempts
             && has_budget
-            && self.may_execute_again(pending)
+            && idempotency::permits_first_byte_at(pending, self.first_byte_of_attempt_at())
     }
 
-    /// Whether another attempt is within the idempotency of the class. The window counts to the
-    /// first byte of the attempt, which is sent once its connection is up.
-    fn may_execute_again(&self, pending: &PendingRequest) -> bool {
-        let Some(first) = &pending.possible_execution else {
-            return true;
-        };
-        match pending.class.idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::NonIdempotent => false,
-            Idempotency::Keyed { window, .. } => {
-                let first_byte_by = self.now + self.settings.tick + self.settings.connect_timeout;
-                first_byte_by < first.started_at + window
-            }
-        }
+    /// When the first byte of an attempt that begins now is sent at the latest: once it is
+    /// connected.
+    fn first_byte_of_attempt_at(&self) -> Micros {
+        self.now + self.settings.tick + self.settings.connect_timeout
     }
 
     /// When to stop waiting for an attempt. While another one is possible it gets a fraction of the
@@ -112,18 +104,8 @@
             return;
         }
         pending.answered = true;
-        let may_have_executed =
-            pending.possible_execution.is_some() || pending.phase == Phase::Attempting;
-        let is_harmless_again = matches!(
-            pending.class.idempotency,
-            Idempotency::Idempotent
-                | Idempotency::Keyed {
-                    scope: DeduplicationScope::All,
-                    ..
-                }
-        );
         let id = pending.request.id;
-        actions.push(if is_harmless_again || !may_have_executed {
+        actions.push(if idempotency::is_harmless_for_client(pending) {
             let retry_after = self.retry_after(pending);
             Action::Reject { id, retry_after }
         } else {
@@ -131,9 +113,10 @@
         });
     }
 
-    /// Advised wait of a rejected client, jittered by its hash.
+    /// Advised wait of a rejected client, jittered by its hash; salted by the time, so that a
+    /// client is not always among the last.
     fn retry_after(&self, pending: &PendingRequest) -> Micros {
-        let jitter = RETRY_AFTER_JITTER + fraction(client_key(&pending.request), self.now);
+        let jitter = MIN_RETRY_AFTER_FACTOR + fraction(client_key(&pending.request), self.now);
         let wait = (self.parameters.retry_after_us as f32 * jitter) as Micros;
         wait.min(self.settings.max_retry_after)
     }
--- a/src/decisions/settings.rs
+++ b/src/decisions/settings.rs
@@ -37,7 +37,8 @@
 pub struct Class {
     /// Latency objective of the set-up: a connection that is up within it earns its full value.
     pub setup_objective: Micros,
-    /// How long a client waits over all its attempts.
+    /// How long a client waits over all its attempts. Requests carry their own time left; the
+    /// decisions do not read this.
     pub deadline: Micros,
     /// What another attempt at a request may do.
     pub idempotency: Idempotency,
@@ -105,11 +106,13 @@
     pub initial_capacity: f32,
     /// An endpoint has its whole capacity after this time at the latest.
     pub warm_up_time: Micros,
-    /// A warming endpoint fails when it is sent this multiple of its capacity ...
+    /// A warming endpoint fails when it is sent this multiple of its current capacity, as a rate,
+    /// throughout the overload window.
     pub overload_factor: f32,
-    /// ... for this long.
+    /// The time over which the requests to a warming endpoint are counted.
     pub overload_window: Micros,
-    /// Changes of a list that was not polled for this long count as notified.
+    /// The platform takes this balancer as notified of a change this long after the last poll,
+    /// whether or not it polled.
     pub max_poll_interval: Micros,
 }
 
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -10,8 +10,8 @@
 use super::endpoints::{Endpoint, EndpointIndex};
 use super::Balancer;
 
-/// Tokens from one overload window are spent together with those that the next one earns, so each
-/// earns half.
+/// A burst at the end of one window may be followed by one at the start of the next, and both fall
+/// into one span of a window's length: so each window gets this part of the budget.
 const WINDOWS_SPENT_TOGETHER: f32 = 2.0;
 /// Standard deviations of a random arrival count that the rule leaves above its mean.
 const ALLOWED_DEVIATIONS: f32 = 2.0;
@@ -25,7 +25,7 @@
 
 impl SlowStart {
     /// A bucket with these tokens.
-    pub fn new(tokens: f32, now: Micros) -> SlowStart {
+    pub(super) fn new(tokens: f32, now: Micros) -> SlowStart {
         SlowStart {
             tokens,
             refilled_at: now,
@@ -33,7 +33,7 @@
     }
 
     /// A request was sent to the endpoint.
-    pub fn take_token(&mut self) {
+    pub(super) fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
 
@@ -42,7 +42,9 @@
         let elapsed = now.saturating_sub(self.refilled_at) as f32;
         let earned = self.tokens + elapsed * rate;
         let earned_in_window = rate * overload_window as f32;
-        // Cap the tokens at one window: unspent tokens of many balancers would arrive as one burst.
+        // Tokens that are not spent within a window expire, because those of many balancers would
+        // arrive as one burst. One token stays. Where a window earns less than one, only whole
+        // tokens expire: the fraction keeps the turns to which the balancers are spread.
         let expired = if earned_in_window < 1.0 {
             (earned - earned_in_window).ceil() - 1.0
         } else {
@@ -103,8 +105,8 @@
         own_share * budget
     }
 
-    /// Whether slow start lets this balancer send an endpoint a request now. Refills its token
-    /// bucket.
+    /// Refills an endpoint's token bucket. Returns whether slow start lets this balancer send the
+    /// endpoint a request now.
     pub(super) fn slow_start_admits(&mut self, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
         let is_warm = self.warm_fraction(endpoint) >= 1.0;
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -7,6 +7,9 @@
 //! Guards against reports that are older than a check of one's own would be, and against queues that grow while one of
 //! the threads is behind. All moments are those of [`crate::sys::boottime`].
 
+#![warn(unreachable_pub, rust_2018_idioms)]
+#![warn(clippy::too_many_lines, clippy::many_single_char_names)]
+
 #[cfg(test)]
 mod tests;
 
@@ -17,7 +20,8 @@
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 
 /// A report replaces a health check while it is younger than this, in microseconds: one and a half rounds of the load
-/// watch, and its time on the way. The decisions count a load as known for 1.5 s.
+/// watch, and its time on the way. A load lookup of the decisions checks an endpoint again
+/// after 1.5 s (`lookup_max_report_age_us`).
 pub const MAX_REPORT_AGE: Micros = 1_000_000;
 /// Reports older than this are evicted, in microseconds.
 const EVICTION_AGE: Micros = 10 * MAX_REPORT_AGE;
@@ -31,8 +35,8 @@
     pub endpoint: EndpointId,
     /// When it reported, at the earliest.
     pub measured_at: Micros,
-    /// Its report, in the columns of the settings.
-    pub columns: Vec<f32>,
+    /// The values of its report, in the columns of the settings.
+    pub values: Vec<f32>,
 }
 
 /// The result of a health check that the load watch requested.
@@ -96,7 +100,7 @@
             }
             let newer = CachedReport {
                 measured_at: report.measured_at,
-                columns: report.columns,
+                columns: report.values,
             };
             state.reports.insert(report.endpoint, newer);
         }
@@ -162,7 +166,7 @@
         self.insert(report.iter().map(|columns| LoadReport {
             endpoint,
             measured_at: checked_at,
-            columns: columns.clone(),
+            values: columns.clone(),
         }));
         self.lock().push_result(CheckResult {
             endpoint,
--- a/src/load/tests.rs
+++ b/src/load/tests.rs
@@ -4,7 +4,7 @@
     LoadReport {
         endpoint,
         measured_at,
-        columns: vec![load],
+        values: vec![load],
     }
 }
 
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -162,7 +162,7 @@
 
     /// Goes on as far as is possible now; `ready` says that its socket is. None while it is out. When it has
     /// failed, its socket is closed before this returns.
-    pub fn go(&mut self, g: Ground, ready: bool) -> Option<Result<Up, Failed>> {
+    pub fn go(&mut self, g: Ground<'_>, ready: bool) -> Option<Result<Up, Failed>> {
         let result = self.step(g, ready)?;
         let (id, server, now) = (g.session.name(), self.server.0, g.core.decisions.now());
         let ms = now.saturating_sub(self.began) / 1_000;
@@ -178,7 +178,7 @@
         Some(result)
     }
 
-    fn step(&mut self, g: Ground, ready: bool) -> Option<Result<Up, Failed>> {
+    fn step(&mut self, g: Ground<'_>, ready: bool) -> Option<Result<Up, Failed>> {
         if g.session.called_off(self.number) {
             // Before the dial nothing has begun: the retry budget has its share back.
             return failed(if self.seeks() {
@@ -209,7 +209,7 @@
     }
 
     /// Begins the dial, once the backend's address is known.
-    fn dial(&mut self, g: Ground, now: Micros) -> Option<Result<Up, Failed>> {
+    fn dial(&mut self, g: Ground<'_>, now: Micros) -> Option<Result<Up, Failed>> {
         let adopted = g.order.at().is_some();
         let Some(endpoint) = g.core.directory.endpoint(self.server) else {
             // The list that a relay starts with may be stale; one that was chosen now has left.
@@ -255,7 +255,7 @@
     }
 
     /// How it ends where the link breaks: before the request's last byte nothing can have run.
-    fn broke(&self, g: Ground) -> Option<Result<Up, Failed>> {
+    fn broke(&self, g: Ground<'_>) -> Option<Result<Up, Failed>> {
         failed(match (self.asked, g.session.called_off(self.number)) {
             (_, true) => Outcome::Cancelled,
             (true, false) => Outcome::Reset,
@@ -263,7 +263,7 @@
         })
     }
 
-    fn talk(&mut self, g: Ground) -> Option<Result<Up, Failed>> {
+    fn talk(&mut self, g: Ground<'_>) -> Option<Result<Up, Failed>> {
         let Ground { core, order, .. } = g;
         let adopted = order.at().is_some();
         loop {
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -856,7 +856,7 @@
         book.insert([LoadReport {
             endpoint: EndpointId(0),
             measured_at: boottime() + 3_600_000_000,
-            columns: vec![0.5],
+            values: vec![0.5],
         }]);
         engine.watch(book.clone());
         let handle = engine.handle();
--- a/src/net/fleet/job_driver.rs
+++ b/src/net/fleet/job_driver.rs
@@ -203,6 +203,7 @@
         let Some(JobRunner { worker, resources }) = &mut self.jobs else {
             return;
         };
+        // Handling a message needs the columns only; endpoints and migrations are read by the worker's tick.
         let context = WorkContext {
             report_columns: &resources.report_columns,
             endpoints_in_zone: &|_| Vec::new(),
@@ -258,7 +259,7 @@
                         let reports = rows.into_iter().map(|row| LoadReport {
                             endpoint: EndpointId(row.endpoint),
                             measured_at: row.seen_at,
-                            columns: row.values,
+                            values: row.values,
                         });
                         insert_load_reports(&jobs.resources, reports);
                     }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -9,12 +9,15 @@
 //!
 //! Guards against: a voter that is slow or hostile (bounded frames and queues; replaceable messages are dropped first),
 //! one that stopped without closing its connection (a link that accepts no bytes is closed and dialled again), and a
-//! full or failing disk (this relay stops to vote and goes on to serve).
+//! full or failing disk (this relay stops voting and continues to serve).
 //!
 //! Files: `settings` checks the configuration; `event_loop` is the order of work; `dispatch` hands each message to its
 //! driver (`lease_driver`, `voter_driver`, `job_driver`); `peers` and `link` are the connections; `status` is what
 //! operators see.
 
+#![warn(unreachable_pub, rust_2018_idioms)]
+#![warn(clippy::too_many_lines, clippy::many_single_char_names)]
+
 mod dispatch;
 mod error;
 mod event_loop;
--- a/src/net/fleet/settings.rs
+++ b/src/net/fleet/settings.rs
@@ -78,7 +78,7 @@
         self.fleet.voters.iter().map(|voter| voter.number).collect()
     }
 
-    /// Durations of the protocol, in microseconds. Four renewals fit into a lease, so that a lost one costs nothing.
+    /// Durations of the protocol, in microseconds. Several renewals fit into a lease, so that some may be lost.
     pub fn timing(&self) -> FleetTiming {
         let lease_duration = self.fleet.lease_ms * MICROS_PER_MS;
         FleetTiming {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The relay on sockets. It chooses no server, retries nothing by itself and judges no load: what to
-//! do comes from [`crate::decide`]; what bytes mean comes from [`crate::front`].
+//! The relay on sockets. It chooses no endpoint, retries nothing by itself and judges no load: what to
+//! do comes from [`crate::decision_service`]; what bytes mean comes from [`crate::protocol`].
 
 pub mod admit;
 mod attempt;
--- a/src/net/tls.rs
+++ b/src/net/tls.rs
@@ -48,7 +48,7 @@
             format!("{}: {what}", at.display()),
         )
     };
-    let chain: Result<Vec<CertificateDer>, _> = CertificateDer::pem_file_iter(&at)
+    let chain: Result<Vec<CertificateDer<'_>>, _> = CertificateDer::pem_file_iter(&at)
         .map_err(|e| wrong(e.to_string()))?
         .collect();
     let chain = chain.map_err(|e| wrong(e.to_string()))?;
--- a/src/platform/ledger/mod.rs
+++ b/src/platform/ledger/mod.rs
@@ -14,6 +14,9 @@
 //! be created explicitly, by `fleet init` or `fleet join`), a ledger of another fleet or relay, and a file that is
 //! damaged or of another format (refused with a remedy; nothing is overwritten).
 
+#![warn(unreachable_pub, rust_2018_idioms)]
+#![warn(clippy::too_many_lines, clippy::many_single_char_names)]
+
 mod error;
 mod schema;
 mod store;
--- a/src/platform/ledger/schema.rs
+++ b/src/platform/ledger/schema.rs
@@ -13,9 +13,9 @@
 pub(super) const FORMAT: u8 = 3;
 
 /// Single values by key; see [`key`].
-pub(super) const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+pub(super) const VALUES: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("facts");
 /// Entries of the replicated log by their index.
-pub(super) const LOG_ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
+pub(super) const LOG_ENTRIES: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("entries");
 
 /// The table [`VALUES`], open for writing.
 pub(super) type Values<'a> = redb::Table<'a, &'static str, &'static [u8]>;
@@ -25,27 +25,27 @@
 /// Keys of [`VALUES`].
 pub(super) mod key {
     /// One byte: [`FORMAT`](super::FORMAT).
-    pub const FORMAT: &str = "format";
+    pub(crate) const FORMAT: &str = "format";
     /// Voter number and fleet id, as text, separated by a line feed.
-    pub const OWNER: &str = "owner";
+    pub(crate) const OWNER: &str = "owner";
     /// Eight bytes, big endian: the random number that identifies a voter's disk.
-    pub const INCARNATION: &str = "incarnation";
+    pub(crate) const INCARNATION: &str = "incarnation";
     /// Raft's hard state: term, vote and commit index.
-    pub const HARD_STATE: &str = "vote";
+    pub(crate) const HARD_STATE: &str = "vote";
     /// Raft's snapshot, in place of the entries before it.
-    pub const SNAPSHOT: &str = "snapshot";
+    pub(crate) const SNAPSHOT: &str = "snapshot";
     /// The policy in force.
-    pub const POLICY: &str = "policy";
+    pub(crate) const POLICY: &str = "policy";
     /// The proposal that this relay has promised to be able to serve under.
-    pub const PREPARED: &str = "prepared";
+    pub(crate) const PREPARED: &str = "prepared";
     /// The latest known membership.
-    pub const MEMBERSHIP: &str = "seats";
+    pub(crate) const MEMBERSHIP: &str = "seats";
 }
 
 /// Writes what Raft wants persisted, as part of one transaction.
 pub(super) fn write_log_batch(
-    values: &mut Values,
-    log_entries: &mut LogEntries,
+    values: &mut Values<'_>,
+    log_entries: &mut LogEntries<'_>,
     batch: &PersistBatch,
 ) -> Result<(), StoreError> {
     if let Some(hard_state) = &batch.hard_state {
--- a/src/platform/ledger/store.rs
+++ b/src/platform/ledger/store.rs
@@ -127,7 +127,7 @@
     pub(super) fn write(
         &self,
         step: WriteStep,
-        change: impl FnOnce(&mut Values, &mut LogEntries) -> Result<(), StoreError>,
+        change: impl FnOnce(&mut Values<'_>, &mut LogEntries<'_>) -> Result<(), StoreError>,
     ) -> Result<(), LedgerError> {
         self.fail_points_before(step)?;
         self.commit(change)
@@ -138,7 +138,7 @@
 
     fn commit(
         &self,
-        change: impl FnOnce(&mut Values, &mut LogEntries) -> Result<(), StoreError>,
+        change: impl FnOnce(&mut Values<'_>, &mut LogEntries<'_>) -> Result<(), StoreError>,
     ) -> Result<(), StoreError> {
         let mut transaction = self.database.begin_write()?;
         transaction.set_durability(redb::Durability::Immediate);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,5 +1,5 @@
 //! Codec of the bench's wire: frames, records, the JSON settings, and the translation of both to
-//! and from [`crate::api`]. It decides nothing.
+//! and from [`crate::decisions::api`]. It decides nothing.
 
 use crate::decisions::api::{
     Action, Class, DeduplicationScope, EndpointId, EndpointListKind, EndpointState,
@@ -232,7 +232,7 @@
     Ok(batch)
 }
 
-fn record(code: u16, r: &mut Reader) -> Result<Option<(u32, Record)>, WireError> {
+fn record(code: u16, r: &mut Reader<'_>) -> Result<Option<(u32, Record)>, WireError> {
     if !matches!(
         code,
         1000 | 1010 | 1020 | 1030 | 1040 | 1050 | 1060 | 1070 | 1080 | 1090 | 1100 | 1110
@@ -358,7 +358,7 @@
     q.established = bits & 8 != 0;
 }
 
-fn outcome(r: &mut Reader) -> Result<Outcome, WireError> {
+fn outcome(r: &mut Reader<'_>) -> Result<Outcome, WireError> {
     let at = r.at;
     Ok(match r.u8("reason")? {
         0 => Outcome::Success,
@@ -373,7 +373,7 @@
     })
 }
 
-fn members(r: &mut Reader) -> Result<Event, WireError> {
+fn members(r: &mut Reader<'_>) -> Result<Event, WireError> {
     r.u64("version")?;
     let at = r.at;
     let kind = match r.u8("kind")? {
