--- a/src/protocol/line/words.rs
+++ b/src/protocol/line/words.rs
@@ -155,7 +155,7 @@
     Err(Vec<f32>),
     /// Turned away unseen.
     Busy(Vec<f32>),
-    /// The connection's load, or how long messages take: see [`crate::net::note`].
+    /// The connection's load, or how long messages take: see [`super::note`].
     Load(f32),
     /// Anything else: a line for the client alone.
     Other,
