--- a/crates/control/src/broadcast/broadcaster/tests/deliveries.rs
+++ b/crates/control/src/broadcast/broadcaster/tests/deliveries.rs
@@ -95,7 +95,10 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "one history, checked after each step")]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one history, checked after each step"
+)]
 fn an_owner_receives_one_summary_and_each_relay_its_own_permits() {
     let mut jobs = Jobs::default();
     jobs.apply(Assignment::Open(vec![moves::KIND.into()]));
