--- a/src/decisions/group_plan.rs
+++ b/src/decisions/group_plan.rs
@@ -157,9 +157,9 @@
 }
 
 impl Balancer {
-    /// Whether the balancer has seen enough arrivals for estimates of its own about groups and loads.
-    /// Without them, as in a large fleet where each balancer has little traffic, requests are placed
-    /// by their jumps and by reported loads alone, which are the same at all balancers.
+    /// Whether the balancer has seen enough arrivals for estimates of its own about groups and
+    /// loads. Without them, as in a large fleet where each balancer has little traffic, requests
+    /// are placed by their jumps and by reported loads alone, which are the same at all balancers.
     pub(super) fn has_own_estimates(&self) -> bool {
         self.group_plan.total_arrivals >= self.parameters.group_plan_min_arrivals
     }
