--- a/src/decisions/discovery_backoff.rs
+++ b/src/decisions/discovery_backoff.rs
@@ -9,7 +9,7 @@
 use super::timers::Timer;
 use super::Balancer;
 
-/// The backoff is doubled at most so many times.
+/// Doublings of the backoff.
 const MAX_DOUBLINGS: u32 = 3;
 /// The backoff is drawn from this fraction of itself up to the whole.
 const JITTER_DIVISOR: Micros = 8;
--- a/src/decisions/idempotency.rs
+++ b/src/decisions/idempotency.rs
@@ -37,9 +37,9 @@
     }
 }
 
-/// Whether the client may be told that another attempt of its own is harmless: nothing may have
-/// been executed, or any endpoint drops the duplicate. The client's next attempt carries the same
-/// key, and the window is its own concern.
+/// Whether a rejection may promise the client that another attempt of its own is harmless: nothing
+/// may have been executed, or any endpoint drops the duplicate. The client's next attempt carries
+/// the same key, and the window is its own concern.
 pub(super) fn is_harmless_for_client(pending: &PendingRequest) -> bool {
     let may_have_executed =
         pending.possible_execution.is_some() || pending.phase == Phase::Attempting;
--- a/src/decisions/load_shedding.rs
+++ b/src/decisions/load_shedding.rs
@@ -15,7 +15,7 @@
 const SHEDDING_SALT: u64 = 1;
 /// Interval of updates.
 const UPDATE_INTERVAL: Micros = SECOND;
-/// A pause between updates counts as at most so many seconds.
+/// Upper bound of the time between two updates, in seconds.
 const MAX_ELAPSED_SECONDS: f32 = 30.0;
 
 /// State of the load shedding.
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -9,7 +9,7 @@
 use super::endpoints::{Endpoint, EndpointIndex};
 use super::Balancer;
 
-/// The time of an ejection is doubled at most so many times.
+/// Doublings of the time of an ejection.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
 /// What failures and overload say of an endpoint's process.
