--- a/src/cells/map.rs
+++ b/src/cells/map.rs
@@ -84,7 +84,7 @@
 
 /// The key of a site as it is written: the hexadecimal key that line clients send, or the name of an XMPP group, such as
 /// `site7@hazri1.example.org`. 0 means no site.
-pub fn site_key(text: &str) -> u64 {
+pub fn group_key(text: &str) -> u64 {
     let hexadecimal = (1..=16).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit());
     match u64::from_str_radix(text, 16) {
         Ok(key) if hexadecimal => key,
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -16,7 +16,7 @@
 mod tests;
 
 pub use faults::CellFault;
-pub use map::{site_key, CellMap, HomeReason, NoEndpointPolicy, Placement, MAX_CELLS};
+pub use map::{group_key, CellMap, HomeReason, NoEndpointPolicy, Placement, MAX_CELLS};
 
 use crate::config::operator::{OperatorError, OperatorFile};
 use crate::decisions::api::{Micros, SECOND};
--- a/src/cells/operator_file.rs
+++ b/src/cells/operator_file.rs
@@ -1,6 +1,6 @@
 //! Builds a cell map from `[cells]` of the operator file, and checks it: each error names the key and the value.
 
-use super::map::{site_key, Cell, CellMap, NoEndpointPolicy, MAX_CELLS};
+use super::map::{group_key, Cell, CellMap, NoEndpointPolicy, MAX_CELLS};
 use crate::config::operator::{self, OperatorError, OperatorFile};
 
 /// The highest weight of a cell: the hash makes a draw for each unit.
@@ -98,7 +98,7 @@
     settings: &operator::Cells,
 ) -> Result<(), OperatorError> {
     for (index, site) in settings.site.iter().enumerate() {
-        let key = site_key(&site.key);
+        let key = group_key(&site.key);
         if key == 0 {
             let problem = "is empty or 0, which means no site";
             return Err(file.error(&format!("cells.site[{index}].key"), problem));
--- a/src/cli/cells.rs
+++ b/src/cli/cells.rs
@@ -2,7 +2,7 @@
 
 use super::{env, Failure};
 use argh::FromArgs;
-use jaspermoor::cells::{site_key, Cells};
+use jaspermoor::cells::{group_key, Cells};
 use jaspermoor::config::operator::OperatorFile;
 use jaspermoor::config::Config;
 use jaspermoor::decisions::api::ListedEndpoint;
@@ -71,7 +71,7 @@
     let map = cells(&asked.operator)?.map;
     let lines = match asked.what {
         What::Show(_) => map.describe(&members),
-        What::Explain(explain) => map.explain(site_key(&explain.site), &members),
+        What::Explain(explain) => map.explain(group_key(&explain.site), &members),
         What::Plan(plan) => map.describe_changes(&cells(&plan.file)?.map, &members),
     };
     lines.iter().for_each(|line| println!("{line}"));
--- a/src/protocol/xmpp/terms.rs
+++ b/src/protocol/xmpp/terms.rs
@@ -3,7 +3,7 @@
 
 use super::frame::Bounds;
 use super::jid::{self, Jid};
-use crate::cells::site_key;
+use crate::cells::group_key;
 use crate::config::operator::{self, OperatorError, OperatorFile, Xmpp};
 use crate::config::Classes;
 use crate::decisions::api::{Micros, Request, SECOND};
@@ -322,8 +322,8 @@
         };
         Some(Request {
             class,
-            client_key: site_key(&jid.bare()),
-            group: group.map_or(0, |group| site_key(&group)),
+            client_key: group_key(&jid.bare()),
+            group: group.map_or(0, |group| group_key(&group)),
             time_left: rule
                 .deadline
                 .unwrap_or_else(|| classes.deadline(class))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,15 +6,15 @@
 
 pub const MS: Micros = 1_000;
 
-pub struct Proxy {
+pub struct BalancerHarness {
     pub balancer: Balancer,
     pub now: Micros,
     pub out: Vec<Action>,
 }
 
-impl Proxy {
+impl BalancerHarness {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Proxy {
+        BalancerHarness {
             balancer: Balancer::new(settings, seed),
             now: 1_000 * SECOND,
             out: Vec::new(),
@@ -22,14 +22,17 @@
     }
 
     /// A proxy with `n` ready servers of the same size, numbered from 1.
-    pub fn with_servers(settings: Settings, n: u64) -> Self {
-        let mut proxy = Proxy::new(settings, 7);
-        proxy.list(EndpointListKind::Full, (1..=n).map(ready).collect());
+    pub fn with_endpoints(settings: Settings, n: u64) -> Self {
+        let mut proxy = BalancerHarness::new(settings, 7);
+        proxy.update_endpoints(
+            EndpointListKind::Full,
+            (1..=n).map(ready_endpoint).collect(),
+        );
         proxy
     }
 
     /// Feeds an event; returns the actions it brought.
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         self.out.clear();
         self.balancer
             .handle(self.now, event, &mut self.out)
@@ -37,20 +40,24 @@
         self.out.clone()
     }
 
-    pub fn list(&mut self, kind: EndpointListKind, members: Vec<ListedEndpoint>) -> Vec<Action> {
-        self.feed(Event::EndpointList {
+    pub fn update_endpoints(
+        &mut self,
+        kind: EndpointListKind,
+        members: Vec<ListedEndpoint>,
+    ) -> Vec<Action> {
+        self.handle(Event::EndpointList {
             kind,
             endpoints: members,
         })
     }
 
     /// Feeds a request. Probes that it waits for are left unanswered, so it is placed when that wait is over.
-    pub fn request(&mut self, request: Request) -> Vec<Action> {
-        let mut actions = self.feed(Event::Request(request));
+    pub fn submit(&mut self, request: Request) -> Vec<Action> {
+        let mut actions = self.handle(Event::Request(request));
         if actions.iter().any(|a| matches!(a, Action::CheckHealth(_))) {
             let (at, token) = *timers(&actions).last().expect("it waits for a time");
             self.now = at;
-            actions.extend(self.fire(token));
+            actions.extend(self.fire_timer(token));
         }
         actions
     }
@@ -58,8 +65,8 @@
     /// Sends a request and brings it up; returns its server.
     pub fn connect(&mut self, request: Request) -> Option<EndpointId> {
         let id = request.id;
-        let server = sent(&self.request(request))?;
-        self.feed(Event::Connected {
+        let server = attempted_endpoint(&self.submit(request))?;
+        self.handle(Event::Connected {
             id,
             endpoint: server,
             elapsed: MS,
@@ -67,14 +74,14 @@
         Some(server)
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         id: u32,
         server: EndpointId,
         outcome: Outcome,
         last: bool,
     ) -> Vec<Action> {
-        self.feed(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             id: RequestId(id),
             endpoint: server,
             outcome,
@@ -83,12 +90,12 @@
         })
     }
 
-    pub fn fire(&mut self, token: u64) -> Vec<Action> {
-        self.feed(Event::Timer(token))
+    pub fn fire_timer(&mut self, token: u64) -> Vec<Action> {
+        self.handle(Event::Timer(token))
     }
 }
 
-pub fn ready(n: u64) -> ListedEndpoint {
+pub fn ready_endpoint(n: u64) -> ListedEndpoint {
     ListedEndpoint {
         id: EndpointId(n),
         zone: 0,
@@ -99,8 +106,11 @@
     }
 }
 
-pub fn in_state(n: u64, state: EndpointState) -> ListedEndpoint {
-    ListedEndpoint { state, ..ready(n) }
+pub fn endpoint_in_state(n: u64, state: EndpointState) -> ListedEndpoint {
+    ListedEndpoint {
+        state,
+        ..ready_endpoint(n)
+    }
 }
 
 /// A request of a group (0 for none) with a second to spare.
@@ -115,14 +125,14 @@
 }
 
 /// Settings with one class of that effect.
-pub fn with_effect(effect: Idempotency) -> Settings {
+pub fn settings_with_idempotency(effect: Idempotency) -> Settings {
     let mut settings = Settings::default();
     settings.classes[0].idempotency = effect;
     settings
 }
 
 /// The server of the one send among the actions, if there is one.
-pub fn sent(actions: &[Action]) -> Option<EndpointId> {
+pub fn attempted_endpoint(actions: &[Action]) -> Option<EndpointId> {
     let mut sends = actions.iter().filter_map(|a| match a {
         Action::Attempt {
             endpoint: server, ..
@@ -134,15 +144,15 @@
     first
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(..)))
 }
 
-pub fn moved(actions: &[Action]) -> Vec<RequestId> {
+pub fn migrated_connections(actions: &[Action]) -> Vec<RequestId> {
     let id = |a: &Action| {
         if let Action::Migrate(id) = a {
             Some(*id)
@@ -166,7 +176,7 @@
 }
 
 /// The share of its capacity that a server of this age has at least.
-pub fn share_of_capacity(settings: &Settings, age: Micros) -> f32 {
+pub fn capacity_fraction(settings: &Settings, age: Micros) -> f32 {
     let start = settings.initial_capacity;
     (start + (1.0 - start) * age as f32 / settings.warm_up_time as f32).min(1.0)
 }
@@ -174,9 +184,9 @@
 /// How many connections the rule lets all relays together send to a cold server of this age within `fall`. The pages
 /// give N + 2 x root of N + 2. What N is they leave open: the rate here, which fills a server over a warm-up that rises
 /// evenly, was inferred from four falls. The decisions reckon with the same, so tests by it cannot show it to be wrong.
-pub fn allowed_when_cold(settings: &Settings, filling: f32, age: Micros) -> f32 {
+pub fn max_requests_while_warming(settings: &Settings, filling: f32, age: Micros) -> f32 {
     let fills_in = settings.warm_up_time as f32 * (1.0 + settings.initial_capacity) / 2.0;
-    let capacity = filling * share_of_capacity(settings, age) / fills_in;
+    let capacity = filling * capacity_fraction(settings, age) / fills_in;
     let allowed = settings.overload_factor * capacity * settings.overload_window as f32;
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
--- a/tests/module.rs
+++ b/tests/decisions.rs
@@ -9,13 +9,13 @@
 
 /// The servers of `keys` clients without a group, each asked of a proxy that holds nothing else.
 fn homes(members: Vec<ListedEndpoint>, keys: u64) -> Vec<EndpointId> {
-    let mut proxy = Proxy::new(Settings::default(), 3);
-    proxy.list(EndpointListKind::Full, members);
+    let mut proxy = BalancerHarness::new(Settings::default(), 3);
+    proxy.update_endpoints(EndpointListKind::Full, members);
     (1..=keys)
         .map(|key| {
-            let server =
-                sent(&proxy.request(request(key as u32, key, 0))).expect("a server is free");
-            proxy.end(key as u32, server, Outcome::Success, true);
+            let server = attempted_endpoint(&proxy.submit(request(key as u32, key, 0)))
+                .expect("a server is free");
+            proxy.end_attempt(key as u32, server, Outcome::Success, true);
             server
         })
         .collect()
@@ -35,15 +35,15 @@
 
 #[test]
 fn homes_do_not_depend_on_the_order_of_the_list_or_on_the_seed() {
-    let forward = homes((1..=20).map(ready).collect(), 200);
-    let backward = homes((1..=20).rev().map(ready).collect(), 200);
+    let forward = homes((1..=20).map(ready_endpoint).collect(), 200);
+    let backward = homes((1..=20).rev().map(ready_endpoint).collect(), 200);
     assert_eq!(forward, backward);
 }
 
 #[test]
 fn a_server_more_takes_only_its_own_keys() {
-    let before = homes((1..=20).map(ready).collect(), 1000);
-    let after = homes((1..=21).map(ready).collect(), 1000);
+    let before = homes((1..=20).map(ready_endpoint).collect(), 1000);
+    let after = homes((1..=21).map(ready_endpoint).collect(), 1000);
     let moved: Vec<_> = before.iter().zip(&after).filter(|(b, a)| b != a).collect();
     assert!(
         moved.iter().all(|(_, a)| **a == EndpointId(21)),
@@ -58,8 +58,8 @@
 
 #[test]
 fn a_server_less_gives_up_only_its_own_keys() {
-    let before = homes((1..=20).map(ready).collect(), 1000);
-    let after = homes((1..=19).map(ready).collect(), 1000);
+    let before = homes((1..=20).map(ready_endpoint).collect(), 1000);
+    let after = homes((1..=19).map(ready_endpoint).collect(), 1000);
     for (b, a) in before.iter().zip(&after) {
         assert!(b == a || *b == EndpointId(20));
     }
@@ -67,20 +67,20 @@
 
 #[test]
 fn a_larger_server_is_home_to_more() {
-    let mut members: Vec<_> = (1..=10).map(ready).collect();
+    let mut members: Vec<_> = (1..=10).map(ready_endpoint).collect();
     members[0].size = 4.0;
-    let mut proxy = Proxy::new(
+    let mut proxy = BalancerHarness::new(
         Settings {
             weights: EndpointWeights::Nominal,
             ..Settings::default()
         },
         3,
     );
-    proxy.list(EndpointListKind::Full, members);
+    proxy.update_endpoints(EndpointListKind::Full, members);
     let mut of_first = 0;
     for key in 1..=1000 {
-        let server = sent(&proxy.request(request(key, u64::from(key), 0))).unwrap();
-        proxy.end(key, server, Outcome::Success, true);
+        let server = attempted_endpoint(&proxy.submit(request(key, u64::from(key), 0))).unwrap();
+        proxy.end_attempt(key, server, Outcome::Success, true);
         of_first += u32::from(server == EndpointId(1));
     }
     assert!(
@@ -93,7 +93,7 @@
 fn a_key_that_equals_a_servers_id_jumps_like_any_other() {
     // Once the points of a server lay along the jumps of the key of the same number.
     for key in 1..=10 {
-        let mut proxy = Proxy::with_servers(Settings::default(), 10);
+        let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 10);
         let servers: BTreeSet<_> = (1..=8)
             .map(|id| proxy.connect(request(id, key, 0)).unwrap())
             .collect();
@@ -106,7 +106,7 @@
 #[test]
 fn the_floor_admits_one_and_overflow_scatters() {
     // One key without a group over and over: 1 + ε is 3, so the mean sets the cap at every step.
-    let mut proxy = Proxy::with_servers(Settings::default(), 10);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 10);
     let mut per: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for id in 1..=60u32 {
         let server = proxy
@@ -126,10 +126,10 @@
 
 #[test]
 fn two_keys_overflow_from_one_home_to_different_servers() {
-    let list = homes((1..=30).map(ready).collect(), 400);
+    let list = homes((1..=30).map(ready_endpoint).collect(), 400);
     let mut next = BTreeSet::new();
     for (key, home) in (1u64..).zip(&list).filter(|(_, home)| **home == list[0]) {
-        let mut proxy = Proxy::with_servers(Settings::default(), 30);
+        let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 30);
         assert_eq!(proxy.connect(request(1, key, 0)), Some(*home));
         next.insert(proxy.connect(request(2, key, 0)));
     }
@@ -138,7 +138,7 @@
 
 #[test]
 fn fallback_takes_the_least_loaded_and_counts_a_new_server_at_the_mean() {
-    let mut proxy = Proxy::with_servers(
+    let mut proxy = BalancerHarness::with_endpoints(
         Settings {
             initial_capacity: 1.0,
             ..Settings::default()
@@ -151,14 +151,15 @@
     // All that may be tried is tried: server 3 alone is left, and it holds nothing yet.
     let new = ListedEndpoint {
         started_at: Some(proxy.now),
-        ..ready(3)
+        ..ready_endpoint(3)
     };
-    proxy.list(EndpointListKind::Delta, vec![new]);
+    proxy.update_endpoints(EndpointListKind::Delta, vec![new]);
     let mut reached = BTreeSet::new();
-    let mut server = sent(&proxy.request(request(50, 5, 0))).unwrap();
+    let mut server = attempted_endpoint(&proxy.submit(request(50, 5, 0))).unwrap();
     reached.insert(server);
     for _ in 0..2 {
-        server = sent(&proxy.end(50, server, Outcome::Rejected, false)).expect("another is left");
+        server = attempted_endpoint(&proxy.end_attempt(50, server, Outcome::Rejected, false))
+            .expect("another is left");
         assert!(
             reached.insert(server),
             "a refused server is not asked twice"
@@ -169,7 +170,7 @@
 
 #[test]
 fn requests_without_any_key_are_served() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 5);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 5);
     let servers: BTreeSet<_> = (1..=50)
         .map(|id| proxy.connect(request(id, 0, 0)).unwrap())
         .collect();
@@ -180,7 +181,7 @@
 
 #[test]
 fn a_small_group_sits_on_one_server() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 10);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 10);
     for id in 1..=60u32 {
         proxy.connect(request(id, u64::from(id), 1000 + u64::from(id % 20)));
     }
@@ -196,7 +197,7 @@
 
 #[test]
 fn a_group_that_outgrows_a_server_gets_more_homes() {
-    let mut proxy = Proxy::with_servers(
+    let mut proxy = BalancerHarness::with_endpoints(
         Settings {
             balancer_count: 50,
             ..Settings::default()
@@ -223,14 +224,14 @@
 fn two_proxies_agree_on_a_clients_home_without_a_word() {
     let mut agree = 0;
     let (mut a, mut b) = (
-        Proxy::with_servers(
+        BalancerHarness::with_endpoints(
             Settings {
                 balancer_count: 2,
                 ..Settings::default()
             },
             20,
         ),
-        Proxy::new(
+        BalancerHarness::new(
             Settings {
                 balancer_count: 2,
                 ..Settings::default()
@@ -238,7 +239,10 @@
             99,
         ),
     );
-    b.list(EndpointListKind::Full, (1..=20).rev().map(ready).collect());
+    b.update_endpoints(
+        EndpointListKind::Full,
+        (1..=20).rev().map(ready_endpoint).collect(),
+    );
     // Each sees its own clients of the same eight groups.
     for id in 1..=80u32 {
         a.connect(request(id, u64::from(id), 500 + u64::from(id % 8)));
@@ -256,7 +260,7 @@
 
 #[test]
 fn a_home_in_the_own_zone_comes_first() {
-    let mut proxy = Proxy::new(
+    let mut proxy = BalancerHarness::new(
         Settings {
             zone: 1,
             balancer_count: 20,
@@ -264,12 +268,12 @@
         },
         1,
     );
-    proxy.list(
+    proxy.update_endpoints(
         EndpointListKind::Full,
         (1..=20)
             .map(|n| ListedEndpoint {
                 zone: (n % 2) as u16,
-                ..ready(n)
+                ..ready_endpoint(n)
             })
             .collect(),
     );
@@ -294,10 +298,10 @@
 }
 
 /// Four servers with five connections each.
-fn with_some_held(settings: Settings) -> Proxy {
-    let mut proxy = Proxy::with_servers(settings, 4);
+fn with_some_held(settings: Settings) -> BalancerHarness {
+    let mut proxy = BalancerHarness::with_endpoints(settings, 4);
     for n in 0..20 {
-        proxy.feed(Event::Adopted {
+        proxy.handle(Event::Adopted {
             request: request(100 + n, u64::from(n), 7),
             endpoint: EndpointId(u64::from(n % 4) + 1),
         });
@@ -306,17 +310,17 @@
 }
 
 /// A proxy that has seen enough to go by its own estimates.
-fn seasoned(mut proxy: Proxy) -> Proxy {
+fn seasoned(mut proxy: BalancerHarness) -> BalancerHarness {
     for id in 50_000..50_040 {
         if let Some(server) = proxy.connect(request(id, u64::from(id), 900)) {
-            proxy.end(id, server, Outcome::Success, true);
+            proxy.end_attempt(id, server, Outcome::Success, true);
         }
     }
     proxy
 }
 
-fn tell(proxy: &mut Proxy, server: u64, load: f32) {
-    proxy.feed(Event::HealthCheck {
+fn tell(proxy: &mut BalancerHarness, server: u64, load: f32) {
+    proxy.handle(Event::HealthCheck {
         endpoint: EndpointId(server),
         outcome: Outcome::Success,
         report: vec![50.0, load],
@@ -331,17 +335,20 @@
             _ => None,
         })
     };
-    let mut proxy = Proxy::new(with_probes(), 7);
-    let mut actions = proxy.list(EndpointListKind::Full, Vec::new());
+    let mut proxy = BalancerHarness::new(with_probes(), 7);
+    let mut actions = proxy.update_endpoints(EndpointListKind::Full, Vec::new());
     let (mut seen, begin) = (BTreeMap::new(), proxy.now);
     for n in 0..30 {
         let (at, token) = timers(&actions)[0];
         proxy.now = at;
         if n == 5 {
             // The first list was empty: the turn goes on when servers come.
-            proxy.list(EndpointListKind::Full, (1..=4).map(ready).collect());
+            proxy.update_endpoints(
+                EndpointListKind::Full,
+                (1..=4).map(ready_endpoint).collect(),
+            );
         }
-        actions = proxy.fire(token);
+        actions = proxy.fire_timer(token);
         if let Some(server) = probed(&actions) {
             *seen.entry(server).or_insert(0) += 1;
         }
@@ -359,8 +366,8 @@
             ..with_probes()
         },
     ] {
-        assert!(Proxy::new(none, 7)
-            .list(EndpointListKind::Full, vec![ready(1)])
+        assert!(BalancerHarness::new(none, 7)
+            .update_endpoints(EndpointListKind::Full, vec![ready_endpoint(1)])
             .is_empty());
     }
 }
@@ -368,7 +375,7 @@
 /// The cap counts the own connections only: a server that others had filled kept its keys.
 #[test]
 fn a_server_that_reports_it_is_full_takes_no_more_keys() {
-    let mut proxy = Proxy::with_servers(with_probes(), 4);
+    let mut proxy = BalancerHarness::with_endpoints(with_probes(), 4);
     let home = proxy.connect(request(1, 1, 7)).unwrap();
     for server in 1..=4 {
         tell(
@@ -399,7 +406,7 @@
 /// in a second and a half, since its own report could not say what one costs.
 #[test]
 fn what_was_sent_since_a_report_counts() {
-    let mut proxy = Proxy::with_servers(with_probes(), 4);
+    let mut proxy = BalancerHarness::with_endpoints(with_probes(), 4);
     let home = proxy.connect(request(1, 1, 7)).unwrap();
     let report = |load, active| vec![active, load];
     for server in 1..=4 {
@@ -408,7 +415,7 @@
         } else {
             report(0.5, 10.0)
         };
-        proxy.feed(Event::HealthCheck {
+        proxy.handle(Event::HealthCheck {
             endpoint: EndpointId(server),
             outcome: Outcome::Success,
             report,
@@ -425,10 +432,10 @@
 /// A server over its capacity once kept what it held until it dropped all of it.
 #[test]
 fn a_server_over_its_capacity_gives_some_away_once_a_report() {
-    let mut proxy = Proxy::with_servers(with_probes(), 4);
+    let mut proxy = BalancerHarness::with_endpoints(with_probes(), 4);
     let home = proxy.connect(request(1, 1, 7)).unwrap();
     for id in 2..=40 {
-        proxy.feed(Event::Adopted {
+        proxy.handle(Event::Adopted {
             request: request(id, u64::from(id), 7),
             endpoint: home,
         });
@@ -438,7 +445,7 @@
             tell(&mut proxy, server, others);
         }
         let report = vec![40.0, load];
-        timers(&proxy.feed(Event::HealthCheck {
+        timers(&proxy.handle(Event::HealthCheck {
             endpoint: home,
             outcome: Outcome::Success,
             report,
@@ -461,7 +468,7 @@
     let mut proxy = with_some_held(Settings::default());
     let home = proxy.connect(request(1, 1, 7)).unwrap();
     assert_eq!(proxy.connect(request(2, 2, 7)), Some(home));
-    proxy.end(1, home, Outcome::Reset, true);
+    proxy.end_attempt(1, home, Outcome::Reset, true);
     assert_ne!(proxy.connect(request(3, 3, 7)), Some(home));
 }
 
@@ -472,7 +479,7 @@
         let mut proxy = with_some_held(with_probes());
         let home = proxy.connect(request(1, 1, 7)).unwrap();
         (1..=4).for_each(|server| tell(&mut proxy, server, load));
-        proxy.feed(Event::DelaySample {
+        proxy.handle(Event::DelaySample {
             id: RequestId(1),
             endpoint: home,
             delay: took * MS,
@@ -487,19 +494,19 @@
 
 #[test]
 fn keys_stay_in_their_zone_while_its_servers_have_room() {
-    let mut proxy = Proxy::new(
+    let mut proxy = BalancerHarness::new(
         Settings {
             zone: 1,
             ..with_probes()
         },
         1,
     );
-    proxy.list(
+    proxy.update_endpoints(
         EndpointListKind::Full,
         (1..=6)
             .map(|n| ListedEndpoint {
                 zone: (n % 2) as u16,
-                ..ready(n)
+                ..ready_endpoint(n)
             })
             .collect(),
     );
@@ -526,55 +533,62 @@
 
 #[test]
 fn an_empty_fleet_refuses_in_time() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 0);
-    let actions = proxy.request(request(1, 5, 0));
-    assert_eq!(sent(&actions), None);
-    assert!(!refused(&actions), "held, since a server may come");
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 0);
+    let actions = proxy.submit(request(1, 5, 0));
+    assert_eq!(attempted_endpoint(&actions), None);
+    assert!(!is_rejected(&actions), "held, since a server may come");
     let (at, token) = timers(&actions)[0];
     assert!(at < proxy.now + SECOND);
     proxy.now = at;
-    assert!(refused(&proxy.fire(token)));
+    assert!(is_rejected(&proxy.fire_timer(token)));
     assert!(
-        proxy.fire(token).is_empty(),
+        proxy.fire_timer(token).is_empty(),
         "a second answer would be a fault"
     );
 }
 
 #[test]
 fn a_held_request_goes_out_when_a_server_comes() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 0);
-    let actions = proxy.request(request(1, 5, 0));
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 0);
+    let actions = proxy.submit(request(1, 5, 0));
     let (at, token) = *timers(&actions).last().unwrap();
-    proxy.list(EndpointListKind::Delta, vec![ready(1)]);
+    proxy.update_endpoints(EndpointListKind::Delta, vec![ready_endpoint(1)]);
     proxy.now = at;
-    assert_eq!(sent(&proxy.fire(token)), Some(EndpointId(1)));
+    assert_eq!(
+        attempted_endpoint(&proxy.fire_timer(token)),
+        Some(EndpointId(1))
+    );
 }
 
 #[test]
 fn an_attempt_out_at_the_deadline_is_answered_and_called_off() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 3);
-    let actions = proxy.request(request(1, 5, 0));
-    let server = sent(&actions).unwrap();
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 3);
+    let actions = proxy.submit(request(1, 5, 0));
+    let server = attempted_endpoint(&actions).unwrap();
     let (at, token) = timers(&actions)[0];
     proxy.now = at;
-    let actions = proxy.fire(token);
+    let actions = proxy.fire_timer(token);
     assert!(
-        refused(&actions)
+        is_rejected(&actions)
             && actions.contains(&Action::CancelAttempt {
                 id: RequestId(1),
                 attempt: 0
             })
     );
-    assert!(proxy.end(1, server, Outcome::Cancelled, true).is_empty());
+    assert!(proxy
+        .end_attempt(1, server, Outcome::Cancelled, true)
+        .is_empty());
 }
 
 #[test]
 fn late_events_of_a_finished_request_bring_nothing() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 3);
-    let server = sent(&proxy.request(request(1, 5, 0))).unwrap();
-    proxy.feed(Event::ClientDisconnected(RequestId(1)));
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 3);
+    let server = attempted_endpoint(&proxy.submit(request(1, 5, 0))).unwrap();
+    proxy.handle(Event::ClientDisconnected(RequestId(1)));
     assert!(
-        proxy.end(1, server, Outcome::Error, false).is_empty(),
+        proxy
+            .end_attempt(1, server, Outcome::Error, false)
+            .is_empty(),
         "the client has gone"
     );
     let mut out = Vec::new();
@@ -590,28 +604,34 @@
         Err(UnknownId::Request(RequestId(1)))
     );
     assert!(out.is_empty());
-    proxy.feed(Event::ClientDisconnected(RequestId(1)));
+    proxy.handle(Event::ClientDisconnected(RequestId(1)));
 }
 
 #[test]
 fn attempts_end_at_their_number() {
-    let mut proxy = Proxy::with_servers(
+    let mut proxy = BalancerHarness::with_endpoints(
         Settings {
             max_attempts: 3,
             ..Settings::default()
         },
         9,
     );
-    let mut server = sent(&proxy.request(request(1, 5, 0))).unwrap();
+    let mut server = attempted_endpoint(&proxy.submit(request(1, 5, 0))).unwrap();
     for _ in 0..2 {
-        server = sent(&proxy.end(1, server, Outcome::Error, false)).expect("attempts are left");
+        server = attempted_endpoint(&proxy.end_attempt(1, server, Outcome::Error, false))
+            .expect("attempts are left");
     }
-    assert!(refused(&proxy.end(1, server, Outcome::Error, false)));
+    assert!(is_rejected(&proxy.end_attempt(
+        1,
+        server,
+        Outcome::Error,
+        false
+    )));
 }
 
 #[test]
 fn the_last_attempt_has_until_the_deadline() {
-    let mut proxy = Proxy::with_servers(
+    let mut proxy = BalancerHarness::with_endpoints(
         Settings {
             max_attempts: 1,
             ..Settings::default()
@@ -619,7 +639,7 @@
         3,
     );
     let deadline = proxy.now + SECOND;
-    let actions = proxy.request(request(1, 5, 0));
+    let actions = proxy.submit(request(1, 5, 0));
     assert!(actions
         .iter()
         .any(|a| matches!(a, Action::Attempt { give_up_at: until, .. } if *until == deadline)));
@@ -628,21 +648,21 @@
 #[test]
 fn when_the_retry_budget_is_spent_an_attempt_is_the_last_and_has_all_the_time() {
     // Incident i056f18: attempts given up and made anew jammed the servers.
-    let mut proxy = Proxy::with_servers(Settings::default(), 200);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 200);
     let mut sends = 0;
     for id in 1..=40 {
         proxy.now += MS;
         let deadline = proxy.now + SECOND;
-        let mut actions = proxy.request(request(id, u64::from(id), 0));
-        while let Some(server) = sent(&actions) {
+        let mut actions = proxy.submit(request(id, u64::from(id), 0));
+        while let Some(server) = attempted_endpoint(&actions) {
             sends += 1;
             if id > 30 {
                 let whole = |a: &Action| matches!(a, Action::Attempt { give_up_at: until, .. } if *until == deadline);
                 assert!(actions.iter().any(whole), "{actions:?}");
             }
-            actions = proxy.end(id, server, Outcome::Timeout, false);
+            actions = proxy.end_attempt(id, server, Outcome::Timeout, false);
         }
-        assert!(refused(&actions));
+        assert!(is_rejected(&actions));
     }
     assert!(
         (42..=60).contains(&sends),
@@ -652,17 +672,17 @@
 
 /// How many sends forty requests cause whose attempts all end so: the first one, and those after it.
 fn sends_of_forty(first: Outcome, further: Outcome) -> usize {
-    let mut proxy = Proxy::with_servers(Settings::default(), 200);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 200);
     let mut sends = 0;
     for id in 1..=40 {
         proxy.now += MS;
-        let (mut actions, mut outcome) = (proxy.request(request(id, u64::from(id), 0)), first);
-        while let Some(server) = sent(&actions) {
+        let (mut actions, mut outcome) = (proxy.submit(request(id, u64::from(id), 0)), first);
+        while let Some(server) = attempted_endpoint(&actions) {
             sends += 1;
-            actions = proxy.end(id, server, outcome, false);
+            actions = proxy.end_attempt(id, server, outcome, false);
             outcome = further;
         }
-        assert!(refused(&actions));
+        assert!(is_rejected(&actions));
     }
     sends
 }
@@ -693,10 +713,10 @@
 
 #[test]
 fn a_reset_ends_the_request() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 3);
-    let server = sent(&proxy.request(request(1, 5, 0))).unwrap();
-    let actions = proxy.end(1, server, Outcome::Reset, false);
-    assert!(failed(&actions) && sent(&actions).is_none());
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 3);
+    let server = attempted_endpoint(&proxy.submit(request(1, 5, 0))).unwrap();
+    let actions = proxy.end_attempt(1, server, Outcome::Reset, false);
+    assert!(is_failed(&actions) && attempted_endpoint(&actions).is_none());
 }
 
 // ---- Rule 2: no effect twice ----
@@ -716,9 +736,9 @@
             Outcome::ConnectFailed,
             Outcome::NotAttempted,
         ] {
-            let mut proxy = Proxy::with_servers(with_effect(effect), 3);
-            let server = sent(&proxy.request(request(1, 5, 0))).unwrap();
-            let next = sent(&proxy.end(1, server, outcome, false));
+            let mut proxy = BalancerHarness::with_endpoints(settings_with_idempotency(effect), 3);
+            let server = attempted_endpoint(&proxy.submit(request(1, 5, 0))).unwrap();
+            let next = attempted_endpoint(&proxy.end_attempt(1, server, outcome, false));
             assert!(
                 next.is_some_and(|next| next != server),
                 "{effect:?} after {outcome:?}"
@@ -735,11 +755,14 @@
         Outcome::Cancelled,
         Outcome::Reset,
     ] {
-        let mut proxy = Proxy::with_servers(with_effect(Idempotency::NonIdempotent), 3);
-        let server = sent(&proxy.request(request(1, 5, 0))).unwrap();
-        let actions = proxy.end(1, server, outcome, false);
+        let mut proxy = BalancerHarness::with_endpoints(
+            settings_with_idempotency(Idempotency::NonIdempotent),
+            3,
+        );
+        let server = attempted_endpoint(&proxy.submit(request(1, 5, 0))).unwrap();
+        let actions = proxy.end_attempt(1, server, outcome, false);
         assert!(
-            failed(&actions) && !refused(&actions) && sent(&actions).is_none(),
+            is_failed(&actions) && !is_rejected(&actions) && attempted_endpoint(&actions).is_none(),
             "after {outcome:?}"
         );
     }
@@ -747,11 +770,12 @@
 
 #[test]
 fn an_unsafe_request_out_at_the_deadline_fails() {
-    let mut proxy = Proxy::with_servers(with_effect(Idempotency::NonIdempotent), 3);
-    let actions = proxy.request(request(1, 5, 0));
+    let mut proxy =
+        BalancerHarness::with_endpoints(settings_with_idempotency(Idempotency::NonIdempotent), 3);
+    let actions = proxy.submit(request(1, 5, 0));
     let (at, token) = timers(&actions)[0];
     proxy.now = at;
-    assert!(failed(&proxy.fire(token)));
+    assert!(is_failed(&proxy.fire_timer(token)));
 }
 
 #[test]
@@ -760,7 +784,7 @@
         .map(|n| ListedEndpoint {
             zone: (n % 2) as u16,
             cell: (n % 4) as u16,
-            ..ready(n)
+            ..ready_endpoint(n)
         })
         .collect();
     for group in [
@@ -772,25 +796,30 @@
             scope: group,
             window: SECOND / 2,
         };
-        let mut proxy = Proxy::new(with_effect(effect), 1);
-        proxy.list(EndpointListKind::Full, members.clone());
-        let first = sent(&proxy.request(request(1, 5, 0))).unwrap();
-        let next = sent(&proxy.end(1, first, Outcome::Error, false)).expect("the group has others");
+        let mut proxy = BalancerHarness::new(settings_with_idempotency(effect), 1);
+        proxy.update_endpoints(EndpointListKind::Full, members.clone());
+        let first = attempted_endpoint(&proxy.submit(request(1, 5, 0))).unwrap();
+        let next = attempted_endpoint(&proxy.end_attempt(1, first, Outcome::Error, false))
+            .expect("the group has others");
         match group {
             DeduplicationScope::All => {}
             DeduplicationScope::Zone => assert_eq!(first.0 % 2, next.0 % 2),
             DeduplicationScope::Cell => assert_eq!(first.0 % 4, next.0 % 4),
         }
         proxy.now += SECOND / 2;
-        let actions = proxy.end(1, next, Outcome::Error, false);
-        assert_eq!(sent(&actions), None, "the servers have forgotten the key");
+        let actions = proxy.end_attempt(1, next, Outcome::Error, false);
+        assert_eq!(
+            attempted_endpoint(&actions),
+            None,
+            "the servers have forgotten the key"
+        );
         assert_eq!(
-            refused(&actions),
+            is_rejected(&actions),
             group == DeduplicationScope::All,
             "{group:?}"
         );
         assert_eq!(
-            failed(&actions),
+            is_failed(&actions),
             group != DeduplicationScope::All,
             "{group:?}"
         );
@@ -806,13 +835,13 @@
     };
     let settings = Settings {
         connect_timeout: SECOND / 5,
-        ..with_effect(effect)
+        ..settings_with_idempotency(effect)
     };
     for (spent, repeated) in [(SECOND / 4, true), (SECOND / 2 - SECOND / 5, false)] {
-        let mut proxy = Proxy::with_servers(settings.clone(), 4);
-        let first = sent(&proxy.request(request(1, 5, 0))).unwrap();
+        let mut proxy = BalancerHarness::with_endpoints(settings.clone(), 4);
+        let first = attempted_endpoint(&proxy.submit(request(1, 5, 0))).unwrap();
         proxy.now += spent;
-        let next = sent(&proxy.end(1, first, Outcome::Error, false));
+        let next = attempted_endpoint(&proxy.end_attempt(1, first, Outcome::Error, false));
         assert_eq!(next.is_some(), repeated, "after {spent} us");
     }
 }
@@ -820,20 +849,20 @@
 /// A process that stops owes its answers sooner: also to a request that waits for room, and to one that is out.
 #[test]
 fn a_request_that_is_hurried_is_answered_by_then_and_no_later_word_changes_that() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 4);
-    proxy.feed(Event::Request(Request {
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 4);
+    proxy.handle(Event::Request(Request {
         time_left: 60 * SECOND,
         ..request(1, 5, 0)
     }));
     let by = proxy.now + SECOND;
-    let (at, token) = timers(&proxy.feed(Event::ShortenDeadline {
+    let (at, token) = timers(&proxy.handle(Event::ShortenDeadline {
         id: RequestId(1),
         deadline: by,
     }))[0];
     assert!(at < by, "{at}");
     assert!(
         proxy
-            .feed(Event::ShortenDeadline {
+            .handle(Event::ShortenDeadline {
                 id: RequestId(1),
                 deadline: by + SECOND
             })
@@ -841,9 +870,9 @@
         "later than it is owed already"
     );
     proxy.now = at;
-    let actions = proxy.fire(token);
+    let actions = proxy.fire_timer(token);
     assert!(
-        refused(&actions)
+        is_rejected(&actions)
             && actions.contains(&Action::CancelAttempt {
                 id: RequestId(1),
                 attempt: 0
@@ -852,7 +881,7 @@
     );
     assert!(
         proxy
-            .feed(Event::ShortenDeadline {
+            .handle(Event::ShortenDeadline {
                 id: RequestId(1),
                 deadline: by
             })
@@ -866,17 +895,22 @@
     let members: Vec<_> = (1..=4)
         .map(|n| ListedEndpoint {
             cell: n as u16,
-            ..ready(n)
+            ..ready_endpoint(n)
         })
         .collect();
     let effect = Idempotency::Keyed {
         scope: DeduplicationScope::Cell,
         window: SECOND,
     };
-    let mut proxy = Proxy::new(with_effect(effect), 1);
-    proxy.list(EndpointListKind::Full, members);
-    let first = sent(&proxy.request(request(1, 5, 0))).unwrap();
-    assert!(failed(&proxy.end(1, first, Outcome::Timeout, false)));
+    let mut proxy = BalancerHarness::new(settings_with_idempotency(effect), 1);
+    proxy.update_endpoints(EndpointListKind::Full, members);
+    let first = attempted_endpoint(&proxy.submit(request(1, 5, 0))).unwrap();
+    assert!(is_failed(&proxy.end_attempt(
+        1,
+        first,
+        Outcome::Timeout,
+        false
+    )));
 }
 
 // ---- Rule 3: drains ----
@@ -884,8 +918,8 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_server() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
-        let mut proxy = Proxy::with_servers(Settings::default(), 4);
-        proxy.list(EndpointListKind::Delta, vec![in_state(2, state)]);
+        let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 4);
+        proxy.update_endpoints(EndpointListKind::Delta, vec![endpoint_in_state(2, state)]);
         for id in 1..=80 {
             assert_ne!(
                 proxy.connect(request(id, u64::from(id), u64::from(id % 7))),
@@ -897,8 +931,11 @@
 
 #[test]
 fn a_server_missing_from_a_full_list_is_gone() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 4);
-    proxy.list(EndpointListKind::Full, vec![ready(1), ready(3), ready(4)]);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 4);
+    proxy.update_endpoints(
+        EndpointListKind::Full,
+        vec![ready_endpoint(1), ready_endpoint(3), ready_endpoint(4)],
+    );
     for id in 1..=80 {
         assert_ne!(
             proxy.connect(request(id, u64::from(id), 0)),
@@ -909,7 +946,7 @@
 
 #[test]
 fn a_mid_flow_connection_follows_its_draining_holder_within_the_grace_only() {
-    let mut proxy = Proxy::with_servers(
+    let mut proxy = BalancerHarness::with_endpoints(
         Settings {
             forwards_packets: true,
             ..Settings::default()
@@ -917,10 +954,10 @@
         6,
     );
     let holder = proxy.connect(request(1, 77, 0)).unwrap();
-    proxy.end(1, holder, Outcome::Cancelled, true);
-    proxy.list(
+    proxy.end_attempt(1, holder, Outcome::Cancelled, true);
+    proxy.update_endpoints(
         EndpointListKind::Delta,
-        vec![in_state(holder.0, EndpointState::Draining)],
+        vec![endpoint_in_state(holder.0, EndpointState::Draining)],
     );
     let mid_flow = |id| Request {
         established: true,
@@ -928,12 +965,12 @@
     };
     proxy.now += SECOND - MS;
     assert_eq!(
-        sent(&proxy.request(mid_flow(2))),
+        attempted_endpoint(&proxy.submit(mid_flow(2))),
         Some(holder),
         "it goes on unbroken there"
     );
     proxy.now += MS;
-    let late = sent(&proxy.request(mid_flow(3)));
+    let late = attempted_endpoint(&proxy.submit(mid_flow(3)));
     assert!(
         late.is_some_and(|s| s != holder),
         "past the grace the rule stands"
@@ -942,20 +979,23 @@
 
 #[test]
 fn connections_leave_a_draining_server_spread_over_time() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 1);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 1);
     for id in 1..=20 {
         proxy.connect(request(id, u64::from(id), 0));
     }
-    let actions = proxy.list(
+    let actions = proxy.update_endpoints(
         EndpointListKind::Delta,
-        vec![in_state(1, EndpointState::Draining), ready(2)],
+        vec![
+            endpoint_in_state(1, EndpointState::Draining),
+            ready_endpoint(2),
+        ],
     );
     let times: BTreeSet<_> = timers(&actions).iter().map(|t| t.0).collect();
     assert!(times.len() > 10, "not all at once");
     proxy.now = *times.last().unwrap();
     let gone: Vec<_> = timers(&actions)
         .into_iter()
-        .flat_map(|(_, token)| moved(&proxy.fire(token)))
+        .flat_map(|(_, token)| migrated_connections(&proxy.fire_timer(token)))
         .collect();
     assert_eq!(gone.len(), 20);
 }
@@ -970,16 +1010,19 @@
     };
     let mut fleet: Vec<_> = (0..proxies)
         .map(|seed| {
-            let mut proxy = Proxy::new(settings.clone(), u64::from(seed));
-            proxy.list(EndpointListKind::Full, (1..=10).map(ready).collect());
+            let mut proxy = BalancerHarness::new(settings.clone(), u64::from(seed));
+            proxy.update_endpoints(
+                EndpointListKind::Full,
+                (1..=10).map(ready_endpoint).collect(),
+            );
             for id in 1..=100 / proxies {
                 proxy.connect(request(id, u64::from(id), u64::from(id % 5)));
             }
             let cold = ListedEndpoint {
                 started_at: Some(proxy.now),
-                ..ready(99)
+                ..ready_endpoint(99)
             };
-            proxy.list(EndpointListKind::Delta, vec![cold]);
+            proxy.update_endpoints(EndpointListKind::Delta, vec![cold]);
             proxy
         })
         .collect();
@@ -987,7 +1030,8 @@
     for k in 0..n {
         let proxy = &mut fleet[(k % proxies) as usize];
         proxy.now = 1_000 * SECOND + span * u64::from(k) / u64::from(n);
-        let server = sent(&proxy.request(request(10_000 + k, u64::from(k), u64::from(k % 5))));
+        let server =
+            attempted_endpoint(&proxy.submit(request(10_000 + k, u64::from(k), u64::from(k % 5))));
         cold += u32::from(server == Some(EndpointId(99)));
     }
     cold
@@ -1010,17 +1054,17 @@
 
 #[test]
 fn a_restart_under_the_same_id_is_cold_again() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 1);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 1);
     for id in 1..=30 {
         proxy.connect(request(id, u64::from(id), 0));
     }
     let again = ListedEndpoint {
         started_at: Some(proxy.now),
-        ..ready(1)
+        ..ready_endpoint(1)
     };
-    proxy.list(EndpointListKind::Delta, vec![again]);
+    proxy.update_endpoints(EndpointListKind::Delta, vec![again]);
     let sends = (100..150)
-        .filter(|&id| sent(&proxy.request(request(id, 5, 0))).is_some())
+        .filter(|&id| attempted_endpoint(&proxy.submit(request(id, 5, 0))).is_some())
         .count();
     assert!(sends <= 1, "{sends} sent in the instant of a restart");
 }
@@ -1033,7 +1077,7 @@
         initial_capacity: 0.05,
         ..Settings::default()
     };
-    let mut proxy = Proxy::with_servers(settings, 12);
+    let mut proxy = BalancerHarness::with_endpoints(settings, 12);
     let group = |id: u32| 1 + u64::from(id % 6);
     let mut before = BTreeSet::new();
     for id in 1..=300 {
@@ -1046,10 +1090,10 @@
     }
     let cold = |n| ListedEndpoint {
         started_at: Some(proxy.now),
-        ..ready(n)
+        ..ready_endpoint(n)
     };
     let new: Vec<_> = (101..=112).map(cold).collect();
-    proxy.list(EndpointListKind::Delta, new);
+    proxy.update_endpoints(EndpointListKind::Delta, new);
     let mut elsewhere = 0;
     for id in 1_001..=1_060 {
         let again = Request {
@@ -1069,7 +1113,7 @@
 #[test]
 fn mid_flow_connections_spend_a_cold_servers_credit() {
     // Incident i50dec9: a proxy stopped, and its connections reached a cold server all at once.
-    let mut proxy = Proxy::with_servers(
+    let mut proxy = BalancerHarness::with_endpoints(
         Settings {
             forwards_packets: true,
             ..Settings::default()
@@ -1082,12 +1126,12 @@
     let cold: Vec<_> = (1..=3)
         .map(|n| ListedEndpoint {
             started_at: Some(proxy.now),
-            ..ready(n)
+            ..ready_endpoint(n)
         })
         .collect();
-    proxy.list(
+    proxy.update_endpoints(
         EndpointListKind::Full,
-        cold.into_iter().chain([ready(4)]).collect(),
+        cold.into_iter().chain([ready_endpoint(4)]).collect(),
     );
     let mut per: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for id in 100..160 {
@@ -1096,7 +1140,7 @@
             returning: true,
             ..request(id, u64::from(id), 9)
         };
-        if let Some(server) = sent(&proxy.request(mid_flow)) {
+        if let Some(server) = attempted_endpoint(&proxy.submit(mid_flow)) {
             *per.entry(server).or_default() += 1;
         }
     }
@@ -1112,22 +1156,25 @@
 
 #[test]
 fn failures_in_a_row_eject_a_server_for_a_while() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 8);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 8);
     let home = proxy.connect(request(1, 5, 0)).unwrap();
-    proxy.end(1, home, Outcome::Success, true);
+    proxy.end_attempt(1, home, Outcome::Success, true);
     for id in 2..=4 {
-        assert_eq!(sent(&proxy.request(request(id, 5, 0))), Some(home));
-        let next = sent(&proxy.end(id, home, Outcome::Error, false)).unwrap();
-        proxy.end(id, next, Outcome::Success, true);
+        assert_eq!(
+            attempted_endpoint(&proxy.submit(request(id, 5, 0))),
+            Some(home)
+        );
+        let next = attempted_endpoint(&proxy.end_attempt(id, home, Outcome::Error, false)).unwrap();
+        proxy.end_attempt(id, next, Outcome::Success, true);
     }
     assert_ne!(
-        sent(&proxy.request(request(5, 5, 0))),
+        attempted_endpoint(&proxy.submit(request(5, 5, 0))),
         Some(home),
         "ejected"
     );
     proxy.now += 60 * SECOND;
     assert_eq!(
-        sent(&proxy.request(request(6, 5, 0))),
+        attempted_endpoint(&proxy.submit(request(6, 5, 0))),
         Some(home),
         "and tried again later"
     );
@@ -1135,34 +1182,35 @@
 
 #[test]
 fn when_all_are_ejected_health_says_nothing() {
-    let mut proxy = Proxy::with_servers(
+    let mut proxy = BalancerHarness::with_endpoints(
         Settings {
             max_attempts: 9,
             ..Settings::default()
         },
         3,
     );
-    let mut server = sent(&proxy.request(request(1, 5, 0))).unwrap();
+    let mut server = attempted_endpoint(&proxy.submit(request(1, 5, 0))).unwrap();
     for _ in 0..2 {
-        server = sent(&proxy.end(1, server, Outcome::ConnectFailed, false)).unwrap();
+        server = attempted_endpoint(&proxy.end_attempt(1, server, Outcome::ConnectFailed, false))
+            .unwrap();
     }
-    proxy.end(1, server, Outcome::ConnectFailed, false);
+    proxy.end_attempt(1, server, Outcome::ConnectFailed, false);
     assert!(
-        sent(&proxy.request(request(2, 6, 0))).is_some(),
+        attempted_endpoint(&proxy.submit(request(2, 6, 0))).is_some(),
         "panic threshold"
     );
 }
 
 #[test]
 fn late_messages_send_newcomers_elsewhere_and_connections_away() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 20);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 20);
     // A client without a group, so that its home is one server.
     for id in 100..120 {
         proxy.connect(request(id, u64::from(id), 0));
     }
     let home = proxy.connect(request(1, 5, 0)).unwrap();
     let aim = Settings::default().classes[0].message_objective;
-    proxy.feed(Event::DelaySample {
+    proxy.handle(Event::DelaySample {
         id: RequestId(1),
         endpoint: home,
         delay: aim / 10,
@@ -1172,26 +1220,29 @@
         Some(home),
         "a short delay is no sign"
     );
-    let actions = proxy.feed(Event::DelaySample {
+    let actions = proxy.handle(Event::DelaySample {
         id: RequestId(1),
         endpoint: home,
         delay: 30 * aim,
     });
-    assert_eq!(moved(&actions), [RequestId(1)]);
+    assert_eq!(migrated_connections(&actions), [RequestId(1)]);
     assert_ne!(proxy.connect(request(3, 5, 0)), Some(home));
-    let again = proxy.feed(Event::DelaySample {
+    let again = proxy.handle(Event::DelaySample {
         id: RequestId(1),
         endpoint: home,
         delay: 30 * aim,
     });
-    assert!(moved(&again).is_empty(), "a connection is moved once");
+    assert!(
+        migrated_connections(&again).is_empty(),
+        "a connection is moved once"
+    );
 }
 
 /// On a day of a rolling fleet 11,121 connections ended as moved and 1,477 as served: the same clients were sent from
 /// one strained server to the next.
 #[test]
 fn a_client_that_has_come_again_is_not_moved_off_a_strained_server() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 20);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 20);
     for id in 100..120 {
         proxy.connect(request(id, u64::from(id), 0));
     }
@@ -1203,19 +1254,19 @@
         .unwrap();
     let aim = Settings::default().classes[0].message_objective;
     for _ in 0..50 {
-        let actions = proxy.feed(Event::DelaySample {
+        let actions = proxy.handle(Event::DelaySample {
             id: RequestId(1),
             endpoint: home,
             delay: 30 * aim,
         });
-        assert!(!moved(&actions).contains(&RequestId(1)));
+        assert!(!migrated_connections(&actions).contains(&RequestId(1)));
     }
 }
 
 /// Where few relays see all there is, the simulator's score fell by 0.024 when such clients stayed.
 #[test]
 fn a_relay_with_estimates_of_its_own_still_moves_a_client_that_has_come_again() {
-    let mut proxy = seasoned(Proxy::with_servers(Settings::default(), 20));
+    let mut proxy = seasoned(BalancerHarness::with_endpoints(Settings::default(), 20));
     let home = proxy
         .connect(Request {
             returning: true,
@@ -1224,7 +1275,7 @@
         .unwrap();
     let aim = Settings::default().classes[0].message_objective;
     let notes = (0..50).flat_map(|_| {
-        moved(&proxy.feed(Event::DelaySample {
+        migrated_connections(&proxy.handle(Event::DelaySample {
             id: RequestId(9001),
             endpoint: home,
             delay: 30 * aim,
@@ -1237,7 +1288,7 @@
 fn a_group_stays_with_its_strained_homes() {
     // Incidents ib6bc41 and i1599b2: jumping on from strained homes made every server pay for every
     // group, and the jam fed itself.
-    let mut proxy = Proxy::with_servers(Settings::default(), 20);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 20);
     let mut before = BTreeSet::new();
     for id in 1..=400 {
         let (group, server) = (
@@ -1249,7 +1300,7 @@
     let aim = Settings::default().classes[0].message_objective;
     for second in 0..2u32 {
         for n in 1..=20 {
-            proxy.feed(Event::DelaySample {
+            proxy.handle(Event::DelaySample {
                 id: RequestId(1),
                 endpoint: EndpointId(n),
                 delay: aim,
@@ -1282,8 +1333,11 @@
 #[test]
 fn a_jam_turns_the_same_clients_away_at_every_proxy_and_ends() {
     let turned_away = |seed: u64| {
-        let mut proxy = Proxy::new(Settings::default(), seed);
-        proxy.list(EndpointListKind::Full, (1..=5).map(ready).collect());
+        let mut proxy = BalancerHarness::new(Settings::default(), seed);
+        proxy.update_endpoints(
+            EndpointListKind::Full,
+            (1..=5).map(ready_endpoint).collect(),
+        );
         let aim = Settings::default().classes[0].message_objective;
         let servers: Vec<_> = (1..=40)
             .map(|id| {
@@ -1295,24 +1349,24 @@
         for second in 1..=8u32 {
             proxy.now += SECOND;
             for (n, &server) in servers.iter().enumerate() {
-                proxy.feed(Event::DelaySample {
+                proxy.handle(Event::DelaySample {
                     id: RequestId(n as u32 + 1),
                     endpoint: server,
                     delay: 2 * aim,
                 });
             }
-            proxy.request(request(1_000 + second, 1, 1));
+            proxy.submit(request(1_000 + second, 1, 1));
         }
         let client = |id: u32| request(id, u64::from(id % 1_000), 1);
         let gone: BTreeSet<_> = (2_000..2_200)
-            .filter(|&id| refused(&proxy.request(client(id))))
+            .filter(|&id| is_rejected(&proxy.submit(client(id))))
             .collect();
         for second in 1..=60u32 {
             proxy.now += SECOND;
-            proxy.request(request(3_000 + second, 1, 1));
+            proxy.submit(request(3_000 + second, 1, 1));
         }
         let later = (4_000..4_200)
-            .filter(|&id| refused(&proxy.request(client(id))))
+            .filter(|&id| is_rejected(&proxy.submit(client(id))))
             .count();
         (gone, later)
     };
@@ -1330,43 +1384,45 @@
 
 #[test]
 fn a_list_on_request_is_watched_soon_and_anew_after_failures() {
-    let mut proxy = Proxy::new(
+    let mut proxy = BalancerHarness::new(
         Settings {
             polls_endpoint_list: true,
             ..Settings::default()
         },
         1,
     );
-    let (at, token) = timers(&proxy.list(EndpointListKind::Cached, vec![ready(1)]))[0];
+    let (at, token) =
+        timers(&proxy.update_endpoints(EndpointListKind::Cached, vec![ready_endpoint(1)]))[0];
     assert!(at < proxy.now + SECOND / 10);
-    assert_eq!(proxy.fire(token), [Action::WatchEndpointList(true)]);
+    assert_eq!(proxy.fire_timer(token), [Action::WatchEndpointList(true)]);
     assert!(
         proxy
-            .list(EndpointListKind::Delta, vec![ready(2)])
+            .update_endpoints(EndpointListKind::Delta, vec![ready_endpoint(2)])
             .is_empty(),
         "asked once"
     );
     let mut waits = Vec::new();
     for _ in 0..6 {
-        let (at, token) = timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0];
+        let (at, token) =
+            timers(&proxy.update_endpoints(EndpointListKind::WatchFailed, Vec::new()))[0];
         waits.push(at - proxy.now);
         proxy.now = at;
-        assert_eq!(proxy.fire(token), [Action::WatchEndpointList(true)]);
+        assert_eq!(proxy.fire_timer(token), [Action::WatchEndpointList(true)]);
     }
     assert!(
         waits[5] > waits[0] && waits[5] < 4 * SECOND,
         "backoff grows to a bound: {waits:?}"
     );
     let other = {
-        let mut proxy = Proxy::new(
+        let mut proxy = BalancerHarness::new(
             Settings {
                 polls_endpoint_list: true,
                 ..Settings::default()
             },
             2,
         );
-        proxy.list(EndpointListKind::Cached, vec![ready(1)]);
-        timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0].0 - proxy.now
+        proxy.update_endpoints(EndpointListKind::Cached, vec![ready_endpoint(1)]);
+        timers(&proxy.update_endpoints(EndpointListKind::WatchFailed, Vec::new()))[0].0 - proxy.now
     };
     assert_ne!(waits[0], other, "jitter keeps proxies out of step");
 }
@@ -1374,14 +1430,14 @@
 /// A backoff that the old place of the list has earned once kept the new one waiting.
 #[test]
 fn a_list_that_has_moved_is_asked_for_soon_and_once() {
-    let mut proxy = Proxy::new(
+    let mut proxy = BalancerHarness::new(
         Settings {
             polls_endpoint_list: true,
             ..Settings::default()
         },
         1,
     );
-    let next = |proxy: &mut Proxy, kind| timers(&proxy.list(kind, vec![]))[0];
+    let next = |proxy: &mut BalancerHarness, kind| timers(&proxy.update_endpoints(kind, vec![]))[0];
     for before in [None, Some(EndpointListKind::WatchFailed)] {
         let old = before.map(|kind| next(&mut proxy, kind));
         let (at, token) = next(&mut proxy, EndpointListKind::Relocated);
@@ -1390,11 +1446,11 @@
             "a backoff for the old place does not count"
         );
         proxy.now = at;
-        assert_eq!(proxy.fire(token), [Action::WatchEndpointList(true)]);
+        assert_eq!(proxy.fire_timer(token), [Action::WatchEndpointList(true)]);
         if let Some((at, token)) = old {
             proxy.now = at;
             assert!(
-                proxy.fire(token).is_empty(),
+                proxy.fire_timer(token).is_empty(),
                 "the old backoff asks no second time"
             );
         }
@@ -1403,29 +1459,29 @@
 
 #[test]
 fn a_pushed_list_is_never_asked_for() {
-    let mut proxy = Proxy::new(Settings::default(), 1);
+    let mut proxy = BalancerHarness::new(Settings::default(), 1);
     assert!(proxy
-        .list(EndpointListKind::Cached, vec![ready(1)])
+        .update_endpoints(EndpointListKind::Cached, vec![ready_endpoint(1)])
         .is_empty());
 }
 
 #[test]
 fn connections_open_at_the_start_count() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 2);
-    proxy.feed(Event::Adopted {
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 2);
+    proxy.handle(Event::Adopted {
         request: request(1, 5, 3),
         endpoint: EndpointId(2),
     });
     // An open connection of a server that no list names yet is kept too, and its end is no surprise.
-    proxy.feed(Event::Adopted {
+    proxy.handle(Event::Adopted {
         request: request(2, 6, 3),
         endpoint: EndpointId(77),
     });
     assert!(proxy
-        .end(2, EndpointId(77), Outcome::Reset, true)
+        .end_attempt(2, EndpointId(77), Outcome::Reset, true)
         .is_empty());
     assert!(proxy
-        .end(1, EndpointId(2), Outcome::Success, true)
+        .end_attempt(1, EndpointId(2), Outcome::Success, true)
         .is_empty());
 }
 
@@ -1433,7 +1489,7 @@
 #[test]
 fn a_refusal_says_when_to_come_again_within_the_bound_and_not_all_at_once() {
     for (bound, most) in [(0, 0), (50 * MS, 50 * MS), (1_500 * MS, 600 * MS)] {
-        let mut proxy = Proxy::new(
+        let mut proxy = BalancerHarness::new(
             Settings {
                 max_retry_after: bound,
                 ..Settings::default()
@@ -1442,9 +1498,9 @@
         );
         let mut advised = BTreeSet::new();
         for id in 1..=20 {
-            let (at, token) = timers(&proxy.request(request(id, u64::from(id), 0)))[0];
+            let (at, token) = timers(&proxy.submit(request(id, u64::from(id), 0)))[0];
             proxy.now = at;
-            let answer = proxy.fire(token);
+            let answer = proxy.fire_timer(token);
             advised.extend(answer.iter().filter_map(|a| {
                 if let Action::Reject {
                     id: _,
@@ -1469,36 +1525,42 @@
 
 #[test]
 fn a_server_taken_out_by_hand_gets_nothing_whatever_the_lists_say() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 2);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 2);
     let first = proxy.connect(request(1, 1, 0)).unwrap();
     let other = EndpointId(3 - first.0);
-    let told = proxy.feed(Event::ManualEjection {
+    let told = proxy.handle(Event::ManualEjection {
         endpoint: first,
         ejected: true,
     });
     // What stands there is moved, as for a drain; a second call changes nothing.
     let (at, token) = timers(&told)[0];
-    assert!(at < proxy.now + 2 * SECOND && moved(&proxy.fire(token)) == [RequestId(1)]);
+    assert!(
+        at < proxy.now + 2 * SECOND
+            && migrated_connections(&proxy.fire_timer(token)) == [RequestId(1)]
+    );
     assert!(proxy
-        .feed(Event::ManualEjection {
+        .handle(Event::ManualEjection {
             endpoint: first,
             ejected: true
         })
         .is_empty());
     let lists = [
-        (EndpointListKind::Delta, vec![ready(first.0)]),
-        (EndpointListKind::Full, vec![ready(1), ready(2)]),
-        (EndpointListKind::Full, vec![ready(other.0)]),
+        (EndpointListKind::Delta, vec![ready_endpoint(first.0)]),
+        (
+            EndpointListKind::Full,
+            vec![ready_endpoint(1), ready_endpoint(2)],
+        ),
+        (EndpointListKind::Full, vec![ready_endpoint(other.0)]),
         (
             EndpointListKind::Delta,
             vec![ListedEndpoint {
                 started_at: Some(proxy.now),
-                ..ready(first.0)
+                ..ready_endpoint(first.0)
             }],
         ),
     ];
     for (n, (kind, members)) in lists.into_iter().enumerate() {
-        proxy.list(kind, members);
+        proxy.update_endpoints(kind, members);
         for id in 0..8 {
             let id = 10 * (n as u32 + 1) + id;
             assert_eq!(
@@ -1510,51 +1572,54 @@
     }
     assert_eq!(proxy.balancer.unavailable_endpoints(proxy.now), 1);
     // One that is not on the list is out from the moment it is.
-    proxy.feed(Event::ManualEjection {
+    proxy.handle(Event::ManualEjection {
         endpoint: EndpointId(9),
         ejected: true,
     });
-    proxy.list(EndpointListKind::Delta, vec![ready(9)]);
+    proxy.update_endpoints(EndpointListKind::Delta, vec![ready_endpoint(9)]);
     assert_eq!(proxy.balancer.unavailable_endpoints(proxy.now), 2);
 }
 
 #[test]
 fn a_connection_that_comes_up_after_the_call_is_moved_too() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 1);
-    let server = sent(&proxy.request(request(1, 1, 0))).unwrap();
-    assert!(timers(&proxy.feed(Event::ManualEjection {
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 1);
+    let server = attempted_endpoint(&proxy.submit(request(1, 1, 0))).unwrap();
+    assert!(timers(&proxy.handle(Event::ManualEjection {
         endpoint: server,
         ejected: true
     }))
     .is_empty());
-    let up = proxy.feed(Event::Connected {
+    let up = proxy.handle(Event::Connected {
         id: RequestId(1),
         endpoint: server,
         elapsed: MS,
     });
-    assert_eq!(moved(&proxy.fire(timers(&up)[0].1)), [RequestId(1)]);
+    assert_eq!(
+        migrated_connections(&proxy.fire_timer(timers(&up)[0].1)),
+        [RequestId(1)]
+    );
 }
 
 /// It was restarted meanwhile: an ejection from before once kept it unused, and its cold start is not told.
 #[test]
 fn a_server_called_back_is_used_soon_without_a_past_and_as_a_cold_one() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 4);
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 4);
     let held: Vec<_> = (0..40)
         .map(|id| proxy.connect(request(id, u64::from(id), 0)).unwrap())
         .collect();
     let out = EndpointId(2);
-    let refusing =
-        (100..).find(|&id| sent(&proxy.request(request(id, u64::from(id), 0))) == Some(out));
-    proxy.end(refusing.unwrap(), out, Outcome::ConnectFailed, false);
+    let refusing = (100..)
+        .find(|&id| attempted_endpoint(&proxy.submit(request(id, u64::from(id), 0))) == Some(out));
+    proxy.end_attempt(refusing.unwrap(), out, Outcome::ConnectFailed, false);
     assert_eq!(proxy.balancer.unavailable_endpoints(proxy.now), 1);
-    proxy.feed(Event::ManualEjection {
+    proxy.handle(Event::ManualEjection {
         endpoint: out,
         ejected: true,
     });
     for id in (0..40).filter(|&id| held[id as usize] == out) {
-        proxy.end(id, out, Outcome::Cancelled, true);
+        proxy.end_attempt(id, out, Outcome::Cancelled, true);
     }
-    proxy.feed(Event::ManualEjection {
+    proxy.handle(Event::ManualEjection {
         endpoint: out,
         ejected: false,
     });
@@ -1580,38 +1645,51 @@
 fn a_request_keeps_its_class_when_the_settings_change_and_makes_no_more_attempts_than_they_allow() {
     let unsafe_now = Settings {
         max_attempts: 2,
-        ..with_effect(Idempotency::NonIdempotent)
+        ..settings_with_idempotency(Idempotency::NonIdempotent)
     };
-    let mut proxy = Proxy::with_servers(Settings::default(), 4);
-    let mut server = sent(&proxy.request(request(1, 1, 0))).unwrap();
-    proxy.feed(Event::Settings(unsafe_now));
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 4);
+    let mut server = attempted_endpoint(&proxy.submit(request(1, 1, 0))).unwrap();
+    proxy.handle(Event::Settings(unsafe_now));
     // It may have run, which its class allows to be repeated.
-    server = sent(&proxy.end(1, server, Outcome::Error, false)).unwrap();
-    assert!(refused(&proxy.end(1, server, Outcome::Error, false)));
-    let server = sent(&proxy.request(request(2, 1, 0))).unwrap();
-    assert!(failed(&proxy.end(2, server, Outcome::Error, false)));
+    server = attempted_endpoint(&proxy.end_attempt(1, server, Outcome::Error, false)).unwrap();
+    assert!(is_rejected(&proxy.end_attempt(
+        1,
+        server,
+        Outcome::Error,
+        false
+    )));
+    let server = attempted_endpoint(&proxy.submit(request(2, 1, 0))).unwrap();
+    assert!(is_failed(&proxy.end_attempt(
+        2,
+        server,
+        Outcome::Error,
+        false
+    )));
 }
 
 /// A process that takes over learns of connections whose backend is leaving: nobody else will move them.
 #[test]
 fn a_connection_taken_over_on_a_leaving_server_is_moved() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 2);
-    proxy.list(
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 2);
+    proxy.update_endpoints(
         EndpointListKind::Delta,
-        vec![in_state(1, EndpointState::Draining)],
+        vec![endpoint_in_state(1, EndpointState::Draining)],
     );
-    let on_leaving = proxy.feed(Event::Adopted {
+    let on_leaving = proxy.handle(Event::Adopted {
         request: request(1, 1, 0),
         endpoint: EndpointId(1),
     });
-    assert_eq!(moved(&proxy.fire(timers(&on_leaving)[0].1)), [RequestId(1)]);
-    assert!(timers(&proxy.feed(Event::Adopted {
+    assert_eq!(
+        migrated_connections(&proxy.fire_timer(timers(&on_leaving)[0].1)),
+        [RequestId(1)]
+    );
+    assert!(timers(&proxy.handle(Event::Adopted {
         request: request(2, 2, 0),
         endpoint: EndpointId(2)
     }))
     .is_empty());
     // The list of a start may be old: what it does not name may be there.
-    assert!(timers(&proxy.feed(Event::Adopted {
+    assert!(timers(&proxy.handle(Event::Adopted {
         request: request(3, 3, 0),
         endpoint: EndpointId(3)
     }))
@@ -1622,25 +1700,25 @@
 /// one has not been asked. Where it goes nowhere, it is refused at its deadline.
 fn sends_to_the_one_that_is_not_known(group: u64) -> usize {
     let goes = |unknown: &u64| {
-        let mut proxy = Proxy::with_servers(with_probes(), 40);
+        let mut proxy = BalancerHarness::with_endpoints(with_probes(), 40);
         (1..=40)
             .filter(|server| server != unknown)
             .for_each(|server| tell(&mut proxy, server, 1.5));
-        let mut actions = proxy.request(request(1, 1, group));
+        let mut actions = proxy.submit(request(1, 1, group));
         let deadline = timers(&actions)[0];
-        while sent(&actions).is_none() {
+        while attempted_endpoint(&actions).is_none() {
             let hold = timers(&actions)
                 .into_iter()
                 .rfind(|timer| *timer != deadline);
             let (at, token) = hold.filter(|(at, _)| *at < deadline.0).unwrap_or(deadline);
             proxy.now = at;
-            actions = proxy.fire(token);
+            actions = proxy.fire_timer(token);
             if token == deadline.1 {
-                assert!(refused(&actions));
+                assert!(is_rejected(&actions));
                 return false;
             }
         }
-        assert_eq!(sent(&actions), Some(EndpointId(*unknown)));
+        assert_eq!(attempted_endpoint(&actions), Some(EndpointId(*unknown)));
         true
     };
     (1..=40).filter(goes).count()
@@ -1656,9 +1734,9 @@
         sends_to_the_one_that_is_not_known(0) > 30,
         "without a group any server costs the same"
     );
-    let mut proxy = Proxy::with_servers(with_probes(), 3);
+    let mut proxy = BalancerHarness::with_endpoints(with_probes(), 3);
     (1..=3).for_each(|server| tell(&mut proxy, server, 1.5));
-    assert_eq!(sent(&proxy.request(request(1, 1, 9))), None);
+    assert_eq!(attempted_endpoint(&proxy.submit(request(1, 1, 9))), None);
     let report = vec![50.0, 0.3];
     let told = Event::HealthCheck {
         endpoint: EndpointId(2),
@@ -1666,7 +1744,7 @@
         report,
     };
     assert_eq!(
-        sent(&proxy.feed(told)),
+        attempted_endpoint(&proxy.handle(told)),
         Some(EndpointId(2)),
         "it goes out as soon as one has room"
     );
@@ -1676,7 +1754,7 @@
 #[test]
 fn a_group_leaves_its_strained_homes_for_a_server_that_is_known_to_have_room() {
     // None of them is in the proxy's own zone, where servers with room come first anyway.
-    let mut proxy = seasoned(Proxy::with_servers(
+    let mut proxy = seasoned(BalancerHarness::with_endpoints(
         Settings {
             zone: 1,
             ..with_probes()
@@ -1697,36 +1775,38 @@
     }
     for second in 1..=3 {
         proxy.now += SECOND;
-        proxy.feed(Event::DelaySample {
+        proxy.handle(Event::DelaySample {
             id: RequestId(1),
             endpoint: home,
             delay: SECOND,
         });
-        proxy.request(Request {
+        proxy.submit(Request {
             time_left: 1,
             ..request(100 + second, 2, 9)
         });
     }
     // Some clients are turned away by now.
     let mut placed = |first: u32| {
-        (first..first + 40).find_map(|id| sent(&proxy.request(request(id, u64::from(id), 9))))
+        (first..first + 40)
+            .find_map(|id| attempted_endpoint(&proxy.submit(request(id, u64::from(id), 9))))
     };
     assert_eq!(placed(200), Some(home), "all are strained: it stays");
     let idle = (1..=3).find(|&n| EndpointId(n) != home).unwrap();
     tell(&mut proxy, idle, 0.1);
-    let served = (300..340).find_map(|id| sent(&proxy.request(request(id, u64::from(id), 9))));
+    let served =
+        (300..340).find_map(|id| attempted_endpoint(&proxy.submit(request(id, u64::from(id), 9))));
     assert_eq!(served, Some(EndpointId(idle)));
 }
 
 /// A process that takes over an upgrade holds nothing: cold servers once earned nothing from it for good.
 #[test]
 fn a_cold_server_fills_by_what_reports_say_although_little_is_held() {
-    let mut proxy = Proxy::with_servers(with_probes(), 2);
+    let mut proxy = BalancerHarness::with_endpoints(with_probes(), 2);
     let cold = ListedEndpoint {
         started_at: Some(proxy.now),
-        ..ready(3)
+        ..ready_endpoint(3)
     };
-    proxy.list(EndpointListKind::Delta, vec![cold]);
+    proxy.update_endpoints(EndpointListKind::Delta, vec![cold]);
     let mut to_cold = 0;
     for id in 0..200 {
         proxy.now += SECOND / 10;
@@ -1735,9 +1815,9 @@
             (1..=2).for_each(|n| tell(&mut proxy, n, 0.5 + id as f32 / 10_000.0));
             tell(&mut proxy, 3, 0.1);
         }
-        let server = sent(&proxy.request(request(id, u64::from(id), 0))).unwrap();
+        let server = attempted_endpoint(&proxy.submit(request(id, u64::from(id), 0))).unwrap();
         to_cold += u32::from(server == EndpointId(3));
-        proxy.end(id, server, Outcome::Success, true);
+        proxy.end_attempt(id, server, Outcome::Success, true);
     }
     assert!(
         (20..=120).contains(&to_cold),
@@ -1754,18 +1834,18 @@
             max_attempts: 9,
             ..with_probes()
         };
-        let mut proxy = seasoned(Proxy::with_servers(settings, 2));
+        let mut proxy = seasoned(BalancerHarness::with_endpoints(settings, 2));
         tell(&mut proxy, 1, 0.1);
         let mut id = 0;
         while proxy.balancer.unavailable_endpoints(proxy.now) == 0 {
             id += 1;
-            match sent(&proxy.request(request(id, u64::from(id), 0))).unwrap() {
-                EndpointId(1) => proxy.end(id, EndpointId(1), outcome, true),
-                other => proxy.end(id, other, Outcome::Success, true),
+            match attempted_endpoint(&proxy.submit(request(id, u64::from(id), 0))).unwrap() {
+                EndpointId(1) => proxy.end_attempt(id, EndpointId(1), outcome, true),
+                other => proxy.end_attempt(id, other, Outcome::Success, true),
             };
         }
         tell(&mut proxy, 2, 1.1);
-        let used = sent(&proxy.request(request(1_000, 5, 0)));
+        let used = attempted_endpoint(&proxy.submit(request(1_000, 5, 0)));
         assert_eq!(used, Some(EndpointId(expected)), "after {outcome:?}");
     }
 }
@@ -1773,21 +1853,21 @@
 /// The list tells when it was started again: it need not count as cold from the call on.
 #[test]
 fn a_server_called_back_is_as_warm_as_its_told_start_makes_it() {
-    let mut proxy = Proxy::with_servers(Settings::default(), 2);
-    proxy.feed(Event::ManualEjection {
+    let mut proxy = BalancerHarness::with_endpoints(Settings::default(), 2);
+    proxy.handle(Event::ManualEjection {
         endpoint: EndpointId(2),
         ejected: true,
     });
     proxy.now += SECOND;
-    proxy.list(
+    proxy.update_endpoints(
         EndpointListKind::Delta,
         vec![ListedEndpoint {
             started_at: Some(proxy.now),
-            ..ready(2)
+            ..ready_endpoint(2)
         }],
     );
     proxy.now += Settings::default().warm_up_time;
-    proxy.feed(Event::ManualEjection {
+    proxy.handle(Event::ManualEjection {
         endpoint: EndpointId(2),
         ejected: false,
     });
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,10 +8,10 @@
 use std::collections::BTreeSet;
 
 /// So many balancers of one fleet, each with the same list and a seed of its own.
-fn fleet(n: u32, servers: u64, settings: &Settings) -> Vec<Proxy> {
+fn fleet(n: u32, servers: u64, settings: &Settings) -> Vec<BalancerHarness> {
     let relay = |seed| {
         let number = seed as u32 - 1;
-        let mut proxy = Proxy::new(
+        let mut proxy = BalancerHarness::new(
             Settings {
                 balancer_count: n,
                 balancer_index: number,
@@ -19,7 +19,10 @@
             },
             seed,
         );
-        proxy.list(EndpointListKind::Full, (1..=servers).map(ready).collect());
+        proxy.update_endpoints(
+            EndpointListKind::Full,
+            (1..=servers).map(ready_endpoint).collect(),
+        );
         proxy
     };
     (1..=u64::from(n)).map(relay).collect()
@@ -35,8 +38,11 @@
 
 /// How many probes a balancer that nobody asks anything makes in a time.
 fn probes(settings: Settings, servers: u64, seed: u64, time: Micros) -> usize {
-    let mut proxy = Proxy::new(settings, seed);
-    let mut actions = proxy.list(EndpointListKind::Full, (1..=servers).map(ready).collect());
+    let mut proxy = BalancerHarness::new(settings, seed);
+    let mut actions = proxy.update_endpoints(
+        EndpointListKind::Full,
+        (1..=servers).map(ready_endpoint).collect(),
+    );
     let (end, mut count) = (proxy.now + time, 0);
     loop {
         count += actions
@@ -51,7 +57,7 @@
             return count;
         }
         proxy.now = at;
-        actions = proxy.fire(token);
+        actions = proxy.fire_timer(token);
     }
 }
 
@@ -97,7 +103,7 @@
             ));
             homes[group].insert(server.unwrap());
             // It ends at once: what is held is not what this is about.
-            proxy.end(id + 1, server.unwrap(), Outcome::Success, true);
+            proxy.end_attempt(id + 1, server.unwrap(), Outcome::Success, true);
         }
     }
     assert!(
@@ -119,20 +125,20 @@
     for n in [3, 100] {
         let mut fleet = fleet(n, 2, &settings);
         let begin = fleet[0].now;
-        let tell = |proxy: &mut Proxy, server: u64, active: f32, load: f32| {
+        let tell = |proxy: &mut BalancerHarness, server: u64, active: f32, load: f32| {
             let (server, report) = (EndpointId(server), vec![active, load]);
-            proxy.feed(Event::HealthCheck {
+            proxy.handle(Event::HealthCheck {
                 endpoint: server,
                 outcome: Outcome::Success,
                 report,
             })
         };
         for proxy in &mut fleet {
-            proxy.list(
+            proxy.update_endpoints(
                 EndpointListKind::Delta,
                 vec![ListedEndpoint {
                     started_at: Some(begin),
-                    ..ready(3)
+                    ..ready_endpoint(3)
                 }],
             );
         }
@@ -146,7 +152,7 @@
             let mut actions = tell(proxy, 1, 95.0, 0.95 + step as f32 / 1e6);
             actions.extend(tell(proxy, 2, 95.0, 0.95 + step as f32 / 1e6));
             actions.extend(tell(proxy, 3, 0.0, step as f32 / 1e9));
-            actions.extend(proxy.request(Request {
+            actions.extend(proxy.submit(Request {
                 time_left: SECOND / 4,
                 ..request(step + 1, u64::from(step), 0)
             }));
@@ -160,7 +166,7 @@
                     continue;
                 };
                 sends.extend((server == EndpointId(3)).then_some(now));
-                proxy.end(id.0, server, Outcome::Success, true);
+                proxy.end_attempt(id.0, server, Outcome::Success, true);
             }
         }
         let within = |from: Micros| {
@@ -172,7 +178,7 @@
         for second in 0..4 {
             let (age, count) = (second * SECOND, within(begin + second * SECOND));
             // The least capacity in that time sets the most that the rule allows.
-            let allowed = allowed_when_cold(&settings, 100.0, age);
+            let allowed = max_requests_while_warming(&settings, 100.0, age);
             assert!(
                 count < 0.7 * allowed,
                 "{n} relays: {count} in 3 s from second {second}, {allowed} allowed"
@@ -203,7 +209,7 @@
     let mut random = Random::new(seed);
     let begin = 1_000 * SECOND;
     let start = |now: Micros, number: u32, seed: u64| {
-        let mut proxy = Proxy::new(
+        let mut proxy = BalancerHarness::new(
             Settings {
                 balancer_index: number,
                 ..settings.clone()
@@ -213,12 +219,15 @@
         proxy.now = now;
         let cold = ListedEndpoint {
             started_at: Some(begin),
-            ..ready(3)
+            ..ready_endpoint(3)
         };
-        proxy.list(EndpointListKind::Full, vec![ready(1), ready(2), cold]);
+        proxy.update_endpoints(
+            EndpointListKind::Full,
+            vec![ready_endpoint(1), ready_endpoint(2), cold],
+        );
         proxy
     };
-    let mut fleet: Vec<Proxy> = (0..relays)
+    let mut fleet: Vec<BalancerHarness> = (0..relays)
         .map(|n| {
             start(
                 begin + random.range(0..4 * SECOND),
@@ -258,7 +267,7 @@
                 (3, 0.0, 0.0),
             ] {
                 let report = vec![active, load + step as f32 / 1e6];
-                proxy.feed(Event::HealthCheck {
+                proxy.handle(Event::HealthCheck {
                     endpoint: EndpointId(server),
                     outcome: Outcome::Success,
                     report,
@@ -266,13 +275,13 @@
             }
             next += 1;
             let asked = request(next, u64::from(next), 0);
-            let Some(server) = sent(&proxy.request(asked)) else {
+            let Some(server) = attempted_endpoint(&proxy.submit(asked)) else {
                 // It has to wait, and goes away.
-                proxy.feed(Event::ClientDisconnected(RequestId(next)));
+                proxy.handle(Event::ClientDisconnected(RequestId(next)));
                 continue;
             };
             sends.extend((server == EndpointId(3)).then_some(proxy.now));
-            proxy.end(next, server, Outcome::Success, true);
+            proxy.end_attempt(next, server, Outcome::Success, true);
         }
     }
     sends.sort_unstable();
@@ -301,7 +310,7 @@
                     .count() as f32;
                 // The least capacity in that time sets the most that the rule allows.
                 let (settings, age) = (cold_rule(relays), from - 1_000 * SECOND);
-                let allowed = allowed_when_cold(&settings, fills, age);
+                let allowed = max_requests_while_warming(&settings, fills, age);
                 assert!(
                     age >= settings.warm_up_time || count <= allowed,
                     "{relays} relays, {quiet} s, seed {seed}: {count} in 3 s where {allowed} are allowed"
@@ -325,13 +334,15 @@
     };
     let (mut first, mut again) = (Vec::new(), Vec::new());
     for seed in 0..100 {
-        let mut proxy = Proxy::new(settings.clone(), seed);
+        let mut proxy = BalancerHarness::new(settings.clone(), seed);
         let begin = proxy.now;
-        let (at, token) = timers(&proxy.list(EndpointListKind::Cached, vec![ready(1)]))[0];
+        let (at, token) =
+            timers(&proxy.update_endpoints(EndpointListKind::Cached, vec![ready_endpoint(1)]))[0];
         proxy.now = at;
-        assert_eq!(proxy.fire(token), [Action::WatchEndpointList(true)]);
+        assert_eq!(proxy.fire_timer(token), [Action::WatchEndpointList(true)]);
         first.push(at - begin);
-        let (next, _) = timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0];
+        let (next, _) =
+            timers(&proxy.update_endpoints(EndpointListKind::WatchFailed, Vec::new()))[0];
         again.push(next - at);
         // A request is served from the list that it has, before discovery has said anything.
         assert_eq!(proxy.connect(request(1, seed, 0)), Some(EndpointId(1)));
@@ -357,14 +368,17 @@
 /// places a request it looks, and goes on along the same jumps until it finds room.
 #[test]
 fn a_relay_looks_along_the_jumps_for_room_before_it_places() {
-    let mut proxy = Proxy::new(
+    let mut proxy = BalancerHarness::new(
         Settings {
             balancer_count: 100,
             ..with_probes()
         },
         5,
     );
-    proxy.list(EndpointListKind::Full, (1..=9).map(ready).collect());
+    proxy.update_endpoints(
+        EndpointListKind::Full,
+        (1..=9).map(ready_endpoint).collect(),
+    );
     let home = proxy.connect(request(1, 1, 7)).unwrap();
     proxy.now += 10 * SECOND;
     let probes = |actions: &[Action]| -> Vec<EndpointId> {
@@ -379,18 +393,21 @@
             })
             .collect()
     };
-    let (mut asked, mut placed) = (probes(&proxy.feed(Event::Request(request(2, 2, 7)))), None);
+    let (mut asked, mut placed) = (
+        probes(&proxy.handle(Event::Request(request(2, 2, 7)))),
+        None,
+    );
     for n in 0..9 {
         let Some(&server) = asked.get(n) else { break };
         // All but the sixth that it asks are full.
         let report = vec![20.0, if n == 5 { 0.1 } else { 1.2 }];
-        let actions = proxy.feed(Event::HealthCheck {
+        let actions = proxy.handle(Event::HealthCheck {
             endpoint: server,
             outcome: Outcome::Success,
             report,
         });
         asked.extend(probes(&actions));
-        placed = placed.or(sent(&actions));
+        placed = placed.or(attempted_endpoint(&actions));
     }
     assert_eq!(asked[0], home, "the home comes first");
     assert_eq!(placed, asked.get(5).copied(), "{asked:?}");
@@ -405,12 +422,13 @@
         ..Settings::default()
     };
     for (known, most) in [
-        (vec![ready(1)], settings.max_poll_interval / 2),
+        (vec![ready_endpoint(1)], settings.max_poll_interval / 2),
         (vec![], 0),
     ] {
         for seed in 0..50 {
-            let mut proxy = Proxy::new(settings.clone(), seed);
-            let (first, _) = timers(&proxy.list(EndpointListKind::Cached, known.clone()))[0];
+            let mut proxy = BalancerHarness::new(settings.clone(), seed);
+            let (first, _) =
+                timers(&proxy.update_endpoints(EndpointListKind::Cached, known.clone()))[0];
             assert!(
                 first <= proxy.now + most,
                 "{} us, {} known",
@@ -419,7 +437,8 @@
             );
             // After a failure four times as long is allowed.
             for _ in 0..8 {
-                let (again, _) = timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0];
+                let (again, _) =
+                    timers(&proxy.update_endpoints(EndpointListKind::WatchFailed, Vec::new()))[0];
                 assert!(again < proxy.now + 4 * settings.max_poll_interval);
             }
         }
@@ -431,22 +450,22 @@
 fn a_held_request_has_one_timer_however_many_probes_are_answered() {
     let cold = ListedEndpoint {
         started_at: Some(1_000 * SECOND),
-        ..ready(1)
+        ..ready_endpoint(1)
     };
-    let mut proxy = Proxy::new(
+    let mut proxy = BalancerHarness::new(
         Settings {
             balancer_count: 100,
             ..with_probes()
         },
         5,
     );
-    proxy.list(EndpointListKind::Full, vec![cold]);
+    proxy.update_endpoints(EndpointListKind::Full, vec![cold]);
     // Nothing may be sent yet to the one server there is.
     let mut held = 0;
     for n in 0..100u64 {
         let actions = match n {
-            0 => proxy.feed(Event::Request(request(1, 1, 0))),
-            _ => proxy.feed(Event::HealthCheck {
+            0 => proxy.handle(Event::Request(request(1, 1, 0))),
+            _ => proxy.handle(Event::HealthCheck {
                 endpoint: EndpointId(1),
                 outcome: Outcome::Error,
                 report: vec![],
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -55,7 +55,7 @@
             forwards_packets: passes_through,
             polls_endpoint_list: list_on_request,
             tick,
-            ..with_effect(effect)
+            ..settings_with_idempotency(effect)
         },
     )
 }
@@ -107,7 +107,7 @@
         }
     }
 
-    fn feed(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
         self.balancer
             .handle(self.now, event, &mut out)
@@ -206,7 +206,7 @@
             let Some(timer) = due else { break };
             self.timers.retain(|t| *t != timer);
             self.now = self.now.max(timer.0);
-            self.feed(Event::Timer(timer.1));
+            self.handle(Event::Timer(timer.1));
         }
         self.now = end;
         for (id, c) in &self.clients {
@@ -217,7 +217,7 @@
         }
     }
 
-    fn list(
+    fn update_endpoints(
         &mut self,
         kind: EndpointListKind,
         servers: &[(EndpointId, EndpointState)],
@@ -246,13 +246,13 @@
             }
         }
         let members = servers.iter().map(member).collect();
-        self.feed(Event::EndpointList {
+        self.handle(Event::EndpointList {
             kind,
             endpoints: members,
         });
     }
 
-    fn end(&mut self, id: RequestId, outcome: Outcome) {
+    fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
         let c = self.clients.get_mut(&id).unwrap();
         let (server, sent) = c.out.take().unwrap();
         if !outcome.proves_not_executed() && c.ran.is_none() {
@@ -260,7 +260,7 @@
         }
         let last = c.answered || c.up || outcome == Outcome::Success;
         c.answered |= last;
-        self.feed(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             id,
             endpoint: server,
             outcome,
@@ -295,16 +295,16 @@
                     .b
                     .is_multiple_of(3)
                     .then_some(self.now.saturating_sub(turn.b % 20_000_000));
-                self.list(EndpointListKind::Delta, &[some(0), some(1)], started);
+                self.update_endpoints(EndpointListKind::Delta, &[some(0), some(1)], started);
             }
             1 => {
                 let n = turn.a % 12;
                 let all: Vec<_> = (1..=n)
                     .map(|s| (EndpointId(s), EndpointState::Ready))
                     .collect();
-                self.list(EndpointListKind::Full, &all, None);
+                self.update_endpoints(EndpointListKind::Full, &all, None);
             }
-            2 if self.settings.polls_endpoint_list => self.feed(Event::EndpointList {
+            2 if self.settings.polls_endpoint_list => self.handle(Event::EndpointList {
                 kind: EndpointListKind::WatchFailed,
                 endpoints: Vec::new(),
             }),
@@ -331,7 +331,7 @@
                     ran: None,
                 };
                 self.clients.insert(id, c);
-                self.feed(Event::Request(q));
+                self.handle(Event::Request(q));
             }
             8 | 9 => {
                 if let Some(id) =
@@ -339,7 +339,7 @@
                 {
                     self.clients.get_mut(&id).unwrap().up = true;
                     let server = self.clients[&id].out.unwrap().0;
-                    self.feed(Event::Connected {
+                    self.handle(Event::Connected {
                         id,
                         endpoint: server,
                         elapsed: 1_000,
@@ -349,7 +349,7 @@
             10 => {
                 if let Some(id) = chosen.filter(|id| self.clients[id].up) {
                     let server = self.clients[&id].out.unwrap().0;
-                    self.feed(Event::DelaySample {
+                    self.handle(Event::DelaySample {
                         id,
                         endpoint: server,
                         delay: turn.b % 400_000,
@@ -361,7 +361,7 @@
                     chosen.filter(|id| !self.clients[id].up && !self.clients[id].answered)
                 {
                     self.clients.get_mut(&id).unwrap().answered = true;
-                    self.feed(Event::ClientDisconnected(id));
+                    self.handle(Event::ClientDisconnected(id));
                 }
             }
             _ => {
@@ -376,7 +376,7 @@
                 ];
                 if let Some(id) = chosen {
                     let answered = self.clients[&id].answered;
-                    self.end(
+                    self.end_attempt(
                         id,
                         if answered {
                             Outcome::Cancelled
@@ -392,7 +392,7 @@
 
 fn day(settings: &Settings, turns: &[Turn]) -> Vec<Action> {
     let mut world = World::new(settings.clone());
-    world.list(
+    world.update_endpoints(
         EndpointListKind::Cached,
         &(1..=6)
             .map(|s| (EndpointId(s), EndpointState::Ready))
@@ -448,25 +448,28 @@
         let (per_server, cold) = (8u32, EndpointId(1_000));
         let mut to_cold = 0;
         for n in 0..proxies {
-            let mut proxy = Proxy::new(settings.clone(), seed.wrapping_add(u64::from(n)));
-            proxy.list(EndpointListKind::Full, (1..=servers).map(ready).collect());
+            let mut proxy = BalancerHarness::new(settings.clone(), seed.wrapping_add(u64::from(n)));
+            proxy.update_endpoints(
+                EndpointListKind::Full,
+                (1..=servers).map(ready_endpoint).collect(),
+            );
             let own = (per_server * servers as u32 / proxies).max(1);
             for id in 1..=own {
                 proxy.connect(request(id, u64::from(id), u64::from(id % 5)));
             }
-            proxy.list(
+            proxy.update_endpoints(
                 EndpointListKind::Delta,
                 vec![ListedEndpoint {
                     started_at: Some(proxy.now),
-                    ..ready(cold.0)
+                    ..ready_endpoint(cold.0)
                 }],
             );
             for k in 0..200u32 {
                 proxy.now += SECOND / 100;
                 let q = request(10_000 + k, u64::from(k), u64::from(k % 5));
-                if let Some(server) = sent(&proxy.request(q)) {
+                if let Some(server) = attempted_endpoint(&proxy.submit(q)) {
                     to_cold += u32::from(server == cold);
-                    proxy.end(10_000 + k, server, Outcome::Success, true);
+                    proxy.end_attempt(10_000 + k, server, Outcome::Success, true);
                 }
             }
         }
--- a/tests/cold.rs
+++ b/tests/slow_start.rs
@@ -129,7 +129,7 @@
     settings: Settings,
     random: Random,
     now: Micros,
-    relays: Vec<Proxy>,
+    relays: Vec<BalancerHarness>,
     timers: BinaryHeap<Reverse<(Micros, usize, u64)>>,
     backends: BTreeMap<EndpointId, Backend>,
     open: BTreeMap<u32, Connection>,
@@ -174,9 +174,9 @@
             };
             world
                 .relays
-                .push(Proxy::new(settings, seed << 16 | relay as u64));
-            let members = (1..=case.backends).map(ready).collect();
-            let actions = world.relays[relay].list(EndpointListKind::Full, members);
+                .push(BalancerHarness::new(settings, seed << 16 | relay as u64));
+            let members = (1..=case.backends).map(ready_endpoint).collect();
+            let actions = world.relays[relay].update_endpoints(EndpointListKind::Full, members);
             world.act(relay, actions);
         }
         world
@@ -195,7 +195,7 @@
         let load: f32 = here().map(|c| c.load / mean_load * settled(c)).sum();
         let groups = here().map(|c| c.group).collect::<BTreeSet<_>>().len() as f32;
         let started = self.backends[&server].started;
-        let warmth = started.map_or(1.0, |at| share_of_capacity(&self.settings, self.now - at));
+        let warmth = started.map_or(1.0, |at| capacity_fraction(&self.settings, self.now - at));
         (
             (load + self.case.group_cost * groups) / self.case.filling / warmth,
             here().count() as f32,
@@ -213,15 +213,15 @@
                 Action::CheckHealth(server) => self.probe(relay, server),
                 Action::SetTimer { at, token } => self.timers.push(Reverse((at, relay, token))),
                 Action::Reject { .. } | Action::Fail(_) => self.comes_again(),
-                Action::Migrate(id) => self.end(id.0, Outcome::Cancelled),
+                Action::Migrate(id) => self.end_attempt(id.0, Outcome::Cancelled),
                 _ => {}
             }
         }
     }
 
-    fn feed(&mut self, relay: usize, event: Event) {
+    fn handle(&mut self, relay: usize, event: Event) {
         self.relays[relay].now = self.now;
-        let actions = self.relays[relay].feed(event);
+        let actions = self.relays[relay].handle(event);
         self.act(relay, actions);
     }
 
@@ -235,7 +235,7 @@
             }
         };
         if let Some(outcome) = failed {
-            return self.feed(
+            return self.handle(
                 relay,
                 Event::AttemptEnded {
                     id,
@@ -261,7 +261,7 @@
                 ends,
             },
         );
-        self.feed(
+        self.handle(
             relay,
             Event::Connected {
                 id,
@@ -280,7 +280,7 @@
                 (Outcome::Success, vec![active * noise, load * noise])
             }
         };
-        self.feed(
+        self.handle(
             relay,
             Event::HealthCheck {
                 endpoint: server,
@@ -296,7 +296,7 @@
     }
 
     /// Ends a connection; unless it was served to its end, its client comes again.
-    fn end(&mut self, id: u32, outcome: Outcome) {
+    fn end_attempt(&mut self, id: u32, outcome: Outcome) {
         let Some(Connection { relay, server, .. }) = self.open.remove(&id) else {
             return;
         };
@@ -304,7 +304,7 @@
             self.comes_again();
         }
         let id = RequestId(id);
-        self.feed(
+        self.handle(
             relay,
             Event::AttemptEnded {
                 id,
@@ -326,7 +326,7 @@
         let relay = (share * self.case.relays as f32) as usize;
         self.next += 1;
         let asked = request(self.next, u64::from(self.next), group_of(self.next));
-        self.feed(relay, Event::Request(asked));
+        self.handle(relay, Event::Request(asked));
     }
 
     fn crash(&mut self, servers: std::ops::RangeInclusive<u64>) {
@@ -338,7 +338,8 @@
                 .filter(|(_, c)| c.server == server)
                 .map(|(&id, _)| id)
                 .collect();
-            here.into_iter().for_each(|id| self.end(id, Outcome::Reset));
+            here.into_iter()
+                .for_each(|id| self.end_attempt(id, Outcome::Reset));
         }
     }
 
@@ -368,16 +369,16 @@
             .map(|(&id, _)| id)
             .collect();
         due.into_iter()
-            .for_each(|id| self.end(id, Outcome::Success));
+            .for_each(|id| self.end_attempt(id, Outcome::Success));
         while let Some(&Reverse((_, relay, server))) =
             self.news.peek().filter(|n| n.0 .0 <= self.now)
         {
             self.news.pop();
             let member = ListedEndpoint {
                 started_at: self.backends[&EndpointId(server)].started,
-                ..ready(server)
+                ..ready_endpoint(server)
             };
-            self.feed(
+            self.handle(
                 relay,
                 Event::EndpointList {
                     kind: EndpointListKind::Delta,
@@ -389,7 +390,7 @@
             self.timers.peek().filter(|t| t.0 .0 <= self.now)
         {
             self.timers.pop();
-            self.feed(relay, Event::Timer(token));
+            self.handle(relay, Event::Timer(token));
         }
         while self.clients.peek().is_some_and(|at| at.0 <= self.now) {
             self.clients.pop();
@@ -438,7 +439,8 @@
             for (n, &at) in backend.sent.iter().enumerate() {
                 let within = |&&sent: &&Micros| sent + self.settings.overload_window > at;
                 let count = backend.sent[..=n].iter().rev().take_while(within).count();
-                let allowed = allowed_when_cold(&self.settings, self.case.filling, at - started);
+                let allowed =
+                    max_requests_while_warming(&self.settings, self.case.filling, at - started);
                 worst = worst.max(count as f32 / allowed);
             }
         }
