--- a/crates/lab/src/bench/path/listeners.rs
+++ b/crates/lab/src/bench/path/listeners.rs
@@ -16,7 +16,7 @@
 const READS: Interest = Interest {
     read: true,
     write: false,
-    end: false,
+    peer_closed: false,
 };
 /// The longest wait without a look at whether they are to end.
 const LOOK: Duration = Duration::from_secs(1);
@@ -84,7 +84,7 @@
             ages: Histogram::new(3)?,
         };
         let (received, stop) = (Arc::new(Mutex::new(received)), Arc::<AtomicBool>::default());
-        let wake = poller.wake();
+        let wake = poller.waker();
         let reader = Reader {
             poller,
             connections,
@@ -134,7 +134,7 @@
 
 impl Reader {
     fn run(mut self) {
-        self.poller.own();
+        self.poller.set_owner();
         let (mut events, mut ready) = (Events::default(), Vec::new());
         while !self.stop.load(Relaxed) {
             self.poller.wait(LOOK, &mut events, &mut ready);
--- a/crates/lab/src/bench/path/topic.rs
+++ b/crates/lab/src/bench/path/topic.rs
@@ -15,7 +15,7 @@
 const READS: Interest = Interest {
     read: true,
     write: false,
-    end: false,
+    peer_closed: false,
 };
 /// The longest wait without a look at whether the topic has ended.
 const LOOK: Duration = Duration::from_secs(1);
@@ -44,7 +44,7 @@
         let (addr, shared) = (listener.local_addr()?, Arc::<Shared>::default());
         let poller = Poller::new()?;
         poller.watch(&listener, LISTEN, None, Some(READS))?;
-        *lock(&shared.wake) = Some(poller.wake());
+        *lock(&shared.wake) = Some(poller.waker());
         let server = Server {
             listener,
             poller,
@@ -98,7 +98,7 @@
 
 impl Server {
     fn run(mut self) {
-        self.poller.own();
+        self.poller.set_owner();
         let (mut events, mut ready) = (Events::default(), Vec::new());
         while !self.shared.stop.load(Relaxed) {
             self.poller.wait(LOOK, &mut events, &mut ready);
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -6,8 +6,8 @@
 use jaspermoor::config::operator::OperatorFile;
 use jaspermoor::config::policy;
 use jaspermoor::config::Config;
-use jaspermoor::net::core::Xmpp;
 use jaspermoor::net::fleet::FleetSettings;
+use jaspermoor::net::shared::XmppFront;
 use std::path::PathBuf;
 
 /// Reads and checks a configuration.
@@ -44,7 +44,7 @@
     if !map.is_single() {
         println!("{}: {} cells", path.display(), map.cell_count());
     }
-    match Xmpp::of(&file, &config)? {
+    match XmppFront::from_operator_file(&file, &config)? {
         Some(xmpp) => println!(
             "{}: XMPP for {}",
             path.display(),
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -11,10 +11,10 @@
 use jaspermoor::decisions::api::{EndpointListKind, ListedEndpoint, ReportColumn};
 use jaspermoor::load::LoadReportCache;
 use jaspermoor::log::{self, log, Format};
-use jaspermoor::net::core::{Core, Xmpp};
-use jaspermoor::net::engine::{Engine, Speaks};
+use jaspermoor::net::event_loop::{EventLoop, ListenerProtocol};
 use jaspermoor::net::fleet::{Fleet, FleetSettings, JobResources};
 use jaspermoor::net::listen::Listener;
+use jaspermoor::net::shared::{SharedState, XmppFront};
 use jaspermoor::ops::admin::{Admin, Staffed};
 use jaspermoor::ops::bans::Bans;
 use jaspermoor::platform::directory::Directory;
@@ -62,7 +62,7 @@
         .map(OperatorFile::load)
         .transpose()?;
     let xmpp = match &operator {
-        Some(file) => Xmpp::of(file, &config)?,
+        Some(file) => XmppFront::from_operator_file(file, &config)?,
         None => None,
     };
     let cells = operator
@@ -127,9 +127,9 @@
         )?),
         None => None,
     };
-    let core = Core::new(&config, decisions, directory);
+    let core = SharedState::new(&config, decisions, directory);
     core.adopt_xmpp(xmpp);
-    let mut engine = Engine::new(core.clone(), config.names.clone(), probe_orders)?;
+    let mut engine = EventLoop::new(core.clone(), config.names.clone(), probe_orders)?;
     let jobs = operator
         .as_ref()
         .and_then(|file| file.operator.fleet.as_ref())
@@ -137,7 +137,7 @@
     if let (Some(fleet), Some(jobs)) = (&mut fleet, jobs) {
         let load_reports = Arc::new(LoadReportCache::default());
         if jobs.load_watch {
-            engine.watch(load_reports.clone());
+            engine.use_load_reports(load_reports.clone());
         }
         fleet.enable_jobs(JobResources {
             directory: core.directory.clone(),
@@ -150,9 +150,9 @@
         });
     }
     let fleet_handle = fleet.as_ref().map(Fleet::handle);
-    engine.open(listener.clone(), Speaks::Line)?;
-    if let (true, Some(dir)) = (listener.held, &config.shared) {
-        if let Err(e) = engine.share(dir.clone()) {
+    engine.add_listener(listener.clone(), ListenerProtocol::Line)?;
+    if let (true, Some(dir)) = (listener.inherited, &config.shared) {
+        if let Err(e) = engine.enable_takeover(dir.clone()) {
             log(&format!(
                 "takeover: connections of an older process cannot be taken over: {e}"
             ));
@@ -163,13 +163,13 @@
         .and_then(|file| file.operator.xmpp.as_ref())
     {
         for (key, addr, speaks) in [
-            ("listen", x.listen, Speaks::Xmpp),
-            ("listen_tls", x.listen_tls, Speaks::XmppTls),
+            ("listen", x.listen, ListenerProtocol::Xmpp),
+            ("listen_tls", x.listen_tls, ListenerProtocol::XmppTls),
         ] {
             let Some(addr) = addr else { continue };
-            let listener = Listener::open_beside(addr)
+            let listener = Listener::open_reuse_port(addr)
                 .map_err(|e| format!("xmpp.{key}: cannot listen on {addr}: {e}"))?;
-            let under = if speaks == Speaks::Xmpp {
+            let under = if speaks == ListenerProtocol::Xmpp {
                 "STARTTLS"
             } else {
                 "TLS"
@@ -179,7 +179,7 @@
                 config.name,
                 listener.addr()?
             ));
-            engine.open(Arc::new(listener), speaks)?;
+            engine.add_listener(Arc::new(listener), speaks)?;
         }
     }
 
@@ -205,7 +205,7 @@
             decisions: core.decisions.clone(),
             directory: core.directory.clone(),
             metrics: core.metrics.clone(),
-            open: core.open.clone(),
+            open: core.accepting.clone(),
         };
         let admin = Admin::open(addr, staffed, Bans::new(config.shared.clone()))
             .map_err(|e| format!("admin: cannot listen on {addr}: {e}"))?;
@@ -272,7 +272,12 @@
 
 /// Reads the configuration and the operator file once more, as one, takes over their settings and follows
 /// discovery to where it is now. Where either cannot be used nothing changes.
-fn reload(config: &mut Config, source: &Source, core: &Core, operator: Option<&OperatorFile>) {
+fn reload(
+    config: &mut Config,
+    source: &Source,
+    core: &SharedState,
+    operator: Option<&OperatorFile>,
+) {
     let read = || -> Result<_, Failure> {
         let (new, mut fixed) = config.reload(&env)?;
         let Some(old) = operator else {
@@ -289,7 +294,7 @@
             let what = "other addresses need a restart";
             return Err(file.error("xmpp.listen", what).into());
         }
-        let xmpp = Xmpp::of(&file, &new)?;
+        let xmpp = XmppFront::from_operator_file(&file, &new)?;
         if old.operator.fleet != file.operator.fleet {
             fixed.push("fleet");
         }
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -7,10 +7,10 @@
 use crate::config::listing::Endpoint;
 use crate::decisions::api::{EndpointId, Micros, Outcome, RequestId};
 use crate::log::log;
-use crate::net::core::Core;
 use crate::net::link::Link;
 use crate::net::poll::{dial, is_local, Interest};
 use crate::net::session::Session;
+use crate::net::shared::SharedState;
 use crate::protocol::buffer::Buffer;
 use crate::protocol::{Exchange, Order, Passage, Step};
 use crate::sys::timed_out;
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy)]
 pub struct Ground<'a> {
     /// What all connections share.
-    pub core: &'a Core,
+    pub core: &'a SharedState,
     /// The client's.
     pub session: &'a Session,
     /// What the client asked for.
@@ -126,12 +126,12 @@
             At::Dialing(_) => Interest {
                 read: false,
                 write: true,
-                end: false,
+                peer_closed: false,
             },
             _ => Interest {
                 read: true,
                 write: self.blocked || held,
-                end: false,
+                peer_closed: false,
             },
         };
         Some((socket, interest))
@@ -398,7 +398,7 @@
     const MINUTE: Micros = 60_000_000;
 
     struct Setup {
-        core: Arc<Core>,
+        core: Arc<SharedState>,
         session: Arc<Session>,
         order: Box<dyn Order>,
         _front: TcpStream,
@@ -444,7 +444,7 @@
                 member(state),
             )],
         );
-        let core = Core::new(&config, decisions, directory);
+        let core = SharedState::new(&config, decisions, directory);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let idle = core
             .admission
--- a/src/net/conn.rs
+++ b/src/net/connection.rs
@@ -6,12 +6,12 @@
 
 use crate::decision_service::PendingDecision;
 use crate::decisions::api::{EndpointId, Micros, Outcome, Request, RequestId};
-use crate::net::admit::{Idle, GRACE};
+use crate::net::admission::{Idle, GRACE};
 use crate::net::attempt::Attempt;
-use crate::net::core::Core;
 use crate::net::link::Link;
 use crate::net::poll::{Interest, Poller, Ready};
 use crate::net::session::{Account, Session};
+use crate::net::shared::SharedState;
 use crate::protocol::buffer::{Buffer, MAX_LINE};
 use crate::protocol::{Cause, Greeter, Order, Passage};
 use std::net::TcpStream;
@@ -88,7 +88,7 @@
 
 /// A client's connection.
 pub(super) struct Conn {
-    pub core: Arc<Core>,
+    pub core: Arc<SharedState>,
     pub number: u64,
     pub client: Link,
     pub phase: Phase,
@@ -149,7 +149,7 @@
 
 impl Conn {
     /// One of a client that has just come, with nothing known of it.
-    pub fn new(core: &Arc<Core>, number: u64, socket: Arc<TcpStream>) -> Conn {
+    pub fn new(core: &Arc<SharedState>, number: u64, socket: Arc<TcpStream>) -> Conn {
         Conn {
             core: core.clone(),
             number,
@@ -219,7 +219,7 @@
             token,
             read,
             write,
-            end,
+            peer_closed,
         }: Ready,
     ) {
         let side = token & (BACKEND | CLIENT);
@@ -231,7 +231,7 @@
             (Phase::Hearing, _) => self.hear(),
             (Phase::Placing, BACKEND) => self.place(true),
             (_, BACKEND) => self.backend_ready(read, write),
-            (Phase::Placing, _) if end && !read => self.client_gone(),
+            (Phase::Placing, _) if peer_closed && !read => self.client_gone(),
             _ => self.client_ready(read, write),
         }
     }
@@ -368,12 +368,12 @@
         let client = client.then_some(Interest {
             read: client_in,
             write: client_out || hearing,
-            end: self.phase == Phase::Placing && !client_in,
+            peer_closed: self.phase == Phase::Placing && !client_in,
         });
         let backend = (self.phase == Phase::Up).then_some(Interest {
             read: !client_out,
             write: self.up_blocked,
-            end: false,
+            peer_closed: false,
         });
         (client, backend)
     }
--- a/src/net/engine.rs
+++ b/src/net/event_loop.rs
@@ -13,14 +13,14 @@
 use crate::decisions::api::{EndpointId, Micros, Outcome};
 use crate::load::LoadReportCache;
 use crate::log::log;
-use crate::net::conn::{Backend, Conn, Phase, NUMBER_SHIFT};
-use crate::net::core::Core;
+use crate::net::connection::{Backend, Conn, Phase, NUMBER_SHIFT};
 use crate::net::forward::LOOK;
-pub use crate::net::greet::Speaks;
+pub use crate::net::handshake::ListenerProtocol;
 use crate::net::link::Link;
 use crate::net::listen::Listener;
 use crate::net::poll::{dial, is_local, Events, Interest, Poller, Ready};
 use crate::net::session::{Account, Session};
+use crate::net::shared::SharedState;
 use crate::platform::probe::{self, Probe, PROBES};
 use crate::platform::takeover::{HandoverListener, Older, Passed, Rest, Successor};
 use crate::protocol::line::Lines;
@@ -64,12 +64,12 @@
 const READ: Interest = Interest {
     read: true,
     write: false,
-    end: false,
+    peer_closed: false,
 };
 const WRITE: Interest = Interest {
     read: false,
     write: true,
-    end: false,
+    peer_closed: false,
 };
 
 fn other(n: u64) -> u64 {
@@ -78,7 +78,7 @@
 
 struct Entry {
     listener: Arc<Listener>,
-    speaks: Speaks,
+    speaks: ListenerProtocol,
     /// Whether its clients are waited for just now.
     watched: bool,
     closed: bool,
@@ -110,8 +110,8 @@
 }
 
 /// All that one relay drives.
-pub struct Engine {
-    core: Arc<Core>,
+pub struct EventLoop {
+    core: Arc<SharedState>,
     poller: Poller,
     handle: Arc<Handle>,
     conns: BTreeMap<u64, Box<Conn>>,
@@ -140,16 +140,20 @@
     looked: Micros,
 }
 
-impl Engine {
+impl EventLoop {
     /// One that serves nobody yet; `orders` are the probes that the decisions ask for.
-    pub fn new(core: Arc<Core>, names: Names, orders: Receiver<EndpointId>) -> io::Result<Engine> {
+    pub fn new(
+        core: Arc<SharedState>,
+        names: Names,
+        orders: Receiver<EndpointId>,
+    ) -> io::Result<EventLoop> {
         let poller = Poller::new()?;
-        let wake = poller.wake();
+        let wake = poller.waker();
         core.decisions.set_waker(wake.clone());
         core.directory.wakes(wake.clone());
         core.woken.wakes(wake.clone());
         let looked = core.decisions.now();
-        Ok(Engine {
+        Ok(EventLoop {
             core,
             handle: Arc::new(Handle {
                 stop: AtomicBool::new(false),
@@ -184,7 +188,11 @@
     }
 
     /// Takes in clients at this listener, which speak so.
-    pub fn open(&mut self, listener: Arc<Listener>, speaks: Speaks) -> io::Result<()> {
+    pub fn add_listener(
+        &mut self,
+        listener: Arc<Listener>,
+        speaks: ListenerProtocol,
+    ) -> io::Result<()> {
         let token = other(LISTENERS + self.listeners.len() as u64);
         self.poller.watch(&listener, token, None, Some(READ))?;
         self.listeners.push(Entry {
@@ -197,13 +205,13 @@
     }
 
     /// Probes for the fleet's load watch, and takes what it knows in place of own probes.
-    pub fn watch(&mut self, book: Arc<LoadReportCache>) {
+    pub fn use_load_reports(&mut self, book: Arc<LoadReportCache>) {
         book.set_checker_waker(self.handle.wake.clone());
         self.book = Some(book);
     }
 
     /// Takes over what older processes pass on in this directory, and passes on there what stands at the end.
-    pub fn share(&mut self, dir: PathBuf) -> io::Result<()> {
+    pub fn enable_takeover(&mut self, dir: PathBuf) -> io::Result<()> {
         let handovers = HandoverListener::open(&dir)?;
         self.shared = Some(dir);
         self.poller
@@ -214,8 +222,8 @@
 
     /// Serves until it has been told to stop and nothing stands any more, or the platform is about to kill.
     pub fn run(mut self) {
-        self.poller.own();
-        self.core.open.store(true, Relaxed);
+        self.poller.set_owner();
+        self.core.accepting.store(true, Relaxed);
         let (mut events, mut ready) = (Events::default(), Vec::new());
         loop {
             let timer = self.core.decisions.fire_timers();
@@ -392,7 +400,7 @@
         false
     }
 
-    fn take_in(&mut self, client: std::net::TcpStream, speaks: Speaks) {
+    fn take_in(&mut self, client: std::net::TcpStream, speaks: ListenerProtocol) {
         let idle = self.core.admission.idle(client);
         if let Some(conn) = Conn::greet(&self.core, idle, speaks) {
             self.enter(conn);
@@ -637,15 +645,15 @@
     }
 
     fn begin_drain(&mut self, now: Micros) -> Drain {
-        let held = self.listeners.iter().any(|entry| entry.listener.held);
+        let held = self.listeners.iter().any(|entry| entry.listener.inherited);
         for n in 0..self.listeners.len() {
             let entry = &mut self.listeners[n];
-            if entry.speaks == Speaks::Line && !entry.listener.held {
+            if entry.speaks == ListenerProtocol::Line && !entry.listener.inherited {
                 continue;
             }
             entry.closed = true;
-            if entry.speaks == Speaks::Line {
-                self.core.open.store(false, Relaxed);
+            if entry.speaks == ListenerProtocol::Line {
+                self.core.accepting.store(false, Relaxed);
             } else {
                 self.last_clients(n);
             }
@@ -780,7 +788,7 @@
     }
 
     /// An engine that serves nobody, listening stand-ins for its backends, and where probes are ordered.
-    fn probing(backends: usize) -> (Engine, Vec<TcpListener>, Sender<EndpointId>) {
+    fn probing(backends: usize) -> (EventLoop, Vec<TcpListener>, Sender<EndpointId>) {
         let listeners: Vec<TcpListener> = (0..backends)
             .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
             .collect();
@@ -832,7 +840,12 @@
             ..config.names.clone()
         };
         (
-            Engine::new(Core::new(&config, decisions, directory), names, orders).unwrap(),
+            EventLoop::new(
+                SharedState::new(&config, decisions, directory),
+                names,
+                orders,
+            )
+            .unwrap(),
             listeners,
             order,
         )
@@ -858,7 +871,7 @@
             measured_at: boottime() + 3_600_000_000,
             values: vec![0.5],
         }]);
-        engine.watch(book.clone());
+        engine.use_load_reports(book.clone());
         let handle = engine.handle();
         // Both are there before it begins: in their order.
         order.send(EndpointId(0)).unwrap();
--- a/src/net/fleet/event_loop.rs
+++ b/src/net/fleet/event_loop.rs
@@ -18,7 +18,7 @@
     pub fn run(mut self, metrics: Arc<Metrics>) {
         self.metrics = metrics;
         self.metrics.control.on.store(true, Relaxed);
-        self.poller.own();
+        self.poller.set_owner();
         let mut events = Events::default();
         let mut ready_sockets = Vec::new();
         loop {
--- a/src/net/fleet/job_driver.rs
+++ b/src/net/fleet/job_driver.rs
@@ -107,7 +107,7 @@
         }
         resources
             .load_reports
-            .set_publisher_waker(self.poller.wake());
+            .set_publisher_waker(self.poller.waker());
         if jobs.paced_moves {
             self.decisions.pace_migrations();
         }
--- a/src/net/fleet/link.rs
+++ b/src/net/fleet/link.rs
@@ -34,19 +34,19 @@
 pub(super) const READ_ONLY: Interest = Interest {
     read: true,
     write: false,
-    end: false,
+    peer_closed: false,
 };
 /// Waits for the end of a dial.
 const WRITE_ONLY: Interest = Interest {
     read: false,
     write: true,
-    end: false,
+    peer_closed: false,
 };
 /// Waits for bytes and for space to send.
 const READ_WRITE: Interest = Interest {
     read: true,
     write: true,
-    end: false,
+    peer_closed: false,
 };
 
 /// Why a link was closed.
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -186,7 +186,7 @@
         let handle = Handle {
             drain: Arc::default(),
             shutdown: Arc::default(),
-            wake: poller.wake(),
+            wake: poller.waker(),
         };
         let mut fleet = Fleet {
             settings,
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -7,7 +7,7 @@
 use crate::decisions::api::{Micros, Outcome};
 use crate::log::log;
 use crate::net::attempt::reset;
-use crate::net::conn::{end, Backend, Conn, End, Phase, LINGER};
+use crate::net::connection::{end, Backend, Conn, End, Phase, LINGER};
 use crate::net::poll::hung_up;
 use crate::net::session::{Account, Session};
 use crate::platform::takeover::{self, Handover, Successor};
--- a/src/net/greet.rs
+++ b/src/net/handshake.rs
@@ -5,10 +5,10 @@
 
 use crate::decisions::api::Micros;
 use crate::log::log;
-use crate::net::admit::Idle;
-use crate::net::conn::{Conn, Hearing, Phase, LINGER_SHORT};
-use crate::net::core::Core;
+use crate::net::admission::Idle;
+use crate::net::connection::{Conn, Hearing, Phase, LINGER_SHORT};
 use crate::net::session::Account;
+use crate::net::shared::SharedState;
 use crate::protocol::line::Greeting;
 use crate::protocol::xmpp::greeting;
 use crate::protocol::{Greeter, Next, Short};
@@ -21,7 +21,7 @@
 
 /// What is spoken at a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Speaks {
+pub enum ListenerProtocol {
     /// The line protocol.
     Line,
     /// XMPP that begins in clear.
@@ -30,9 +30,9 @@
     XmppTls,
 }
 
-impl Speaks {
+impl ListenerProtocol {
     fn front(self) -> &'static str {
-        if self == Speaks::Line {
+        if self == ListenerProtocol::Line {
             "line"
         } else {
             "xmpp"
@@ -41,9 +41,9 @@
 }
 
 /// The machine that hears a client of this listener; none where the front has gone meanwhile.
-fn greeter(core: &Core, speaks: Speaks) -> Option<Box<dyn Greeter>> {
+fn greeter(core: &SharedState, speaks: ListenerProtocol) -> Option<Box<dyn Greeter>> {
     let now = core.decisions.now();
-    if speaks == Speaks::Line {
+    if speaks == ListenerProtocol::Line {
         return Some(Box::new(Greeting::new(now)));
     }
     let mut ids = [0; 3];
@@ -56,7 +56,7 @@
     Some(Box::new(greeting::Greeting::new(
         terms,
         ids,
-        speaks == Speaks::XmppTls,
+        speaks == ListenerProtocol::XmppTls,
         now,
     )))
 }
@@ -72,7 +72,7 @@
 
 impl Conn {
     /// The connection of a client that has just come to this listener; none where there is nobody to hear it.
-    pub fn greet(core: &Arc<Core>, idle: Idle, speaks: Speaks) -> Option<Conn> {
+    pub fn greet(core: &Arc<SharedState>, idle: Idle, speaks: ListenerProtocol) -> Option<Conn> {
         let greeter = greeter(core, speaks)?;
         idle.stream
             .set_nonblocking(true)
@@ -89,7 +89,7 @@
             out,
             blocked,
         };
-        let secured = speaks != Speaks::XmppTls || conn.secure(&mut hearing, None, false);
+        let secured = speaks != ListenerProtocol::XmppTls || conn.secure(&mut hearing, None, false);
         conn.hearing = Some(Box::new(hearing));
         if secured {
             conn.hear();
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -12,7 +12,7 @@
 pub struct Listener {
     socket: TcpListener,
     /// Whether the platform holds the socket: other processes listen there too, now or later.
-    pub held: bool,
+    pub inherited: bool,
 }
 
 impl Listener {
@@ -23,7 +23,7 @@
 
     /// Opens a socket at an address that several processes of a relay listen at during an upgrade, each with a
     /// socket of its own.
-    pub fn open_beside(addr: SocketAddr) -> io::Result<Listener> {
+    pub fn open_reuse_port(addr: SocketAddr) -> io::Result<Listener> {
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.set_reuse_port(true)?;
@@ -42,13 +42,13 @@
         Listener::new(listener.ok_or(io::ErrorKind::NotFound)?, true)
     }
 
-    fn new(listener: TcpListener, held: bool) -> io::Result<Listener> {
+    fn new(listener: TcpListener, inherited: bool) -> io::Result<Listener> {
         // The flag is common to all processes that share the socket; none of them waits in `accept`. It is
         // never shut down here: that would end it for the others too.
         listener.set_nonblocking(true)?;
         Ok(Listener {
             socket: listener,
-            held,
+            inherited,
         })
     }
 
--- a/src/net/client.rs
+++ b/src/net/placement.rs
@@ -3,9 +3,9 @@
 use crate::config::listing::server_id;
 use crate::decision_service::{Decision, RequestHandle};
 use crate::decisions::api::{Micros, Outcome, Request};
-use crate::net::admit::{Denied, Idle};
+use crate::net::admission::{Denied, Idle};
 use crate::net::attempt::{Attempt, Failed, Ground, Up, ADOPT};
-use crate::net::conn::{Backend, Conn, Phase, Placing};
+use crate::net::connection::{Backend, Conn, Phase, Placing};
 use crate::net::session::{Account, Session};
 use crate::protocol::{Answer, Cause, Order};
 use std::sync::atomic::Ordering::Relaxed;
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -28,7 +28,7 @@
     /// Room to write, or the end of a dial.
     pub write: bool,
     /// That the other side has ended its sending, where nothing is read that would show it.
-    pub end: bool,
+    pub peer_closed: bool,
 }
 
 /// A socket on which something can be done.
@@ -41,7 +41,7 @@
     /// It takes bytes.
     pub write: bool,
     /// The other side has ended its sending, or it has broken.
-    pub end: bool,
+    pub peer_closed: bool,
 }
 
 /// The token of the wake-up itself.
@@ -104,13 +104,13 @@
     }
 
     /// What wakes the thread that waits here.
-    pub fn wake(&self) -> Wake {
+    pub fn waker(&self) -> Wake {
         let waker = self.waker.clone();
         Arc::new(move || waker.wake())
     }
 
     /// This thread is the one that waits: it needs no wake-up from itself.
-    pub fn own(&self) {
+    pub fn set_owner(&self) {
         let _ = self.waker.owner.set(thread::current().id());
     }
 
@@ -131,7 +131,7 @@
         let flags = |i: Interest| {
             flag(i.read, EventFlags::IN)
                 | flag(i.write, EventFlags::OUT)
-                | flag(i.end, EventFlags::RDHUP)
+                | flag(i.peer_closed, EventFlags::RDHUP)
         };
         let data = EventData::new_u64(token);
         match (from, to) {
@@ -165,12 +165,13 @@
                 continue;
             }
             let read = flags.intersects(EventFlags::IN | EventFlags::HUP | EventFlags::ERR);
-            let end = flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR);
+            let peer_closed =
+                flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR);
             ready.push(Ready {
                 token,
                 read,
                 write: flags.contains(EventFlags::OUT),
-                end,
+                peer_closed,
             });
         }
         events.clear();
@@ -222,8 +223,8 @@
     #[test]
     fn a_wake_up_before_the_wait_ends_it_and_one_of_the_waiting_thread_costs_no_call() {
         let (poller, mut events) = (Poller::new().unwrap(), Events::default());
-        poller.own();
-        let (wake, mut ready) = (poller.wake(), Vec::new());
+        poller.set_owner();
+        let (wake, mut ready) = (poller.waker(), Vec::new());
         let other = wake.clone();
         thread::spawn(move || (other(), other())).join().unwrap();
         // For as long as the longest wait, if it were not woken.
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -3,7 +3,7 @@
 
 use crate::decision_service::RequestHandle;
 use crate::decisions::api::RequestId;
-use crate::net::admit::Place;
+use crate::net::admission::Place;
 use crate::ops::metrics::Tally;
 use crate::sys::{lock, Wake};
 use std::net::{Shutdown, TcpStream};
--- a/src/net/core.rs
+++ b/src/net/shared.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::decision_service::DecisionService;
 use crate::decisions::api::Micros;
-use crate::net::admit::Admission;
+use crate::net::admission::Admission;
 use crate::net::session::Woken;
 use crate::net::tls::Tls;
 use crate::ops::metrics::Metrics;
@@ -41,7 +41,7 @@
 }
 
 /// The XMPP front as an install has it.
-pub struct Xmpp {
+pub struct XmppFront {
     /// What its machines take from the operator file.
     pub terms: Arc<terms::Terms>,
     /// Certificates.
@@ -50,14 +50,17 @@
     pub port: Option<u16>,
 }
 
-impl Xmpp {
+impl XmppFront {
     /// The front that an operator file sets, with its certificates, all checked; none where it sets none.
-    pub fn of(file: &OperatorFile, config: &Config) -> Result<Option<Arc<Xmpp>>, OperatorError> {
+    pub fn from_operator_file(
+        file: &OperatorFile,
+        config: &Config,
+    ) -> Result<Option<Arc<XmppFront>>, OperatorError> {
         let Some(x) = &file.operator.xmpp else {
             return Ok(None);
         };
         let terms = Arc::new(terms::Terms::of(file, x, &config.classes)?);
-        Ok(Some(Arc::new(Xmpp {
+        Ok(Some(Arc::new(XmppFront {
             terms,
             tls: Tls::load(file, x)?,
             port: x.servers.port,
@@ -97,13 +100,13 @@
 }
 
 /// What all connections share.
-pub struct Core {
+pub struct SharedState {
     /// The decisions.
     pub decisions: Arc<DecisionService>,
     /// The backends' addresses.
     pub directory: Arc<Directory>,
     terms: Mutex<Arc<Terms>>,
-    xmpp: Mutex<Option<Arc<Xmpp>>>,
+    xmpp: Mutex<Option<Arc<XmppFront>>>,
     /// What backends told lately.
     pub notes: Notes,
     /// Who may come in.
@@ -113,23 +116,23 @@
     /// By when all that is owed must be answered, as a process that stops has it; [`Micros::MAX`] before that.
     pub stop_by: AtomicU64,
     /// Whether this process takes clients.
-    pub open: Arc<AtomicBool>,
+    pub accepting: Arc<AtomicBool>,
     /// Memory that the buffers of standing connections hold for long units.
     pub held: Held,
     /// The requests and connections of which the decisions have news.
     pub woken: Arc<Woken>,
 }
 
-impl Core {
+impl SharedState {
     /// What the connections of a relay with this configuration share.
     pub fn new(
         config: &Config,
         decisions: Arc<DecisionService>,
         directory: Arc<Directory>,
-    ) -> Arc<Core> {
+    ) -> Arc<SharedState> {
         let metrics = Arc::new(Metrics::default());
         metrics.show(&config.classes.names());
-        Arc::new(Core {
+        Arc::new(SharedState {
             decisions,
             directory,
             terms: Mutex::new(Arc::new(Terms::of(config))),
@@ -143,7 +146,7 @@
             metrics,
             held: Held::new(config.limits.memory_mb),
             stop_by: AtomicU64::new(Micros::MAX),
-            open: Arc::default(),
+            accepting: Arc::default(),
             woken: Arc::default(),
         })
     }
@@ -162,12 +165,12 @@
     }
 
     /// The XMPP front, where there is one.
-    pub fn xmpp(&self) -> Option<Arc<Xmpp>> {
+    pub fn xmpp(&self) -> Option<Arc<XmppFront>> {
         lock(&self.xmpp).clone()
     }
 
     /// The XMPP front is as said from now on; sessions under way go on as they were admitted.
-    pub fn adopt_xmpp(&self, xmpp: Option<Arc<Xmpp>>) {
+    pub fn adopt_xmpp(&self, xmpp: Option<Arc<XmppFront>>) {
         self.metrics.xmpp.on.store(xmpp.is_some(), Relaxed);
         *lock(&self.xmpp) = xmpp;
     }
--- a/src/ops/admin.rs
+++ b/src/ops/admin.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The most callers at a time; their descriptors are set aside in [`crate::net::admit`].
+/// The most callers at a time; their descriptors are set aside in [`crate::net::admission`].
 pub const CALLERS: usize = 12;
 /// A caller's whole time, up to its leave.
 const LIMIT: Duration = Duration::from_secs(5);
