--- a/crates/lab/src/scale/hollow/relay.rs
+++ b/crates/lab/src/scale/hollow/relay.rs
@@ -7,9 +7,9 @@
 use crate::scale::process::time_of_thread;
 use crate::scale::record::{Amount, Traffic};
 use crossbeam_channel::bounded;
-use jaspermoor::config::listing::{server_id, Endpoint};
+use jaspermoor::config::endpoint_list::{endpoint_id, BackendAddress};
 use jaspermoor::config::operator::{self, FleetVoter};
-use jaspermoor::config::policy::Rules;
+use jaspermoor::config::policy::PolicyRules;
 use jaspermoor::decision_service::{DecisionService, Hooks};
 use jaspermoor::decisions::api::{EndpointState, ListedEndpoint, Settings};
 use jaspermoor::load::LoadReportCache;
@@ -51,7 +51,7 @@
     ) -> Result<HollowRelay, Failure> {
         let decisions = decisions();
         let setup = setup(name, options);
-        let opened = Fleet::open(setup, name, Rules::default(), decisions.clone());
+        let opened = Fleet::open(setup, name, PolicyRules::default(), decisions.clone());
         let mut fleet = opened.map_err(|e| format!("{name}: {e}"))?;
         if !options.watched_zones.is_empty() || options.paced_moves {
             fleet.enable_jobs(resources(zone, options, directory, prober));
@@ -89,7 +89,7 @@
     /// Messages and bytes so far.
     pub fn traffic(&self) -> Traffic {
         let mut traffic = Traffic::default();
-        for count in self.metrics.control.traffic.counts() {
+        for count in self.metrics.fleet.traffic.counts() {
             let by_kind = match count.direction {
                 Direction::Sent => &mut traffic.sent,
                 Direction::Received => &mut traffic.received,
@@ -166,7 +166,7 @@
     let directory = Arc::<Directory>::default();
     let entry = |(name, addr, zone): &(String, _, u16)| {
         let member = ListedEndpoint {
-            id: server_id(name),
+            id: endpoint_id(name),
             zone: (*zone).min(ZONES.len() as u16 - 1),
             cell: 0,
             state: EndpointState::Ready,
@@ -174,7 +174,7 @@
             started_at: None,
         };
         (
-            Endpoint {
+            BackendAddress {
                 name: name.clone(),
                 addr: *addr,
             },
--- a/crates/lab/src/scale/hollow/watch.rs
+++ b/crates/lab/src/scale/hollow/watch.rs
@@ -44,11 +44,11 @@
 
 /// Whether a relay admits clients, and under which epoch: only where the epoch was the same before and after the look.
 pub fn admits(relay: &HollowRelay) -> Option<u64> {
-    let epoch = relay.metrics.control.epoch.load(Relaxed);
+    let epoch = relay.metrics.fleet.epoch.load(Relaxed);
     let admits = relay.decisions.may_admit();
-    let same = relay.metrics.control.epoch.load(Relaxed) == epoch;
+    let same = relay.metrics.fleet.epoch.load(Relaxed) == epoch;
     // Before its thread has run for the first time there is no epoch to compare.
-    (admits && same && relay.metrics.control.on.load(Relaxed)).then_some(epoch)
+    (admits && same && relay.metrics.fleet.enabled.load(Relaxed)).then_some(epoch)
 }
 
 fn admissions(watched: &mut Watched) {
@@ -64,7 +64,7 @@
 
 fn jobs(watched: &mut Watched) {
     let Some(relay) = &watched.relay else { return };
-    let held = lock(&relay.metrics.control.jobs).clone();
+    let held = lock(&relay.metrics.fleet.owned_jobs).clone();
     for (job, token) in held {
         let tenures = &mut watched.history.tenures;
         if !tenures
--- a/src/cells/operator_file.rs
+++ b/src/cells/operator_file.rs
@@ -80,7 +80,7 @@
 ) -> Result<(), OperatorError> {
     for (cell, cell_settings) in settings.cell.iter().enumerate() {
         for (index, name) in cell_settings.servers.iter().enumerate() {
-            let endpoint = crate::config::listing::server_id(name);
+            let endpoint = crate::config::endpoint_list::endpoint_id(name);
             let earlier = map.named_endpoints.insert(endpoint, cell);
             if earlier.is_some_and(|earlier| earlier != cell) {
                 let key = format!("cells.cell[{cell}].servers[{index}]");
--- a/src/cli/policy/mod.rs
+++ b/src/cli/policy/mod.rs
@@ -71,7 +71,7 @@
 fn load(file: &Path) -> Result<String, Failure> {
     let text = std::fs::read_to_string(file)
         .map_err(|e| format!("{}: cannot be read: {e}", file.display()))?;
-    policy::read(file, &text)?;
+    policy::parse(file, &text)?;
     Ok(text)
 }
 
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -5,7 +5,7 @@
 use crossbeam_channel::bounded;
 use jaspermoor::cells::Cells;
 use jaspermoor::config::operator::OperatorFile;
-use jaspermoor::config::policy::{self, Rules};
+use jaspermoor::config::policy::{self, PolicyRules};
 use jaspermoor::config::Config;
 use jaspermoor::decision_service::{DecisionService, Hooks};
 use jaspermoor::decisions::api::{EndpointListKind, ListedEndpoint, ReportColumn};
@@ -15,11 +15,11 @@
 use jaspermoor::net::engine::{Engine, Speaks};
 use jaspermoor::net::fleet::{Fleet, FleetSettings, JobResources};
 use jaspermoor::net::listen::Listener;
-use jaspermoor::ops::admin::{Admin, Staffed};
-use jaspermoor::ops::bans::Bans;
+use jaspermoor::ops::admin::{Admin, AdminContext};
+use jaspermoor::ops::manual_ejections::ManualEjections;
 use jaspermoor::platform::directory::Directory;
-use jaspermoor::platform::discovery::{Source, Upkeep, Watcher};
-use jaspermoor::sys::{spawn, STACK};
+use jaspermoor::platform::discovery::{WatchControl, WatchMode, Watcher};
+use jaspermoor::sys::{spawn, SMALL_STACK_BYTES};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::{Handle, Signals};
 use std::path::PathBuf;
@@ -52,7 +52,7 @@
 
 /// Runs it.
 pub fn run(serve: Serve) -> Result<(), Failure> {
-    log::start(serve.log_format, serve.log);
+    log::init(serve.log_format, serve.log);
     // Before all else: a signal that comes during the start must neither end the program nor be missed.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let mut config = Config::load(&env)?;
@@ -77,14 +77,14 @@
             .map_err(|e| format!("listen: cannot listen on {}: {e}", config.listen))?,
     };
     let (address, listener) = (listener.addr()?, Arc::new(listener));
-    let upkeep = if config.settings.polls_endpoint_list {
-        Upkeep::Asked
+    let mode = if config.settings.polls_endpoint_list {
+        WatchMode::OnRequest
     } else {
-        Upkeep::Standing
+        WatchMode::Continuous
     };
-    let source = Source::new(config.discovery, upkeep);
-    let orders = source.clone();
-    let watch = Box::new(move |on| orders.order(on));
+    let watch_control = WatchControl::new(config.discovery, mode);
+    let watch_requests = watch_control.clone();
+    let watch = Box::new(move |on| watch_requests.request_watch(on));
     let (probe, probe_orders) = bounded(64);
     let directory = Arc::new(Directory::default());
     directory.update(true, &config.known);
@@ -122,7 +122,7 @@
         Some(settings) => Some(Fleet::open(
             settings,
             &config.name,
-            Rules { cells, parameters },
+            PolicyRules { cells, parameters },
             decisions.clone(),
         )?),
         None => None,
@@ -151,7 +151,7 @@
     }
     let fleet_handle = fleet.as_ref().map(Fleet::handle);
     engine.open(listener.clone(), Speaks::Line)?;
-    if let (true, Some(dir)) = (listener.held, &config.shared) {
+    if let (true, Some(dir)) = (listener.held, &config.shared_directory) {
         if let Err(e) = engine.share(dir.clone()) {
             log(&format!(
                 "takeover: connections of an older process cannot be taken over: {e}"
@@ -188,11 +188,11 @@
     //
     // Discovery: a dial and a read that wait, and lists of thousands of servers to parse, which must not hold up
     // lines.
-    let (shared, at, version) = (core.clone(), source.clone(), config.known_version);
+    let (shared, at, version) = (core.clone(), watch_control.clone(), config.known_version);
     let names = config.names.clone();
-    spawn("watch", STACK, move || {
+    spawn("watch", SMALL_STACK_BYTES, move || {
         let watcher = Watcher {
-            source: &at,
+            control: &at,
             names: &names,
             directory: &shared.directory,
             decisions: &shared.decisions,
@@ -201,21 +201,25 @@
         watcher.run();
     })?;
     if let Some(addr) = config.admin {
-        let staffed = Staffed {
+        let context = AdminContext {
             decisions: core.decisions.clone(),
             directory: core.directory.clone(),
             metrics: core.metrics.clone(),
             open: core.open.clone(),
         };
-        let admin = Admin::open(addr, staffed, Bans::new(config.shared.clone()))
-            .map_err(|e| format!("admin: cannot listen on {addr}: {e}"))?;
+        let admin = Admin::open(
+            addr,
+            context,
+            ManualEjections::new(config.shared_directory.clone()),
+        )
+        .map_err(|e| format!("admin: cannot listen on {addr}: {e}"))?;
         log(&format!(
             "{}: answers staff on {}",
             config.name,
             admin.addr()?
         ));
         // Staff are answered within a second whatever the clients do, and bans are files.
-        spawn("admin", STACK, move || admin.run())?;
+        spawn("admin", SMALL_STACK_BYTES, move || admin.run())?;
     }
     if let Some(fleet) = fleet {
         let metrics = core.metrics.clone();
@@ -237,7 +241,7 @@
     let mut stopping = false;
     for signal in signals.forever() {
         if signal == SIGHUP {
-            reload(&mut config, &source, &core, operator.as_ref());
+            reload(&mut config, &watch_control, &core, operator.as_ref());
         } else if !std::mem::replace(&mut stopping, true) {
             // Its jobs first: others have them before it has gone.
             fleet_handle.iter().for_each(|fleet| fleet.drain());
@@ -272,11 +276,16 @@
 
 /// Reads the configuration and the operator file once more, as one, takes over their settings and follows
 /// discovery to where it is now. Where either cannot be used nothing changes.
-fn reload(config: &mut Config, source: &Source, core: &Core, operator: Option<&OperatorFile>) {
+fn reload(
+    config: &mut Config,
+    watch_control: &WatchControl,
+    core: &Core,
+    operator: Option<&OperatorFile>,
+) {
     let read = || -> Result<_, Failure> {
         let (new, mut fixed) = config.reload(&env)?;
         let Some(old) = operator else {
-            return Ok((new, fixed, core.xmpp(), Rules::default()));
+            return Ok((new, fixed, core.xmpp(), PolicyRules::default()));
         };
         let file = OperatorFile::load(old.path())?;
         let (was, now) = (&old.operator.xmpp, &file.operator.xmpp);
@@ -293,16 +302,16 @@
         if old.operator.fleet != file.operator.fleet {
             fixed.push("fleet");
         }
-        let rules = Rules {
+        let rules = PolicyRules {
             cells: Cells::from_operator_file(&file)?,
             parameters: policy::parameters(&file)?,
         };
         Ok((new, fixed, xmpp, rules))
     };
-    let (new, fixed, xmpp, Rules { cells, parameters }) = match read() {
+    let (new, fixed, xmpp, PolicyRules { cells, parameters }) = match read() {
         Ok(read) => read,
         Err(e) => {
-            core.metrics.load_errors.fetch_add(1, Relaxed);
+            core.metrics.reload_errors.fetch_add(1, Relaxed);
             return log(&format!("{}: reload refused: {e}", config.name));
         }
     };
@@ -319,12 +328,12 @@
         core.decisions.apply_policy(cells, parameters);
     }
     *config = new;
-    let moved = source.relocate(config.discovery);
+    let moved = watch_control.relocate(config.discovery);
     if moved && config.settings.polls_endpoint_list {
         core.decisions
             .update_endpoints(EndpointListKind::Relocated, Vec::new());
     }
-    core.metrics.loads.fetch_add(1, Relaxed);
+    core.metrics.reloads.fetch_add(1, Relaxed);
     let (name, at, classes) = (
         &config.name,
         config.discovery,
--- a/src/config/listing.rs
+++ b/src/config/endpoint_list.rs
@@ -10,7 +10,7 @@
 
 /// A backend as the network knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Endpoint {
+pub struct BackendAddress {
     /// Its id in words.
     pub name: String,
     /// Where this relay reaches it.
@@ -19,19 +19,19 @@
 
 /// One object of discovery.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
+pub struct ListUpdate {
     /// The version of the list with these entries.
     pub version: u64,
     /// Whether it names all backends, or the changed ones only.
     pub full: bool,
     /// The entries that could be read.
-    pub servers: Vec<(Endpoint, ListedEndpoint)>,
+    pub servers: Vec<(BackendAddress, ListedEndpoint)>,
     /// What is wrong with the others.
     pub problems: Vec<String>,
 }
 
 /// The number of a backend: the same at every relay, for the same id (FNV-1a).
-pub fn server_id(name: &str) -> EndpointId {
+pub fn endpoint_id(name: &str) -> EndpointId {
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
     });
@@ -39,7 +39,7 @@
 }
 
 /// Refuses JSON that is nested too deeply.
-pub fn shallow(text: &[u8]) -> Result<(), String> {
+pub fn check_nesting(text: &[u8]) -> Result<(), String> {
     let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
     for &b in text {
         match b {
@@ -58,7 +58,7 @@
 }
 
 /// Reads one object of discovery. An entry that cannot be read is left out and named.
-pub fn listing(value: &Value, zones: &[String]) -> Result<Listing, String> {
+pub fn parse_list_update(value: &Value, zones: &[String]) -> Result<ListUpdate, String> {
     let version = value
         .get("version")
         .and_then(|v| v.as_u64())
@@ -71,7 +71,7 @@
         .get("servers")
         .and_then(|v| v.as_array())
         .ok_or("servers: is not a list")?;
-    let mut listing = Listing {
+    let mut listing = ListUpdate {
         version,
         full,
         servers: Vec::new(),
@@ -86,7 +86,7 @@
     Ok(listing)
 }
 
-fn entry(value: &Value, zones: &[String]) -> Result<(Endpoint, ListedEndpoint), String> {
+fn entry(value: &Value, zones: &[String]) -> Result<(BackendAddress, ListedEndpoint), String> {
     let word = |key: &str| {
         value
             .get(key)
@@ -114,7 +114,7 @@
         .unwrap_or(0.0);
     let started: Micros = crate::wire::micros(started).ok_or("started_ms: is not a time")?;
     let member = ListedEndpoint {
-        id: server_id(&name),
+        id: endpoint_id(&name),
         zone: zone as u16,
         cell: value.get("cell").and_then(|v| v.as_u64()).unwrap_or(0) as u16,
         state,
@@ -124,17 +124,17 @@
             .unwrap_or(1.0) as f32,
         started_at: (started > 0).then_some(started),
     };
-    Ok((Endpoint { name, addr }, member))
+    Ok((BackendAddress { name, addr }, member))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn read(text: &str) -> Result<Listing, String> {
+    fn read(text: &str) -> Result<ListUpdate, String> {
         let value =
             simd_json::to_owned_value(&mut text.as_bytes().to_vec()).map_err(|e| e.to_string())?;
-        listing(&value, &["a".to_string(), "b".to_string()])
+        parse_list_update(&value, &["a".to_string(), "b".to_string()])
     }
 
     #[test]
@@ -183,7 +183,9 @@
         ] {
             assert!(read(text).is_err(), "{text}");
         }
-        assert!(shallow("[".repeat(MAX_DEPTH + 1).as_bytes()).is_err());
-        assert!(shallow(br#"["[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[\"[[["]"#).is_ok());
+        assert!(check_nesting("[".repeat(MAX_DEPTH + 1).as_bytes()).is_err());
+        assert!(
+            check_nesting(br#"["[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[\"[[["]"#).is_ok()
+        );
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,13 +1,13 @@
 //! The one place where the environment and the configuration file are read, checked and given
 //! defaults. What is wrong is said with the full path of its key.
 
-pub mod listing;
+pub mod endpoint_list;
 pub mod operator;
 pub mod policy;
 
 use crate::decisions::api::{Class, ListedEndpoint, Micros, Settings};
 use crate::wire;
-use listing::Endpoint;
+use endpoint_list::BackendAddress;
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use std::fmt;
@@ -84,7 +84,7 @@
     }
 
     /// The index of a class, also of one that has vanished.
-    pub fn index(&self, name: &str) -> Option<usize> {
+    pub fn find_including_removed(&self, name: &str) -> Option<usize> {
         self.0.iter().position(|c| c.name == name)
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// The longest that any client waits.
-    pub fn longest(&self) -> Micros {
+    pub fn longest_deadline(&self) -> Micros {
         self.0
             .iter()
             .filter(|c| c.open)
@@ -148,7 +148,7 @@
     /// The second address, for staff and scrapers; none on platforms that have none.
     pub admin: Option<SocketAddr>,
     /// The directory for files that all processes of this relay share.
-    pub shared: Option<PathBuf>,
+    pub shared_directory: Option<PathBuf>,
     /// Where discovery is.
     pub discovery: SocketAddr,
     /// Seed of its random numbers.
@@ -158,7 +158,7 @@
     /// The version of the list as it was last known.
     pub known_version: u64,
     /// The list as it was last known.
-    pub known: Vec<(Endpoint, ListedEndpoint)>,
+    pub known: Vec<(BackendAddress, ListedEndpoint)>,
     /// What is wrong with entries of it that were left out: it was not written by hand.
     pub known_problems: Vec<String>,
     /// The settings of the decisions.
@@ -243,7 +243,8 @@
 
     /// Reads the text of a configuration.
     pub fn parse(mut text: Vec<u8>, env: Env<'_>) -> Result<Config, ConfigError> {
-        listing::shallow(&text).map_err(|e| ConfigError(format!("BALANCER_CONFIG: {e}")))?;
+        endpoint_list::check_nesting(&text)
+            .map_err(|e| ConfigError(format!("BALANCER_CONFIG: {e}")))?;
         let mut top = match simd_json::to_owned_value(&mut text) {
             Ok(top) if top.is_object() => top,
             Ok(_) => return bad("BALANCER_CONFIG", "is not a JSON object"),
@@ -280,7 +281,7 @@
         };
         let (known_version, known, known_problems) = match top.get("known") {
             None => (0, Vec::new(), Vec::new()),
-            Some(known) => match listing::listing(known, &names.zones) {
+            Some(known) => match endpoint_list::parse_list_update(known, &names.zones) {
                 Ok(listing) => (listing.version, listing.servers, listing.problems),
                 Err(e) => return Err(ConfigError(format!("known.{e}"))),
             },
@@ -307,7 +308,7 @@
             listen: address(&top, "listen", env("BALANCER_LISTEN"))?,
             accept_fd,
             admin,
-            shared: env("TMPDIR")
+            shared_directory: env("TMPDIR")
                 .filter(|dir| !dir.is_empty())
                 .map(PathBuf::from),
             discovery: address(&top, "discovery", env("BALANCER_DISCOVERY"))?,
@@ -546,7 +547,7 @@
         assert_eq!(second.settings.max_attempts, 2);
         let deadlines: Vec<_> = second.settings.classes.iter().map(|c| c.deadline).collect();
         assert_eq!(deadlines, [1_200_000, 3_200_000, 900_000]);
-        assert_eq!(second.classes.longest(), 3_200_000);
+        assert_eq!(second.classes.longest_deadline(), 3_200_000);
         // Back to the first file: "one" has its old index, "new" is shut.
         let (third, _) = reloaded(&second, &text).unwrap();
         assert_eq!(
--- a/src/config/policy.rs
+++ b/src/config/policy.rs
@@ -12,7 +12,7 @@
 
 /// What a policy says, checked.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
+pub struct PolicyRules {
     /// Cells and pins.
     pub cells: Cells,
     /// Parameters of the decisions.
@@ -51,7 +51,7 @@
 }
 
 /// Reads a policy's text; `path` is what errors call it.
-pub fn read(path: &Path, text: &str) -> Result<Rules, OperatorError> {
+pub fn parse(path: &Path, text: &str) -> Result<PolicyRules, OperatorError> {
     let file = OperatorFile::parse(path, text.to_string())?;
     for (key, there) in [
         ("xmpp", file.operator.xmpp.is_some()),
@@ -64,7 +64,7 @@
             ));
         }
     }
-    Ok(Rules {
+    Ok(PolicyRules {
         cells: Cells::from_operator_file(&file)?,
         parameters: parameters(&file)?,
     })
@@ -102,7 +102,7 @@
 
     #[test]
     fn a_policy_is_understood_whole_or_refused_with_line_and_key() {
-        let read = |text: &str| read(Path::new("p.toml"), text);
+        let read = |text: &str| parse(Path::new("p.toml"), text);
         let rules = read("[parameters]\nepsilon = 1.5\n[[cells.cell]]\nname = 'a'\n").unwrap();
         assert_eq!(
             (
--- a/src/log.rs
+++ b/src/log.rs
@@ -57,7 +57,7 @@
 }
 
 /// Starts the log; once a process. A log that cannot be written must not end the relay.
-pub fn start(format: Format, level: LevelFilter) {
+pub fn init(format: Format, level: LevelFilter) {
     let log = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(io::stderr)
--- a/src/net/admit.rs
+++ b/src/net/admit.rs
@@ -2,8 +2,8 @@
 //! nothing never take the room of those that do.
 
 use crate::config::Limits;
-use crate::ops::admin::CALLERS;
-use crate::platform::probe::PROBES;
+use crate::ops::admin::MAX_CALLERS;
+use crate::platform::health_check::MAX_HEALTH_CHECKS;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,7 +12,7 @@
 
 /// Descriptors for all that is no client's: standard streams, listener, signals, discovery, the
 /// configuration while it is read, and the probes that may be out.
-const RESERVE: usize = 15 + PROBES;
+const RESERVE: usize = 15 + MAX_HEALTH_CHECKS;
 /// Memory that a connection may need that is served: two stacks as far as they are used, two buffers.
 const PER_REQUEST: usize = 48 * 1024;
 /// The same for one that has not asked yet: one of each.
@@ -66,7 +66,7 @@
             limits.memory_mb as usize * 1024 * 1024,
         );
         let processes = if held { 2 } else { 1 };
-        let reserve = RESERVE + if admin { CALLERS + 1 } else { 0 };
+        let reserve = RESERVE + if admin { MAX_CALLERS + 1 } else { 0 };
         let left = sockets.saturating_sub(processes * (reserve + IDLE_LEAST));
         let requests_most = sockets
             .div_ceil(3)
@@ -247,7 +247,7 @@
             };
             for (held, processes) in [(false, 1), (true, 2)] {
                 let (requests, idle) = Admission::new(&limits, true, held).most();
-                let all = 2 * requests + processes * (idle + RESERVE + CALLERS + 1);
+                let all = 2 * requests + processes * (idle + RESERVE + MAX_CALLERS + 1);
                 assert!(
                     all <= sockets as usize,
                     "{sockets} sockets, held {held}: {requests}, {idle}"
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -4,7 +4,7 @@
 //! Guards against: an attempt that is still out when the next begins (its socket is closed before it says how it
 //! ended), a first byte to a backend that has left meanwhile, and one silent machine holding up everybody else.
 
-use crate::config::listing::Endpoint;
+use crate::config::endpoint_list::BackendAddress;
 use crate::decisions::api::{EndpointId, Micros, Outcome, RequestId};
 use crate::log::log;
 use crate::net::core::Core;
@@ -77,7 +77,7 @@
     pub number: u16,
     /// When it began.
     pub began: Micros,
-    endpoint: Option<Endpoint>,
+    endpoint: Option<BackendAddress>,
     at: At,
     link: Option<Link>,
     exchange: Option<Box<dyn Exchange>>,
@@ -211,7 +211,7 @@
     /// Begins the dial, once the backend's address is known.
     fn dial(&mut self, g: Ground<'_>, now: Micros) -> Option<Result<Up, Failed>> {
         let adopted = g.order.at().is_some();
-        let Some(endpoint) = g.core.directory.endpoint(self.server) else {
+        let Some(endpoint) = g.core.directory.backend_address(self.server) else {
             // The list that a relay starts with may be stale; one that was chosen now has left.
             return if adopted && now < self.until {
                 None
@@ -299,7 +299,7 @@
                     return None;
                 }
                 if std::mem::take(&mut self.asking) {
-                    core.metrics.tries.fetch_add(1, Relaxed);
+                    core.metrics.attempts.fetch_add(1, Relaxed);
                     self.asked = true;
                 }
             }
@@ -311,7 +311,7 @@
             // answered: once more, right before each first byte of something new.
             let new = matches!(step, Step::Ask(_) | Step::Say(_) | Step::Secure(_));
             let may = || {
-                core.directory.takes_new(self.server)
+                core.directory.is_available(self.server)
                     && core.decisions.awaits_answer(g.id)
                     && core.decisions.may_admit()
             };
@@ -437,7 +437,7 @@
         directory.update(
             true,
             &[(
-                Endpoint {
+                BackendAddress {
                     name: "s-1".into(),
                     addr,
                 },
@@ -574,7 +574,7 @@
         s.core.directory.update(
             false,
             &[(
-                Endpoint {
+                BackendAddress {
                     name: "s-1".into(),
                     addr,
                 },
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -1,6 +1,6 @@
 //! The side of the clients: a request is let in, has its verdicts carried out, and gets its answer or its connection.
 
-use crate::config::listing::server_id;
+use crate::config::endpoint_list::endpoint_id;
 use crate::decision_service::{Decision, RequestHandle};
 use crate::decisions::api::{Micros, Outcome, Request};
 use crate::net::admit::{Denied, Idle};
@@ -14,7 +14,7 @@
 /// Counts a connection by its final answer.
 fn count(account: &Account, answer: Answer) {
     match (&account.tally, answer) {
-        (Some(tally), Answer::Refused(_)) => tally.dropped(),
+        (Some(tally), Answer::Refused(_)) => tally.rejected(),
         (Some(tally), Answer::Failed(_) | Answer::IdInUse) => tally.failed(),
         (None, _) => {}
     }
@@ -32,7 +32,7 @@
                 .classes
                 .name(order.request().class)
                 .to_string();
-            account.tally = Some(core.metrics.begin(&account.class));
+            account.tally = Some(core.metrics.begin_request(&account.class));
         }
         let (answer, reason) = match idle.request(order.name()) {
             Ok(place) => {
@@ -69,7 +69,7 @@
         tracing::debug!(id = %name, group = asked.group, key = asked.client_key, again = asked.returning, "request");
         let (id, pick, attempt, server, answer_by) = match order.at() {
             Some(at) => {
-                let server = server_id(at);
+                let server = endpoint_id(at);
                 let id = core.decisions.adopt_connection(asked.clone(), server, flow);
                 if let Some(account) = &mut self.account {
                     (account.backend, account.attempts) = (at.to_string(), 1);
@@ -167,7 +167,7 @@
                         account.backend = self
                             .core
                             .directory
-                            .endpoint(server)
+                            .backend_address(server)
                             .map_or(String::new(), |e| e.name);
                     }
                     p.attempt = Some(Attempt::new(&*p.order, server, until, number, self.now()));
@@ -244,7 +244,7 @@
             self.account
                 .iter()
                 .filter_map(|account| account.tally.as_ref())
-                .for_each(|tally| tally.passed());
+                .for_each(|tally| tally.connected());
         } else {
             self.answer_by = Some(p.answer_by);
         }
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -128,7 +128,7 @@
         directory: Arc<Directory>,
     ) -> Arc<Core> {
         let metrics = Arc::new(Metrics::default());
-        metrics.show(&config.classes.names());
+        metrics.add_classes(&config.classes.names());
         Arc::new(Core {
             decisions,
             directory,
@@ -156,7 +156,7 @@
     /// New settings hold from now on. The decisions first: a class must mean something to them before a
     /// client can ask for it.
     pub fn adopt_settings(&self, config: &Config) {
-        self.metrics.show(&config.classes.names());
+        self.metrics.add_classes(&config.classes.names());
         self.decisions.update_settings(config.settings.clone());
         *lock(&self.terms) = Arc::new(Terms::of(config));
     }
@@ -168,7 +168,7 @@
 
     /// The XMPP front is as said from now on; sessions under way go on as they were admitted.
     pub fn adopt_xmpp(&self, xmpp: Option<Arc<Xmpp>>) {
-        self.metrics.xmpp.on.store(xmpp.is_some(), Relaxed);
+        self.metrics.xmpp.enabled.store(xmpp.is_some(), Relaxed);
         *lock(&self.xmpp) = xmpp;
     }
 
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -8,7 +8,7 @@
 //! Guards against: a silent machine that holds up others (nothing here blocks), a crowd at the listener that holds up
 //! those who are served (a turn takes in so many), and an event that is taken for another socket's (see `conn`).
 
-use crate::config::listing::server_id;
+use crate::config::endpoint_list::endpoint_id;
 use crate::config::Names;
 use crate::decisions::api::{EndpointId, Micros, Outcome};
 use crate::load::LoadReportCache;
@@ -21,8 +21,8 @@
 use crate::net::listen::Listener;
 use crate::net::poll::{dial, is_local, Events, Interest, Poller, Ready};
 use crate::net::session::{Account, Session};
-use crate::platform::probe::{self, Probe, PROBES};
-use crate::platform::takeover::{HandoverListener, Older, Passed, Rest, Successor};
+use crate::platform::health_check::{self, HealthCheck, MAX_HEALTH_CHECKS};
+use crate::platform::takeover::{HandedOver, HandoverListener, LinkState, Predecessor, Successor};
 use crate::protocol::line::Lines;
 use crate::sys::{boottime, timed_out, Wake};
 use crossbeam_channel::Receiver;
@@ -125,13 +125,13 @@
     paused: Option<Micros>,
     short: bool,
     handovers: Option<HandoverListener>,
-    older: BTreeMap<u64, Older>,
+    older: BTreeMap<u64, Predecessor>,
     next_older: u64,
     orders: Receiver<EndpointId>,
     /// What the fleet's load watch knows, where there is one.
     book: Option<Arc<LoadReportCache>>,
     names: Names,
-    probes: BTreeMap<u64, Probe>,
+    probes: BTreeMap<u64, HealthCheck>,
     next_probe: u64,
     probe_limit: Micros,
     /// The directory that the processes of this relay share.
@@ -146,7 +146,7 @@
         let poller = Poller::new()?;
         let wake = poller.wake();
         core.decisions.set_waker(wake.clone());
-        core.directory.wakes(wake.clone());
+        core.directory.on_change(wake.clone());
         core.woken.wakes(wake.clone());
         let looked = core.decisions.now();
         Ok(Engine {
@@ -171,7 +171,7 @@
             names,
             probes: BTreeMap::new(),
             next_probe: 0,
-            probe_limit: probe::LIMIT,
+            probe_limit: health_check::STEP_TIMEOUT_US,
             shared: None,
             drain: None,
             looked,
@@ -438,7 +438,10 @@
                 break;
             };
             let directory = &self.core.directory;
-            let book = self.book.as_ref().filter(|_| directory.takes_new(server));
+            let book = self
+                .book
+                .as_ref()
+                .filter(|_| directory.is_available(server));
             match book.and_then(|book| book.fresh_report(server, boottime())) {
                 Some(report) => self.probed(server, false, Outcome::Success, report),
                 None => return Some((server, false)),
@@ -451,15 +454,15 @@
     }
 
     fn start_probes(&mut self) {
-        while self.probes.len() < PROBES {
+        while self.probes.len() < MAX_HEALTH_CHECKS {
             let Some((server, watch)) = self.ordered() else {
                 return;
             };
             // It may have been told to leave since the probe was asked for.
             let directory = &self.core.directory;
             let Some(endpoint) = directory
-                .endpoint(server)
-                .filter(|_| directory.takes_new(server))
+                .backend_address(server)
+                .filter(|_| directory.is_available(server))
             else {
                 self.probed(server, watch, Outcome::NotAttempted, Vec::new());
                 continue;
@@ -468,12 +471,18 @@
             let (n, token) = (self.next_probe, self.next_probe << NUMBER_SHIFT | PROBE);
             let begun = dial(endpoint.addr).and_then(|stream| {
                 self.poller.watch(&stream, token, None, Some(WRITE))?;
-                Ok(Probe::new(server, watch, stream, now, self.probe_limit))
+                Ok(HealthCheck::new(
+                    server,
+                    watch,
+                    stream,
+                    now,
+                    self.probe_limit,
+                ))
             });
             match begun {
                 Ok(probe) => {
                     self.next_probe += 1;
-                    self.due.insert((probe.by, token));
+                    self.due.insert((probe.step_deadline, token));
                     self.probes.insert(n, probe);
                 }
                 // For want of a descriptor or a port: it says nothing of the backend.
@@ -489,19 +498,23 @@
         let Some(probe) = self.probes.get_mut(&n) else {
             return;
         };
-        let (before, dialled, token) = (probe.by, probe.dials(), n << NUMBER_SHIFT | PROBE);
-        let found = probe.go(self.core.decisions.now(), ready, &self.names);
+        let (before, dialled, token) = (
+            probe.step_deadline,
+            probe.is_connecting(),
+            n << NUMBER_SHIFT | PROBE,
+        );
+        let found = probe.advance(self.core.decisions.now(), ready, &self.names);
         self.due.remove(&(before, token));
         let Some((outcome, report)) = found else {
-            self.due.insert((probe.by, token));
-            if dialled != probe.dials() {
+            self.due.insert((probe.step_deadline, token));
+            if dialled != probe.is_connecting() {
                 let _ = self
                     .poller
                     .watch(&probe.stream, token, Some(WRITE), Some(READ));
             }
             return;
         };
-        let (server, watch) = (probe.server, probe.watch);
+        let (server, watch) = (probe.endpoint, probe.for_load_watch);
         self.probes.remove(&n);
         self.probed(server, watch, outcome, report);
     }
@@ -524,7 +537,7 @@
         let Some(handovers) = &self.handovers else {
             return;
         };
-        match handovers.next() {
+        match handovers.accept() {
             Ok(older) => {
                 let n = self.next_older;
                 self.next_older += 1;
@@ -547,7 +560,7 @@
         };
         let mut passed = Vec::new();
         let rest = older.receive(TURN, &mut |p| passed.push(p));
-        if rest == Rest::Later {
+        if rest == LinkState::Open {
             self.older.insert(n, older);
         }
         passed
@@ -556,7 +569,7 @@
     }
 
     /// Takes a connection over that has come up in another process of this relay.
-    fn adopt_standing(&mut self, (handover, client, backend): Passed) {
+    fn adopt_standing(&mut self, (handover, client, backend): HandedOver) {
         let core = self.core.clone();
         let set = client
             .set_nonblocking(true)
@@ -575,7 +588,7 @@
             began: Instant::now()
                 .checked_sub(Duration::from_millis(handover.age_ms))
                 .unwrap_or_else(Instant::now),
-            tally: Some(core.metrics.begin(&handover.class)),
+            tally: Some(core.metrics.begin_request(&handover.class)),
         };
         let Ok(place) = idle.request(&handover.name) else {
             let whole = handover
@@ -597,9 +610,9 @@
             .terms()
             .rules
             .classes
-            .index(&handover.class)
+            .find_including_removed(&handover.class)
             .unwrap_or(0);
-        let server = server_id(&handover.backend);
+        let server = endpoint_id(&handover.backend);
         let id = core.decisions.adopt_connection(
             Conn::standing_request(class, keys),
             server,
@@ -651,7 +664,7 @@
             }
         }
         self.watch_listeners(self.paused.is_none());
-        let longest = self.core.terms().rules.classes.longest();
+        let longest = self.core.terms().rules.classes.longest_deadline();
         let kill = longest.min(KILL_DEADLINE) + KILL_AFTER;
         let stop_by = now + kill - DRAIN_SPARE - LAST_WORDS;
         self.core.stop_by.store(stop_by, Relaxed);
@@ -757,7 +770,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::config::listing::Endpoint;
+    use crate::config::endpoint_list::BackendAddress;
     use crate::config::Config;
     use crate::decision_service::{DecisionService, Hooks};
     use crate::decisions::api::{EndpointState, ListedEndpoint};
@@ -794,7 +807,7 @@
         let config = Config::parse(text.into_bytes(), &|_| None).unwrap();
         let listed = |(n, listener): (usize, &TcpListener)| {
             let server = EndpointId(n as u64);
-            let endpoint = Endpoint {
+            let endpoint = BackendAddress {
                 name: format!("s-{n}"),
                 addr: listener.local_addr().unwrap(),
             };
--- a/src/net/fleet/event_loop.rs
+++ b/src/net/fleet/event_loop.rs
@@ -17,7 +17,7 @@
     /// the relay.
     pub fn run(mut self, metrics: Arc<Metrics>) {
         self.metrics = metrics;
-        self.metrics.control.on.store(true, Relaxed);
+        self.metrics.fleet.enabled.store(true, Relaxed);
         self.poller.own();
         let mut events = Events::default();
         let mut ready_sockets = Vec::new();
--- a/src/net/fleet/job_driver.rs
+++ b/src/net/fleet/job_driver.rs
@@ -45,7 +45,7 @@
             return Vec::new();
         };
         self.directory
-            .of_zone(index as u16)
+            .available_in_zone(index as u16)
             .into_iter()
             .map(|endpoint| endpoint.0)
             .collect()
@@ -168,15 +168,19 @@
         let Some(JobRunner { worker, resources }) = &self.jobs else {
             return;
         };
-        let metrics = &self.metrics.control;
+        let metrics = &self.metrics.fleet;
         let checks_avoided = resources.load_reports.checks_avoided.load(Relaxed);
         let checks_sent = resources.load_reports.checks_sent.load(Relaxed);
-        metrics.works.store(true, Relaxed);
-        metrics.obeyed.store(worker.updates_accepted, Relaxed);
-        metrics.refused.store(worker.updates_rejected, Relaxed);
-        metrics.spared.store(checks_avoided, Relaxed);
-        metrics.made.store(checks_sent, Relaxed);
-        let mut published_jobs = crate::sys::lock(&metrics.jobs);
+        metrics.takes_jobs.store(true, Relaxed);
+        metrics
+            .updates_accepted
+            .store(worker.updates_accepted, Relaxed);
+        metrics
+            .updates_rejected
+            .store(worker.updates_rejected, Relaxed);
+        metrics.checks_avoided.store(checks_avoided, Relaxed);
+        metrics.checks_sent.store(checks_sent, Relaxed);
+        let mut published_jobs = crate::sys::lock(&metrics.owned_jobs);
         let published = published_jobs
             .iter()
             .map(|(name, token)| (name.as_str(), *token));
@@ -273,7 +277,7 @@
 
 /// Inserts received load reports, after those of endpoints that are gone were evicted.
 fn insert_load_reports(resources: &JobResources, reports: impl Iterator<Item = LoadReport>) {
-    let is_listed = |endpoint| resources.directory.endpoint(endpoint).is_some();
+    let is_listed = |endpoint| resources.directory.backend_address(endpoint).is_some();
     resources.load_reports.evict(boottime(), is_listed);
     resources.load_reports.insert(reports);
 }
--- a/src/net/fleet/lease_driver.rs
+++ b/src/net/fleet/lease_driver.rs
@@ -7,7 +7,7 @@
 
 use super::{Fleet, POLICY_NAME};
 use crate::config::operator::OperatorError;
-use crate::config::policy::{self, Rules};
+use crate::config::policy::{self, PolicyRules};
 use crate::decisions::api::Micros;
 use crate::log::log;
 use crate::sys::boottime;
@@ -36,7 +36,7 @@
     /// Handles a leader's answer to a renewal.
     pub(super) fn handle_renew_response(&mut self, response: RenewResponse) {
         let check_policy = |text: &str| {
-            policy::read(Path::new(POLICY_NAME), text)
+            policy::parse(Path::new(POLICY_NAME), text)
                 .map(drop)
                 .map_err(|e| e.to_string())
         };
@@ -127,10 +127,10 @@
     }
 
     /// The rules of a policy. Epoch 0 means that the fleet has none, so the relay's own rules hold.
-    fn rules_of(&self, policy: &Policy) -> Result<Rules, OperatorError> {
+    fn rules_of(&self, policy: &Policy) -> Result<PolicyRules, OperatorError> {
         if policy.epoch == 0 {
             return Ok(self.local_rules.clone());
         }
-        policy::read(Path::new(POLICY_NAME), &policy.text)
+        policy::parse(Path::new(POLICY_NAME), &policy.text)
     }
 }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -36,7 +36,7 @@
 pub use settings::FleetSettings;
 
 use crate::config::operator;
-use crate::config::policy::{self, Rules};
+use crate::config::policy::{self, PolicyRules};
 use crate::decision_service::DecisionService;
 use crate::decisions::api::Micros;
 use crate::log::log;
@@ -113,7 +113,7 @@
     settings: FleetSettings,
     relay_name: String,
     /// The operator file's own cells and parameters, in force while the fleet has no policy.
-    local_rules: Rules,
+    local_rules: PolicyRules,
     decisions: Arc<DecisionService>,
     poller: Poller,
     /// Open while this relay votes.
@@ -164,7 +164,7 @@
     pub fn open(
         settings: FleetSettings,
         name: &str,
-        local_rules: Rules,
+        local_rules: PolicyRules,
         decisions: Arc<DecisionService>,
     ) -> Result<Fleet, OpenError> {
         #[cfg(feature = "injected-bugs")]
@@ -273,7 +273,7 @@
     if policy.epoch == 0 {
         return true;
     }
-    match policy::read(Path::new(POLICY_NAME), &policy.text) {
+    match policy::parse(Path::new(POLICY_NAME), &policy.text) {
         Ok(rules) => {
             decisions.apply_policy(rules.cells, rules.parameters);
             true
--- a/src/net/fleet/peers.rs
+++ b/src/net/fleet/peers.rs
@@ -119,7 +119,7 @@
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        if let Err(reason) = link.flush(&self.poller, id, &self.metrics.control.traffic) {
+        if let Err(reason) = link.flush(&self.poller, id, &self.metrics.fleet.traffic) {
             self.close_link(id, &reason);
         }
     }
@@ -191,7 +191,7 @@
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        let messages = match link.read(&self.metrics.control.traffic) {
+        let messages = match link.read(&self.metrics.fleet.traffic) {
             Ok(messages) => messages,
             Err(reason) => {
                 log_invalid_frame(link, &reason);
--- a/src/net/fleet/status.rs
+++ b/src/net/fleet/status.rs
@@ -65,16 +65,16 @@
     }
 
     fn update_metrics(&self, admits: bool, leader_term: Option<u64>) {
-        let metrics = &self.metrics.control;
+        let metrics = &self.metrics.fleet;
         metrics
             .epoch
             .store(self.lease_client.policy().epoch, Relaxed);
         let votes = self.voter.is_some() && self.status.missing_founders.is_empty();
-        metrics.votes.store(votes, Relaxed);
-        metrics.leads.store(leader_term.unwrap_or(0), Relaxed);
-        let admitted_before = metrics.admits.swap(admits, Relaxed);
+        metrics.is_voting.store(votes, Relaxed);
+        metrics.leader_term.store(leader_term.unwrap_or(0), Relaxed);
+        let admitted_before = metrics.admitting.swap(admits, Relaxed);
         if admitted_before && !admits {
-            metrics.stops.fetch_add(1, Relaxed);
+            metrics.lease_losses.fetch_add(1, Relaxed);
         }
     }
 
--- a/src/net/fleet/tests.rs
+++ b/src/net/fleet/tests.rs
@@ -44,7 +44,7 @@
 }
 
 fn open(settings: FleetSettings, decisions: Arc<DecisionService>) -> Fleet {
-    Fleet::open(settings, "n1", Rules::default(), decisions).unwrap()
+    Fleet::open(settings, "n1", PolicyRules::default(), decisions).unwrap()
 }
 
 /// Kinds and names of the jobs that a relay offers, separated by spaces; none where it offers none. Its second zone has
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -65,7 +65,7 @@
             return Ok(());
         };
         let bytes = self.up.rest().len() + self.down.rest().len();
-        if bytes > takeover::MAX_BYTES || !session.give_away() {
+        if bytes > takeover::MAX_BUFFERED_BYTES || !session.give_away() {
             return Ok(());
         }
         let now = self.now();
@@ -381,7 +381,7 @@
                     tally: Some(tally), ..
                 }),
                 true,
-            ) => tally.passed(),
+            ) => tally.connected(),
             (_, true) => {}
             (_, false) => drop(self.core.metrics.xmpp.sasl_failures.fetch_add(1, Relaxed)),
         }
@@ -392,10 +392,10 @@
         let Some(backend) = &self.backend else { return };
         let metrics = &self.core.metrics.xmpp;
         if backend.passage.half() {
-            metrics.cut.fetch_add(1, Relaxed);
+            metrics.truncated_stanzas.fetch_add(1, Relaxed);
         }
         if !backend.passage.portable() {
-            metrics.moved.fetch_add(1, Relaxed);
+            metrics.migrated.fetch_add(1, Relaxed);
         }
         self.leave(
             backend.passage.words(Away::Moved),
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -4,7 +4,7 @@
 use crate::decision_service::RequestHandle;
 use crate::decisions::api::RequestId;
 use crate::net::admit::Place;
-use crate::ops::metrics::Tally;
+use crate::ops::metrics::RequestCounter;
 use crate::sys::{lock, Wake};
 use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering::AcqRel};
@@ -227,7 +227,7 @@
     /// When it began.
     pub began: Instant,
     /// Its part in the figures; none before its class is known.
-    pub tally: Option<Tally>,
+    pub tally: Option<RequestCounter>,
 }
 
 impl Account {
--- a/src/ops/admin.rs
+++ b/src/ops/admin.rs
@@ -3,11 +3,11 @@
 //! One thread waits for all callers. A caller that hangs costs it a place and no time: places are few, and
 //! when all are taken the caller that has had one for longest gives it up.
 
-use crate::config::listing::server_id;
+use crate::config::endpoint_list::endpoint_id;
 use crate::decision_service::DecisionService;
 use crate::log::log;
-use crate::ops::bans::Bans;
-use crate::ops::metrics::{Fleet, Metrics};
+use crate::ops::manual_ejections::ManualEjections;
+use crate::ops::metrics::{Gauges, Metrics};
 use crate::platform::directory::Directory;
 use crate::sys::timed_out;
 use percent_encoding::percent_decode_str;
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 /// The most callers at a time; their descriptors are set aside in [`crate::net::admit`].
-pub const CALLERS: usize = 12;
+pub const MAX_CALLERS: usize = 12;
 /// A caller's whole time, up to its leave.
 const LIMIT: Duration = Duration::from_secs(5);
 /// How long one that has its answer may stay: to close with input unread could destroy the answer.
@@ -169,12 +169,12 @@
 /// The second address of a relay.
 pub struct Admin {
     listener: TcpListener,
-    staffed: Staffed,
-    bans: Bans,
+    context: AdminContext,
+    ejections: ManualEjections,
 }
 
 /// What staff ask about and act on.
-pub struct Staffed {
+pub struct AdminContext {
     /// The decisions.
     pub decisions: Arc<DecisionService>,
     /// The backends' addresses.
@@ -186,14 +186,18 @@
 }
 
 impl Admin {
-    /// Listens at this address, with the bans that are in force already.
-    pub fn open(addr: SocketAddr, staffed: Staffed, bans: Bans) -> io::Result<Admin> {
+    /// Listens at this address, with the ejections that are in force already.
+    pub fn open(
+        addr: SocketAddr,
+        context: AdminContext,
+        ejections: ManualEjections,
+    ) -> io::Result<Admin> {
         let listener = TcpListener::bind(addr)?;
         listener.set_nonblocking(true)?;
         let mut admin = Admin {
             listener,
-            staffed,
-            bans,
+            context,
+            ejections,
         };
         admin.follow();
         Ok(admin)
@@ -201,7 +205,7 @@
 
     /// Takes over what another process of this relay was told.
     fn follow(&mut self) {
-        for (id, out_of_use) in self.bans.news() {
+        for (id, out_of_use) in self.ejections.take_changes() {
             self.apply(&id, out_of_use);
         }
     }
@@ -212,23 +216,31 @@
             "admin: backend {id} is {} by hand",
             if out_of_use { "out" } else { "back" }
         ));
-        self.staffed.directory.by_hand(server_id(id), out_of_use);
-        self.staffed
+        self.context
+            .directory
+            .set_manual_ejection(endpoint_id(id), out_of_use);
+        self.context
             .decisions
-            .set_manual_ejection(server_id(id), out_of_use);
+            .set_manual_ejection(endpoint_id(id), out_of_use);
     }
 
     /// Takes a backend out, or calls it back. Two calls for the same are one.
     fn by_hand(&mut self, id: &str, out_of_use: bool) -> Answer {
-        if !self.bans.holds(id) && self.staffed.directory.endpoint(server_id(id)).is_none() {
+        if !self.ejections.contains(id)
+            && self
+                .context
+                .directory
+                .backend_address(endpoint_id(id))
+                .is_none()
+        {
             return answer(404, "no backend has this id");
         }
-        if self.bans.holds(id) != out_of_use {
+        if self.ejections.contains(id) != out_of_use {
             // A ban binds this process even if the others cannot be told of it.
             if out_of_use {
                 self.apply(id, true);
             }
-            if let Err(e) = self.bans.set(id, out_of_use) {
+            if let Err(e) = self.ejections.set(id, out_of_use) {
                 log(&format!(
                     "admin: backend {id}: cannot be noted for other processes: {e}"
                 ));
@@ -289,10 +301,10 @@
     /// Takes in the callers that wait, at most as many as there are places, so that each of them is heard
     /// once before it has to make room.
     fn take_in(&self, callers: &mut Vec<Caller>) {
-        for _ in 0..CALLERS / 2 {
+        for _ in 0..MAX_CALLERS / 2 {
             match self.listener.accept() {
                 Ok((stream, _)) if stream.set_nonblocking(true).is_ok() => {
-                    if callers.len() >= CALLERS {
+                    if callers.len() >= MAX_CALLERS {
                         callers.remove(0);
                     }
                     let (since, head) = (Instant::now(), Vec::new());
@@ -318,25 +330,25 @@
         match call {
             // Whoever may admit nobody is not ready: a front must not send its clients there.
             Call::Ready
-                if self.staffed.open.load(Relaxed) && self.staffed.decisions.may_admit() =>
+                if self.context.open.load(Relaxed) && self.context.decisions.may_admit() =>
             {
                 answer(200, "ready")
             }
             Call::Ready => answer(503, "takes no clients"),
             Call::Backend(id, out_of_use) => self.by_hand(id, *out_of_use),
             Call::Counters => {
-                let (cells, moves) = self.staffed.decisions.cell_metrics();
+                let (cells, moves) = self.context.decisions.cell_metrics();
                 let (known, skipped) = (
-                    self.staffed.directory.known(),
-                    self.staffed.decisions.unavailable_endpoints(),
+                    self.context.directory.backend_count(),
+                    self.context.decisions.unavailable_endpoints(),
                 );
-                let fleet = Fleet {
+                let gauges = Gauges {
                     known,
                     skipped,
                     cells,
                     moves,
                 };
-                (200, self.staffed.metrics.render(&fleet))
+                (200, self.context.metrics.render(&gauges))
             }
         }
     }
--- a/src/ops/bans.rs
+++ b/src/ops/manual_ejections.rs
@@ -13,7 +13,7 @@
 const NAME: &str = "jaspermoor-offline";
 
 /// The bans that this process knows of; it has one owner.
-pub struct Bans {
+pub struct ManualEjections {
     dir: Option<PathBuf>,
     held: BTreeSet<String>,
     /// Those of them that could not be noted for others.
@@ -22,11 +22,11 @@
     problem: String,
 }
 
-impl Bans {
-    /// Bans that are shared in this directory; without one they are this process's own.
-    pub fn new(shared: Option<PathBuf>) -> Bans {
+impl ManualEjections {
+    /// ManualEjections that are shared in this directory; without one they are this process's own.
+    pub fn new(shared: Option<PathBuf>) -> ManualEjections {
         let dir = shared.map(|dir| dir.join(NAME));
-        Bans {
+        ManualEjections {
             dir,
             held: BTreeSet::new(),
             unnoted: BTreeSet::new(),
@@ -35,7 +35,7 @@
     }
 
     /// Whether a backend is out.
-    pub fn holds(&self, id: &str) -> bool {
+    pub fn contains(&self, id: &str) -> bool {
         self.held.contains(id)
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// What other processes have noted since the last look: each backend that is out now, or back.
-    pub fn news(&mut self) -> Vec<(String, bool)> {
+    pub fn take_changes(&mut self) -> Vec<(String, bool)> {
         let now = match self.read() {
             Ok(noted) => &noted | &self.unnoted,
             Err(problem) => {
@@ -130,25 +130,25 @@
         let _ = fs::remove_dir_all(&shared);
         fs::create_dir(&shared).unwrap();
         let (mut old, mut new) = (
-            Bans::new(Some(shared.clone())),
-            Bans::new(Some(shared.clone())),
+            ManualEjections::new(Some(shared.clone())),
+            ManualEjections::new(Some(shared.clone())),
         );
-        assert_eq!(old.news(), []);
+        assert_eq!(old.take_changes(), []);
         old.set("s-1", true).unwrap();
         new.set("../s/2", true).unwrap();
-        assert_eq!(new.news(), [("s-1".to_string(), true)]);
-        assert_eq!(old.news(), [("../s/2".to_string(), true)]);
+        assert_eq!(new.take_changes(), [("s-1".to_string(), true)]);
+        assert_eq!(old.take_changes(), [("../s/2".to_string(), true)]);
         // A file that names no backend harms none of the others.
         let broken = std::ffi::OsStr::from_bytes(b"\xff");
         fs::write(shared.join(NAME).join(broken), b"x").unwrap();
-        assert_eq!(old.news(), []);
+        assert_eq!(old.take_changes(), []);
         // Called back at the other process, and once more.
         (0..2).for_each(|_| new.set("s-1", false).unwrap());
-        assert!(!new.holds("s-1"));
-        assert_eq!(old.news(), [("s-1".to_string(), false)]);
+        assert!(!new.contains("s-1"));
+        assert_eq!(old.take_changes(), [("s-1".to_string(), false)]);
         // A process that starts later knows what is in force.
         assert_eq!(
-            Bans::new(Some(shared.clone())).news(),
+            ManualEjections::new(Some(shared.clone())).take_changes(),
             [("../s/2".to_string(), true)]
         );
         fs::remove_dir_all(shared).unwrap();
@@ -156,11 +156,11 @@
 
     #[test]
     fn a_ban_that_cannot_be_shared_holds_here_and_is_said() {
-        let mut bans = Bans::new(Some("/proc/none".into()));
+        let mut bans = ManualEjections::new(Some("/proc/none".into()));
         assert!(bans.set("s-1", true).is_err());
-        assert!(bans.news().is_empty() && bans.holds("s-1"));
-        let mut bans = Bans::new(None);
+        assert!(bans.take_changes().is_empty() && bans.contains("s-1"));
+        let mut bans = ManualEjections::new(None);
         bans.set("s-1", true).unwrap();
-        assert!(bans.news().is_empty() && bans.holds("s-1"));
+        assert!(bans.take_changes().is_empty() && bans.contains("s-1"));
     }
 }
--- a/src/ops/metrics.rs
+++ b/src/ops/metrics.rs
@@ -22,44 +22,44 @@
     classes: Mutex<Vec<Arc<Class>>>,
     in_progress: AtomicU64,
     /// Attempts written whole to backends.
-    pub tries: AtomicU64,
+    pub attempts: AtomicU64,
     /// Configurations taken at SIGHUP.
-    pub loads: AtomicU64,
+    pub reloads: AtomicU64,
     /// Configurations turned down at SIGHUP.
-    pub load_errors: AtomicU64,
+    pub reload_errors: AtomicU64,
     /// Of the XMPP front.
-    pub xmpp: Xmpp,
+    pub xmpp: XmppMetrics,
     /// Of this relay's part in its fleet.
-    pub control: Control,
+    pub fleet: FleetMetrics,
 }
 
 /// Figures of a relay's part in its fleet; they are shown where it is in one.
 #[derive(Default)]
-pub struct Control {
+pub struct FleetMetrics {
     /// Whether it is in one.
-    pub on: AtomicBool,
+    pub enabled: AtomicBool,
     /// The epoch of the policy that it serves under.
     pub epoch: AtomicU64,
     /// Whether clients may be admitted now.
-    pub admits: AtomicBool,
+    pub admitting: AtomicBool,
     /// How often its lease has run out or was ended for a change.
-    pub stops: AtomicU64,
+    pub lease_losses: AtomicU64,
     /// Whether it votes, and the term in which it leads; 0 while it does not.
-    pub votes: AtomicBool,
+    pub is_voting: AtomicBool,
     /// See `votes`.
-    pub leads: AtomicU64,
+    pub leader_term: AtomicU64,
     /// Whether it takes jobs of the fleet.
-    pub works: AtomicBool,
+    pub takes_jobs: AtomicBool,
     /// The jobs that it acts on, with their tokens; as many as are told by name.
-    pub jobs: Mutex<Vec<(String, u64)>>,
+    pub owned_jobs: Mutex<Vec<(String, u64)>>,
     /// Words of owners that it has obeyed, and words of owners of before that it has refused.
-    pub obeyed: AtomicU64,
+    pub updates_accepted: AtomicU64,
     /// See `obeyed`.
-    pub refused: AtomicU64,
+    pub updates_rejected: AtomicU64,
     /// Probes for which a report of the load watch stood, and those that were made for want of one.
-    pub spared: AtomicU64,
+    pub checks_avoided: AtomicU64,
     /// See `spared`.
-    pub made: AtomicU64,
+    pub checks_sent: AtomicU64,
     /// Messages and bytes of its links.
     pub traffic: Traffic,
 }
@@ -69,9 +69,9 @@
 
 /// Figures of the XMPP front; they are shown where there is one.
 #[derive(Default)]
-pub struct Xmpp {
+pub struct XmppMetrics {
     /// Whether there is one.
-    pub on: AtomicBool,
+    pub enabled: AtomicBool,
     /// Sessions that their servers have taken and that have not ended.
     pub sessions: AtomicU64,
     /// Sessions whose server said no to their credentials.
@@ -79,13 +79,13 @@
     /// Handshakes that came to nothing.
     pub tls_failures: AtomicU64,
     /// Stanzas that were half received when their session was moved, and were lost.
-    pub cut: AtomicU64,
+    pub truncated_stanzas: AtomicU64,
     /// Sessions that were moved.
-    pub moved: AtomicU64,
+    pub migrated: AtomicU64,
 }
 
 /// What is not counted but looked up when the figures are asked for.
-pub struct Fleet {
+pub struct Gauges {
     /// Backends on the list.
     pub known: usize,
     /// Those of them that the relay avoids now, by hand or by choice.
@@ -102,7 +102,7 @@
     }
 
     /// Shows these classes from now on. One that has vanished from the settings keeps its figures.
-    pub fn show(&self, names: &[String]) {
+    pub fn add_classes(&self, names: &[String]) {
         let mut classes = self.lock();
         for name in names {
             if !classes.iter().any(|c| c.name == *name) {
@@ -115,17 +115,17 @@
     }
 
     /// Counts a connection of this class as in progress until its tally is dropped.
-    pub fn begin(self: &Arc<Self>, class: &str) -> Tally {
+    pub fn begin_request(self: &Arc<Self>, class: &str) -> RequestCounter {
         self.in_progress.fetch_add(1, Relaxed);
         let class = self.lock().iter().find(|c| c.name == class).cloned();
-        Tally {
+        RequestCounter {
             metrics: self.clone(),
             class: class.unwrap_or_default(),
         }
     }
 
     /// The figures as text.
-    pub fn render(&self, fleet: &Fleet) -> String {
+    pub fn render(&self, fleet: &Gauges) -> String {
         let mut text = String::new();
         let classes = self.lock().clone();
         type Figure = fn(&Class) -> &AtomicU64;
@@ -143,12 +143,16 @@
             }
         }
         let single = [
-            ("upstream_tries_total", "counter", self.tries.load(Relaxed)),
-            ("loads_total", "counter", self.loads.load(Relaxed)),
+            (
+                "upstream_tries_total",
+                "counter",
+                self.attempts.load(Relaxed),
+            ),
+            ("loads_total", "counter", self.reloads.load(Relaxed)),
             (
                 "load_errors_total",
                 "counter",
-                self.load_errors.load(Relaxed),
+                self.reload_errors.load(Relaxed),
             ),
             ("in_progress", "gauge", self.in_progress.load(Relaxed)),
             ("known_backends", "gauge", fleet.known as u64),
@@ -166,64 +170,68 @@
                 "counter",
                 &self.xmpp.tls_failures,
             ),
-            ("xmpp_cut_stanzas_total", "counter", &self.xmpp.cut),
-            ("xmpp_moved_total", "counter", &self.xmpp.moved),
+            (
+                "xmpp_cut_stanzas_total",
+                "counter",
+                &self.xmpp.truncated_stanzas,
+            ),
+            ("xmpp_moved_total", "counter", &self.xmpp.migrated),
         ];
-        let xmpp = xmpp.iter().filter(|_| self.xmpp.on.load(Relaxed));
+        let xmpp = xmpp.iter().filter(|_| self.xmpp.enabled.load(Relaxed));
         let xmpp = xmpp.map(|(name, kind, n)| (*name, *kind, n.load(Relaxed)));
         let control = [
-            ("fleet_epoch", "gauge", self.control.epoch.load(Relaxed)),
+            ("fleet_epoch", "gauge", self.fleet.epoch.load(Relaxed)),
             (
                 "fleet_admits",
                 "gauge",
-                self.control.admits.load(Relaxed).into(),
+                self.fleet.admitting.load(Relaxed).into(),
             ),
             (
                 "fleet_stops_total",
                 "counter",
-                self.control.stops.load(Relaxed),
+                self.fleet.lease_losses.load(Relaxed),
             ),
             (
                 "fleet_votes",
                 "gauge",
-                self.control.votes.load(Relaxed).into(),
+                self.fleet.is_voting.load(Relaxed).into(),
             ),
             (
                 "fleet_leads_term",
                 "gauge",
-                self.control.leads.load(Relaxed),
+                self.fleet.leader_term.load(Relaxed),
             ),
         ];
         let control = control
             .into_iter()
-            .filter(|_| self.control.on.load(Relaxed));
-        let own = crate::sys::lock(&self.control.jobs).clone();
+            .filter(|_| self.fleet.enabled.load(Relaxed));
+        let own = crate::sys::lock(&self.fleet.owned_jobs).clone();
         let jobs = [
             ("fleet_jobs", "gauge", own.len() as u64),
             (
                 "fleet_words_obeyed_total",
                 "counter",
-                self.control.obeyed.load(Relaxed),
+                self.fleet.updates_accepted.load(Relaxed),
             ),
             (
                 "fleet_words_refused_total",
                 "counter",
-                self.control.refused.load(Relaxed),
+                self.fleet.updates_rejected.load(Relaxed),
             ),
             (
                 "fleet_probes_spared_total",
                 "counter",
-                self.control.spared.load(Relaxed),
+                self.fleet.checks_avoided.load(Relaxed),
             ),
             (
                 "fleet_probes_made_total",
                 "counter",
-                self.control.made.load(Relaxed),
+                self.fleet.checks_sent.load(Relaxed),
             ),
         ];
         let jobs = jobs
             .into_iter()
-            .filter(|_| self.control.works.load(Relaxed));
+            .filter(|_| self.fleet.takes_jobs.load(Relaxed));
         if !own.is_empty() {
             text.push_str("# TYPE edge_balancer_fleet_job_token gauge\n");
         }
@@ -240,8 +248,8 @@
                 "# TYPE edge_balancer_{name} {kind}\nedge_balancer_{name} {n}"
             );
         }
-        if self.control.on.load(Relaxed) {
-            by_message_type(&mut text, &self.control.traffic);
+        if self.fleet.enabled.load(Relaxed) {
+            by_message_type(&mut text, &self.fleet.traffic);
         }
         if fleet.cells.len() > 1 {
             by_cell(&mut text, fleet);
@@ -285,7 +293,7 @@
 }
 
 /// The figures of cells. Their number is bounded by that of cells.
-fn by_cell(text: &mut String, fleet: &Fleet) {
+fn by_cell(text: &mut String, fleet: &Gauges) {
     type Figure = fn(&CellMetrics) -> u64;
     let figures: [(&str, &str, Figure); 7] = [
         ("cell_servers", "gauge", |c| c.endpoints as u64),
@@ -321,19 +329,19 @@
 }
 
 /// One connection's part in the figures; it is in progress until this is dropped.
-pub struct Tally {
+pub struct RequestCounter {
     metrics: Arc<Metrics>,
     class: Arc<Class>,
 }
 
-impl Tally {
+impl RequestCounter {
     /// Its backend has taken it.
-    pub fn passed(&self) {
+    pub fn connected(&self) {
         self.class.passed.fetch_add(1, Relaxed);
     }
 
     /// It was refused.
-    pub fn dropped(&self) {
+    pub fn rejected(&self) {
         self.class.dropped.fetch_add(1, Relaxed);
     }
 
@@ -343,7 +351,7 @@
     }
 }
 
-impl Drop for Tally {
+impl Drop for RequestCounter {
     fn drop(&mut self) {
         self.metrics.in_progress.fetch_sub(1, Relaxed);
     }
@@ -360,14 +368,14 @@
     #[test]
     fn figures_start_at_zero_and_outlive_their_class() {
         let metrics = Arc::new(Metrics::default());
-        metrics.show(&names(&["chat", "a\"b\\c"]));
-        let fleet = Fleet {
+        metrics.add_classes(&names(&["chat", "a\"b\\c"]));
+        let gauges = Gauges {
             known: 9,
             skipped: 2,
             cells: Vec::new(),
             moves: 0,
         };
-        let text = metrics.render(&fleet);
+        let text = metrics.render(&gauges);
         for line in [
             "edge_balancer_passed_total{category=\"chat\"} 0",
             "edge_balancer_bad_gateway_total{category=\"a\\\"b\\\\c\"} 0",
@@ -383,16 +391,16 @@
             !text.contains("fleet_"),
             "shown by a relay that is in no fleet"
         );
-        metrics.control.on.store(true, Relaxed);
-        metrics.control.epoch.store(7, Relaxed);
+        metrics.fleet.enabled.store(true, Relaxed);
+        metrics.fleet.epoch.store(7, Relaxed);
         assert!(metrics
-            .render(&fleet)
+            .render(&gauges)
             .contains("# TYPE edge_balancer_fleet_epoch gauge\nedge_balancer_fleet_epoch 7\n"));
         metrics
-            .control
+            .fleet
             .traffic
             .count(Direction::Received, "reply", 90);
-        let text = metrics.render(&fleet);
+        let text = metrics.render(&gauges);
         for line in [
             "edge_balancer_fleet_messages_received_total{type=\"reply\"} 1",
             "edge_balancer_fleet_bytes_received_total{type=\"reply\"} 90",
@@ -400,12 +408,12 @@
             assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
         }
         assert!(!text.contains("fleet_bytes_sent_total{"), "none was sent");
-        let (one, two) = (metrics.begin("chat"), metrics.begin("chat"));
-        one.passed();
-        two.dropped();
-        metrics.show(&names(&["new"]));
+        let (one, two) = (metrics.begin_request("chat"), metrics.begin_request("chat"));
+        one.connected();
+        two.rejected();
+        metrics.add_classes(&names(&["new"]));
         drop(one);
-        let text = metrics.render(&fleet);
+        let text = metrics.render(&gauges);
         for line in [
             "edge_balancer_passed_total{category=\"chat\"} 1",
             "edge_balancer_dropped_total{category=\"chat\"} 1",
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -1,6 +1,6 @@
 //! Where the backends are, and which of them may be sent something new: looked up before each attempt.
 
-use crate::config::listing::Endpoint;
+use crate::config::endpoint_list::BackendAddress;
 use crate::decisions::api::{EndpointId, EndpointState, ListedEndpoint};
 use crate::sys::Wake;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 /// Where the backends are, and which of them may be sent something new.
 #[derive(Default)]
 pub struct Directory {
-    servers: Mutex<BTreeMap<EndpointId, (Endpoint, EndpointState, u16)>>,
+    servers: Mutex<BTreeMap<EndpointId, (BackendAddress, EndpointState, u16)>>,
     /// Those that staff have taken out, listed or not.
     by_hand: Mutex<BTreeSet<EndpointId>>,
     /// How often the list has changed.
@@ -19,7 +19,7 @@
 }
 
 impl Directory {
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<EndpointId, (Endpoint, EndpointState, u16)>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<EndpointId, (BackendAddress, EndpointState, u16)>> {
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -28,7 +28,7 @@
     }
 
     /// Staff have taken a backend out, or called it back.
-    pub fn by_hand(&self, server: EndpointId, out_of_use: bool) {
+    pub fn set_manual_ejection(&self, server: EndpointId, out_of_use: bool) {
         if out_of_use {
             self.bans().insert(server);
         } else {
@@ -37,7 +37,7 @@
     }
 
     /// Takes over a list. What is gone is forgotten: machines that are replaced have new ids.
-    pub fn update(&self, full: bool, servers: &[(Endpoint, ListedEndpoint)]) {
+    pub fn update(&self, full: bool, servers: &[(BackendAddress, ListedEndpoint)]) {
         let mut known = self.lock();
         if full {
             known.clear();
@@ -54,19 +54,19 @@
     }
 
     /// A backend's name and address.
-    pub fn endpoint(&self, server: EndpointId) -> Option<Endpoint> {
+    pub fn backend_address(&self, server: EndpointId) -> Option<BackendAddress> {
         self.lock()
             .get(&server)
             .map(|(endpoint, ..)| endpoint.clone())
     }
 
     /// How many backends the list has.
-    pub fn known(&self) -> usize {
+    pub fn backend_count(&self) -> usize {
         self.lock().len()
     }
 
     /// Whether something new may go there.
-    pub fn takes_new(&self, server: EndpointId) -> bool {
+    pub fn is_available(&self, server: EndpointId) -> bool {
         let ready = self
             .lock()
             .get(&server)
@@ -75,9 +75,9 @@
     }
 
     /// The backends of a zone, by its place in the settings, to which something new may go.
-    pub fn of_zone(&self, zone: u16) -> Vec<EndpointId> {
+    pub fn available_in_zone(&self, zone: u16) -> Vec<EndpointId> {
         let bans = self.bans().clone();
-        let ready = |(_, state, of): &(Endpoint, EndpointState, u16)| {
+        let ready = |(_, state, of): &(BackendAddress, EndpointState, u16)| {
             *state == EndpointState::Ready && *of == zone
         };
         let known = self.lock();
@@ -88,7 +88,7 @@
     }
 
     /// From now on this is called after each change of the list. Once.
-    pub fn wakes(&self, wake: Wake) {
+    pub fn on_change(&self, wake: Wake) {
         let _ = self.wake.set(wake);
     }
 
--- a/src/platform/discovery.rs
+++ b/src/platform/discovery.rs
@@ -4,13 +4,13 @@
 //! elsewhere (the wanted state is one value, not a queue of edges), and calls that together take longer than the time
 //! after which a change counts as told.
 
-use crate::config::listing::{listing, shallow, Endpoint};
+use crate::config::endpoint_list::{check_nesting, parse_list_update, BackendAddress};
 use crate::config::Names;
 use crate::decision_service::DecisionService;
 use crate::decisions::api::{EndpointListKind, ListedEndpoint};
 use crate::log::log;
-use crate::platform::answer::{Answer, Piece};
 use crate::platform::directory::Directory;
+use crate::platform::discovery_response::{Answer, Piece};
 use crate::sys::{lock, timed_out};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -40,17 +40,17 @@
 
 /// Who says when discovery is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Upkeep {
+pub enum WatchMode {
     /// The decisions, each time anew: all relays share one service.
-    Asked,
+    OnRequest,
     /// Nobody: the platform pushes its lists, and the watch is to stand at all times.
-    Standing,
+    Continuous,
 }
 
 /// Where discovery is, and what is wanted of it. Whoever changes either does it here; the thread of the watch looks
 /// here before each call, and sleeps here between two.
-pub struct Source {
-    upkeep: Upkeep,
+pub struct WatchControl {
+    mode: WatchMode,
     wanted: Mutex<Wanted>,
     changed: Condvar,
 }
@@ -82,10 +82,10 @@
     Unwanted,
 }
 
-impl Source {
+impl WatchControl {
     /// Discovery at this address.
-    pub fn new(addr: SocketAddr, upkeep: Upkeep) -> Arc<Source> {
-        let on = upkeep == Upkeep::Standing;
+    pub fn new(addr: SocketAddr, mode: WatchMode) -> Arc<WatchControl> {
+        let on = mode == WatchMode::Continuous;
         let wanted = Wanted {
             addr,
             moves: 0,
@@ -94,8 +94,8 @@
             begun: 0,
             open: None,
         };
-        Arc::new(Source {
-            upkeep,
+        Arc::new(WatchControl {
+            mode,
             wanted: Mutex::new(wanted),
             changed: Condvar::new(),
         })
@@ -106,7 +106,7 @@
     }
 
     /// Calls discovery once more, or ends the watch. A watch that is open stands for a call.
-    pub fn order(&self, on: bool) {
+    pub fn request_watch(&self, on: bool) {
         let mut wanted = self.lock();
         wanted.on = on;
         if on {
@@ -136,9 +136,9 @@
         let by = Instant::now() + pause;
         loop {
             let left = by.saturating_duration_since(Instant::now());
-            let due = match self.upkeep {
-                Upkeep::Asked => wanted.on && wanted.orders != wanted.begun,
-                Upkeep::Standing => wanted.moves != moves || left.is_zero(),
+            let due = match self.mode {
+                WatchMode::OnRequest => wanted.on && wanted.orders != wanted.begun,
+                WatchMode::Continuous => wanted.moves != moves || left.is_zero(),
             };
             if due {
                 wanted.begun = wanted.orders;
@@ -147,12 +147,12 @@
                     moves: wanted.moves,
                 };
             }
-            wanted = match self.upkeep {
-                Upkeep::Asked => self
+            wanted = match self.mode {
+                WatchMode::OnRequest => self
                     .changed
                     .wait(wanted)
                     .unwrap_or_else(PoisonError::into_inner),
-                Upkeep::Standing => {
+                WatchMode::Continuous => {
                     self.changed
                         .wait_timeout(wanted, left)
                         .unwrap_or_else(PoisonError::into_inner)
@@ -200,7 +200,7 @@
 /// What the thread of the watch works with.
 pub struct Watcher<'a> {
     /// Where discovery is.
-    pub source: &'a Source,
+    pub control: &'a WatchControl,
     /// Names of the zones.
     pub names: &'a Names,
     /// What is told to the network.
@@ -249,7 +249,7 @@
         loop {
             let pause =
                 AGAIN * failures.min(AGAIN_MOST.as_millis() as u32 / AGAIN.as_millis() as u32);
-            let call = self.source.call(pause, known);
+            let call = self.control.call(pause, known);
             if call.moves != known {
                 // Versions of one place say nothing at another: its whole list is asked for.
                 (known, self.version) = (call.moves, 0);
@@ -257,15 +257,15 @@
             let mut heard = false;
             let Err(fault) = self.watch(&call, &mut heard);
             failures = if heard { 0 } else { failures + 1 };
-            match self.source.over(&call) {
+            match self.control.over(&call) {
                 End::Moved => log(&format!("discovery: moved from {}", call.addr)),
                 End::Unwanted => log("discovery: the watch was ended as asked"),
                 End::Failed => {
                     // One that stands is tried again many times a second: the first failure says it all.
-                    if heard || failures == 1 || self.source.upkeep == Upkeep::Asked {
+                    if heard || failures == 1 || self.control.mode == WatchMode::OnRequest {
                         log(&format!("discovery: the watch failed: {}", fault.why));
                     }
-                    if self.source.upkeep == Upkeep::Asked {
+                    if self.control.mode == WatchMode::OnRequest {
                         let kind = if fault.silent {
                             EndpointListKind::WatchTimedOut
                         } else {
@@ -281,7 +281,7 @@
     fn watch(&mut self, call: &Call, heard: &mut bool) -> Result<std::convert::Infallible, Fault> {
         let mut by = Instant::now() + CALL;
         let shared = Arc::new(TcpStream::connect_timeout(&call.addr, DIAL)?);
-        if !self.source.hold(&shared, call) {
+        if !self.control.hold(&shared, call) {
             return Err("it moved".into());
         }
         let mut stream = &*shared;
@@ -335,9 +335,9 @@
     }
 
     fn object(&mut self, object: &mut [u8]) -> Result<(), String> {
-        let read = shallow(object).and_then(|()| {
+        let read = check_nesting(object).and_then(|()| {
             let value = simd_json::to_owned_value(object).map_err(|e| format!("not JSON: {e}"))?;
-            listing(&value, &self.names.zones)
+            parse_list_update(&value, &self.names.zones)
         });
         let listing = read.inspect_err(|_| {
             // What this object would have changed is not known: the next watch begins with the whole list.
@@ -347,7 +347,7 @@
             log(&format!("discovery: an entry was left out: {problem}"));
         }
         let (version, entries) = (listing.version, listing.servers.len());
-        let said = |(endpoint, member): &(Endpoint, ListedEndpoint)| {
+        let said = |(endpoint, member): &(BackendAddress, ListedEndpoint)| {
             format!("{} {:?}", endpoint.name, member.state)
         };
         let named: Vec<String> = listing.servers.iter().take(NAMED).map(said).collect();
--- a/src/platform/probe.rs
+++ b/src/platform/health_check.rs
@@ -9,48 +9,48 @@
 use std::net::TcpStream;
 
 /// The longest wait for each step of a probe, in microseconds: a server that needs longer is told nothing of in time.
-pub const LIMIT: Micros = 250_000;
+pub const STEP_TIMEOUT_US: Micros = 250_000;
 
 /// Probes that may be out at a time: the descriptors set aside for them. A zone that is lost and says nothing holds
-/// each of them for [`LIMIT`]; eight are 32 a second, more than a relay of a fleet may ask for.
-pub const PROBES: usize = 8;
+/// each of them for [`STEP_TIMEOUT_US`]; eight are 32 a second, more than a relay of a fleet may ask for.
+pub const MAX_HEALTH_CHECKS: usize = 8;
 
 /// How a probe has ended, and the report.
-pub type Found = (Outcome, Vec<f32>);
+pub type HealthCheckResult = (Outcome, Vec<f32>);
 
-fn failed(outcome: Outcome) -> Option<Found> {
+fn failed(outcome: Outcome) -> Option<HealthCheckResult> {
     Some((outcome, Vec::new()))
 }
 
 /// A probe that is out.
-pub struct Probe {
+pub struct HealthCheck {
     /// The server that it asks.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// Whether it is made for the fleet's load watch, not for this relay's decisions.
-    pub watch: bool,
+    pub for_load_watch: bool,
     /// Its socket; the dial was begun when the probe was.
     pub stream: TcpStream,
     /// When the step that it is at has taken too long.
-    pub by: Micros,
+    pub step_deadline: Micros,
     asked: bool,
     buffer: Buffer,
     limit: Micros,
 }
 
-impl Probe {
+impl HealthCheck {
     /// A probe whose dial has begun.
     pub fn new(
-        server: EndpointId,
-        watch: bool,
+        endpoint: EndpointId,
+        for_load_watch: bool,
         stream: TcpStream,
         now: Micros,
         limit: Micros,
-    ) -> Probe {
-        Probe {
-            server,
-            watch,
+    ) -> HealthCheck {
+        HealthCheck {
+            endpoint,
+            for_load_watch,
             stream,
-            by: now + limit,
+            step_deadline: now + limit,
             asked: false,
             buffer: Buffer::default(),
             limit,
@@ -58,30 +58,37 @@
     }
 
     /// Whether it waits for its dial.
-    pub fn dials(&self) -> bool {
+    pub fn is_connecting(&self) -> bool {
         !self.asked
     }
 
     /// Goes on as far as is possible now; `ready` says that its socket is. None while it is out.
-    pub fn go(&mut self, now: Micros, ready: bool, names: &Names) -> Option<Found> {
+    pub fn advance(
+        &mut self,
+        now: Micros,
+        ready: bool,
+        names: &Names,
+    ) -> Option<HealthCheckResult> {
         if !self.asked {
             match (ready, self.stream.take_error()) {
                 (true, Ok(None)) => {}
                 (true, _) => return failed(Outcome::ConnectFailed),
-                (false, _) if now >= self.by => return failed(Outcome::ConnectFailed),
+                (false, _) if now >= self.step_deadline => return failed(Outcome::ConnectFailed),
                 (false, _) => return None,
             }
             // A new connection takes so few bytes at once or is none.
             if self.stream.write_all(b"STATS\r\n").is_err() {
                 return failed(Outcome::ConnectFailed);
             }
-            (self.asked, self.by) = (true, now + self.limit);
+            (self.asked, self.step_deadline) = (true, now + self.limit);
         }
         loop {
             match self.buffer.fill(&mut self.stream) {
                 Ok(0) => return failed(Outcome::Reset),
                 Ok(_) => {}
-                Err(e) if timed_out(&e) && now >= self.by => return failed(Outcome::Timeout),
+                Err(e) if timed_out(&e) && now >= self.step_deadline => {
+                    return failed(Outcome::Timeout)
+                }
                 Err(e) if timed_out(&e) => return None,
                 Err(_) => return failed(Outcome::Reset),
             }
--- a/src/platform/takeover.rs
+++ b/src/platform/takeover.rs
@@ -23,7 +23,7 @@
 const MAX_PACKET: usize = 64 * 1024;
 /// The most bytes on their way that a connection may have to be sent; one with more has a client that takes
 /// nothing, and is moved in the end.
-pub const MAX_BYTES: usize = MAX_PACKET - 8 * 1024;
+pub const MAX_BUFFERED_BYTES: usize = MAX_PACKET - 8 * 1024;
 
 /// A standing connection as another process needs it.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -148,7 +148,7 @@
 }
 
 /// A connection that is passed on: what is known of it, the client's socket, the backend's.
-pub type Passed = (Handover, TcpStream, TcpStream);
+pub type HandedOver = (Handover, TcpStream, TcpStream);
 
 /// The place where older processes of this relay find this one.
 pub struct HandoverListener(OwnedFd);
@@ -166,8 +166,8 @@
     }
 
     /// An older process that has come; none where none waits.
-    pub fn next(&self) -> io::Result<Older> {
-        Ok(Older {
+    pub fn accept(&self) -> io::Result<Predecessor> {
+        Ok(Predecessor {
             link: accept_with(&self.0, SocketFlags::CLOEXEC | SocketFlags::NONBLOCK)?,
             count: 0,
         })
@@ -181,12 +181,12 @@
 }
 
 /// The link from an older process.
-pub struct Older {
+pub struct Predecessor {
     link: OwnedFd,
     count: usize,
 }
 
-impl AsFd for Older {
+impl AsFd for Predecessor {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.link.as_fd()
     }
@@ -194,16 +194,16 @@
 
 /// What is to be expected of an older process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rest {
+pub enum LinkState {
     /// More may come later.
-    Later,
+    Open,
     /// It is done.
-    Over,
+    Closed,
 }
 
-impl Older {
+impl Predecessor {
     /// Receives connections as far as they have come, at most so many.
-    pub fn receive(&mut self, most: usize, take: &mut dyn FnMut(Passed)) -> Rest {
+    pub fn receive(&mut self, most: usize, take: &mut dyn FnMut(HandedOver)) -> LinkState {
         let mut packet = vec![0; MAX_PACKET];
         for _ in 0..most {
             let mut space = [0; rustix::cmsg_space!(ScmRights(2))];
@@ -217,7 +217,7 @@
             ) {
                 Ok(message) => message.bytes,
                 Err(rustix::io::Errno::INTR) => continue,
-                Err(rustix::io::Errno::AGAIN) => return Rest::Later,
+                Err(rustix::io::Errno::AGAIN) => return LinkState::Open,
                 Err(e) => {
                     log(&format!("takeover: {e}"));
                     0
@@ -228,7 +228,7 @@
                 if self.count > 0 {
                     log(&format!("takeover: {} connections taken over", self.count));
                 }
-                return Rest::Over;
+                return LinkState::Closed;
             }
             let mut fds = Vec::new();
             for message in control.drain() {
@@ -247,7 +247,7 @@
                 (Err(e), ..) => log(&format!("takeover: {e}")),
             }
         }
-        Rest::Later
+        LinkState::Open
     }
 }
 
@@ -284,8 +284,8 @@
             "{sent}: {refused}"
         );
         drop(to);
-        let (mut received, mut older) = (0, Older { link, count: 0 });
-        let mut take = |(got, its_client, its_backend): Passed| {
+        let (mut received, mut older) = (0, Predecessor { link, count: 0 });
+        let mut take = |(got, its_client, its_backend): HandedOver| {
             assert_eq!(got, handover);
             assert_eq!(
                 its_client.local_addr().unwrap(),
@@ -298,8 +298,8 @@
             received += 1;
         };
         // A turn takes some; the others wait for the next.
-        assert_eq!(older.receive(1, &mut take), Rest::Later);
-        assert_eq!(older.receive(usize::MAX, &mut take), Rest::Over);
+        assert_eq!(older.receive(1, &mut take), LinkState::Open);
+        assert_eq!(older.receive(usize::MAX, &mut take), LinkState::Closed);
         assert_eq!(received, sent);
     }
 
--- a/src/sys.rs
+++ b/src/sys.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Stack of the threads that do one small thing.
-pub const STACK: usize = 128 * 1024;
+pub const SMALL_STACK_BYTES: usize = 128 * 1024;
 /// How long a missing thread is asked for again at the start. The platform sends clients when all relays are
 /// ready, or after 30 s: many relays that start at once on one machine wait for each other's threads.
 const START: Duration = Duration::from_secs(10);
--- a/tests/decision_service.rs
+++ b/tests/decision_service.rs
@@ -2,7 +2,7 @@
 
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use jaspermoor::cells::Cells;
-use jaspermoor::config::listing::server_id;
+use jaspermoor::config::endpoint_list::endpoint_id;
 use jaspermoor::config::operator::OperatorFile;
 use jaspermoor::decision_service::{
     ConnectionSample, Decision, DecisionService, Hooks, PendingDecision, RequestHandle,
@@ -207,7 +207,7 @@
 #[test]
 fn a_connection_whose_endpoint_is_in_its_sites_new_cell_stays_and_counts_there() {
     let bench = Bench::with_endpoints(0);
-    let endpoints = ["s-1", "s-2"].map(|name| listed(server_id(name), EndpointState::Ready));
+    let endpoints = ["s-1", "s-2"].map(|name| listed(endpoint_id(name), EndpointState::Ready));
     bench
         .service
         .update_endpoints(EndpointListKind::Full, endpoints.to_vec());
@@ -215,7 +215,7 @@
         group: 42,
         ..request(SECOND)
     };
-    let id = bench.adopt(request_of_site, server_id("s-1"));
+    let id = bench.adopt(request_of_site, endpoint_id("s-1"));
     bench.service.update_cells(cells_with_site_in("a"));
     assert_eq!(in_flight(&bench), (vec![1, 0], 0));
     assert!(
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -9,7 +9,9 @@
 use jaspermoor::decisions::api::{EndpointListKind, Settings};
 use jaspermoor::decisions::Parameters;
 use jaspermoor::platform::directory::Directory;
-use jaspermoor::platform::discovery::{Source, Upkeep, Watcher, ANSWER, CALL, DIAL, SILENT, TOLD};
+use jaspermoor::platform::discovery::{
+    WatchControl, WatchMode, Watcher, ANSWER, CALL, DIAL, SILENT, TOLD,
+};
 use peers::*;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -236,7 +238,7 @@
 #[test]
 fn an_order_and_a_move_that_come_in_the_middle_of_a_list_are_both_kept() {
     let (old, new, fleet) = (Discovery::new(), Discovery::new(), Fleet::new(&["s-1"]));
-    let source = Source::new(old.addr(), Upkeep::Asked);
+    let source = WatchControl::new(old.addr(), WatchMode::OnRequest);
     let (orders, settings) = (
         source.clone(),
         Settings {
@@ -245,14 +247,14 @@
         },
     );
     let orders = Hooks {
-        watch_endpoint_list: Box::new(move |on| orders.order(on)),
+        watch_endpoint_list: Box::new(move |on| orders.request_watch(on)),
         check_health: bounded(1).0,
     };
     let decisions = DecisionService::new(settings, 1, Vec::new(), orders);
     let directory = Arc::new(Directory::default());
     // The thread of the watch is held in the middle of the first list, until all has come.
     let ((arrived, list), (go, held)) = (bounded(1), bounded::<()>(0));
-    directory.wakes(Arc::new(move || {
+    directory.on_change(Arc::new(move || {
         let _ = arrived.send(());
         let _ = held.recv();
     }));
@@ -263,7 +265,7 @@
             columns: Vec::new(),
         };
         Watcher {
-            source: &at,
+            control: &at,
             names: &names,
             directory: &known,
             decisions: &told,
@@ -271,13 +273,13 @@
         }
         .run();
     });
-    source.order(true);
+    source.request_watch(true);
     old.watched("GET")
         .tell(1, true, &[fleet.entry("s-1", "active")]);
     list.recv().unwrap();
     assert!(source.relocate(new.addr()));
     decisions.update_endpoints(EndpointListKind::Relocated, Vec::new());
-    source.order(true);
+    source.request_watch(true);
     drop(go);
     new.watched("GET /v1/endpoints?watch=1 HTTP");
 }
--- a/tests/answer.rs
+++ b/tests/discovery_response.rs
@@ -1,6 +1,6 @@
 //! Discovery's answer: whole objects and beats, wherever the bytes are cut.
 
-use jaspermoor::platform::answer::{Answer, Piece};
+use jaspermoor::platform::discovery_response::{Answer, Piece};
 
 /// All pieces of an answer that comes in steps of so many bytes.
 fn pieces(wire: &[u8], step: usize) -> Result<(Vec<Piece>, bool), String> {
--- a/tests/older_build/parameters.rs
+++ b/tests/older_build/parameters.rs
@@ -30,13 +30,13 @@
 }
 
 fn assert_policy_accepted(text: &str) {
-    let read = policy::read(Path::new("policy.toml"), text);
+    let read = policy::parse(Path::new("policy.toml"), text);
     assert!(read.is_ok(), "{:?}", read.err().map(|e| e.to_string()));
 }
 
 /// All that a policy comes to, as text: to compare two of them.
 fn rules(text: &str) -> String {
-    let read = policy::read(Path::new("policy.toml"), text);
+    let read = policy::parse(Path::new("policy.toml"), text);
     format!("{:?}", read.unwrap_or_else(|error| panic!("{error}")))
 }
 
@@ -98,7 +98,7 @@
         "[no_such_table]\n",
     ] {
         assert!(
-            policy::read(Path::new("policy.toml"), text).is_err(),
+            policy::parse(Path::new("policy.toml"), text).is_err(),
             "{text}"
         );
         let (said, accepted) = check(text);
--- a/tests/older_build/takeover.rs
+++ b/tests/older_build/takeover.rs
@@ -1,7 +1,7 @@
 //! What passes between the processes of one relay: handover packets, and the files of manually ejected backends.
 
 use super::data;
-use jaspermoor::ops::bans::Bans;
+use jaspermoor::ops::manual_ejections::ManualEjections;
 use jaspermoor::platform::takeover::Handover;
 
 const HANDOVERS: &str = include_str!("../data/older_build/handovers.txt");
@@ -59,8 +59,8 @@
     for name in files_of_older_build() {
         std::fs::write(files.join(name), b"").unwrap();
     }
-    let mut ejected = Bans::new(Some(shared.path().to_path_buf()));
-    assert_eq!(ejected.news(), IDS.map(|id| (id.to_string(), true)));
+    let mut ejected = ManualEjections::new(Some(shared.path().to_path_buf()));
+    assert_eq!(ejected.take_changes(), IDS.map(|id| (id.to_string(), true)));
     for id in IDS {
         ejected.set(id, false).unwrap();
     }
@@ -70,7 +70,7 @@
 #[test]
 fn ejections_are_stored_under_the_names_of_an_older_build() {
     let shared = tempfile::tempdir().unwrap();
-    let mut ejected = Bans::new(Some(shared.path().to_path_buf()));
+    let mut ejected = ManualEjections::new(Some(shared.path().to_path_buf()));
     for id in IDS {
         ejected.set(id, true).unwrap();
     }
