--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -131,7 +131,7 @@
         directory: Arc<Directory>,
     ) -> Arc<SharedState> {
         let metrics = Arc::new(Metrics::default());
-        metrics.show(&config.classes.names());
+        metrics.add_classes(&config.classes.names());
         Arc::new(SharedState {
             decisions,
             directory,
@@ -159,7 +159,7 @@
     /// New settings hold from now on. The decisions first: a class must mean something to them before a
     /// client can ask for it.
     pub fn adopt_settings(&self, config: &Config) {
-        self.metrics.show(&config.classes.names());
+        self.metrics.add_classes(&config.classes.names());
         self.decisions.update_settings(config.settings.clone());
         *lock(&self.terms) = Arc::new(Terms::of(config));
     }
@@ -171,7 +171,7 @@
 
     /// The XMPP front is as said from now on; sessions under way go on as they were admitted.
     pub fn adopt_xmpp(&self, xmpp: Option<Arc<XmppFront>>) {
-        self.metrics.xmpp.on.store(xmpp.is_some(), Relaxed);
+        self.metrics.xmpp.enabled.store(xmpp.is_some(), Relaxed);
         *lock(&self.xmpp) = xmpp;
     }
 
