--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -114,7 +114,10 @@
     early.send("PING");
     assert_eq!(early.line(), "PONG");
     let new = Relay::start_shared(&config, &held, &shared);
-    assert_eq!(new.call("GET", "/control/ready").0, 200);
+    // The log line that `start_shared` waits for precedes the first turn of the serving thread.
+    until("the new process to accept clients", || {
+        (new.call("GET", "/control/ready").0 == 200).then_some(())
+    });
     old.signal("TERM");
     until("the old process", || {
         (old.call("GET", "/control/ready").0 == 503).then_some(())
