--- a/crates/control/src/broadcast/allowance.rs
+++ b/crates/control/src/broadcast/allowance.rs
@@ -12,7 +12,7 @@
 //! Guards against: an allowance for the voter's previous process (it names the process), one for relays that no longer
 //! wait (the unused rest expires when the next one arrives), and a relay that claims to wait for more than anyone has.
 
-use super::message::{Allowance, MovesSummary};
+use super::message::{Allowance, MigrationSummary};
 use crate::jobs::moves::MigrationStatus;
 
 #[cfg(test)]
@@ -23,13 +23,13 @@
 
 /// What one relay reports of its migrations, and what it is permitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RelayMoves {
+pub struct RelayMigrations {
     reported: MigrationStatus,
     /// Migrations that the relay may have made since its start.
     permitted: u64,
 }
 
-impl RelayMoves {
+impl RelayMigrations {
     /// Records a report. Permits given before remain.
     pub fn report(&mut self, reported: MigrationStatus) {
         self.reported = reported;
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AllowancePool {
     /// Identifies this process.
-    instance: u64,
+    incarnation: u64,
     /// Highest allowance that the owner gave.
     allowed: u64,
     /// Part of it that was distributed or has expired.
@@ -68,9 +68,9 @@
 
 impl AllowancePool {
     /// The pool of a process that has just started.
-    pub fn new(instance: u64) -> AllowancePool {
+    pub fn new(incarnation: u64) -> AllowancePool {
         AllowancePool {
-            instance,
+            incarnation,
             ..AllowancePool::default()
         }
     }
@@ -78,7 +78,7 @@
     /// Takes an allowance of the owner. The unused rest of the previous one expires, so that none accumulates here. An
     /// allowance for another process, or a lower one, changes nothing.
     pub fn allow(&mut self, allowance: Allowance) {
-        if allowance.instance == self.instance && allowance.permitted >= self.allowed {
+        if allowance.incarnation == self.incarnation && allowance.permitted >= self.allowed {
             self.used = self.allowed;
             self.allowed = allowance.permitted;
         }
@@ -86,7 +86,7 @@
 
     /// Distributes the unused allowance, each permit to the relay with the largest unmet demand. Returns the indexes of
     /// the relays whose permits grew.
-    pub fn divide(&mut self, relays: &mut [&mut RelayMoves]) -> Vec<usize> {
+    pub fn distribute(&mut self, relays: &mut [&mut RelayMigrations]) -> Vec<usize> {
         let mut raised = Vec::new();
         let available = self.allowed - self.used;
         for _ in 0..available.min(MAX_PERMITS_PER_CALL) {
@@ -108,12 +108,15 @@
     }
 
     /// Summary of this pool and these relays for the owner.
-    pub fn summary<'a>(&self, relays: impl Iterator<Item = &'a RelayMoves>) -> MovesSummary {
-        let mut summary = MovesSummary {
-            instance: self.instance,
+    pub fn summary<'a>(
+        &self,
+        relays: impl Iterator<Item = &'a RelayMigrations>,
+    ) -> MigrationSummary {
+        let mut summary = MigrationSummary {
+            incarnation: self.incarnation,
             allowed: self.allowed,
             used: self.used,
-            ..MovesSummary::default()
+            ..MigrationSummary::default()
         };
         for relay in relays {
             summary.relays += 1;
--- a/crates/control/src/broadcast/allowance/tests.rs
+++ b/crates/control/src/broadcast/allowance/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn relay(waiting: u64, completed: u64, permitted: u64) -> RelayMoves {
-    let mut relay = RelayMoves::default();
+fn relay(waiting: u64, completed: u64, permitted: u64) -> RelayMigrations {
+    let mut relay = RelayMigrations::default();
     relay.report(MigrationStatus {
         waiting,
         completed,
@@ -10,9 +10,9 @@
     relay
 }
 
-fn allow(pool: &mut AllowancePool, instance: u64, permitted: u64) {
+fn allow(pool: &mut AllowancePool, incarnation: u64, permitted: u64) {
     pool.allow(Allowance {
-        instance,
+        incarnation,
         permitted,
     });
 }
@@ -22,24 +22,24 @@
     let mut pool = AllowancePool::new(7);
     let (mut one, mut two) = (relay(10, 0, 0), relay(12, 5, 5));
     assert!(
-        pool.divide(&mut [&mut one, &mut two]).is_empty(),
+        pool.distribute(&mut [&mut one, &mut two]).is_empty(),
         "there is no allowance"
     );
     allow(&mut pool, 6, 100);
     assert!(
-        pool.divide(&mut [&mut one, &mut two]).is_empty(),
+        pool.distribute(&mut [&mut one, &mut two]).is_empty(),
         "it is for the previous process"
     );
     allow(&mut pool, 7, 4);
-    assert_eq!(pool.divide(&mut [&mut one, &mut two]), [0, 1]);
+    assert_eq!(pool.distribute(&mut [&mut one, &mut two]), [0, 1]);
     assert_eq!(
         (one.unreported_permits(), two.unreported_permits()),
         (Some(1), Some(8))
     );
-    assert!(pool.divide(&mut [&mut one, &mut two]).is_empty());
+    assert!(pool.distribute(&mut [&mut one, &mut two]).is_empty());
     allow(&mut pool, 7, 3);
     assert!(
-        pool.divide(&mut [&mut one, &mut two]).is_empty(),
+        pool.distribute(&mut [&mut one, &mut two]).is_empty(),
         "a late allowance changes nothing"
     );
     let summary = pool.summary([one, two].iter());
@@ -63,7 +63,7 @@
     let mut pool = AllowancePool::new(7);
     let mut one = relay(2, 0, 0);
     allow(&mut pool, 7, 10);
-    pool.divide(&mut [&mut one]);
+    pool.distribute(&mut [&mut one]);
     assert_eq!(one.unreported_permits(), Some(2));
     one.report(MigrationStatus {
         waiting: 100,
@@ -71,7 +71,7 @@
         permitted: 2,
     });
     allow(&mut pool, 7, 11);
-    pool.divide(&mut [&mut one]);
+    pool.distribute(&mut [&mut one]);
     assert_eq!(one.unreported_permits(), Some(3), "eight have expired");
 }
 
--- a/crates/control/src/broadcast/broadcaster/mod.rs
+++ b/crates/control/src/broadcast/broadcaster/mod.rs
@@ -39,10 +39,10 @@
 }
 
 impl Broadcaster {
-    /// The broadcaster of a process. `instance` identifies the process: no earlier process of this voter had it.
-    pub fn new(instance: u64) -> Broadcaster {
+    /// The broadcaster of a process. `incarnation` identifies the process: no earlier process of this voter had it.
+    pub fn new(incarnation: u64) -> Broadcaster {
         Broadcaster {
-            pool: AllowancePool::new(instance),
+            pool: AllowancePool::new(incarnation),
             ..Broadcaster::default()
         }
     }
@@ -69,7 +69,7 @@
     }
 
     /// Number of subscriptions, silent ones included.
-    pub fn subscribers(&self) -> usize {
+    pub fn subscription_count(&self) -> usize {
         self.subscriptions.len()
     }
 }
--- a/crates/control/src/broadcast/broadcaster/publications.rs
+++ b/crates/control/src/broadcast/broadcaster/publications.rs
@@ -1,7 +1,7 @@
 //! Messages of job owners: submissions, and publications of owners of older builds.
 
 use super::{live_subscriptions, Broadcaster};
-use crate::broadcast::allowance::RelayMoves;
+use crate::broadcast::allowance::RelayMigrations;
 use crate::broadcast::channel::Channel;
 use crate::broadcast::message::{Receipt, Submission};
 use crate::broadcast::stream::HeldVersion;
@@ -106,7 +106,7 @@
                 .map_or(0, |channel| channel.version(token)),
             job,
             stamp: now,
-            moves: None,
+            migrations: None,
         };
         if receipt.job == moves::KIND {
             let version = HeldVersion::new(token, submission.sequence);
@@ -117,7 +117,7 @@
             messages.extend(self.distribute_allowance(now, jobs));
             let migrations = live_subscriptions(&mut self.subscriptions, now)
                 .filter_map(|(_, subscription)| subscription.migrations.as_ref());
-            receipt.moves = Some(self.pool.summary(migrations));
+            receipt.migrations = Some(self.pool.summary(migrations));
         }
         messages.push((from, Message::Receipt(receipt)));
         messages
@@ -185,11 +185,11 @@
 
     /// Distributes the allowance. Returns the messages to the relays that have new permits.
     fn distribute_allowance(&mut self, now: Micros, jobs: &Jobs) -> Vec<(ReplyAddress, Message)> {
-        let (addresses, mut migrations): (Vec<ReplyAddress>, Vec<&mut RelayMoves>) =
+        let (addresses, mut migrations): (Vec<ReplyAddress>, Vec<&mut RelayMigrations>) =
             live_subscriptions(&mut self.subscriptions, now)
                 .filter_map(|(from, subscription)| Some((from, subscription.migrations.as_mut()?)))
                 .unzip();
-        let raised = self.pool.divide(&mut migrations);
+        let raised = self.pool.distribute(&mut migrations);
         let mut messages = Vec::new();
         for from in raised.into_iter().filter_map(|index| addresses.get(index)) {
             let Some(subscription) = self.subscriptions.get_mut(from) else {
--- a/crates/control/src/broadcast/broadcaster/tests/deliveries.rs
+++ b/crates/control/src/broadcast/broadcaster/tests/deliveries.rs
@@ -101,8 +101,8 @@
 )]
 fn an_owner_receives_one_summary_and_each_relay_its_own_permits() {
     let mut jobs = Jobs::default();
-    jobs.apply(Assignment::Open(vec![moves::KIND.into()]));
-    jobs.apply(Assignment::Assign(vec![(moves::KIND.into(), relay("n1"))]));
+    jobs.apply(JobChange::Open(vec![moves::KIND.into()]));
+    jobs.apply(JobChange::Assign(vec![(moves::KIND.into(), relay("n1"))]));
     let mut broadcaster = Broadcaster::new(5);
     let report = |waiting| {
         let status = moves::MigrationStatus {
@@ -131,7 +131,7 @@
         token: 1,
         sequence: 3,
         allowance: Some(Allowance {
-            instance: 5,
+            incarnation: 5,
             permitted,
         }),
         ..Submission::default()
@@ -140,7 +140,7 @@
     let Some((200, Message::Receipt(receipt))) = messages.last() else {
         panic!("{messages:?}")
     };
-    let summary = receipt.moves.unwrap();
+    let summary = receipt.migrations.unwrap();
     assert_eq!(
         (summary.relays, summary.waiting, summary.used),
         (51, 100 + 49 * 25, 51)
--- a/crates/control/src/broadcast/broadcaster/tests/mod.rs
+++ b/crates/control/src/broadcast/broadcaster/tests/mod.rs
@@ -1,9 +1,9 @@
 //! Tests of the broadcaster, with a fleet that has one load watch.
 
 use super::*;
-use crate::broadcast::message::{Allowance, Delivered, Poll, Submission, VERSION};
+use crate::broadcast::message::{Allowance, DeliveredUpdate, Poll, Submission, VERSION};
 use crate::broadcast::table::{LoadReport, Table};
-use crate::jobs::assignment::{Assignment, FencingToken, Jobs};
+use crate::jobs::assignment::{FencingToken, JobChange, Jobs};
 use crate::jobs::moves;
 use crate::wire::message::{Message, Publish, RelayId, Report, Subscribe, Update, Updates};
 
@@ -19,14 +19,14 @@
 
 fn jobs(tokens: u64) -> Jobs {
     let mut jobs = Jobs::default();
-    jobs.apply(Assignment::Open(vec!["load/a".into()]));
+    jobs.apply(JobChange::Open(vec!["load/a".into()]));
     for token in 1..=tokens {
-        jobs.apply(Assignment::Assign(vec![(
+        jobs.apply(JobChange::Assign(vec![(
             "load/a".into(),
             relay(&format!("n{token}")),
         )]));
         if token < tokens {
-            jobs.apply(Assignment::Release(vec![("load/a".into(), token)]));
+            jobs.apply(JobChange::Release(vec![("load/a".into(), token)]));
         }
     }
     jobs
@@ -139,7 +139,7 @@
     }
 }
 
-fn versions_of(delivered: &Delivered) -> (u64, u64) {
+fn versions_of(delivered: &DeliveredUpdate) -> (u64, u64) {
     crate::broadcast::table::versions(delivered.changes.as_ref().unwrap()).unwrap()
 }
 
--- a/crates/control/src/broadcast/channel.rs
+++ b/crates/control/src/broadcast/channel.rs
@@ -5,7 +5,7 @@
 //! Guards against: updates that arrive late or twice (the newest token and version wins), and updates that are too old to
 //! be used (they are not sent).
 
-use super::message::Delivered;
+use super::message::DeliveredUpdate;
 use super::stream::HeldVersion;
 use super::table::{Table, Version};
 use crate::jobs::assignment::FencingToken;
@@ -105,13 +105,18 @@
     }
 
     /// The update for a relay that takes deliveries and has this version, and its approximate size in bytes.
-    pub fn delivered(&mut self, now: Micros, job: &str, has: HeldVersion) -> (Delivered, usize) {
+    pub fn delivered(
+        &mut self,
+        now: Micros,
+        job: &str,
+        has: HeldVersion,
+    ) -> (DeliveredUpdate, usize) {
         let held = self.held();
-        let mut delivered = Delivered {
+        let mut delivered = DeliveredUpdate {
             job: job.into(),
             token: held.token,
             age_ms: now.saturating_sub(self.valid_since).div_ceil(1_000),
-            ..Delivered::default()
+            ..DeliveredUpdate::default()
         };
         let content_bytes = match &mut self.content {
             Content::Empty => {
--- a/crates/control/src/broadcast/feed.rs
+++ b/crates/control/src/broadcast/feed.rs
@@ -6,7 +6,7 @@
 //! of its own zone go first, then those that waited longest).
 
 use super::channel::Channel;
-use super::message::{Delivered, Delivery};
+use super::message::{DeliveredUpdate, Delivery};
 use super::stream::HeldVersion;
 use super::subscription::{DeliveryState, Subscription};
 use crate::jobs::assignment::{Job, Jobs};
@@ -55,7 +55,7 @@
 /// Updates of a delivery, and the versions that they lead to.
 #[derive(Default)]
 struct Batch {
-    updates: Vec<Delivered>,
+    updates: Vec<DeliveredUpdate>,
     versions: Vec<(String, HeldVersion)>,
 }
 
@@ -117,12 +117,14 @@
         // Permits are repeated with each response, until the relay reports that it knows them.
         let may_send_permits = trigger != Trigger::NewUpdate || !batch.updates.is_empty();
         if may_send_permits && self.migrations.token > 0 {
-            batch.updates.extend(permits.map(|permitted| Delivered {
-                job: moves::KIND.to_string(),
-                token: self.migrations.token,
-                permitted,
-                ..Delivered::default()
-            }));
+            batch
+                .updates
+                .extend(permits.map(|permitted| DeliveredUpdate {
+                    job: moves::KIND.to_string(),
+                    token: self.migrations.token,
+                    permitted,
+                    ..DeliveredUpdate::default()
+                }));
         }
         if batch.updates.is_empty() && trigger != Trigger::Request {
             return None;
--- a/crates/control/src/broadcast/message.rs
+++ b/crates/control/src/broadcast/message.rs
@@ -76,13 +76,13 @@
     pub must_resubscribe: bool,
     /// Updates of jobs.
     #[serde(rename = "i", skip_serializing_if = "is_default")]
-    pub updates: Vec<Delivered>,
+    pub updates: Vec<DeliveredUpdate>,
 }
 
 /// An update of one job. It has one of `changes`, `full` and `permitted`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Delivered {
+pub struct DeliveredUpdate {
     /// Name of the job.
     #[serde(rename = "j")]
     pub job: String,
@@ -142,7 +142,7 @@
 pub struct Allowance {
     /// The voter's process that it is for. No other may use it.
     #[serde(rename = "i")]
-    pub instance: u64,
+    pub incarnation: u64,
     /// Number of migrations since that process started. It only grows.
     #[serde(rename = "u")]
     pub permitted: u64,
@@ -169,16 +169,16 @@
     pub stamp: Micros,
     /// For the owner of migrations: what the relays that follow this voter report.
     #[serde(rename = "m", skip_serializing_if = "Option::is_none")]
-    pub moves: Option<MovesSummary>,
+    pub migrations: Option<MigrationSummary>,
 }
 
 /// Summary of the migrations of all relays that follow a voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct MovesSummary {
+pub struct MigrationSummary {
     /// The voter's process.
     #[serde(rename = "i")]
-    pub instance: u64,
+    pub incarnation: u64,
     /// Highest allowance that the voter received.
     #[serde(rename = "u")]
     pub allowed: u64,
--- a/crates/control/src/broadcast/subscriber/mod.rs
+++ b/crates/control/src/broadcast/subscriber/mod.rs
@@ -100,7 +100,7 @@
     }
 
     /// Receives and publishes only full updates, as builds before deliveries did. Default: off.
-    pub fn with_whole_updates(self) -> Subscriber {
+    pub fn with_full_updates(self) -> Subscriber {
         Subscriber {
             is_older_build: true,
             ..self
@@ -118,11 +118,11 @@
     /// Injects a fault, for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(mut self, injected: InjectedBugs) -> Subscriber {
-        use crate::InjectedBug::{LostChange, VersionBack};
+        use crate::InjectedBug::{ApplyOlderVersion, ApplyWithGap};
         self.fence = Fence::with_injected(injected);
         self.checks = Checks {
-            old: !injected.is(VersionBack),
-            gap: !injected.is(LostChange),
+            old: !injected.is(ApplyOlderVersion),
+            gap: !injected.is(ApplyWithGap),
         };
         self
     }
--- a/crates/control/src/broadcast/subscriber/updates.rs
+++ b/crates/control/src/broadcast/subscriber/updates.rs
@@ -1,7 +1,7 @@
 //! Updates that a subscriber receives: fencing, deduplication, tables and acknowledgement.
 
 use super::Subscriber;
-use crate::broadcast::message::{Delivered, Delivery, VERSION};
+use crate::broadcast::message::{DeliveredUpdate, Delivery, VERSION};
 use crate::broadcast::stream::HeldVersion;
 use crate::broadcast::table::{Checks, Table, TableError};
 use crate::jobs::assignment::FencingToken;
@@ -209,7 +209,7 @@
     fn accept_all(
         &mut self,
         sent_at: Micros,
-        updates: Vec<Delivered>,
+        updates: Vec<DeliveredUpdate>,
         received: &mut ReceivedUpdates,
     ) -> Acceptance {
         let mut acceptance = Acceptance::Complete;
@@ -236,7 +236,7 @@
     fn accept_delivered(
         &mut self,
         sent_at: Micros,
-        delivered: Delivered,
+        delivered: DeliveredUpdate,
     ) -> Result<Option<OwnerCommand>, TableError> {
         let age = delivered.age_ms.saturating_mul(1_000);
         if let Some(payload) = delivered.full {
@@ -249,7 +249,7 @@
             };
             return Ok(self.accept_full(sent_at, update));
         }
-        let Delivered { job, token, .. } = delivered;
+        let DeliveredUpdate { job, token, .. } = delivered;
         let valid_since = sent_at.saturating_sub(max_elapsed(age));
         let is_first = self
             .accepted
--- a/crates/control/src/broadcast/subscription.rs
+++ b/crates/control/src/broadcast/subscription.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against: a relay that is gone (it counts as silent after a timeout), and reports that are too many or too long.
 
-use super::allowance::RelayMoves;
+use super::allowance::RelayMigrations;
 use super::message::VERSION;
 use super::stream::{HeldVersion, Stream};
 use super::token_bucket::TokenBucket;
@@ -31,7 +31,7 @@
     pub reports: Vec<Report>,
     pub reports_version: u64,
     /// Migrations of the relay, if it reports any.
-    pub migrations: Option<RelayMoves>,
+    pub migrations: Option<RelayMigrations>,
     /// None if the relay's build does not support deliveries.
     pub deliveries: Option<DeliveryState>,
 }
--- a/crates/control/src/broadcast/table/apply.rs
+++ b/crates/control/src/broadcast/table/apply.rs
@@ -67,7 +67,7 @@
         self.rows
             .extend(changes.added.iter().skip(already_added).map(new_row));
         self.version = changes.to;
-        self.at = sent_at;
+        self.updated_at = sent_at;
         self.encoded.clear();
         self.apply_confirmations(&changes, &changed_indexes);
         self.apply_levels(&changes, &changed_indexes);
@@ -105,7 +105,7 @@
 
     /// Updates the rows that the new version saw: their time if they did not change, and whether a report was new.
     fn apply_confirmations(&mut self, changes: &Changes, changed_indexes: &[usize]) {
-        let unchanged_seen_at = decode_seen_at(self.at, changes.unchanged_age);
+        let unchanged_seen_at = decode_seen_at(self.updated_at, changes.unchanged_age);
         let mut changed = changed_indexes.iter().copied().peekable();
         for (index, row) in self.rows.iter_mut().enumerate() {
             let is_changed = changed.next_if_eq(&index).is_some();
@@ -118,7 +118,7 @@
             }
             if has_bit(&changes.renewed, index) {
                 row.renewed_in = changes.to;
-                row.is_odd = !row.is_odd;
+                row.is_offset = !row.is_offset;
             }
         }
     }
@@ -134,8 +134,8 @@
             row.levels = changes.levels[first_level..first_level + column_count].to_vec();
             row.changed_in = changes.to;
             row.renewed_in = changes.to;
-            row.is_odd = false;
-            row.seen_at = decode_seen_at(self.at, changes.ages[position]);
+            row.is_offset = false;
+            row.seen_at = decode_seen_at(self.updated_at, changes.ages[position]);
         }
     }
 }
--- a/crates/control/src/broadcast/table/encode.rs
+++ b/crates/control/src/broadcast/table/encode.rs
@@ -8,7 +8,7 @@
 
 impl Table {
     /// Changes from the version that a receiver has to the current one; the whole table if that version is 0 or too old.
-    /// The bytes are the same for all receivers: their ages count back from [`Table::at`], which is sent beside them.
+    /// The bytes are the same for all receivers: their ages count back from [`Table::updated_at`], which is sent beside them.
     pub fn changes(&mut self, from: Version) -> &[u8] {
         let is_available = from >= self.base.max(1) && from <= self.version;
         let wanted = if is_available { from } else { 0 };
@@ -49,12 +49,12 @@
             .map(|row| row.endpoint)
             .collect();
         let mut next_index = 0;
-        let mut oldest_unchanged = self.at;
+        let mut oldest_unchanged = self.updated_at;
         for (index, row) in self.rows.iter().enumerate() {
             let is_confirmed = row.confirmed_in == self.version;
             if is_whole || row.changed_in > from {
                 changes.index_gaps.push((index - next_index) as u16);
-                changes.ages.push(encode_age(self.at, row.seen_at));
+                changes.ages.push(encode_age(self.updated_at, row.seen_at));
                 changes.levels.extend(&row.levels);
                 next_index = index + 1;
             } else if is_confirmed {
@@ -67,7 +67,7 @@
                 set_bit(&mut changes.renewed, index);
             }
         }
-        changes.unchanged_age = encode_age(self.at, oldest_unchanged);
+        changes.unchanged_age = encode_age(self.updated_at, oldest_unchanged);
         postcard::to_allocvec(&changes).unwrap_or_default()
     }
 }
--- a/crates/control/src/broadcast/table/mod.rs
+++ b/crates/control/src/broadcast/table/mod.rs
@@ -85,7 +85,7 @@
     /// Version in which the endpoint made a new report last, whether its levels changed or not.
     renewed_in: Version,
     /// Toggles with each new report of unchanged levels; see [`Row::loads`].
-    is_odd: bool,
+    is_offset: bool,
 }
 
 impl Row {
@@ -98,14 +98,14 @@
             changed_in: version,
             confirmed_in: version,
             renewed_in: version,
-            is_odd: false,
+            is_offset: false,
         }
     }
 
     /// The loads that the levels stand for. The decisions recognise a new report by a different load, so a new report of
     /// the same levels differs by a millionth.
     pub fn loads(&self) -> impl Iterator<Item = f32> + '_ {
-        let factor = if self.is_odd { 1.0 + 1e-6 } else { 1.0 };
+        let factor = if self.is_offset { 1.0 + 1e-6 } else { 1.0 };
         self.levels.iter().map(move |level| load(*level) * factor)
     }
 }
@@ -124,7 +124,7 @@
     /// Latest values that each endpoint reported, not quantised. Only the owner has them.
     raw_reports: BTreeMap<u64, Vec<f32>>,
     /// When this version was made or received, by the local clock. Ages count back from it.
-    at: Micros,
+    updated_at: Micros,
     /// Encoded changes to this version, by the version that they start from.
     encoded: BTreeMap<Version, Vec<u8>>,
 }
@@ -140,7 +140,7 @@
 
     /// An empty table of an owner that may have published others under this token, up to this version: it had the job
     /// before and lost it when its lease expired.
-    pub fn after(token: FencingToken, version: Version) -> Table {
+    pub fn continuing_after(token: FencingToken, version: Version) -> Table {
         Table {
             token,
             version,
@@ -170,15 +170,15 @@
     }
 
     /// Rows that the current version saw.
-    pub fn confirmed(&self) -> impl Iterator<Item = &Row> {
+    pub fn confirmed_rows(&self) -> impl Iterator<Item = &Row> {
         self.rows
             .iter()
             .filter(|row| row.confirmed_in == self.version)
     }
 
     /// When the current version was made or received, by the local clock.
-    pub fn at(&self) -> Micros {
-        self.at
+    pub fn updated_at(&self) -> Micros {
+        self.updated_at
     }
 
     /// Hash of the content without its times, for the checkers.
--- a/crates/control/src/broadcast/table/tests.rs
+++ b/crates/control/src/broadcast/table/tests.rs
@@ -74,7 +74,7 @@
     receiver.apply(10_000_000, owner.changes(2)).unwrap();
     let seen: Vec<Micros> = receiver.rows().iter().map(|row| row.seen_at).collect();
     assert_eq!(seen, [9_500_000, 10_000_000, 10_000_000]);
-    assert_eq!(receiver.confirmed().count(), 2);
+    assert_eq!(receiver.confirmed_rows().count(), 2);
 }
 
 #[test]
--- a/crates/control/src/broadcast/table/update.rs
+++ b/crates/control/src/broadcast/table/update.rs
@@ -12,7 +12,7 @@
     /// Reports with an invalid load or a wrong number of values are ignored.
     pub fn update(&mut self, now: Micros, columns: &[String], reports: &[LoadReport]) {
         self.version += 1;
-        self.at = now;
+        self.updated_at = now;
         self.encoded.clear();
         if self.columns != columns || self.has_many_lost_rows(now) {
             self.rebuild(now, columns);
@@ -50,7 +50,7 @@
         }
         if is_new_report {
             row.renewed_in = version;
-            row.is_odd = !row.is_odd;
+            row.is_offset = !row.is_offset;
         }
         row.seen_at = seen_at;
         row.confirmed_in = version;
--- a/crates/control/src/injected_bugs.rs
+++ b/crates/control/src/injected_bugs.rs
@@ -8,35 +8,35 @@
     /// A relay counts its lease from when it was granted, not from when it was requested.
     LeaseFromGrant,
     /// A relay continues to admit under the old policy after it has confirmed that it stopped.
-    KeepAfterYield,
+    AdmitAfterStop,
     /// A restarted relay takes over the lease of its previous process.
     LeaseSurvivesRestart,
     /// A leader puts a policy in force without waiting for leases that may still run.
-    SkipWait,
+    SkipLeaseWait,
     /// A new leader does not wait for leases that its predecessor granted.
-    ForgetPredecessor,
+    SkipPredecessorWait,
     /// A leader grants leases without a majority's confirmation that it still leads.
-    GrantAlone,
+    GrantUnconfirmed,
     /// A leader grants leases on the old policy after the proposal is sealed.
-    GrantClosed,
+    GrantAfterSeal,
     /// A voter sends messages before its log is durable, and loses it in a crash.
-    SkipStore,
+    SendBeforePersist,
     /// Voters accept a voter with a replaced disk as the one that they knew.
-    TrustReborn,
+    TrustReplacedDisk,
     /// An owner continues to act on its jobs though its lease has run out.
-    OwnForever,
+    ActAfterLease,
     /// A leader releases a job while its owner's lease may still run.
-    GiveEarly,
+    ReleaseEarly,
     /// An owner acts on a job after it has confirmed that it stopped.
-    KeepJob,
+    ActAfterStop,
     /// Receivers accept any fencing token.
     NoFence,
     /// A restarted receiver accepts commands before it knows the fencing tokens.
-    TrustFirst,
+    AcceptBeforeTokens,
     /// Relays apply changes to a table though earlier ones are missing.
-    LostChange,
+    ApplyWithGap,
     /// A relay applies changes that lead to an older version of a table than it has.
-    VersionBack,
+    ApplyOlderVersion,
 }
 
 impl InjectedBug {
@@ -44,21 +44,21 @@
     pub const ALL: [(&'static str, InjectedBug); 17] = [
         ("ignore-lease", InjectedBug::IgnoreLease),
         ("lease-from-grant", InjectedBug::LeaseFromGrant),
-        ("keep-after-yield", InjectedBug::KeepAfterYield),
+        ("keep-after-yield", InjectedBug::AdmitAfterStop),
         ("lease-survives-restart", InjectedBug::LeaseSurvivesRestart),
-        ("skip-wait", InjectedBug::SkipWait),
-        ("forget-predecessor", InjectedBug::ForgetPredecessor),
-        ("grant-alone", InjectedBug::GrantAlone),
-        ("grant-closed", InjectedBug::GrantClosed),
-        ("skip-store", InjectedBug::SkipStore),
-        ("trust-reborn", InjectedBug::TrustReborn),
-        ("own-forever", InjectedBug::OwnForever),
-        ("give-early", InjectedBug::GiveEarly),
-        ("keep-job", InjectedBug::KeepJob),
+        ("skip-wait", InjectedBug::SkipLeaseWait),
+        ("forget-predecessor", InjectedBug::SkipPredecessorWait),
+        ("grant-alone", InjectedBug::GrantUnconfirmed),
+        ("grant-closed", InjectedBug::GrantAfterSeal),
+        ("skip-store", InjectedBug::SendBeforePersist),
+        ("trust-reborn", InjectedBug::TrustReplacedDisk),
+        ("own-forever", InjectedBug::ActAfterLease),
+        ("give-early", InjectedBug::ReleaseEarly),
+        ("keep-job", InjectedBug::ActAfterStop),
         ("no-fence", InjectedBug::NoFence),
-        ("trust-first", InjectedBug::TrustFirst),
-        ("lost-change", InjectedBug::LostChange),
-        ("version-back", InjectedBug::VersionBack),
+        ("trust-first", InjectedBug::AcceptBeforeTokens),
+        ("lost-change", InjectedBug::ApplyWithGap),
+        ("version-back", InjectedBug::ApplyOlderVersion),
     ];
 
     /// The bug of this name.
--- a/crates/control/src/jobs/assignment.rs
+++ b/crates/control/src/jobs/assignment.rs
@@ -1,6 +1,6 @@
 //! Job assignments: which relay owns each job of the fleet, as the replicated log records it.
 //!
-//! Input: [`Assignment`] entries of the log, in order. Output: the state [`Jobs`], the same on every voter, and the
+//! Input: [`JobChange`] entries of the log, in order. Output: the state [`Jobs`], the same on every voter, and the
 //! proposals of the leader for the next entries ([`Jobs::assignments`], [`Jobs::excess`]).
 //!
 //! Each job has at most one owner. Every assignment takes a fencing token from one counter that only grows; the owner's
@@ -28,7 +28,7 @@
 /// Maximum size of a job's checkpoint, in bytes.
 const MAX_CHECKPOINT_BYTES: usize = 1024;
 /// Maximum number of jobs that one entry of the log assigns, revokes or releases.
-pub const MAX_ASSIGNMENTS_PER_BATCH: usize = 256;
+pub const MAX_JOBS_PER_CHANGE: usize = 256;
 /// Maximum number of jobs of one relay, relative to an even share. Above 1, so that a relay that joins or leaves moves
 /// few jobs.
 const MAX_SHARE_FACTOR: f64 = 1.25;
@@ -49,7 +49,7 @@
     pub paused: bool,
     /// Name of the relay that relinquished the job last, and the reason. Other relays are preferred to it.
     #[serde(rename = "gave_up")]
-    pub relinquished_by: Option<(String, String)>,
+    pub last_revocation: Option<(String, String)>,
     /// Sequence number of the latest checkpoint; 0 before the first.
     #[serde(rename = "step")]
     pub checkpoint_step: u64,
@@ -74,7 +74,7 @@
 
 /// A change of the jobs, as an entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Assignment {
+pub enum JobChange {
     /// Creates the jobs with these names.
     Open(Vec<String>),
     /// Deletes a job that has no owner.
@@ -97,33 +97,33 @@
 impl Jobs {
     /// Applies an entry of the log. A part that does not match the current state comes from a former leader or owner and
     /// is ignored.
-    pub fn apply(&mut self, assignment: Assignment) {
+    pub fn apply(&mut self, assignment: JobChange) {
         match assignment {
-            Assignment::Open(names) => {
+            JobChange::Open(names) => {
                 for name in names {
                     self.open(name);
                 }
             }
-            Assignment::Close(name) => self.close(&name),
-            Assignment::Assign(assignments) => {
+            JobChange::Close(name) => self.close(&name),
+            JobChange::Assign(assignments) => {
                 for (name, relay) in assignments {
                     self.assign(&name, relay);
                 }
             }
-            Assignment::Revoke(revocations) => {
+            JobChange::Revoke(revocations) => {
                 for (name, token, reason) in revocations {
                     self.revoke(&name, token, reason);
                 }
             }
-            Assignment::Release(releases) => {
+            JobChange::Release(releases) => {
                 for (name, token) in releases {
                     self.release(&name, token);
                 }
             }
-            Assignment::Checkpoint(name, token, step, content) => {
+            JobChange::Checkpoint(name, token, step, content) => {
                 self.store_checkpoint(&name, token, step, content);
             }
-            Assignment::Hold(name, paused) => {
+            JobChange::Hold(name, paused) => {
                 if let Some(job) = self.by_name.get_mut(&name) {
                     job.paused = paused;
                 }
@@ -164,7 +164,7 @@
         else {
             return;
         };
-        job.relinquished_by = job.owner.as_ref().map(|owner| (owner.name.clone(), reason));
+        job.last_revocation = job.owner.as_ref().map(|owner| (owner.name.clone(), reason));
         job.revoked_at = Some(version);
         self.version = version;
     }
@@ -196,7 +196,7 @@
     }
 
     /// Names and tokens of the jobs that a relay's process owns, without those that are being revoked.
-    pub fn of_relay(&self, relay: &RelayId) -> Vec<(String, FencingToken)> {
+    pub fn owned_by(&self, relay: &RelayId) -> Vec<(String, FencingToken)> {
         self.by_name
             .iter()
             .filter(|(_, job)| job.owner.as_ref() == Some(relay) && job.revoked_at.is_none())
@@ -204,7 +204,7 @@
             .collect()
     }
 
-    /// The next jobs to assign, and the relay for each. `workers` are the relays that may own jobs; `is_resting` names
+    /// The next jobs to assign, and the relay for each. `workers` are the relays that may own jobs; `is_backing_off` names
     /// jobs that must not be assigned yet.
     ///
     /// Among the workers that support a job and are below their share, those rank first that did not relinquish it last,
@@ -212,13 +212,13 @@
     pub fn assignments(
         &self,
         workers: &[(RelayId, JobCapabilities)],
-        is_resting: impl Fn(&str) -> bool,
+        is_backing_off: impl Fn(&str) -> bool,
     ) -> Vec<(String, RelayId)> {
         let max_per_relay = self.max_jobs_per_relay(workers.len());
         let mut job_counts = self.job_counts(workers);
         let mut assignments = Vec::new();
         for (name, job) in &self.by_name {
-            if !job.is_assignable() || is_resting(name) {
+            if !job.is_assignable() || is_backing_off(name) {
                 continue;
             }
             let has_capacity = |relay: &RelayId| {
@@ -233,7 +233,7 @@
                 *count += 1;
             }
             assignments.push((name.clone(), relay.clone()));
-            if assignments.len() == MAX_ASSIGNMENTS_PER_BATCH {
+            if assignments.len() == MAX_JOBS_PER_CHANGE {
                 break;
             }
         }
@@ -257,7 +257,7 @@
 
     /// Jobs to revoke because their owner has more than its share among this number of relays: name, token and reason.
     /// Of one owner, those with the lowest rendezvous weight come first.
-    pub fn excess(&self, relay_count: usize) -> Vec<(String, FencingToken, String)> {
+    pub fn excess_jobs(&self, relay_count: usize) -> Vec<(String, FencingToken, String)> {
         let max_per_relay = self.max_jobs_per_relay(relay_count);
         let mut by_owner: BTreeMap<&RelayId, Vec<(u64, &String, FencingToken)>> = BTreeMap::new();
         for (name, job) in &self.by_name {
@@ -283,7 +283,7 @@
                     .map(|(_, name, token)| (name.clone(), token, reason.into())),
             );
         }
-        excess.truncate(MAX_ASSIGNMENTS_PER_BATCH);
+        excess.truncate(MAX_JOBS_PER_CHANGE);
         excess
     }
 
@@ -306,7 +306,7 @@
         has_capacity: impl Fn(&RelayId) -> bool,
     ) -> Option<&'a RelayId> {
         let relinquished = |relay: &RelayId| {
-            self.relinquished_by
+            self.last_revocation
                 .as_ref()
                 .is_some_and(|(former_owner, _)| *former_owner == relay.name)
         };
--- a/crates/control/src/jobs/assignment/tests.rs
+++ b/crates/control/src/jobs/assignment/tests.rs
@@ -9,7 +9,7 @@
 
 fn jobs(count: usize) -> Jobs {
     let mut jobs = Jobs::default();
-    jobs.apply(Assignment::Open(
+    jobs.apply(JobChange::Open(
         (0..count).map(|number| format!("job-{number}")).collect(),
     ));
     jobs
@@ -29,7 +29,7 @@
         if assignments.is_empty() {
             break;
         }
-        jobs.apply(Assignment::Assign(assignments));
+        jobs.apply(JobChange::Assign(assignments));
     }
 }
 
@@ -38,38 +38,38 @@
     let mut jobs = jobs(1);
     let name = "job-0".to_string();
     let job_0 = |jobs: &Jobs| jobs.by_name["job-0"].clone();
-    jobs.apply(Assignment::Assign(vec![(name.clone(), relay(1))]));
-    jobs.apply(Assignment::Assign(vec![(name.clone(), relay(2))]));
+    jobs.apply(JobChange::Assign(vec![(name.clone(), relay(1))]));
+    jobs.apply(JobChange::Assign(vec![(name.clone(), relay(2))]));
     assert_eq!(
         (job_0(&jobs).owner, job_0(&jobs).token),
         (Some(relay(1)), 1),
         "one owner at a time"
     );
-    jobs.apply(Assignment::Checkpoint(name.clone(), 1, 1, vec![7]));
-    jobs.apply(Assignment::Checkpoint(name.clone(), 1, 3, vec![9]));
-    jobs.apply(Assignment::Revoke(vec![(
+    jobs.apply(JobChange::Checkpoint(name.clone(), 1, 1, vec![7]));
+    jobs.apply(JobChange::Checkpoint(name.clone(), 1, 3, vec![9]));
+    jobs.apply(JobChange::Revoke(vec![(
         name.clone(),
         1,
         "operators".into(),
     )]));
-    assert_eq!(jobs.of_relay(&relay(1)), []);
-    jobs.apply(Assignment::Release(vec![(name.clone(), 1)]));
+    assert_eq!(jobs.owned_by(&relay(1)), []);
+    jobs.apply(JobChange::Release(vec![(name.clone(), 1)]));
     assert_eq!(
         assignments(&jobs, &[relay(1), relay(2)]),
         [(name.clone(), relay(2))],
         "another relay is preferred"
     );
-    jobs.apply(Assignment::Assign(vec![(name.clone(), relay(2))]));
+    jobs.apply(JobChange::Assign(vec![(name.clone(), relay(2))]));
     // Late entries of the former owner.
-    jobs.apply(Assignment::Release(vec![(name.clone(), 1)]));
-    jobs.apply(Assignment::Checkpoint(name.clone(), 1, 2, vec![8]));
+    jobs.apply(JobChange::Release(vec![(name.clone(), 1)]));
+    jobs.apply(JobChange::Checkpoint(name.clone(), 1, 2, vec![8]));
     let job = job_0(&jobs);
     assert_eq!(
         (job.owner, job.token, job.checkpoint_step, job.checkpoint),
         (Some(relay(2)), 2, 1, vec![7])
     );
-    jobs.apply(Assignment::Hold(name.clone(), true));
-    jobs.apply(Assignment::Release(vec![(name, 2)]));
+    jobs.apply(JobChange::Hold(name.clone(), true));
+    jobs.apply(JobChange::Release(vec![(name, 2)]));
     assert_eq!(assignments(&jobs, &[relay(1)]), []);
 }
 
@@ -81,7 +81,7 @@
     let before = jobs.clone();
     let max_per_relay = relays
         .iter()
-        .map(|relay| jobs.of_relay(relay).len())
+        .map(|relay| jobs.owned_by(relay).len())
         .max()
         .unwrap();
     assert!(
@@ -91,7 +91,7 @@
     // A relay joins: only the jobs above the new share are revoked.
     let mut moved = 0;
     loop {
-        let excess = jobs.excess(relays.len());
+        let excess = jobs.excess_jobs(relays.len());
         if excess.is_empty() {
             break;
         }
@@ -100,12 +100,12 @@
             .iter()
             .map(|(name, token, _)| (name.clone(), *token))
             .collect();
-        jobs.apply(Assignment::Revoke(excess));
-        jobs.apply(Assignment::Release(releases));
+        jobs.apply(JobChange::Revoke(excess));
+        jobs.apply(JobChange::Release(releases));
         assign_all(&mut jobs, &relays);
     }
     assert!(moved < 200, "{moved} moved");
-    assert!(relays.iter().all(|relay| jobs.of_relay(relay).len() <= 125));
+    assert!(relays.iter().all(|relay| jobs.owned_by(relay).len() <= 125));
     assert!(
         before
             .by_name
@@ -119,7 +119,7 @@
 #[test]
 fn a_job_goes_to_a_relay_that_supports_it_preferably_in_its_zone() {
     let mut jobs = Jobs::default();
-    jobs.apply(Assignment::Open(vec![
+    jobs.apply(JobChange::Open(vec![
         "load/a".into(),
         "load/b".into(),
         "moves".into(),
--- a/crates/control/src/jobs/fence.rs
+++ b/crates/control/src/jobs/fence.rs
@@ -60,7 +60,9 @@
     pub fn check(&mut self, name: &str, token: FencingToken) -> FenceDecision {
         match (self.highest.get(name), self.floor) {
             _ if self.injected.is(InjectedBug::NoFence) => FenceDecision::Accept,
-            (None, _) if self.injected.is(InjectedBug::TrustFirst) => self.accept(name, token),
+            (None, _) if self.injected.is(InjectedBug::AcceptBeforeTokens) => {
+                self.accept(name, token)
+            }
             (Some(highest), _) if token < *highest => FenceDecision::Stale(*highest),
             (Some(_), _) => self.accept(name, token),
             // Issued since this receiver started, so no older owner can have it.
--- a/crates/control/src/jobs/load_watch.rs
+++ b/crates/control/src/jobs/load_watch.rs
@@ -52,12 +52,12 @@
     pub fn of_table(table: &Table) -> LoadReports {
         let report = |row: &Row| LoadReport {
             endpoint: row.endpoint,
-            age: table.at().saturating_sub(row.seen_at),
+            age: table.updated_at().saturating_sub(row.seen_at),
             values: row.loads().collect(),
         };
         LoadReports {
             columns: table.columns().to_vec(),
-            reports: table.confirmed().map(report).collect(),
+            reports: table.confirmed_rows().map(report).collect(),
         }
     }
 
--- a/crates/control/src/jobs/moves.rs
+++ b/crates/control/src/jobs/moves.rs
@@ -12,7 +12,7 @@
 //! Guards against: more migrations per second than the policy allows the fleet, also when the owner changes (a new one
 //! starts with the permits that are reported and without tokens), and a relay that is gone (it gets no permits).
 
-use crate::broadcast::message::{Allowance, MovesSummary};
+use crate::broadcast::message::{Allowance, MigrationSummary};
 use crate::relay::RelayId;
 use crate::{wire, Micros};
 use serde::{Deserialize, Serialize};
@@ -92,13 +92,13 @@
     /// A relay that follows a voter of an older build.
     Relay(RelayId),
     /// A process of a voter, for all relays that follow it.
-    Voter { voter: u64, instance: u64 },
+    Voter { voter: u64, incarnation: u64 },
 }
 
 /// Latest report of a requester.
 enum Demand {
     Relay(MigrationStatus),
-    Voter(MovesSummary),
+    Voter(MigrationSummary),
 }
 
 struct RequesterState {
@@ -184,10 +184,10 @@
 
     /// Handles the summary of a voter. Its allowance continues from the one that it reports. An older summary than the
     /// latest is ignored.
-    pub fn handle_summary(&mut self, now: Micros, voter: u64, summary: MovesSummary) {
+    pub fn handle_summary(&mut self, now: Micros, voter: u64, summary: MigrationSummary) {
         let requester = Requester::Voter {
             voter,
-            instance: summary.instance,
+            incarnation: summary.incarnation,
         };
         let state = self
             .requesters
@@ -209,19 +209,22 @@
 
     /// The allowance of a voter's latest process; none until the voter has reported.
     pub fn allowance(&self, voter: u64) -> Option<Allowance> {
-        let all_instances = Requester::Voter { voter, instance: 0 }..=Requester::Voter {
+        let all_incarnations = Requester::Voter {
             voter,
-            instance: u64::MAX,
+            incarnation: 0,
+        }..=Requester::Voter {
+            voter,
+            incarnation: u64::MAX,
         };
         let (requester, state) = self
             .requesters
-            .range(all_instances)
+            .range(all_incarnations)
             .max_by_key(|(_, state)| state.reported_at)?;
-        let Requester::Voter { instance, .. } = requester else {
+        let Requester::Voter { incarnation, .. } = requester else {
             return None;
         };
         Some(Allowance {
-            instance: *instance,
+            incarnation: *incarnation,
             permitted: state.permitted,
         })
     }
--- a/crates/control/src/jobs/owner.rs
+++ b/crates/control/src/jobs/owner.rs
@@ -69,7 +69,7 @@
     }
 
     /// Relinquishes all jobs and accepts no more, because the relay stops.
-    pub fn release_all(&mut self) {
+    pub fn relinquish_all(&mut self) {
         self.is_stopping = true;
         for name in self.jobs.keys().cloned().collect::<Vec<_>>() {
             self.relinquish(&name, RELAY_STOPS);
@@ -78,7 +78,7 @@
 
     /// The job, if this relay may act on it at this moment. To be checked right before each command is sent.
     pub fn may_act(&self, now: Micros, name: &str) -> Option<&OwnedJob> {
-        let ignores_expiry = self.injected.is(InjectedBug::OwnForever) && self.lease_expiry > 0;
+        let ignores_expiry = self.injected.is(InjectedBug::ActAfterLease) && self.lease_expiry > 0;
         let is_lease_valid = now < self.lease_expiry || ignores_expiry;
         self.jobs.get(name).filter(|_| is_lease_valid)
     }
@@ -198,7 +198,7 @@
             .collect();
         self.relinquished
             .retain(|(name, token), _| listed.contains(&(name.as_str(), *token)));
-        if !self.injected.is(InjectedBug::KeepJob) {
+        if !self.injected.is(InjectedBug::ActAfterStop) {
             self.jobs
                 .retain(|name, job| listed.contains(&(name.as_str(), job.token)));
         }
@@ -218,7 +218,7 @@
         }
         self.version = list.version;
         if self.is_stopping {
-            self.release_all();
+            self.relinquish_all();
         }
     }
 }
--- a/crates/control/src/jobs/worker/load_job.rs
+++ b/crates/control/src/jobs/worker/load_job.rs
@@ -21,7 +21,7 @@
     pub(super) fn new(token: FencingToken, last_sequence: u64) -> LoadJob {
         LoadJob {
             watch: LoadWatch::default(),
-            table: Table::after(token, last_sequence),
+            table: Table::continuing_after(token, last_sequence),
             acknowledged: BTreeMap::new(),
         }
     }
--- a/crates/control/src/jobs/worker/migration_job.rs
+++ b/crates/control/src/jobs/worker/migration_job.rs
@@ -1,7 +1,7 @@
 //! The migration job that this relay owns: paces the fleet's migrations and publishes permits.
 
 use super::JobTick;
-use crate::broadcast::message::MovesSummary;
+use crate::broadcast::message::MigrationSummary;
 use crate::broadcast::subscriber::UpdateId;
 use crate::jobs::moves::MigrationPacer;
 use crate::wire::message::RelayId;
@@ -74,7 +74,7 @@
     }
 
     /// Handles a voter's summary.
-    pub(super) fn handle_summary(&mut self, now: Micros, voter: u64, summary: MovesSummary) {
+    pub(super) fn handle_summary(&mut self, now: Micros, voter: u64, summary: MigrationSummary) {
         self.pacer.handle_summary(now, voter, summary);
     }
 
--- a/crates/control/src/jobs/worker/updates.rs
+++ b/crates/control/src/jobs/worker/updates.rs
@@ -57,7 +57,7 @@
                 load_job.handle_receipt(voter, receipt.version);
             }
             Some(JobState::Migrations(migration_job)) => {
-                if let Some(summary) = receipt.moves {
+                if let Some(summary) = receipt.migrations {
                     migration_job.handle_summary(now, voter, summary);
                 }
             }
--- a/crates/control/src/lease/client/mod.rs
+++ b/crates/control/src/lease/client/mod.rs
@@ -65,7 +65,7 @@
 
 /// A sealed proposal for which this relay has stopped admitting.
 #[derive(Clone, Copy, Debug)]
-struct Revocation {
+struct AdmissionStop {
     id: ProposalId,
     at: Micros,
 }
@@ -84,7 +84,7 @@
     /// The proposal that this relay has checked and stored.
     prepared: Option<Proposal>,
     rejected: Option<Rejection>,
-    revoked: Option<Revocation>,
+    stopped_for: Option<AdmissionStop>,
     /// Clients may be admitted before this time; 0 for no lease.
     lease_until: Micros,
     /// The sequence of the last request.
@@ -128,7 +128,7 @@
             policy: stored,
             prepared: None,
             rejected: None,
-            revoked: None,
+            stopped_for: None,
             lease_until: 0,
             last_sequence: 0,
             last_seen_response: 0,
@@ -204,8 +204,8 @@
     }
 
     /// The relay stops: relinquishes its jobs, and reports it with the request that is returned.
-    pub fn release_jobs(&mut self, now: Micros) -> Option<LeaseAction> {
-        self.owner.as_mut()?.release_all();
+    pub fn relinquish_jobs(&mut self, now: Micros) -> Option<LeaseAction> {
+        self.owner.as_mut()?.relinquish_all();
         Some(self.send_request(now))
     }
 
@@ -224,8 +224,8 @@
         let ignores_lease = self.injected.is(InjectedBug::IgnoreLease) && self.lease_until > 0;
         // Also a relay that serves without a leader stops for a sealed proposal, for as long as the fleet may need.
         let has_stopped = self
-            .revoked
-            .is_some_and(|revocation| now < revocation.at + self.timing.proposal_timeout);
+            .stopped_for
+            .is_some_and(|stop| now < stop.at + self.timing.proposal_timeout);
         let serves_leaderless = self.leaderless_mode == LeaderlessMode::Serve && !has_stopped;
         if ignores_lease || serves_leaderless {
             return Micros::MAX;
@@ -272,7 +272,7 @@
             epoch: self.policy.epoch,
             prepared: self.prepared.as_ref().map(|proposal| proposal.id),
             rejected: rejection.map(|rejection| (rejection.id, rejection.reason.clone())),
-            revoked: self.revoked.map(|revocation| revocation.id),
+            stopped_for: self.stopped_for.map(|stop| stop.id),
             membership_version: self.membership_version,
             ..RenewRequest::default()
         };
--- a/crates/control/src/lease/client/response.rs
+++ b/crates/control/src/lease/client/response.rs
@@ -1,6 +1,6 @@
 //! What follows from a voter's response to a renewal: members, a redirect, the jobs, a policy, a lease, a proposal.
 
-use super::{LeaseAction, LeaseClient, Rejection, Revocation, SentRequest};
+use super::{AdmissionStop, LeaseAction, LeaseClient, Rejection, SentRequest};
 use crate::log::state::{Policy, ProposalId};
 use crate::wire::message::RenewResponse;
 use crate::{InjectedBug, Micros};
@@ -54,8 +54,8 @@
                 }
             }
         }
-        if let Some(id) = response.revoke {
-            has_changed |= self.revoke_lease(now, id);
+        if let Some(id) = response.sealed {
+            has_changed |= self.stop_admitting(now, id);
             let soon = now + self.timing.renew_interval / SEALED_RENEW_DIVISOR;
             self.next_request_at = self.next_request_at.min(soon);
         }
@@ -121,7 +121,7 @@
         let policy = policy.filter(|policy| policy.epoch > self.policy.epoch)?;
         self.prepared = None;
         self.rejected = None;
-        self.revoked = None;
+        self.stopped_for = None;
         self.lease_until = 0;
         self.barrier = self.last_sequence;
         self.policy = policy.clone();
@@ -149,14 +149,14 @@
     }
 
     /// Ends the lease for a sealed proposal, before that is reported. Returns whether the relay had not stopped for it yet.
-    fn revoke_lease(&mut self, now: Micros, id: ProposalId) -> bool {
-        if self.revoked.is_some_and(|revocation| revocation.id == id) {
+    fn stop_admitting(&mut self, now: Micros, id: ProposalId) -> bool {
+        if self.stopped_for.is_some_and(|stop| stop.id == id) {
             return false;
         }
-        if !self.injected.is(InjectedBug::KeepAfterYield) {
+        if !self.injected.is(InjectedBug::AdmitAfterStop) {
             self.lease_until = 0;
         }
-        self.revoked = Some(Revocation { id, at: now });
+        self.stopped_for = Some(AdmissionStop { id, at: now });
         self.barrier = self.last_sequence;
         true
     }
--- a/crates/control/src/lease/client/tests.rs
+++ b/crates/control/src/lease/client/tests.rs
@@ -64,13 +64,13 @@
     let actions = client.handle_response(
         2 * SECOND,
         RenewResponse {
-            revoke: Some(7),
+            sealed: Some(7),
             ..RenewResponse::for_request(&second)
         },
         accept,
     );
     assert!(
-        matches!(&actions[..], [LeaseAction::SendRenew(1, renewal)] if renewal.revoked == Some(7))
+        matches!(&actions[..], [LeaseAction::SendRenew(1, renewal)] if renewal.stopped_for == Some(7))
     );
     client.handle_response(2 * SECOND, grant(&first), accept);
     assert!(!client.may_admit(2 * SECOND));
@@ -177,7 +177,7 @@
     client.handle_response(
         SECOND,
         RenewResponse {
-            revoke: Some(7),
+            sealed: Some(7),
             ..RenewResponse::for_request(&renewal)
         },
         accept,
--- a/crates/control/src/log/membership.rs
+++ b/crates/control/src/log/membership.rs
@@ -4,7 +4,7 @@
 //! newcomer first learns the log without a vote (a learner), and is promoted once it has caught up.
 //!
 //! Guards against: a voter whose disk was lost and that returns under its number without what it had acknowledged (each disk
-//! has a random incarnation, which the log knows, and a number is given only once), and the removal of a voter without
+//! has a random number, which the log knows, and a number is given only once), and the removal of a voter without
 //! which no majority answers.
 
 use serde::{Deserialize, Serialize};
@@ -25,8 +25,9 @@
 pub struct Member {
     /// The address where it can be reached; empty for a founder, which every operator file names.
     pub address: String,
-    /// The incarnation of its disk; 0 for a founder until the founders have met.
-    pub incarnation: u64,
+    /// Random number of its disk; 0 for a founder until the founding is complete.
+    #[serde(rename = "incarnation")]
+    pub disk_id: u64,
     /// Whether it votes; a learner otherwise.
     #[serde(rename = "votes")]
     pub is_voter: bool,
@@ -49,7 +50,7 @@
 /// A change of the members, as it stands in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// Adds a learner: its number, its address, and the incarnation of its disk.
+    /// Adds a learner: its number, its address, and the number of its disk.
     Add(VoterId, String, u64),
     /// Gives a learner its vote. Proposed by a leader only, never requested.
     Promote(VoterId),
@@ -130,11 +131,11 @@
     pub fn apply(&mut self, change: &MembershipChange) {
         self.version += 1;
         match change {
-            MembershipChange::Add(number, address, incarnation) => {
+            MembershipChange::Add(number, address, disk_id) => {
                 self.highest_id = self.highest_id.max(*number);
                 let learner = Member {
                     address: address.clone(),
-                    incarnation: *incarnation,
+                    disk_id: *disk_id,
                     is_voter: false,
                 };
                 self.members.insert(*number, learner);
@@ -150,22 +151,22 @@
         }
     }
 
-    /// Records the incarnations of the founders' disks, once the founders have met.
-    pub fn founders_met(&mut self, incarnations: &BTreeMap<VoterId, u64>) {
+    /// Records the disk numbers of the founders, once the founders have met.
+    pub fn record_founders(&mut self, disk_ids: &BTreeMap<VoterId, u64>) {
         for (number, member) in &mut self.members {
-            member.incarnation = incarnations.get(number).copied().unwrap_or_default();
+            member.disk_id = disk_ids.get(number).copied().unwrap_or_default();
         }
     }
 
     /// Whether the founders have yet to meet.
     pub fn is_founding(&self) -> bool {
-        self.members.values().any(|member| member.incarnation == 0)
+        self.members.values().any(|member| member.disk_id == 0)
     }
 
-    /// Whether a voter of this number, with a disk of this incarnation, is no member: it was removed, or its disk replaced.
-    pub fn is_replaced(&self, number: VoterId, incarnation: u64) -> bool {
+    /// Whether a voter of this number, with this disk, is no member: it was removed, or its disk replaced.
+    pub fn is_removed_or_replaced(&self, number: VoterId, disk_id: u64) -> bool {
         match self.members.get(&number) {
-            Some(member) => member.incarnation != incarnation,
+            Some(member) => member.disk_id != disk_id,
             // One with a higher number may have been added by entries that are not applied here yet.
             None => number <= self.highest_id,
         }
@@ -190,8 +191,8 @@
     /// Whether a requested change may be made; `active` are the members that the leader has had answers from lately.
     pub fn check(&self, change: &MembershipChange, active: &[VoterId]) -> ChangeDecision {
         match change {
-            MembershipChange::Add(number, address, incarnation) => {
-                self.check_addition(*number, address, *incarnation)
+            MembershipChange::Add(number, address, disk_id) => {
+                self.check_addition(*number, address, *disk_id)
             }
             MembershipChange::Promote(_) => {
                 ChangeDecision::Rejected(MembershipError::PromotionRequested)
@@ -200,9 +201,9 @@
         }
     }
 
-    fn check_addition(&self, number: VoterId, address: &str, incarnation: u64) -> ChangeDecision {
+    fn check_addition(&self, number: VoterId, address: &str, disk_id: u64) -> ChangeDecision {
         if let Some(member) = self.members.get(&number) {
-            if member.incarnation != incarnation {
+            if member.disk_id != disk_id {
                 return ChangeDecision::Rejected(MembershipError::OtherDisk(number));
             }
             if member.is_voter {
--- a/crates/control/src/log/membership/tests.rs
+++ b/crates/control/src/log/membership/tests.rs
@@ -3,13 +3,13 @@
 #[test]
 fn a_number_is_given_once_and_a_replaced_disk_cannot_reuse_it() {
     let mut membership = Membership::for_new_fleet(&[1, 2, 3]);
-    let add = |number, incarnation| MembershipChange::Add(number, "host:1".into(), incarnation);
+    let add = |number, disk_id| MembershipChange::Add(number, "host:1".into(), disk_id);
     assert!(membership.is_founding());
-    membership.founders_met(&BTreeMap::from([(1, 10), (2, 20), (3, 30)]));
+    membership.record_founders(&BTreeMap::from([(1, 10), (2, 20), (3, 30)]));
     assert!(!membership.is_founding());
-    assert!(!membership.is_replaced(3, 30) && membership.is_replaced(3, 31));
+    assert!(!membership.is_removed_or_replaced(3, 30) && membership.is_removed_or_replaced(3, 31));
     assert!(
-        !membership.is_replaced(9, 1),
+        !membership.is_removed_or_replaced(9, 1),
         "it may have been added by entries that are not applied yet"
     );
     assert_eq!(
@@ -39,7 +39,7 @@
         ChangeDecision::Allowed
     );
     membership.apply(&MembershipChange::Remove(3));
-    assert!(membership.is_replaced(3, 30));
+    assert!(membership.is_removed_or_replaced(3, 30));
     assert_eq!(
         membership.check(&MembershipChange::Remove(3), &[1, 2]),
         ChangeDecision::Done
--- a/crates/control/src/log/state.rs
+++ b/crates/control/src/log/state.rs
@@ -5,7 +5,7 @@
 //! a proposal that is sent twice (it has one outcome), and entries of a deposed leader (each names its proposal and takes
 //! effect in one phase only).
 
-use crate::jobs::assignment::{Assignment, Jobs};
+use crate::jobs::assignment::{JobChange, Jobs};
 use crate::log::membership::Membership;
 use crate::wire;
 use serde::{Deserialize, Serialize};
@@ -114,7 +114,7 @@
     Commit(ProposalId),
     /// Changes the jobs.
     #[serde(rename = "Deal")]
-    Assignment(Assignment),
+    ChangeJobs(JobChange),
 }
 
 /// The state of the fleet, as it stands in snapshots.
@@ -171,7 +171,7 @@
             (Command::Commit(id), ProposalPhase::Sealed(pending)) if pending.id == id => {
                 self.put_in_force(pending);
             }
-            (Command::Assignment(assignment), phase) => {
+            (Command::ChangeJobs(assignment), phase) => {
                 self.phase = phase;
                 self.required_version = self.required_version.max(1);
                 self.jobs.apply(assignment);
--- a/crates/control/src/log/voter/founding.rs
+++ b/crates/control/src/log/voter/founding.rs
@@ -15,15 +15,15 @@
 
 /// The exchange of introductions, as one founder sees it.
 pub(super) struct Founding {
-    /// The incarnations of the founders' disks that are known so far, this founder's own among them.
-    incarnations: BTreeMap<u64, u64>,
+    /// The disk numbers of the founders that are known so far, this founder's own among them.
+    disk_ids: BTreeMap<u64, u64>,
     next_introduction_at: Micros,
 }
 
 impl Founding {
-    pub(super) fn new(number: u64, incarnation: u64, now: Micros) -> Founding {
+    pub(super) fn new(number: u64, disk_id: u64, now: Micros) -> Founding {
         Founding {
-            incarnations: BTreeMap::from([(number, incarnation)]),
+            disk_ids: BTreeMap::from([(number, disk_id)]),
             next_introduction_at: now,
         }
     }
@@ -32,29 +32,23 @@
 impl Voter {
     /// A founder introduces its disk. A voter past the founding answers with its own introduction, or that the other is no
     /// member.
-    pub fn handle_founding(
-        &mut self,
-        now: Micros,
-        from: ReplyAddress,
-        number: u64,
-        incarnation: u64,
-    ) {
+    pub fn handle_founding(&mut self, now: Micros, from: ReplyAddress, number: u64, disk_id: u64) {
         self.now = now;
         let Some(founding) = &mut self.founding else {
-            self.answer_founder(from, number, incarnation);
+            self.answer_founder(from, number, disk_id);
             return;
         };
         if self.state.membership.members.contains_key(&number) {
-            founding.incarnations.insert(number, incarnation);
+            founding.disk_ids.insert(number, disk_id);
         }
         self.complete_founding();
     }
 
     /// Answers an introduction after this voter's own founding. Answers to one founder are limited in rate: two voters that
     /// are both past the founding would otherwise answer each other's answers without end.
-    fn answer_founder(&mut self, from: ReplyAddress, number: u64, incarnation: u64) {
-        if self.is_stranger(number, incarnation) {
-            self.reply(from, Message::NotAMember(number, incarnation));
+    fn answer_founder(&mut self, from: ReplyAddress, number: u64, disk_id: u64) {
+        if self.is_not_member(number, disk_id) {
+            self.reply(from, Message::NotAMember(number, disk_id));
             return;
         }
         let now = self.now;
@@ -64,7 +58,7 @@
             return;
         }
         self.introduced_at.insert(number, now);
-        self.reply(from, Message::Founding(self.id(), self.incarnation));
+        self.reply(from, Message::Founding(self.id(), self.disk_id));
     }
 
     /// Ends the founding once all founders are known: each then knows the same of the others, and votes.
@@ -75,7 +69,7 @@
         let Some(founding) = self.founding.take() else {
             return;
         };
-        self.state.membership.founders_met(&founding.incarnations);
+        self.state.membership.record_founders(&founding.disk_ids);
         let state = wire::encode(&self.state);
         self.founding_batch = Some(self.node.mut_store().replace_founding_state(state));
     }
@@ -88,7 +82,7 @@
         let members = &self.state.membership.members;
         members
             .keys()
-            .filter(|number| !founding.incarnations.contains_key(number))
+            .filter(|number| !founding.disk_ids.contains_key(number))
             .copied()
             .collect()
     }
@@ -96,7 +90,7 @@
     /// Introductions to the other founders, where they are due.
     pub(super) fn introductions(&mut self) -> Vec<(u64, Message)> {
         let (now, own_id) = (self.now, self.id());
-        let introduction = Message::Founding(own_id, self.incarnation);
+        let introduction = Message::Founding(own_id, self.disk_id);
         let founding = self
             .founding
             .as_mut()
--- a/crates/control/src/log/voter/job_assignment.rs
+++ b/crates/control/src/log/voter/job_assignment.rs
@@ -7,7 +7,7 @@
 
 use super::leadership::{AssignmentRun, Leadership, RelayProgress};
 use super::Voter;
-use crate::jobs::assignment::{Assignment, FencingToken, Job, MAX_ASSIGNMENTS_PER_BATCH};
+use crate::jobs::assignment::{FencingToken, Job, JobChange, MAX_JOBS_PER_CHANGE};
 use crate::jobs::owner::RELAY_STOPS;
 use crate::log::state::Command;
 use crate::relay::{job_kind, JobCapabilities, RelayId};
@@ -22,9 +22,9 @@
 
 impl Leadership {
     /// Counts the jobs among these that owners have relinquished because they could not do them.
-    pub(super) fn record_relinquished(&mut self, assignments: &[Assignment], now: Micros) {
+    pub(super) fn record_relinquished(&mut self, assignments: &[JobChange], now: Micros) {
         for assignment in assignments {
-            let Assignment::Revoke(jobs) = assignment else {
+            let JobChange::Revoke(jobs) = assignment else {
                 continue;
             };
             for (name, _, _) in jobs.iter().filter(|(.., reason)| reason != RELAY_STOPS) {
@@ -72,11 +72,11 @@
 
 impl AssignmentPlan {
     /// The entries of the log, in the order in which they are proposed.
-    fn into_assignments(self) -> impl Iterator<Item = Assignment> {
+    fn into_assignments(self) -> impl Iterator<Item = JobChange> {
         let entries = [
-            (!self.release.is_empty()).then_some(Assignment::Release(self.release)),
-            (!self.assign.is_empty()).then_some(Assignment::Assign(self.assign)),
-            (!self.revoke.is_empty()).then_some(Assignment::Revoke(self.revoke)),
+            (!self.release.is_empty()).then_some(JobChange::Release(self.release)),
+            (!self.assign.is_empty()).then_some(JobChange::Assign(self.assign)),
+            (!self.revoke.is_empty()).then_some(JobChange::Revoke(self.revoke)),
         ];
         entries.into_iter().flatten()
     }
@@ -99,7 +99,7 @@
         let plan = self.plan_assignments(leadership);
         let revokes = !plan.revoke.is_empty();
         for assignment in plan.into_assignments() {
-            self.propose(&Command::Assignment(assignment));
+            self.propose(&Command::ChangeJobs(assignment));
         }
         if let Some(leadership) = &mut self.leadership {
             leadership.last_assignment = Some(AssignmentRun {
@@ -124,7 +124,7 @@
         }
         let workers = leadership.workers(may_act);
         if plan.revoke.is_empty() && now >= leadership.rebalanced_at + REBALANCE_INTERVAL {
-            plan.revoke = jobs.excess(workers.len());
+            plan.revoke = jobs.excess_jobs(workers.len());
         }
         plan.assign = jobs.assignments(&workers, |name| leadership.backs_off(name, now));
         plan
@@ -142,7 +142,7 @@
         let mut plan = AssignmentPlan::default();
         for (name, job) in &self.state.jobs.by_name {
             let Some(owner) = &job.owner else { continue };
-            let cannot_act = !may_act(owner) || self.is_given_early(leadership, owner);
+            let cannot_act = !may_act(owner) || self.injected_early_release(leadership, owner);
             if job.revoked_at.is_some() {
                 if cannot_act || leadership.has_stopped(owner, job) {
                     plan.release.push((name.clone(), job.token));
@@ -155,7 +155,7 @@
                 };
                 plan.revoke.push((name.clone(), job.token, reason.into()));
             }
-            if plan.release.len().max(plan.revoke.len()) == MAX_ASSIGNMENTS_PER_BATCH {
+            if plan.release.len().max(plan.revoke.len()) == MAX_JOBS_PER_CHANGE {
                 break;
             }
         }
@@ -170,14 +170,15 @@
     }
 
     /// With the bug injected: whether an owner is late with a renewal, and therefore taken to have no lease.
-    fn is_given_early(&self, leadership: &Leadership, owner: &RelayId) -> bool {
+    fn injected_early_release(&self, leadership: &Leadership, owner: &RelayId) -> bool {
         let is_late =
             |relay: &RelayProgress| self.now >= relay.last_seen + self.timing.renew_interval;
-        self.injected.is(InjectedBug::GiveEarly) && leadership.relays.get(owner).is_none_or(is_late)
+        self.injected.is(InjectedBug::ReleaseEarly)
+            && leadership.relays.get(owner).is_none_or(is_late)
     }
 
     /// Jobs that no relay may act on now, and why.
-    pub(super) fn unassigned_jobs(&self) -> Vec<(String, String)> {
+    pub(super) fn idle_jobs(&self) -> Vec<(String, String)> {
         let Some(leadership) = &self.leadership else {
             return Vec::new();
         };
@@ -202,7 +203,7 @@
     ) -> Option<String> {
         let owner_name = &owner.name;
         if job.revoked_at.is_some() {
-            let last_owner = last_relinquished(job);
+            let last_owner = last_revocation_suffix(job);
             return Some(format!(
                 "it is taken back from {owner_name}, whose lease may still run{last_owner}"
             ));
@@ -232,7 +233,7 @@
             let kind = job_kind(name);
             return format!("no relay that answers does jobs of kind '{kind}'");
         }
-        let last_owner = last_relinquished(job);
+        let last_owner = last_revocation_suffix(job);
         if leadership.backs_off(name, self.now) {
             return format!("it rests, since it was given up again and again{last_owner}");
         }
@@ -240,7 +241,7 @@
     }
 
     /// Makes a change of the jobs that operators ask for. One that is made already is answered as done.
-    pub(super) fn change_jobs(&mut self, assignment: Assignment) -> OperatorResponse {
+    pub(super) fn change_jobs(&mut self, assignment: JobChange) -> OperatorResponse {
         let jobs = &self.state.jobs.by_name;
         let is_revoked = |name: &String, token: FencingToken| {
             jobs.get(name).is_none_or(|job| {
@@ -248,30 +249,30 @@
             })
         };
         let is_done = match &assignment {
-            Assignment::Open(names) => names.iter().all(|name| jobs.contains_key(name)),
-            Assignment::Close(name) => !jobs.contains_key(name),
-            Assignment::Hold(name, paused) => match jobs.get(name) {
+            JobChange::Open(names) => names.iter().all(|name| jobs.contains_key(name)),
+            JobChange::Close(name) => !jobs.contains_key(name),
+            JobChange::Hold(name, paused) => match jobs.get(name) {
                 Some(job) => job.paused == *paused,
                 None => return OperatorResponse::Job(Err(format!("there is no job '{name}'"))),
             },
-            Assignment::Revoke(revoked) => revoked
+            JobChange::Revoke(revoked) => revoked
                 .iter()
                 .all(|(name, token, _)| is_revoked(name, *token)),
-            Assignment::Assign(_) | Assignment::Release(_) | Assignment::Checkpoint(..) => {
+            JobChange::Assign(_) | JobChange::Release(_) | JobChange::Checkpoint(..) => {
                 return OperatorResponse::Job(Err("a leader decides that, or an owner".into()))
             }
         };
         if is_done {
             return OperatorResponse::Job(Ok(()));
         }
-        self.propose(&Command::Assignment(assignment));
+        self.propose(&Command::ChangeJobs(assignment));
         OperatorResponse::InProgress("handed to the log".into(), Vec::new())
     }
 }
 
 /// The relay that relinquished a job last, and why, as the end of a sentence; empty where none did.
-fn last_relinquished(job: &Job) -> String {
-    match &job.relinquished_by {
+fn last_revocation_suffix(job: &Job) -> String {
+    match &job.last_revocation {
         Some((relay, reason)) => format!("; {relay}: {reason}"),
         None => String::new(),
     }
--- a/crates/control/src/log/voter/job_leases.rs
+++ b/crates/control/src/log/voter/job_leases.rs
@@ -2,7 +2,7 @@
 //! it. One lease stands for all jobs of a relay.
 
 use super::leadership::RelayProgress;
-use crate::jobs::assignment::{is_valid_job_name, Assignment, FencingToken, Jobs, MAX_JOBS};
+use crate::jobs::assignment::{is_valid_job_name, FencingToken, JobChange, Jobs, MAX_JOBS};
 use crate::relay::RelayId;
 use crate::wire::message::{AssignedJobs, RenewRequest, RenewResponse};
 use crate::Micros;
@@ -15,7 +15,7 @@
     request: &RenewRequest,
     response: &mut RenewResponse,
     now: Micros,
-) -> Vec<Assignment> {
+) -> Vec<JobChange> {
     response.last_token = Some(jobs.last_token);
     relay.jobs_version = request.jobs_version;
     let Some(version) = request.jobs_version else {
@@ -47,7 +47,7 @@
     AssignedJobs {
         version: jobs.version,
         jobs: jobs
-            .of_relay(relay)
+            .owned_by(relay)
             .into_iter()
             .map(with_checkpoint)
             .collect(),
@@ -60,7 +60,7 @@
 }
 
 /// The revocation of the jobs that the relay relinquishes and that are not revoked yet.
-fn relinquished_jobs(jobs: &Jobs, request: &RenewRequest) -> Option<Assignment> {
+fn relinquished_jobs(jobs: &Jobs, request: &RenewRequest) -> Option<JobChange> {
     let is_owned = |(name, token, _): &&(String, FencingToken, String)| {
         jobs.by_name
             .get(name)
@@ -72,12 +72,12 @@
         .filter(is_owned)
         .cloned()
         .collect();
-    (!relinquished.is_empty()).then_some(Assignment::Revoke(relinquished))
+    (!relinquished.is_empty()).then_some(JobChange::Revoke(relinquished))
 }
 
 /// The jobs that the relay expects and that do not exist yet. Invalid names are left out: they would be proposed with each
 /// renewal.
-fn jobs_to_open(jobs: &Jobs, request: &RenewRequest) -> Option<Assignment> {
+fn jobs_to_open(jobs: &Jobs, request: &RenewRequest) -> Option<JobChange> {
     let new: Vec<String> = request
         .capabilities
         .expected_jobs
@@ -86,19 +86,19 @@
         .cloned()
         .collect();
     let has_room = jobs.by_name.len() + new.len() <= MAX_JOBS;
-    (!new.is_empty() && has_room).then_some(Assignment::Open(new))
+    (!new.is_empty() && has_room).then_some(JobChange::Open(new))
 }
 
 /// The checkpoints of the relay that follow directly on the log's.
 fn new_checkpoints<'a>(
     jobs: &'a Jobs,
     request: &'a RenewRequest,
-) -> impl Iterator<Item = Assignment> + 'a {
+) -> impl Iterator<Item = JobChange> + 'a {
     request
         .checkpoints
         .iter()
         .filter(|(name, _, step, _)| checkpoint_step(jobs, name) + 1 == *step)
         .map(|(name, token, step, checkpoint)| {
-            Assignment::Checkpoint(name.clone(), *token, *step, checkpoint.clone())
+            JobChange::Checkpoint(name.clone(), *token, *step, checkpoint.clone())
         })
 }
--- a/crates/control/src/log/voter/leadership.rs
+++ b/crates/control/src/log/voter/leadership.rs
@@ -22,7 +22,7 @@
     /// The proposal that it has checked and stored.
     pub prepared: Option<ProposalId>,
     /// The proposal for which it has stopped admitting under the old policy.
-    pub revoked: Option<ProposalId>,
+    pub stopped_for: Option<ProposalId>,
     /// The version of the jobs that it acts by; none where it does no jobs.
     pub jobs_version: Option<u64>,
     /// When it was last granted a lease on its jobs.
@@ -67,7 +67,7 @@
     ) -> bool {
         self.epoch = request.epoch;
         self.prepared = request.prepared;
-        self.revoked = request.revoked;
+        self.stopped_for = request.stopped_for;
         self.last_seen = now;
         self.unacknowledged = self
             .unacknowledged
@@ -171,7 +171,7 @@
 
     /// Whether all leases that the previous leader may have granted have run out.
     pub(super) fn previous_leases_expired(&self, leadership: &Leadership) -> bool {
-        self.injected.is(InjectedBug::ForgetPredecessor)
+        self.injected.is(InjectedBug::SkipPredecessorWait)
             || self.now >= self.timing.lease_expired_by(leadership.since)
     }
 
--- a/crates/control/src/log/voter/leases.rs
+++ b/crates/control/src/log/voter/leases.rs
@@ -23,7 +23,7 @@
     pub(super) fn grant_lease(&mut self, request: &RenewRequest) -> RenewResponse {
         let now = self.now;
         let lease_duration = self.timing.lease_duration;
-        let ignores_seal = self.injected.is(InjectedBug::GrantClosed);
+        let ignores_seal = self.injected.is(InjectedBug::GrantAfterSeal);
         let term = self.node.raft.term;
         let mut response = RenewResponse::for_request(request);
         let leadership = self
@@ -60,7 +60,7 @@
         }
         let commands = rejection
             .into_iter()
-            .chain(assignments.into_iter().map(Command::Assignment));
+            .chain(assignments.into_iter().map(Command::ChangeJobs));
         for command in commands {
             self.propose(&command);
         }
@@ -79,7 +79,7 @@
 ) -> Option<Command> {
     if let ProposalPhase::Sealed(proposal) = phase {
         if !ignores_seal {
-            response.revoke = Some(proposal.id);
+            response.sealed = Some(proposal.id);
             return None;
         }
     }
--- a/crates/control/src/log/voter/mod.rs
+++ b/crates/control/src/log/voter/mod.rs
@@ -61,8 +61,8 @@
 /// A voting member of the replicated log; grants leases, assigns jobs and advances proposals while it is leader.
 pub struct Voter {
     node: RawNode<RaftLog>,
-    /// The incarnation of this voter's disk.
-    incarnation: u64,
+    /// The number of this voter's disk.
+    disk_id: u64,
     timing: FleetTiming,
     injected: InjectedBugs,
     /// What the applied entries come to.
@@ -92,8 +92,8 @@
 }
 
 /// A number that no earlier process of this voter had: none of them started at this moment of its clock.
-fn process_instance(incarnation: u64, now: Micros) -> u64 {
-    xxhash_rust::xxh3::xxh3_64(&[incarnation.to_be_bytes(), now.to_be_bytes()].concat())
+fn process_incarnation(disk_id: u64, now: Micros) -> u64 {
+    xxhash_rust::xxh3::xxh3_64(&[disk_id.to_be_bytes(), now.to_be_bytes()].concat())
 }
 
 fn raft_config(id: u64, applied: u64) -> Config {
@@ -114,12 +114,12 @@
 }
 
 impl Voter {
-    /// The voter with this number, a disk of this incarnation and this stored log. The other voters are in the log.
+    /// The voter with this number, this disk and this stored log. The other voters are in the log.
     ///
     /// Fails where the stored log is damaged, incomplete or of a later build.
     pub fn new(
         id: u64,
-        incarnation: u64,
+        disk_id: u64,
         stored: &PersistedLog,
         timing: FleetTiming,
         now: Micros,
@@ -136,10 +136,10 @@
         let founding = state
             .membership
             .is_founding()
-            .then(|| Founding::new(id, incarnation, now));
+            .then(|| Founding::new(id, disk_id, now));
         Ok(Voter {
             node,
-            incarnation,
+            disk_id,
             timing,
             injected: InjectedBugs::default(),
             state,
@@ -153,7 +153,7 @@
             founding_batch: None,
             introduced_at: BTreeMap::new(),
             fault: None,
-            broadcaster: Broadcaster::new(process_instance(incarnation, now)),
+            broadcaster: Broadcaster::new(process_incarnation(disk_id, now)),
             now,
         })
     }
@@ -178,9 +178,9 @@
         self.node.raft.id
     }
 
-    /// The incarnation of this voter's disk.
-    pub fn incarnation(&self) -> u64 {
-        self.incarnation
+    /// The number of this voter's disk.
+    pub fn disk_id(&self) -> u64 {
+        self.disk_id
     }
 
     /// The term in which this voter leads, as far as it knows; none while it does not lead.
@@ -191,7 +191,8 @@
     /// Why this voter must not vote any more. To be checked before a [`Ready`] is carried out.
     pub fn fatal_error(&self) -> Option<LogError> {
         let members = &self.state.membership;
-        let removed = self.founding.is_none() && members.is_replaced(self.id(), self.incarnation);
+        let removed =
+            self.founding.is_none() && members.is_removed_or_replaced(self.id(), self.disk_id);
         self.fault.or(removed.then_some(LogError::Removed))
     }
 
@@ -236,7 +237,7 @@
         &mut self,
         now: Micros,
         from: ReplyAddress,
-        incarnation: u64,
+        disk_id: u64,
         bytes: &[u8],
     ) -> Result<(), LogError> {
         self.now = now;
@@ -246,8 +247,8 @@
         if self.founding.is_some() {
             return Ok(());
         }
-        if self.is_stranger(message.from, incarnation) {
-            self.reply(from, Message::NotAMember(message.from, incarnation));
+        if self.is_not_member(message.from, disk_id) {
+            self.reply(from, Message::NotAMember(message.from, disk_id));
             return Ok(());
         }
         // A leader reports entries as committed to a voter only as far as that voter has acknowledged them.
@@ -285,10 +286,13 @@
         self.replies.push((to, message));
     }
 
-    /// Whether a sender that claims to be this voter, with a disk of this incarnation, is not the member of that number.
-    fn is_stranger(&self, number: u64, incarnation: u64) -> bool {
-        let replaced = self.state.membership.is_replaced(number, incarnation);
-        replaced && !self.injected.is(InjectedBug::TrustReborn)
+    /// Whether a sender that claims to be this voter, with this disk, is not the member of that number.
+    fn is_not_member(&self, number: u64, disk_id: u64) -> bool {
+        let replaced = self
+            .state
+            .membership
+            .is_removed_or_replaced(number, disk_id);
+        replaced && !self.injected.is(InjectedBug::TrustReplacedDisk)
     }
 
     /// Proposes an entry of the log. One that the library does not accept is proposed again by the rule that wanted it.
--- a/crates/control/src/log/voter/operator.rs
+++ b/crates/control/src/log/voter/operator.rs
@@ -50,7 +50,7 @@
     }
 
     fn identity(&self) -> OperatorResponse {
-        OperatorResponse::Identity(self.id(), self.incarnation)
+        OperatorResponse::Identity(self.id(), self.disk_id)
     }
 
     fn status(&self) -> FleetStatus {
@@ -75,7 +75,7 @@
             state: self.state.clone(),
             relays,
             voters,
-            unassigned_jobs: self.unassigned_jobs(),
+            idle_jobs: self.idle_jobs(),
         }
     }
 
--- a/crates/control/src/log/voter/proposals.rs
+++ b/crates/control/src/log/voter/proposals.rs
@@ -56,7 +56,7 @@
         if step.is_sealed {
             // Any lease on the old policy was granted before the seal, whatever this leader knows of it.
             let leases_expired = self.now >= self.timing.lease_expired_by(step.since);
-            let skips_wait = self.injected.is(InjectedBug::SkipWait);
+            let skips_wait = self.injected.is(InjectedBug::SkipLeaseWait);
             return (waited_for.is_empty() || leases_expired || skips_wait)
                 .then_some(Command::Commit(step.id));
         }
@@ -75,7 +75,7 @@
         let is_done = |relay: &RelayProgress| match &self.state.phase {
             ProposalPhase::Idle => true,
             ProposalPhase::Preparing(proposal) => relay.prepared == Some(proposal.id),
-            ProposalPhase::Sealed(proposal) => relay.revoked == Some(proposal.id),
+            ProposalPhase::Sealed(proposal) => relay.stopped_for == Some(proposal.id),
         };
         let mut names: Vec<String> = leadership
             .relays
--- a/crates/control/src/log/voter/read_confirmation.rs
+++ b/crates/control/src/log/voter/read_confirmation.rs
@@ -96,7 +96,7 @@
         self.confirmations.last_number += 1;
         self.confirmations.requested_at = self.now;
         let requests = std::mem::take(&mut self.confirmations.queued);
-        if self.injected.is(InjectedBug::GrantAlone) {
+        if self.injected.is(InjectedBug::GrantUnconfirmed) {
             for request in requests {
                 self.answer(request);
             }
--- a/crates/control/src/log/voter/ready.rs
+++ b/crates/control/src/log/voter/ready.rs
@@ -62,12 +62,7 @@
         self.compact_log(output);
         output.voter_messages = messages
             .iter()
-            .map(|message| {
-                (
-                    message.to,
-                    Message::Log(self.incarnation, to_bytes(message)),
-                )
-            })
+            .map(|message| (message.to, Message::Log(self.disk_id, to_bytes(message))))
             .collect();
     }
 
--- a/crates/control/src/wire/encoding.rs
+++ b/crates/control/src/wire/encoding.rs
@@ -20,13 +20,14 @@
     ciborium::from_reader(bytes).ok()
 }
 
-/// Whether this process encodes messages as a later build would, see [`encode_later`]: for tests of fleets of two builds.
+/// Whether this process encodes messages as a later build would, see [`encode_as_later_build`]: for tests of fleets of two builds.
 #[cfg(feature = "injected-bugs")]
-pub static LATER: std::sync::atomic::AtomicBool = std::sync::atomic::AtomicBool::new(false);
+pub static ENCODE_AS_LATER_BUILD: std::sync::atomic::AtomicBool =
+    std::sync::atomic::AtomicBool::new(false);
 
 /// The encoded value with a field that no build knows.
 #[cfg(feature = "injected-bugs")]
-pub fn encode_later(value: &impl Serialize) -> Vec<u8> {
+pub fn encode_as_later_build(value: &impl Serialize) -> Vec<u8> {
     use ciborium::Value;
     let mut value = Value::serialized(value).unwrap_or_else(|error| unreachable!("{error}"));
     if let Value::Map(variant) = &mut value {
--- a/crates/control/src/wire/encoding/tests.rs
+++ b/crates/control/src/wire/encoding/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::jobs::assignment::Assignment;
+use crate::jobs::assignment::JobChange;
 use crate::log::state::{Command, FleetState, STATE_VERSION};
 use crate::wire::message::{Message, RenewRequest};
 use serde::Deserialize;
@@ -48,8 +48,8 @@
         sequence: 7,
         ..RenewRequest::default()
     });
-    assert_ne!(encode_later(&message), encode(&message));
-    assert_eq!(decode(&encode_later(&message)), Some(message));
+    assert_ne!(encode_as_later_build(&message), encode(&message));
+    assert_eq!(decode(&encode_as_later_build(&message)), Some(message));
     // An unknown variant does not decode.
     #[derive(Serialize)]
     enum Command2 {
@@ -69,7 +69,7 @@
         state.required_version, 0,
         "a fleet without jobs can be downgraded to a build that knows none"
     );
-    state.apply(Command::Assignment(Assignment::Open(vec!["a".into()])));
+    state.apply(Command::ChangeJobs(JobChange::Open(vec!["a".into()])));
     assert_eq!(FleetState::decode(&encode(&state)), Some(state.clone()));
     state.required_version = STATE_VERSION + 1;
     assert_eq!(FleetState::decode(&encode(&state)), None);
--- a/crates/control/src/wire/mac.rs
+++ b/crates/control/src/wire/frame.rs
@@ -53,7 +53,7 @@
     WrongKey,
     /// It sent a frame longer than [`MAX_FRAME_BYTES`].
     #[error("sends a frame longer than {MAX_FRAME_BYTES} bytes")]
-    TooLong,
+    InvalidLength,
 }
 
 /// One side of a connection: bytes of the socket in, messages out, and back.
@@ -226,7 +226,7 @@
             };
             let length = u32::from_be_bytes(*length) as usize;
             if !(TAG_BYTES..=MAX_FRAME_BYTES).contains(&length) {
-                return Err(FrameError::TooLong);
+                return Err(FrameError::InvalidLength);
             }
             let Some(frame) = rest.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
                 break;
--- a/crates/control/src/wire/mac/tests.rs
+++ b/crates/control/src/wire/frame/tests.rs
@@ -61,7 +61,10 @@
     assert_eq!(b.feed(b"GET / HTTP"), Err(FrameError::WrongProtocol));
     let (mut a, mut b) = pair(&["a"], &["a"]);
     establish(&mut a, &mut b).unwrap();
-    assert_eq!(b.feed(&u32::MAX.to_be_bytes()), Err(FrameError::TooLong));
+    assert_eq!(
+        b.feed(&u32::MAX.to_be_bytes()),
+        Err(FrameError::InvalidLength)
+    );
 }
 
 #[test]
--- a/crates/control/src/wire/message.rs
+++ b/crates/control/src/wire/message.rs
@@ -65,8 +65,8 @@
     /// The encoded message.
     pub fn encode(&self) -> Vec<u8> {
         #[cfg(feature = "injected-bugs")]
-        if wire::LATER.load(std::sync::atomic::Ordering::Relaxed) {
-            return wire::encode_later(self);
+        if wire::ENCODE_AS_LATER_BUILD.load(std::sync::atomic::Ordering::Relaxed) {
+            return wire::encode_as_later_build(self);
         }
         wire::encode(self)
     }
--- a/crates/control/src/wire/mod.rs
+++ b/crates/control/src/wire/mod.rs
@@ -1,7 +1,7 @@
 //! What the processes of a fleet exchange: messages, their encoding, and the frames that authenticate them.
 
 mod encoding;
-pub mod mac;
+pub mod frame;
 pub mod message;
 mod operator;
 mod renewal;
@@ -10,4 +10,4 @@
 pub use crate::relay;
 pub use encoding::{decode, encode};
 #[cfg(feature = "injected-bugs")]
-pub use encoding::{encode_later, LATER};
+pub use encoding::{encode_as_later_build, ENCODE_AS_LATER_BUILD};
--- a/crates/control/src/wire/operator.rs
+++ b/crates/control/src/wire/operator.rs
@@ -1,6 +1,6 @@
 //! Requests of operators, and the responses to them.
 
-use crate::jobs::assignment::{Assignment, FencingToken};
+use crate::jobs::assignment::{FencingToken, JobChange};
 use crate::log::membership::{MembershipChange, VoterId};
 use crate::log::state::{FleetState, Proposal, ProposalId, ProposalOutcome};
 use crate::relay::RelayId;
@@ -19,7 +19,7 @@
     #[serde(rename = "Seat")]
     Member(MembershipChange),
     /// Change the jobs. Changes that only a leader or an owner makes are rejected.
-    Job(Assignment),
+    Job(JobChange),
     /// The present token of a job.
     Token(String),
     /// The number of the voter that receives this, and the incarnation of its disk. Answered by any voter.
@@ -71,5 +71,5 @@
     pub voters: Vec<(VoterId, bool, u64)>,
     /// Jobs that no relay may act on now, and why.
     #[serde(rename = "idle")]
-    pub unassigned_jobs: Vec<(String, String)>,
+    pub idle_jobs: Vec<(String, String)>,
 }
--- a/crates/control/src/wire/renewal.rs
+++ b/crates/control/src/wire/renewal.rs
@@ -32,7 +32,7 @@
     pub rejected: Option<(ProposalId, String)>,
     /// The sealed proposal for which it has stopped admitting under the old policy.
     #[serde(rename = "yielded", skip_serializing_if = "is_default")]
-    pub revoked: Option<ProposalId>,
+    pub stopped_for: Option<ProposalId>,
     /// The version of the members that it knows.
     #[serde(rename = "seats", skip_serializing_if = "is_default")]
     pub membership_version: u64,
@@ -79,7 +79,7 @@
     /// The sealed proposal for which the relay has to stop admitting under its policy.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "close")]
-    pub revoke: Option<ProposalId>,
+    pub sealed: Option<ProposalId>,
     /// The members, where the relay knows an older version.
     #[serde(rename = "seats", skip_serializing_if = "is_default")]
     pub membership: Option<Membership>,
--- a/crates/control/tests/model.rs
+++ b/crates/control/tests/model.rs
@@ -27,14 +27,14 @@
         age: u8,
         epoch: u8,
         prepared: bool,
-        revoked: bool,
+        has_stopped: bool,
     },
     Response {
         age: u8,
         grant: bool,
         epoch: u8,
         prepare: bool,
-        revoke: bool,
+        sealed: bool,
     },
 }
 
@@ -44,12 +44,12 @@
     /// Steps for which it may still admit.
     lease: u8,
     prepared: bool,
-    revoked: bool,
+    has_stopped: bool,
     message: Message,
     /// What the leader knows: steps for which the relay may still hold a lease, and whether it has prepared and stopped.
     granted: u8,
     has_prepared: bool,
-    has_revoked: bool,
+    reported_stop: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -120,11 +120,11 @@
             epoch: 0,
             lease: 0,
             prepared: false,
-            revoked: false,
+            has_stopped: false,
             message: Message::None,
             granted: 0,
             has_prepared: false,
-            has_revoked: false,
+            reported_stop: false,
         };
         let relays = [relay; RELAYS];
         let phase = Phase::Idle;
@@ -149,7 +149,7 @@
             Phase::Sealed
                 if self.0 == Without::LeaseWait
                     || fleet.sealed_for >= WAIT
-                    || !Self::may_hold_lease(fleet, |relay| relay.has_revoked) =>
+                    || !Self::may_hold_lease(fleet, |relay| relay.reported_stop) =>
             {
                 steps.push(Step::Commit)
             }
@@ -179,7 +179,7 @@
             Step::Commit => {
                 (next.phase, next.epoch) = (Phase::Idle, fleet.epoch + 1);
                 for relay in &mut next.relays {
-                    (relay.has_prepared, relay.has_revoked) = (false, false);
+                    (relay.has_prepared, relay.reported_stop) = (false, false);
                 }
             }
             Step::NewLeader => {
@@ -192,7 +192,7 @@
                 // It counts the time since the seal only from its own election on.
                 next.sealed_for = 0;
                 for relay in &mut next.relays {
-                    (relay.granted, relay.has_prepared, relay.has_revoked) = (0, false, false);
+                    (relay.granted, relay.has_prepared, relay.reported_stop) = (0, false, false);
                 }
             }
             Step::Time => {
@@ -215,14 +215,14 @@
                 let Relay {
                     epoch,
                     prepared,
-                    revoked,
+                    has_stopped,
                     ..
                 } = fleet.relays[n];
                 next.relays[n].message = Message::Request {
                     age: 0,
                     epoch,
                     prepared,
-                    revoked,
+                    has_stopped,
                 };
             }
             Step::Answer(n) => {
@@ -230,19 +230,19 @@
                     age,
                     epoch,
                     prepared,
-                    revoked,
+                    has_stopped,
                 } = fleet.relays[n].message
                 else {
                     return None;
                 };
                 let current = epoch == fleet.epoch;
-                let revoke = fleet.phase == Phase::Sealed && self.0 != Without::NoGrantWhenSealed;
+                let sealed = fleet.phase == Phase::Sealed && self.0 != Without::NoGrantWhenSealed;
                 let prepare = fleet.phase == Phase::Preparing && current;
-                let grant = current && !revoke;
+                let grant = current && !sealed;
                 let relay = &mut next.relays[n];
                 // A report on an earlier proposal counts for none that comes later.
                 relay.has_prepared = prepared && current;
-                relay.has_revoked = revoked && current;
+                relay.reported_stop = has_stopped && current;
                 if grant {
                     relay.granted = WAIT;
                 }
@@ -251,7 +251,7 @@
                     grant,
                     epoch: fleet.epoch,
                     prepare,
-                    revoke,
+                    sealed,
                 };
             }
             Step::Receive(n) => {
@@ -260,7 +260,7 @@
                     grant,
                     epoch,
                     prepare,
-                    revoke,
+                    sealed,
                 } = fleet.relays[n].message
                 else {
                     return None;
@@ -268,7 +268,7 @@
                 let relay = &mut next.relays[n];
                 relay.message = Message::None;
                 if epoch > relay.epoch {
-                    (relay.epoch, relay.lease, relay.prepared, relay.revoked) =
+                    (relay.epoch, relay.lease, relay.prepared, relay.has_stopped) =
                         (epoch, 0, false, false);
                 } else if grant && epoch == relay.epoch {
                     let age = if self.0 == Without::LeaseFromRequest {
@@ -285,8 +285,8 @@
                 if prepare && epoch == relay.epoch {
                     relay.prepared = true;
                 }
-                if revoke && epoch == relay.epoch {
-                    relay.revoked = true;
+                if sealed && epoch == relay.epoch {
+                    relay.has_stopped = true;
                     if self.0 != Without::Stop {
                         relay.lease = 0;
                     }
@@ -300,7 +300,7 @@
                 } else {
                     relay.lease = LEASE;
                 }
-                (relay.prepared, relay.revoked, relay.message) = (false, false, Message::None);
+                (relay.prepared, relay.has_stopped, relay.message) = (false, false, Message::None);
             }
         }
         // Relays are interchangeable: states that differ in their order only are equal.
--- a/crates/control/tests/older_build/main.rs
+++ b/crates/control/tests/older_build/main.rs
@@ -8,7 +8,7 @@
 use jaspermoor_control::broadcast::quantise::Level;
 use jaspermoor_control::broadcast::table::Table;
 use jaspermoor_control::log::state::FleetState;
-use jaspermoor_control::wire::mac::FrameSession;
+use jaspermoor_control::wire::frame::FrameSession;
 use jaspermoor_control::wire::message::Message;
 use jaspermoor_control::wire::{decode, encode};
 use serde::de::DeserializeOwned;
--- a/crates/control/tests/older_build/samples.rs
+++ b/crates/control/tests/older_build/samples.rs
@@ -2,10 +2,10 @@
 //! not its default, and every variant occurs, so that a name that differs from the older build's is found.
 
 use jaspermoor_control::broadcast::message::{
-    Allowance, Delivered, Delivery, MovesSummary, Poll, Receipt, Reports, Submission,
+    Allowance, DeliveredUpdate, Delivery, MigrationSummary, Poll, Receipt, Reports, Submission,
 };
 use jaspermoor_control::broadcast::table::{LoadReport, Table};
-use jaspermoor_control::jobs::assignment::{Assignment, Job, Jobs};
+use jaspermoor_control::jobs::assignment::{Job, JobChange, Jobs};
 use jaspermoor_control::jobs::load_watch::LoadReports;
 use jaspermoor_control::jobs::moves::{MigrationPermits, MigrationStatus};
 use jaspermoor_control::jobs::zones::{ZoneObservation, ZoneObservations, ZoneState, ZoneStatus};
@@ -51,7 +51,7 @@
 fn membership() -> Membership {
     let member = |number: u64| Member {
         address: format!("relay-{number}.example:7400"),
-        incarnation: 900 + number,
+        disk_id: 900 + number,
         is_voter: true,
     };
     Membership {
@@ -67,7 +67,7 @@
         owner: Some(relay(2)),
         revoked_at: Some(17),
         paused: true,
-        relinquished_by: Some(("relay-1".into(), "it reached no endpoint".into())),
+        last_revocation: Some(("relay-1".into(), "it reached no endpoint".into())),
         checkpoint_step: 6,
         checkpoint: vec![0, 0, 0, 0, 0, 0, 4, 210],
     };
@@ -117,27 +117,27 @@
     }
 }
 
-fn assignments() -> Vec<(&'static str, Assignment)> {
+fn assignments() -> Vec<(&'static str, JobChange)> {
     vec![
         (
             "open",
-            Assignment::Open(vec!["load/zone-a".into(), "moves".into()]),
+            JobChange::Open(vec!["load/zone-a".into(), "moves".into()]),
         ),
-        ("close", Assignment::Close("load/zone-b".into())),
+        ("close", JobChange::Close("load/zone-b".into())),
         (
             "assign",
-            Assignment::Assign(vec![("moves".into(), relay(3))]),
+            JobChange::Assign(vec![("moves".into(), relay(3))]),
         ),
         (
             "revoke",
-            Assignment::Revoke(vec![("moves".into(), 31, "it has too many".into())]),
+            JobChange::Revoke(vec![("moves".into(), 31, "it has too many".into())]),
         ),
-        ("release", Assignment::Release(vec![("moves".into(), 31)])),
+        ("release", JobChange::Release(vec![("moves".into(), 31)])),
         (
             "checkpoint",
-            Assignment::Checkpoint("moves".into(), 31, 7, vec![1, 2, 3]),
+            JobChange::Checkpoint("moves".into(), 31, 7, vec![1, 2, 3]),
         ),
-        ("hold", Assignment::Hold("zones".into(), true)),
+        ("hold", JobChange::Hold("zones".into(), true)),
     ]
 }
 
@@ -160,7 +160,7 @@
         ),
         (
             "job",
-            OperatorRequest::Job(Assignment::Hold("zones".into(), true)),
+            OperatorRequest::Job(JobChange::Hold("zones".into(), true)),
         ),
         ("token", OperatorRequest::Token("moves".into())),
         ("identity", OperatorRequest::Identity),
@@ -174,7 +174,7 @@
         state: state(ProposalPhase::Preparing(proposal(104))),
         relays: vec![(relay(1), true, 41), (relay(2), true, 40)],
         voters: vec![(3, true, 2), (5, true, 1)],
-        unassigned_jobs: vec![("zones".into(), "no relay supports it".into())],
+        idle_jobs: vec![("zones".into(), "no relay supports it".into())],
     };
     vec![
         (
@@ -225,7 +225,7 @@
         epoch: 41,
         prepared: Some(104),
         rejected: Some((103, "unknown parameter".into())),
-        revoked: Some(102),
+        stopped_for: Some(102),
         membership_version: 12,
         jobs_version: Some(19),
         relinquished: vec![("load/zone-a".into(), 31, "it reached no endpoint".into())],
@@ -246,7 +246,7 @@
         grant: Some(41),
         policy: Some(policy(41)),
         prepare: Some(proposal(104)),
-        revoke: Some(105),
+        sealed: Some(105),
         membership: Some(membership()),
         jobs: Some(AssignedJobs {
             version: 19,
@@ -306,7 +306,7 @@
         sequence: 65,
         reports_version: 5,
         must_resubscribe: true,
-        updates: vec![Delivered {
+        updates: vec![DeliveredUpdate {
             job: "load/zone-a".into(),
             token: 31,
             sequence: 8,
@@ -328,7 +328,7 @@
         stamp_age: 45_000,
         changes: Some(ByteBuf::from(vec![1, 2, 3])),
         allowance: Some(Allowance {
-            instance: 77,
+            incarnation: 77,
             permitted: 300,
         }),
     }
@@ -341,8 +341,8 @@
         job: "moves".into(),
         version: 78,
         stamp: 7_100_000,
-        moves: Some(MovesSummary {
-            instance: 77,
+        migrations: Some(MigrationSummary {
+            incarnation: 77,
             allowed: 300,
             used: 280,
             relays: 4,
@@ -416,7 +416,7 @@
     for (name, assignment) in assignments() {
         commands.push((
             format!("assignment-{name}"),
-            Command::Assignment(assignment),
+            Command::ChangeJobs(assignment),
         ));
     }
     commands
--- a/crates/control/tests/wire_names.rs
+++ b/crates/control/tests/wire_names.rs
@@ -2,7 +2,7 @@
 //! them, and the ledgers that they wrote have to stay readable.
 
 use ciborium::Value;
-use jaspermoor_control::jobs::assignment::{Assignment, Job, Jobs};
+use jaspermoor_control::jobs::assignment::{Job, JobChange, Jobs};
 use jaspermoor_control::log::membership::{Membership, MembershipChange};
 use jaspermoor_control::log::state::{Command, FleetState, Proposal, ProposalPhase};
 use jaspermoor_control::wire::message::{
@@ -33,12 +33,12 @@
 fn serialized_names_stay_as_builds_before_the_renaming_wrote_them() {
     // Fields with their default may be left out, so these have another value.
     let renew = RenewRequest {
-        revoked: Some(1),
+        stopped_for: Some(1),
         membership_version: 1,
         ..RenewRequest::default()
     };
     let reply = RenewResponse {
-        revoke: Some(1),
+        sealed: Some(1),
         membership: Some(Membership::default()),
         ..RenewResponse::default()
     };
@@ -63,11 +63,11 @@
             vec!["Seat"],
         ),
         (names(&OperatorResponse::Member(Ok(()))), vec!["Seat"]),
-        (names(&Assignment::Assign(Vec::new())), vec!["Give"]),
-        (names(&Assignment::Revoke(Vec::new())), vec!["Yield"]),
-        (names(&Assignment::Release(Vec::new())), vec!["Free"]),
+        (names(&JobChange::Assign(Vec::new())), vec!["Give"]),
+        (names(&JobChange::Revoke(Vec::new())), vec!["Yield"]),
+        (names(&JobChange::Release(Vec::new())), vec!["Free"]),
         (
-            names(&Command::Assignment(Assignment::Open(Vec::new()))),
+            names(&Command::ChangeJobs(JobChange::Open(Vec::new()))),
             vec!["Deal", "Open"],
         ),
         (names(&Command::Seal(1)), vec!["Close"]),
--- a/crates/lab/src/faults/virtual_fleet.rs
+++ b/crates/lab/src/faults/virtual_fleet.rs
@@ -8,7 +8,7 @@
 use super::figures::{Ages, Traffic};
 use super::history::{Broken, Fact, Line, Moment};
 use jaspermoor_control::broadcast::subscriber::Subscriber;
-use jaspermoor_control::jobs::assignment::Assignment;
+use jaspermoor_control::jobs::assignment::JobChange;
 use jaspermoor_control::jobs::fence::{Fence, FenceDecision};
 use jaspermoor_control::jobs::moves::MigrationStatus;
 use jaspermoor_control::jobs::owner::JobOwner;
@@ -515,7 +515,7 @@
         lease_client.set_job_owner(JobOwner::with_injected(injected).with_capabilities(skills));
         let subscriber = Subscriber::new(lease_client.relay().clone()).in_zone(&zone);
         let subscriber = if is_older {
-            subscriber.with_whole_updates()
+            subscriber.with_full_updates()
         } else {
             subscriber
         };
@@ -1046,7 +1046,7 @@
                 voter.handle_founding(local, from as u64, number, incarnation);
             }
             (Message::NotAMember(number, incarnation), Some(voter), _)
-                if (number, incarnation) == (voter.id(), voter.incarnation()) =>
+                if (number, incarnation) == (voter.id(), voter.disk_id()) =>
             {
                 p.voter = None;
             }
@@ -1184,7 +1184,7 @@
                 return;
             }
             let p = &mut self.processes[n];
-            if self.play.bug == Some(InjectedBug::SkipStore) {
+            if self.play.bug == Some(InjectedBug::SendBeforePersist) {
                 p.unstored.push(work.persist);
                 // It is written some time; what came last is not.
                 if p.unstored.len() > 4 {
@@ -1413,7 +1413,7 @@
                     .leader()
                     .and_then(|leader| leader.state().jobs.by_name.get(&name))
                     .map_or(0, |job| job.token);
-                let deal = Assignment::Revoke(vec![(name, token, "operators hand it over".into())]);
+                let deal = JobChange::Revoke(vec![(name, token, "operators hand it over".into())]);
                 for n in 0..self.processes.len() {
                     let ask = Message::OperatorRequest(3, OperatorRequest::Job(deal.clone()));
                     self.later(self.now, Event::Arrives(n, OPERATORS, Box::new(ask)));
@@ -1435,9 +1435,9 @@
             Some(job)
                 if self.play.faults && self.now < self.play.length && self.rng.random_bool(0.3) =>
             {
-                Assignment::Revoke(vec![(some, job.token, "operators hand it over".into())])
+                JobChange::Revoke(vec![(some, job.token, "operators hand it over".into())])
             }
-            _ => Assignment::Open(names),
+            _ => JobChange::Open(names),
         };
         for n in 0..self.processes.len() {
             let ask = Message::OperatorRequest(3, OperatorRequest::Job(deal.clone()));
--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -46,13 +46,13 @@
 #[test]
 fn every_planted_fault_is_found() {
     let of_jobs = [
-        InjectedBug::OwnForever,
-        InjectedBug::GiveEarly,
-        InjectedBug::KeepJob,
+        InjectedBug::ActAfterLease,
+        InjectedBug::ReleaseEarly,
+        InjectedBug::ActAfterStop,
         InjectedBug::NoFence,
-        InjectedBug::TrustFirst,
-        InjectedBug::LostChange,
-        InjectedBug::VersionBack,
+        InjectedBug::AcceptBeforeTokens,
+        InjectedBug::ApplyWithGap,
+        InjectedBug::ApplyOlderVersion,
     ];
     for (name, bug) in InjectedBug::ALL {
         // Without jobs, where the fault is not one of theirs, a play is short.
--- a/crates/lab/tests/fleet_traffic.rs
+++ b/crates/lab/tests/fleet_traffic.rs
@@ -98,7 +98,7 @@
 
 #[test]
 fn changes_that_are_lost_and_versions_that_go_back_are_found() {
-    for bug in [InjectedBug::LostChange, InjectedBug::VersionBack] {
+    for bug in [InjectedBug::ApplyWithGap, InjectedBug::ApplyOlderVersion] {
         let found = (1..=40).find(|&seed| {
             let seen = run(Play {
                 seed,
--- a/src/cli/fleet/jobs.rs
+++ b/src/cli/fleet/jobs.rs
@@ -5,7 +5,7 @@
 use crate::cli::output::{json_object, OutputFormat, Progress};
 use crate::cli::Failure;
 use argh::FromArgs;
-use jaspermoor_control::jobs::assignment::{Assignment, Job};
+use jaspermoor_control::jobs::assignment::{Job, JobChange};
 use jaspermoor_control::wire::message::{FleetStatus, OperatorRequest, OperatorResponse};
 
 /// The reason that the log records where an operator takes a job from its owner.
@@ -89,7 +89,7 @@
         }
         if job.owner.is_some() {
             let revoked = (self.name.clone(), old_token, MANUAL_HAND_OVER.into());
-            assign(client, Assignment::Revoke(vec![revoked]))?;
+            assign(client, JobChange::Revoke(vec![revoked]))?;
         }
         await_job(client, &self.name, format, |job| {
             job.token > old_token && job.owner.is_some()
@@ -101,7 +101,7 @@
     /// Holds the job, and waits until it has no owner.
     pub fn run(self, client: &mut OperatorClient, format: OutputFormat) -> Result<(), Failure> {
         find_job(&client.status()?, &self.name)?;
-        assign(client, Assignment::Hold(self.name.clone(), true))?;
+        assign(client, JobChange::Hold(self.name.clone(), true))?;
         await_job(client, &self.name, format, |job| {
             job.paused && job.owner.is_none()
         })
@@ -112,7 +112,7 @@
     /// Releases the job, and waits until it has an owner.
     pub fn run(self, client: &mut OperatorClient, format: OutputFormat) -> Result<(), Failure> {
         find_job(&client.status()?, &self.name)?;
-        assign(client, Assignment::Hold(self.name.clone(), false))?;
+        assign(client, JobChange::Hold(self.name.clone(), false))?;
         await_job(client, &self.name, format, |job| {
             !job.paused && job.owner.is_some()
         })
@@ -136,7 +136,7 @@
 /// Why a job has no owner; empty where it has one.
 fn unassigned_reason(name: &str, status: &FleetStatus) -> String {
     status
-        .unassigned_jobs
+        .idle_jobs
         .iter()
         .find(|(job, _)| job == name)
         .map(|(_, reason)| reason.clone())
@@ -171,7 +171,7 @@
 }
 
 /// Requests a change of an assignment until it is committed.
-fn assign(client: &mut OperatorClient, assignment: Assignment) -> Result<(), Failure> {
+fn assign(client: &mut OperatorClient, assignment: JobChange) -> Result<(), Failure> {
     let request = OperatorRequest::Job(assignment);
     loop {
         match client.request(&request)? {
--- a/src/cli/operator_client.rs
+++ b/src/cli/operator_client.rs
@@ -4,7 +4,7 @@
 //! that the operator file does not name, and a wait without end.
 
 use jaspermoor::net::fleet::{random_number, FleetSettings};
-use jaspermoor_control::wire::mac::{FrameError, FrameSession};
+use jaspermoor_control::wire::frame::{FrameError, FrameSession};
 use jaspermoor_control::wire::message::{FleetStatus, Message, OperatorRequest, OperatorResponse};
 use std::fmt;
 use std::io::{self, Read, Write};
--- a/src/net/fleet/job_driver.rs
+++ b/src/net/fleet/job_driver.rs
@@ -129,7 +129,7 @@
         if jobs.compact_updates {
             subscriber
         } else {
-            subscriber.with_whole_updates()
+            subscriber.with_full_updates()
         }
     }
 
@@ -139,7 +139,7 @@
             return;
         }
         self.jobs_released = true;
-        let renewal = self.lease_client.release_jobs(now);
+        let renewal = self.lease_client.relinquish_jobs(now);
         self.apply_lease_actions(renewal);
     }
 
--- a/src/net/fleet/link.rs
+++ b/src/net/fleet/link.rs
@@ -7,7 +7,7 @@
 use crate::net::poll::{Interest, Poller};
 use crate::ops::traffic::{Direction, Traffic};
 use crate::sys::{boottime, timed_out};
-use jaspermoor_control::wire::mac::{FrameError, FrameSession, FRAME_OVERHEAD, HELLO_BYTES};
+use jaspermoor_control::wire::frame::{FrameError, FrameSession, FRAME_OVERHEAD, HELLO_BYTES};
 use jaspermoor_control::wire::message::Message;
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -295,7 +295,7 @@
     static SCENARIO: std::sync::Once = std::sync::Once::new();
     SCENARIO.call_once(|| std::mem::forget(fail::FailScenario::setup()));
     let later_build = std::env::var("JASPERMOOR_BUILD").is_ok_and(|build| build == "later");
-    jaspermoor_control::wire::LATER.store(later_build, Relaxed);
+    jaspermoor_control::wire::ENCODE_AS_LATER_BUILD.store(later_build, Relaxed);
 }
 
 /// The bug that a test has injected into this process.
--- a/src/net/fleet/peers.rs
+++ b/src/net/fleet/peers.rs
@@ -9,7 +9,7 @@
 use crate::net::poll::{dial, Ready};
 use crate::sys::boottime;
 use jaspermoor_control::log::membership::Membership;
-use jaspermoor_control::wire::mac::FrameSession;
+use jaspermoor_control::wire::frame::FrameSession;
 use jaspermoor_control::wire::message::Message;
 use std::net::{SocketAddr, TcpListener};
 
--- a/src/net/fleet/voter_driver.rs
+++ b/src/net/fleet/voter_driver.rs
@@ -142,7 +142,7 @@
                 voter.handle_founding(now, from, number, incarnation)
             }
             Message::NotAMember(number, incarnation)
-                if number == voter.id() && incarnation == voter.incarnation() =>
+                if number == voter.id() && incarnation == voter.disk_id() =>
             {
                 let remedy = "another under a new number may take its place";
                 self.stop_voting(&format!(
@@ -197,7 +197,7 @@
 
     fn persist(&self, batch: &PersistBatch) -> Result<(), LedgerError> {
         #[cfg(feature = "injected-bugs")]
-        if super::injected_bugs().is(jaspermoor_control::InjectedBug::SkipStore) {
+        if super::injected_bugs().is(jaspermoor_control::InjectedBug::SendBeforePersist) {
             return Ok(());
         }
         match &self.ledger {
--- a/tests/older_build/ledgers.rs
+++ b/tests/older_build/ledgers.rs
@@ -102,7 +102,7 @@
 fn told_membership() -> Membership {
     let member = Member {
         address: "relay-3.example:7400".into(),
-        incarnation: 903,
+        disk_id: 903,
         is_voter: true,
     };
     Membership {
@@ -129,7 +129,7 @@
     assert_eq!(state.policy, adopted_policy());
     assert_eq!(state.phase, ProposalPhase::Preparing(prepared_proposal()));
     assert_eq!(state.required_version, 1);
-    assert_eq!(state.membership.members[&1].incarnation, INCARNATION);
+    assert_eq!(state.membership.members[&1].disk_id, INCARNATION);
     assert!(state.membership.members[&1].is_voter);
     assert_eq!((state.jobs.last_token, state.jobs.version), (2, 2));
     for (name, token) in [("load/zone-a", 1), ("moves", 2)] {
