--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -135,7 +135,7 @@
                     self.held.drain(..self.began);
                     (self.framed, self.began) = (0, 0);
                 }
-                if unit != Unit::Space {
+                if unit != Unit::Whitespace {
                     return Ok((unit, bytes));
                 }
             }
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -12,7 +12,7 @@
 use crate::net::poll::{dial, is_local, Interest};
 use crate::net::session::Session;
 use crate::protocol::buffer::Buffer;
-use crate::protocol::{Exchange, Order, Passage, Step};
+use crate::protocol::{AttemptAction, AttemptProtocol, ClientRequest, Forwarder};
 use crate::sys::timed_out;
 use socket2::SockRef;
 use std::net::TcpStream;
@@ -38,7 +38,7 @@
     /// What has come for the client.
     pub inbox: Buffer,
     /// What may go on.
-    pub passage: Box<dyn Passage>,
+    pub passage: Box<dyn Forwarder>,
 }
 
 /// Whose attempt it is.
@@ -49,7 +49,7 @@
     /// The client's.
     pub session: &'a Session,
     /// What the client asked for.
-    pub order: &'a dyn Order,
+    pub order: &'a dyn ClientRequest,
     /// The request.
     pub id: RequestId,
 }
@@ -80,7 +80,7 @@
     endpoint: Option<Endpoint>,
     at: At,
     link: Option<Link>,
-    exchange: Option<Box<dyn Exchange>>,
+    exchange: Option<Box<dyn AttemptProtocol>>,
     inbox: Buffer,
     /// What is still to be sent, whether the link takes no more for now, and whether it is the request.
     out: Vec<u8>,
@@ -94,7 +94,7 @@
 impl Attempt {
     /// One that has not begun.
     pub fn new(
-        order: &dyn Order,
+        order: &dyn ClientRequest,
         server: EndpointId,
         until: Micros,
         number: u16,
@@ -108,7 +108,7 @@
             endpoint: None,
             at: At::Seeking,
             link: None,
-            exchange: Some(order.exchange()),
+            exchange: Some(order.start_attempt()),
             inbox: Buffer::default(),
             out: Vec::new(),
             blocked: false,
@@ -210,7 +210,7 @@
 
     /// Begins the dial, once the backend's address is known.
     fn dial(&mut self, g: Ground<'_>, now: Micros) -> Option<Result<Up, Failed>> {
-        let adopted = g.order.at().is_some();
+        let adopted = g.order.adopted_backend().is_some();
         let Some(endpoint) = g.core.directory.endpoint(self.server) else {
             // The list that a relay starts with may be stale; one that was chosen now has left.
             return if adopted && now < self.until {
@@ -265,7 +265,7 @@
 
     fn talk(&mut self, g: Ground<'_>) -> Option<Result<Up, Failed>> {
         let Ground { core, order, .. } = g;
-        let adopted = order.at().is_some();
+        let adopted = order.adopted_backend().is_some();
         loop {
             let now = core.decisions.now();
             if now >= self.until {
@@ -306,10 +306,13 @@
             let step = self
                 .exchange
                 .as_mut()?
-                .step(&mut self.inbox, self.until - now);
+                .next_action(&mut self.inbox, self.until - now);
             // During the dial, or a negotiation, the backend may have left, or the request may have been
             // answered: once more, right before each first byte of something new.
-            let new = matches!(step, Step::Ask(_) | Step::Say(_) | Step::Secure(_));
+            let new = matches!(
+                step,
+                AttemptAction::SendRequest(_) | AttemptAction::Send(_) | AttemptAction::StartTls(_)
+            );
             let may = || {
                 core.directory.takes_new(self.server)
                     && core.decisions.awaits_answer(g.id)
@@ -319,16 +322,16 @@
                 return failed(Outcome::NotAttempted);
             }
             match step {
-                Step::Read => {}
-                Step::Say(bytes) => {
+                AttemptAction::Read => {}
+                AttemptAction::Send(bytes) => {
                     (self.said, self.out) = (true, bytes);
                     continue;
                 }
-                Step::Ask(bytes) => {
+                AttemptAction::SendRequest(bytes) => {
                     (self.asking, self.out) = (true, bytes);
                     continue;
                 }
-                Step::Secure(domain) => {
+                AttemptAction::StartTls(domain) => {
                     let Some(tls) = core.xmpp().and_then(|xmpp| xmpp.tls.client(&domain)) else {
                         return failed(Outcome::NotAttempted);
                     };
@@ -337,19 +340,20 @@
                     self.at = At::Securing;
                     continue;
                 }
-                Step::Up => {
-                    let (link, passage) = (self.link.take()?, self.exchange.take()?.passage());
+                AttemptAction::Established => {
+                    let (link, passage) =
+                        (self.link.take()?, self.exchange.take()?.into_forwarder());
                     return Some(Ok(Up {
                         link,
                         inbox: std::mem::take(&mut self.inbox),
                         passage,
                     }));
                 }
-                Step::Not(Outcome::Error | Outcome::Reset, _) if !self.asked => {
+                AttemptAction::Failed(Outcome::Error | Outcome::Reset, _) if !self.asked => {
                     return self.broke(g)
                 }
-                Step::Not(outcome, report) => return Some(Err((outcome, report))),
-                Step::Nonsense(what) => {
+                AttemptAction::Failed(outcome, report) => return Some(Err((outcome, report))),
+                AttemptAction::UnexpectedReply(what) => {
                     log(&format!(
                         "backend {}: {what} in place of an answer",
                         self.name()
@@ -387,8 +391,8 @@
     use crate::decisions::api::{EndpointState, ListedEndpoint};
     use crate::net::poll::{Events, Poller};
     use crate::platform::directory::Directory;
-    use crate::protocol::line::Greeting;
-    use crate::protocol::{Greeter, Next};
+    use crate::protocol::line::LineRequestReader;
+    use crate::protocol::{ReaderAction, RequestReader};
     use crossbeam_channel::bounded;
     use std::io::Read;
     use std::net::{SocketAddr, TcpListener};
@@ -400,7 +404,7 @@
     struct Setup {
         core: Arc<Core>,
         session: Arc<Session>,
-        order: Box<dyn Order>,
+        order: Box<dyn ClientRequest>,
         _front: TcpStream,
     }
 
@@ -449,9 +453,11 @@
         let idle = core
             .admission
             .idle(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
-        let mut inbox = Buffer::holding(format!("OPEN 1 7f c=one,d=60000{at}\r\n").into_bytes());
+        let mut inbox = Buffer::from_bytes(format!("OPEN 1 7f c=one,d=60000{at}\r\n").into_bytes());
         let rules = core.terms().rules.clone();
-        let Next::Place(order) = Greeting::new(0).next(&mut inbox, 0, &rules) else {
+        let ReaderAction::Request(order) =
+            LineRequestReader::new(0).next_action(&mut inbox, 0, &rules)
+        else {
             panic!()
         };
         let place = idle.request("1").unwrap();
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -7,25 +7,25 @@
 use crate::net::attempt::{Attempt, Failed, Ground, Up, ADOPT};
 use crate::net::conn::{Backend, Conn, Phase, Placing};
 use crate::net::session::{Account, Session};
-use crate::protocol::{Answer, Cause, Order};
+use crate::protocol::{ClientRequest, FailureCause, FinalAnswer};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
 /// Counts a connection by its final answer.
-fn count(account: &Account, answer: Answer) {
+fn count(account: &Account, answer: FinalAnswer) {
     match (&account.tally, answer) {
-        (Some(tally), Answer::Refused(_)) => tally.dropped(),
-        (Some(tally), Answer::Failed(_) | Answer::IdInUse) => tally.failed(),
+        (Some(tally), FinalAnswer::Rejected(_)) => tally.dropped(),
+        (Some(tally), FinalAnswer::Failed(_) | FinalAnswer::IdInUse) => tally.failed(),
         (None, _) => {}
     }
 }
 
 impl Conn {
     /// A client has asked for this.
-    pub fn let_in(&mut self, idle: &Idle, order: Box<dyn Order>) {
+    pub fn let_in(&mut self, idle: &Idle, order: Box<dyn ClientRequest>) {
         let core = self.core.clone();
         if let Some(account) = &mut self.account {
-            account.name = order.name().to_string();
+            account.name = order.connection_id().to_string();
             account.class = core
                 .terms()
                 .rules
@@ -34,26 +34,26 @@
                 .to_string();
             account.tally = Some(core.metrics.begin(&account.class));
         }
-        let (answer, reason) = match idle.request(order.name()) {
+        let (answer, reason) = match idle.request(order.connection_id()) {
             Ok(place) => {
                 let keys = (order.request().client_key, order.request().group);
-                let finishes = order.finishes();
+                let finishes = order.backend_finishes_first();
                 self.session = Some(Session::new(&core.woken, keys, place, finishes, None));
                 self.phase = Phase::Placing;
                 return self.begin(order);
             }
             // Nothing was sent, so a refusal promises nothing false.
             Err(Denied::Full) => (
-                Answer::Refused(core.terms().max_retry_after / 2),
+                FinalAnswer::Rejected(core.terms().max_retry_after / 2),
                 "no-descriptors",
             ),
-            Err(Denied::IdInUse) => (Answer::IdInUse, "id-in-use"),
+            Err(Denied::IdInUse) => (FinalAnswer::IdInUse, "id-in-use"),
         };
-        self.finish(Some(answer), order.words(answer), reason);
+        self.finish(Some(answer), order.encode_answer(answer), reason);
     }
 
     /// Asks the decisions, or goes back to the backend at which the connection was open before the start.
-    fn begin(&mut self, order: Box<dyn Order>) {
+    fn begin(&mut self, order: Box<dyn ClientRequest>) {
         let Some(session) = self.session.clone() else {
             return;
         };
@@ -67,7 +67,7 @@
         let flow: Arc<dyn RequestHandle> = session.clone();
         let name = session.name();
         tracing::debug!(id = %name, group = asked.group, key = asked.client_key, again = asked.returning, "request");
-        let (id, pick, attempt, server, answer_by) = match order.at() {
+        let (id, pick, attempt, server, answer_by) = match order.adopted_backend() {
             Some(at) => {
                 let server = server_id(at);
                 let id = core.decisions.adopt_connection(asked.clone(), server, flow);
@@ -92,7 +92,7 @@
                 (pick.id, Some(pick), None, Default::default(), answer_by)
             }
         };
-        let cause = Cause::Broke;
+        let cause = FailureCause::BackendFailed;
         self.placing = Some(Box::new(Placing {
             order,
             id,
@@ -176,14 +176,16 @@
                     continue;
                 }
                 Some(Decision::Reject(wait)) => (
-                    Some(Answer::Refused(wait.min(self.core.terms().max_retry_after))),
+                    Some(FinalAnswer::Rejected(
+                        wait.min(self.core.terms().max_retry_after),
+                    )),
                     "refused",
                 ),
-                Some(Decision::Fail) => (Some(Answer::Failed(p.cause)), "failed"),
+                Some(Decision::Fail) => (Some(FinalAnswer::Failed(p.cause)), "failed"),
                 Some(Decision::Withdrawn) => (None, "client-gave-up"),
             };
             self.core.decisions.remove(p.id);
-            let words = answer.map_or(Vec::new(), |answer| p.order.words(answer));
+            let words = answer.map_or(Vec::new(), |answer| p.order.encode_answer(answer));
             self.finish(answer, words, reason);
         }
     }
@@ -208,23 +210,23 @@
             }
             (Err((outcome, report)), true) => {
                 p.cause = if outcome == Outcome::Timeout {
-                    Cause::Late
+                    FailureCause::Timeout
                 } else {
-                    Cause::Broke
+                    FailureCause::BackendFailed
                 };
                 decisions.attempt_failed(p.id, outcome, report);
             }
             (Err((outcome, report)), false) => {
                 decisions.connection_ended(p.id, outcome, report);
-                let answer = Answer::Failed(Cause::Broke);
-                return self.finish(Some(answer), p.order.words(answer), "not-adopted");
+                let answer = FinalAnswer::Failed(FailureCause::BackendFailed);
+                return self.finish(Some(answer), p.order.encode_answer(answer), "not-adopted");
             }
         }
         self.placing = Some(p);
     }
 
     /// Gives a client the final answer that is no connection; nothing where it is gone.
-    fn finish(&mut self, answer: Option<Answer>, words: Vec<u8>, reason: &'static str) {
+    fn finish(&mut self, answer: Option<FinalAnswer>, words: Vec<u8>, reason: &'static str) {
         if let Some(account) = self.account.take() {
             answer.iter().for_each(|answer| count(&account, *answer));
             account.log(reason);
@@ -240,7 +242,7 @@
             inbox,
             passage,
         } = up;
-        if passage.answered() {
+        if passage.established_is_final_answer() {
             self.account
                 .iter()
                 .filter_map(|account| account.tally.as_ref())
@@ -248,13 +250,13 @@
         } else {
             self.answer_by = Some(p.answer_by);
         }
-        if !passage.portable() {
+        if !passage.supports_takeover() {
             self.core.metrics.xmpp.sessions.fetch_add(1, Relaxed);
-            self.up.make_roomy();
+            self.up.enable_large_reads();
         }
         self.down = inbox;
-        if !passage.portable() {
-            self.down.make_roomy();
+        if !passage.supports_takeover() {
+            self.down.enable_large_reads();
         }
         self.backend = Some(Backend {
             link,
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -13,7 +13,7 @@
 use crate::net::poll::{Interest, Poller, Ready};
 use crate::net::session::{Account, Session};
 use crate::protocol::buffer::{Buffer, MAX_LINE};
-use crate::protocol::{Cause, Greeter, Order, Passage};
+use crate::protocol::{ClientRequest, FailureCause, Forwarder, RequestReader};
 use std::net::TcpStream;
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
     /// The connection as the decisions know it.
     pub id: RequestId,
     pub server: EndpointId,
-    pub passage: Box<dyn Passage>,
+    pub passage: Box<dyn Forwarder>,
 }
 
 /// How a connection that was up has ended.
@@ -63,7 +63,7 @@
 /// A client that is heard.
 pub(super) struct Hearing {
     pub idle: Idle,
-    pub greeter: Box<dyn Greeter>,
+    pub greeter: Box<dyn RequestReader>,
     /// Whether TLS is negotiated, and whether the greeter is to hear of its end.
     pub securing: bool,
     pub tells: bool,
@@ -74,14 +74,14 @@
 
 /// A request that is placed.
 pub(super) struct Placing {
-    pub order: Box<dyn Order>,
+    pub order: Box<dyn ClientRequest>,
     pub id: RequestId,
     /// The decisions' verdicts; none where the connection was open before the start.
     pub pick: Option<PendingDecision>,
     pub attempt: Option<Attempt>,
     pub server: EndpointId,
     /// What it has failed of.
-    pub cause: Cause,
+    pub cause: FailureCause,
     /// When the client is owed its answer.
     pub answer_by: Micros,
 }
@@ -264,7 +264,7 @@
             .as_ref()
             .is_none_or(|account| account.began.elapsed() >= GRACE);
         came && hearing
-            .is_some_and(|h| self.up.rest().is_empty() && h.out.is_empty() && !h.securing)
+            .is_some_and(|h| self.up.unread().is_empty() && h.out.is_empty() && !h.securing)
     }
 
     /// The process ends, and it with that.
@@ -352,7 +352,7 @@
             && !self.parting
             && match self.phase {
                 Phase::Hearing => self.hearing.as_ref().is_some_and(|h| h.blocked.is_none()),
-                Phase::Placing => self.up.rest().len() < MAX_LINE,
+                Phase::Placing => self.up.unread().len() < MAX_LINE,
                 Phase::Up => !self.up_blocked,
                 Phase::Closing(..) => !self.flooded,
                 Phase::Done => false,
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -9,9 +9,9 @@
 use crate::net::tls::Tls;
 use crate::ops::metrics::Metrics;
 use crate::platform::directory::Directory;
-use crate::protocol::line::note::Notes;
-use crate::protocol::xmpp::terms;
-use crate::protocol::Rules;
+use crate::protocol::line::load_samples::SampleClassifier;
+use crate::protocol::xmpp::settings;
+use crate::protocol::FrontSettings;
 use crate::sys::lock;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
 /// What the network takes from the settings, all of it at once.
 pub struct Terms {
     /// What the fronts take from them.
-    pub rules: Arc<Rules>,
+    pub rules: Arc<FrontSettings>,
     /// The longest dial.
     pub dial_timeout: Duration,
     /// The longest wait that a refused client obeys.
@@ -30,7 +30,7 @@
 impl Terms {
     fn of(config: &Config) -> Terms {
         Terms {
-            rules: Arc::new(Rules {
+            rules: Arc::new(FrontSettings {
                 classes: config.classes.clone(),
                 names: config.names.clone(),
             }),
@@ -43,7 +43,7 @@
 /// The XMPP front as an install has it.
 pub struct Xmpp {
     /// What its machines take from the operator file.
-    pub terms: Arc<terms::Terms>,
+    pub terms: Arc<settings::XmppSettings>,
     /// Certificates.
     pub tls: Tls,
     /// The port of XMPP servers, where it is not the one that discovery gives.
@@ -56,7 +56,11 @@
         let Some(x) = &file.operator.xmpp else {
             return Ok(None);
         };
-        let terms = Arc::new(terms::Terms::of(file, x, &config.classes)?);
+        let terms = Arc::new(settings::XmppSettings::from_operator_file(
+            file,
+            x,
+            &config.classes,
+        )?);
         Ok(Some(Arc::new(Xmpp {
             terms,
             tls: Tls::load(file, x)?,
@@ -105,7 +109,7 @@
     terms: Mutex<Arc<Terms>>,
     xmpp: Mutex<Option<Arc<Xmpp>>>,
     /// What backends told lately.
-    pub notes: Notes,
+    pub notes: SampleClassifier,
     /// Who may come in.
     pub admission: Arc<Admission>,
     /// What is counted.
@@ -134,7 +138,7 @@
             directory,
             terms: Mutex::new(Arc::new(Terms::of(config))),
             xmpp: Mutex::default(),
-            notes: Notes::default(),
+            notes: SampleClassifier::default(),
             admission: Admission::new(
                 &config.limits,
                 config.admin.is_some(),
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -23,7 +23,7 @@
 use crate::net::session::{Account, Session};
 use crate::platform::probe::{self, Probe, PROBES};
 use crate::platform::takeover::{HandoverListener, Older, Passed, Rest, Successor};
-use crate::protocol::line::Lines;
+use crate::protocol::line::LineForwarder;
 use crate::sys::{boottime, timed_out, Wake};
 use crossbeam_channel::Receiver;
 use std::collections::{BTreeMap, BTreeSet};
@@ -610,7 +610,7 @@
             link: Link::plain(backend),
             id,
             server,
-            passage: Box::new(Lines),
+            passage: Box::new(LineForwarder),
         };
         conn.take_over(account, session, backend, handover);
         self.enter(conn);
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -12,7 +12,7 @@
 use crate::net::session::{Account, Session};
 use crate::platform::takeover::{self, Handover, Successor};
 use crate::protocol::buffer::{Buffer, MAX_LINE};
-use crate::protocol::{Away, News, Parting};
+use crate::protocol::{BackendEvent, CloseReason, MigrationReadiness};
 use crate::sys::timed_out;
 use std::io::{self, ErrorKind, Read};
 use std::net::Shutdown;
@@ -31,15 +31,21 @@
     /// Counts what its buffers hold; whoever asks for more when there is none left gives up its place. Lines are
     /// short and not counted.
     pub fn count_memory(&mut self) {
-        let lines = self.backend.as_ref().is_none_or(|b| b.passage.portable());
+        let lines = self
+            .backend
+            .as_ref()
+            .is_none_or(|b| b.passage.supports_takeover());
         let now = if lines {
             0
         } else {
-            self.up.room() + self.down.room()
+            self.up.allocated() + self.down.allocated()
         };
         let before = std::mem::replace(&mut self.held, now);
         if !self.core.held.change(before, now) && self.phase == Phase::Up {
-            let words = self.backend.as_ref().map(|b| b.passage.words(Away::NoRoom));
+            let words = self
+                .backend
+                .as_ref()
+                .map(|b| b.passage.closing_message(CloseReason::OutOfMemory));
             self.leave(
                 words.unwrap_or_default(),
                 end(Outcome::Cancelled, "no-memory"),
@@ -58,13 +64,17 @@
             return Ok(());
         };
         let (backend, id) = (backend.link.socket.clone(), backend.id);
-        if !self.backend.as_ref().is_some_and(|b| b.passage.portable()) {
+        if !self
+            .backend
+            .as_ref()
+            .is_some_and(|b| b.passage.supports_takeover())
+        {
             return Ok(());
         }
         let Some(session) = &self.session else {
             return Ok(());
         };
-        let bytes = self.up.rest().len() + self.down.rest().len();
+        let bytes = self.up.unread().len() + self.down.unread().len();
         if bytes > takeover::MAX_BYTES || !session.give_away() {
             return Ok(());
         }
@@ -79,8 +89,8 @@
             age_ms: account.began.elapsed().as_millis() as u64,
             asked_ms: self.asked.map(|at| now.saturating_sub(at) / 1_000),
             seen: self.down_passed,
-            up: self.up.rest().to_vec(),
-            down: self.down.rest().to_vec(),
+            up: self.up.unread().to_vec(),
+            down: self.down.unread().to_vec(),
         };
         if let Err(e) = to.send(&handover, &self.client.socket, &backend) {
             session.keep(&backend);
@@ -108,8 +118,8 @@
         let now = self.now();
         self.asked = handover.asked_ms.map(|ms| now.saturating_sub(ms * 1_000));
         self.heard = self.asked.unwrap_or(now);
-        self.up = Buffer::holding(handover.up);
-        (self.down, self.down_passed) = (Buffer::holding(handover.down), handover.seen);
+        self.up = Buffer::from_bytes(handover.up);
+        (self.down, self.down_passed) = (Buffer::from_bytes(handover.down), handover.seen);
         (self.session, self.account) = (Some(session), Some(account));
         (self.backend, self.phase) = (Some(backend), Phase::Up);
         self.flush_down();
@@ -181,7 +191,7 @@
     /// be on its way here behind what woke this connection, in the same batch of events or behind a timer; where it has
     /// sent as much as is read ahead, the end stands behind that.
     pub fn look_for_end(&mut self) {
-        while self.client_ended.is_none() && self.up.rest().len() < MAX_LINE {
+        while self.client_ended.is_none() && self.up.unread().len() < MAX_LINE {
             match self.client.fill(&mut self.up) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return,
@@ -200,7 +210,7 @@
         match backend.link.fill(&mut self.down) {
             Ok(0) => self.backend_ended(),
             Ok(_) => {
-                if !backend.passage.marks_answers() {
+                if !backend.passage.reports_responses() {
                     self.hear_back();
                 }
                 self.flush_down();
@@ -230,7 +240,7 @@
             Some(farewell) if !self.parting => self.part(farewell, true),
             _ if self.parting || self.moving() => self.move_away(),
             None if !mirrors && self.client_ended.is_none() => {
-                let words = backend.passage.words(Away::Gone);
+                let words = backend.passage.closing_message(CloseReason::BackendLost);
                 self.leave(words, gone);
             }
             farewell => self.part(farewell.unwrap_or(gone), true),
@@ -245,16 +255,20 @@
         let mut blocked = std::mem::take(&mut self.up_blocked);
         loop {
             let mut fresh = 0;
-            match backend.passage.up(&self.up.rest()[self.up_passed..]) {
+            match backend
+                .passage
+                .on_client_data(&self.up.unread()[self.up_passed..])
+            {
                 Ok(passed) => {
                     fresh = passed.bytes;
-                    self.asks |= passed.asks;
+                    self.asks |= passed.expects_response;
                 }
                 // What came before it goes on first.
                 Err(_) if self.up_passed > 0 => {}
                 Err(fault) => {
-                    log(&format!("client {}: {}", self.name(), fault.what));
-                    return self.leave(fault.words, end(Outcome::Cancelled, fault.reason));
+                    log(&format!("client {}: {}", self.name(), fault.description));
+                    return self
+                        .leave(fault.closing_message, end(Outcome::Cancelled, fault.reason));
                 }
             }
             self.up_passed += fresh;
@@ -264,7 +278,7 @@
             if self.asks {
                 self.asked.get_or_insert(self.core.decisions.now());
             }
-            match backend.link.write_some(&self.up.rest()[..self.up_passed]) {
+            match backend.link.write_some(&self.up.unread()[..self.up_passed]) {
                 Ok((n, full)) => {
                     self.up.consume(n);
                     self.up_passed -= n;
@@ -272,7 +286,7 @@
                 }
                 // That the backend is gone is noticed on its own side.
                 Err(_) => {
-                    self.up.discard();
+                    self.up.clear();
                     (self.up_passed, blocked) = (0, false);
                 }
             }
@@ -311,47 +325,51 @@
             };
             let (id, server) = (backend.id, backend.server);
             let (mut fresh, mut news) = (0, Vec::new());
-            let unread = &self.down.rest()[self.down_passed..];
+            let unread = &self.down.unread()[self.down_passed..];
             match backend
                 .passage
-                .down(unread, &self.core.terms().rules, &mut news)
+                .on_backend_data(unread, &self.core.terms().rules, &mut news)
             {
                 Ok(n) => fresh = n,
                 Err(_) if self.down_passed > 0 => {}
                 Err(fault) => {
-                    log(&format!("backend of {}: {}", self.name(), fault.what));
-                    return self.leave(fault.words, end(Outcome::Reset, fault.reason));
+                    log(&format!(
+                        "backend of {}: {}",
+                        self.name(),
+                        fault.description
+                    ));
+                    return self.leave(fault.closing_message, end(Outcome::Reset, fault.reason));
                 }
             }
             self.down_passed += fresh;
             for news in news {
                 match news {
-                    News::Load(x) => {
-                        let note = self
-                            .core
-                            .notes
-                            .read(server, id, self.core.decisions.now(), x);
+                    BackendEvent::LoadSample(x) => {
+                        let note =
+                            self.core
+                                .notes
+                                .classify(server, id, self.core.decisions.now(), x);
                         self.core.decisions.record_sample(id, note);
                     }
-                    News::Heard => self.hear_back(),
-                    News::Farewell(outcome, report, reason) => {
+                    BackendEvent::Response => self.hear_back(),
+                    BackendEvent::EndAnnounced(outcome, report, reason) => {
                         self.farewell = Some(End {
                             outcome,
                             report,
                             reason,
                         });
                     }
-                    News::Answered(served) => self.answered(served),
-                    News::Over(words, outcome, reason) => {
+                    BackendEvent::Answered(served) => self.answered(served),
+                    BackendEvent::CloseAfterForwarding(words, outcome, reason) => {
                         self.over = Some((words, end(outcome, reason)))
                     }
-                    News::Finished => finished = true,
+                    BackendEvent::Finished => finished = true,
                 }
             }
             let now = self.core.decisions.now();
             match self
                 .client
-                .write_some(&self.down.rest()[..self.down_passed])
+                .write_some(&self.down.unread()[..self.down_passed])
             {
                 Ok((n, blocked)) => {
                     self.down.consume(n);
@@ -391,14 +409,14 @@
     fn move_away(&mut self) {
         let Some(backend) = &self.backend else { return };
         let metrics = &self.core.metrics.xmpp;
-        if backend.passage.half() {
+        if backend.passage.has_partial_unit() {
             metrics.cut.fetch_add(1, Relaxed);
         }
-        if !backend.passage.portable() {
+        if !backend.passage.supports_takeover() {
             metrics.moved.fetch_add(1, Relaxed);
         }
         self.leave(
-            backend.passage.words(Away::Moved),
+            backend.passage.closing_message(CloseReason::Migrated),
             end(Outcome::Cancelled, "moved"),
         );
     }
@@ -414,14 +432,14 @@
             }
             return;
         }
-        match backend.passage.part() {
-            Parting::Now => self.move_away(),
-            Parting::Later(within) => drop(self.finish_by.get_or_insert(now + within)),
-            Parting::Finish { words, within } => {
+        match backend.passage.prepare_migration() {
+            MigrationReadiness::Now => self.move_away(),
+            MigrationReadiness::Later(within) => drop(self.finish_by.get_or_insert(now + within)),
+            MigrationReadiness::AfterBackendFinishes { message, timeout } => {
                 // Half a unit of the client's is not on its way: nothing of it went on.
-                self.up.replace_tail(self.up_passed, &words);
-                self.up_passed += words.len();
-                (self.parting, self.finish_by) = (true, Some(now + within));
+                self.up.truncate_and_append(self.up_passed, &message);
+                self.up_passed += message.len();
+                (self.parting, self.finish_by) = (true, Some(now + timeout));
                 self.flush_up();
             }
         }
@@ -441,11 +459,11 @@
                 .as_ref()
                 .is_some_and(|b| b.passage.mirrors_end());
         let to = if rest {
-            self.down.rest().len()
+            self.down.unread().len()
         } else {
             self.down_passed
         };
-        let mut last = self.down.rest()[..to].to_vec();
+        let mut last = self.down.unread()[..to].to_vec();
         last.append(&mut self.last);
         self.last = last;
         if let Some(backend) = &self.backend {
@@ -483,7 +501,7 @@
         {
             self.session.iter().for_each(|session| session.release());
             drop(link);
-            if !passage.portable() {
+            if !passage.supports_takeover() {
                 self.core.metrics.xmpp.sessions.fetch_sub(1, Relaxed);
             }
             self.core
@@ -516,7 +534,7 @@
         };
         backend
             .passage
-            .lost(now.saturating_sub(asked), now.saturating_sub(self.heard))
+            .is_backend_lost(now.saturating_sub(asked), now.saturating_sub(self.heard))
     }
 
     /// Its backend has brought something back.
@@ -527,10 +545,14 @@
     /// What only time shows.
     pub fn look(&mut self) {
         let now = self.core.decisions.now();
-        if let Some(backend) = self.backend.as_mut().filter(|b| !b.passage.portable()) {
-            self.up.rest_room();
-            self.down.rest_room();
-            backend.passage.rest();
+        if let Some(backend) = self
+            .backend
+            .as_mut()
+            .filter(|b| !b.passage.supports_takeover())
+        {
+            self.up.shrink_if_empty();
+            self.down.shrink_if_empty();
+            backend.passage.release_idle_memory();
         }
         let past = |since: Micros, limit: Micros| now > since + limit;
         let stuck = self.down_blocked.is_some_and(|since| past(since, STUCK));
@@ -548,7 +570,10 @@
             // A machine that vanished says nothing and keeps its connections open: only what stays unanswered
             // shows it.
             Phase::Up if self.lost(now) => {
-                let words = self.backend.as_ref().map(|b| b.passage.words(Away::Gone));
+                let words = self
+                    .backend
+                    .as_ref()
+                    .map(|b| b.passage.closing_message(CloseReason::BackendLost));
                 self.leave(
                     words.unwrap_or_default(),
                     end(Outcome::Reset, "backend-silent"),
@@ -561,7 +586,10 @@
                 } else {
                     Outcome::Cancelled
                 };
-                let words = self.backend.as_ref().map(|b| b.passage.words(Away::Late));
+                let words = self
+                    .backend
+                    .as_ref()
+                    .map(|b| b.passage.closing_message(CloseReason::AnswerTimeout));
                 self.leave(words.unwrap_or_default(), end(late, "answer-late"));
             }
             Phase::Up
--- a/src/net/greet.rs
+++ b/src/net/greet.rs
@@ -9,9 +9,9 @@
 use crate::net::conn::{Conn, Hearing, Phase, LINGER_SHORT};
 use crate::net::core::Core;
 use crate::net::session::Account;
-use crate::protocol::line::Greeting;
-use crate::protocol::xmpp::greeting;
-use crate::protocol::{Greeter, Next, Short};
+use crate::protocol::line::LineRequestReader;
+use crate::protocol::xmpp::client_negotiation;
+use crate::protocol::{Interruption, ReaderAction, RequestReader};
 use crate::sys::timed_out;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
@@ -41,10 +41,10 @@
 }
 
 /// The machine that hears a client of this listener; none where the front has gone meanwhile.
-fn greeter(core: &Core, speaks: Speaks) -> Option<Box<dyn Greeter>> {
+fn greeter(core: &Core, speaks: Speaks) -> Option<Box<dyn RequestReader>> {
     let now = core.decisions.now();
     if speaks == Speaks::Line {
-        return Some(Box::new(Greeting::new(now)));
+        return Some(Box::new(LineRequestReader::new(now)));
     }
     let mut ids = [0; 3];
     for id in &mut ids {
@@ -53,7 +53,7 @@
             .ok()?;
     }
     let terms = core.xmpp()?.terms.clone();
-    Some(Box::new(greeting::Greeting::new(
+    Some(Box::new(client_negotiation::ClientNegotiation::new(
         terms,
         ids,
         speaks == Speaks::XmppTls,
@@ -64,7 +64,7 @@
 impl Hearing {
     /// When it must be called though nothing has come.
     pub fn due(&self) -> Micros {
-        let until = self.greeter.until();
+        let until = self.greeter.deadline();
         self.blocked
             .map_or(until, |since| until.min(since + ANSWER))
     }
@@ -117,7 +117,7 @@
         let Some(mut hearing) = self.hearing.take() else {
             return;
         };
-        let (last, reason) = hearing.greeter.cut_short(&self.up, Short::Dismissed);
+        let (last, reason) = hearing.greeter.interrupt(&self.up, Interruption::Dismissed);
         self.idle = Some(hearing.idle);
         self.linger = LINGER_SHORT;
         // Behind what is still to be said, or in place of it: half a word would garble the answer.
@@ -158,10 +158,10 @@
                         // What came right behind the handshake is TLS's now: no socket tells of it.
                         (h.securing, filled) = (false, false);
                         if h.tells {
-                            h.greeter.secured(self.now());
+                            h.greeter.tls_established(self.now());
                         }
                     }
-                    Ok(false) if now < h.greeter.until() => return true,
+                    Ok(false) if now < h.greeter.deadline() => return true,
                     failed => {
                         self.core.metrics.xmpp.tls_failures.fetch_add(1, Relaxed);
                         self.unheard(if failed.is_ok() {
@@ -191,33 +191,33 @@
                 }
             }
             let rules = self.core.terms().rules.clone();
-            match h.greeter.next(&mut self.up, now, &rules) {
-                Next::Read => {}
-                Next::Say(bytes) => {
+            match h.greeter.next_action(&mut self.up, now, &rules) {
+                ReaderAction::Read => {}
+                ReaderAction::Send(bytes) => {
                     h.idle.asked();
                     h.out = bytes;
                     continue;
                 }
-                Next::Secure(domain) => {
+                ReaderAction::StartTls(domain) => {
                     if !self.secure(h, Some(&domain), true) {
                         return false;
                     }
                     continue;
                 }
-                Next::Place(order) => {
+                ReaderAction::Request(order) => {
                     self.let_in(&h.idle, order);
                     return false;
                 }
-                Next::End(last, reason) => {
+                ReaderAction::Close(last, reason) => {
                     self.turn_away(last, reason);
                     return false;
                 }
             }
-            if now >= h.greeter.until() {
-                let (mut last, mut reason) = h.greeter.cut_short(&self.up, Short::Late);
+            if now >= h.greeter.deadline() {
+                let (mut last, mut reason) = h.greeter.interrupt(&self.up, Interruption::TimedOut);
                 if last.is_empty() && reason.is_empty() {
                     // It has rested for too long. Its request may be on its way just now.
-                    (last, reason) = h.greeter.cut_short(&self.up, Short::Dismissed);
+                    (last, reason) = h.greeter.interrupt(&self.up, Interruption::Dismissed);
                     self.linger = LINGER_SHORT;
                 }
                 self.turn_away(last, reason);
@@ -230,7 +230,7 @@
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return true,
                 _ => {
-                    let reason = h.greeter.cut_short(&self.up, Short::Ended).1;
+                    let reason = h.greeter.interrupt(&self.up, Interruption::Disconnected).1;
                     self.unheard(reason);
                     return false;
                 }
--- a/src/platform/probe.rs
+++ b/src/platform/probe.rs
@@ -2,8 +2,8 @@
 
 use crate::config::Names;
 use crate::decisions::api::{EndpointId, Micros, Outcome};
-use crate::protocol::buffer::{trim, Buffer};
-use crate::protocol::line::words::report;
+use crate::protocol::buffer::{trim_line_end, Buffer};
+use crate::protocol::line::messages::parse_load_report;
 use crate::sys::timed_out;
 use std::io::Write;
 use std::net::TcpStream;
@@ -85,9 +85,11 @@
                 Err(e) if timed_out(&e) => return None,
                 Err(_) => return failed(Outcome::Reset),
             }
-            match self.buffer.line() {
+            match self.buffer.take_line() {
                 Ok(None) => {}
-                Ok(Some(line)) => return Some(answer(trim(self.buffer.at(line)), names)),
+                Ok(Some(line)) => {
+                    return Some(answer(trim_line_end(self.buffer.slice(line)), names))
+                }
                 Err(_) => return failed(Outcome::Error),
             }
         }
@@ -103,5 +105,5 @@
     } else {
         Outcome::Error
     };
-    (outcome, report(rest, names))
+    (outcome, parse_load_report(rest, names))
 }
--- a/src/protocol/buffer.rs
+++ b/src/protocol/buffer.rs
@@ -29,7 +29,7 @@
 
 impl Buffer {
     /// A buffer in which this has come.
-    pub fn holding(bytes: Vec<u8>) -> Buffer {
+    pub fn from_bytes(bytes: Vec<u8>) -> Buffer {
         Buffer {
             start: 0,
             end: bytes.len(),
@@ -39,12 +39,12 @@
     }
 
     /// What has come and is not used up.
-    pub fn rest(&self) -> &[u8] {
+    pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
     /// From now on it makes room for what may be long, and reads it in fewer calls.
-    pub fn make_roomy(&mut self) {
+    pub fn enable_large_reads(&mut self) {
         self.roomy = true;
     }
 
@@ -71,8 +71,8 @@
     }
 
     /// The next whole line, its end included; it is not used up.
-    pub fn peek(&self) -> Result<Option<&[u8]>, TooLong> {
-        let rest = self.rest();
+    pub fn peek_line(&self) -> Result<Option<&[u8]>, TooLong> {
+        let rest = self.unread();
         match rest.iter().position(|&b| b == b'\n') {
             Some(at) if at < MAX_LINE => Ok(Some(&rest[..=at])),
             None if rest.len() < MAX_LINE => Ok(None),
@@ -81,8 +81,8 @@
     }
 
     /// Takes the next whole line, its end included.
-    pub fn line(&mut self) -> Result<Option<Range<usize>>, TooLong> {
-        let Some(length) = self.peek()?.map(|line| line.len()) else {
+    pub fn take_line(&mut self) -> Result<Option<Range<usize>>, TooLong> {
+        let Some(length) = self.peek_line()?.map(|line| line.len()) else {
             return Ok(None);
         };
         let from = self.start;
@@ -91,7 +91,7 @@
     }
 
     /// Drops all that has come.
-    pub fn discard(&mut self) {
+    pub fn clear(&mut self) {
         (self.start, self.end) = (0, 0);
     }
 
@@ -101,13 +101,13 @@
     }
 
     /// How much memory it holds.
-    pub fn room(&self) -> usize {
+    pub fn allocated(&self) -> usize {
         self.bytes.len()
     }
 
     /// Lets go of room that only a long unit has needed, where nothing is held now: one such must not cost its
     /// memory for as long as the connection lives.
-    pub fn rest_room(&mut self) {
+    pub fn shrink_if_empty(&mut self) {
         if self.start == self.end && self.bytes.len() > KEPT {
             self.bytes = Vec::new();
             (self.start, self.end) = (0, 0);
@@ -115,7 +115,7 @@
     }
 
     /// Leaves the first so many bytes of what has come, and puts these behind them.
-    pub fn replace_tail(&mut self, from: usize, with: &[u8]) {
+    pub fn truncate_and_append(&mut self, from: usize, with: &[u8]) {
         let from = (self.start + from).min(self.end);
         self.bytes.truncate(from);
         self.bytes.extend_from_slice(with);
@@ -123,13 +123,13 @@
     }
 
     /// The bytes of a range that was just taken.
-    pub fn at(&self, range: Range<usize>) -> &[u8] {
+    pub fn slice(&self, range: Range<usize>) -> &[u8] {
         &self.bytes[range]
     }
 }
 
 /// A line without its end.
-pub fn trim(line: &[u8]) -> &[u8] {
+pub fn trim_line_end(line: &[u8]) -> &[u8] {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     line.strip_suffix(b"\r").unwrap_or(line)
 }
@@ -146,13 +146,15 @@
             for mut piece in text.chunks(step) {
                 while !piece.is_empty() {
                     buffer.fill(&mut piece).unwrap();
-                    while let Some(line) = buffer.line().unwrap() {
-                        lines.push(String::from_utf8(trim(buffer.at(line)).to_vec()).unwrap());
+                    while let Some(line) = buffer.take_line().unwrap() {
+                        lines.push(
+                            String::from_utf8(trim_line_end(buffer.slice(line)).to_vec()).unwrap(),
+                        );
                     }
                 }
             }
             assert_eq!(lines, ["one", "two", "three"], "step {step}");
-            assert_eq!(buffer.rest(), b"rest");
+            assert_eq!(buffer.unread(), b"rest");
         }
     }
 
@@ -168,7 +170,7 @@
             while !from.is_empty() {
                 buffer.fill(&mut from).unwrap();
             }
-            assert_eq!(buffer.line().is_ok(), good, "{length}");
+            assert_eq!(buffer.take_line().is_ok(), good, "{length}");
         }
     }
 }
--- a/src/protocol/line/note.rs
+++ b/src/protocol/line/load_samples.rs
@@ -30,13 +30,19 @@
 
 /// What was heard lately from each backend, by this relay.
 #[derive(Default)]
-pub struct Notes {
+pub struct SampleClassifier {
     heard: Mutex<BTreeMap<EndpointId, Vec<Heard>>>,
 }
 
-impl Notes {
+impl SampleClassifier {
     /// Reads `LOAD x`, heard at `now` on that connection.
-    pub fn read(&self, server: EndpointId, on: RequestId, now: Micros, x: f32) -> ConnectionSample {
+    pub fn classify(
+        &self,
+        server: EndpointId,
+        on: RequestId,
+        now: Micros,
+        x: f32,
+    ) -> ConnectionSample {
         if x > LONGEST_DELAY {
             return ConnectionSample::Load(x);
         }
@@ -105,9 +111,9 @@
             ],
         ];
         for case in cases {
-            let notes = Notes::default();
+            let notes = SampleClassifier::default();
             for &(at, on, x, delay) in *case {
-                let note = notes.read(EndpointId(9), RequestId(on), ms(50_000 + at), x);
+                let note = notes.classify(EndpointId(9), RequestId(on), ms(50_000 + at), x);
                 let expected = if delay {
                     ConnectionSample::Delay((x * 1000.0) as Micros)
                 } else {
--- a/src/protocol/line/words.rs
+++ b/src/protocol/line/messages.rs
@@ -12,32 +12,32 @@
 const LONGEST_WAIT: f64 = u32::MAX as f64;
 /// What a connection's first line asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Opening {
+pub enum FirstLine {
     /// Whether the relay is there.
     Ping,
     /// A connection.
-    Open(Open),
+    Open(OpenRequest),
 }
 
 /// A client's request for a connection.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Open {
+pub struct OpenRequest {
     /// The connection's own id, for the log.
-    pub name: String,
+    pub connection_id: String,
     /// The request as the decisions see it.
     pub request: Request,
     /// The backend at which it was open before.
-    pub at: Option<String>,
+    pub adopted_backend: Option<String>,
     /// Where in the line the value of `d` stands.
-    wait: Option<Range<usize>>,
+    deadline_range: Option<Range<usize>>,
     /// The line without its end.
     line: String,
 }
 
-impl Open {
+impl OpenRequest {
     /// The line for a backend: unchanged, but for how long it will be waited for.
     pub fn forward(&self, left: Option<Micros>) -> String {
-        match (&self.wait, left) {
+        match (&self.deadline_range, left) {
             (Some(d), Some(left)) => {
                 format!(
                     "{}{}{}\r\n",
@@ -52,13 +52,13 @@
 }
 
 /// Reads a connection's first line (without its end); what is wrong with it is one word.
-pub fn opening(line: &[u8], classes: &Classes) -> Result<Opening, &'static str> {
+pub fn parse_first_line(line: &[u8], classes: &Classes) -> Result<FirstLine, &'static str> {
     let line = std::str::from_utf8(line).map_err(|_| "not-utf8")?;
     if line.chars().any(char::is_control) {
         return Err("control-character");
     }
     if line == "PING" {
-        return Ok(Opening::Ping);
+        return Ok(FirstLine::Ping);
     }
     let rest = line.strip_prefix("OPEN ").ok_or("unknown-command")?;
     let mut words = rest.split(' ');
@@ -77,14 +77,14 @@
     {
         return Err("bad-id");
     }
-    let mut open = Open {
-        name: name.to_string(),
+    let mut open = OpenRequest {
+        connection_id: name.to_string(),
         request: Request {
             client_key: word64(key).ok_or("bad-key")?,
             ..Request::default()
         },
-        at: None,
-        wait: None,
+        adopted_backend: None,
+        deadline_range: None,
         line: line.to_string(),
     };
     let q = &mut open.request;
@@ -106,7 +106,7 @@
                 q.time_left = crate::wire::micros(ms)
                     .ok_or("bad-wait")?
                     .min(MAX_REQUEST_DEADLINE);
-                open.wait = Some(at + 2..at + field.len());
+                open.deadline_range = Some(at + 2..at + field.len());
             }
             "g" => q.group = word64(value).ok_or("bad-group")?,
             "r" | "again" => match value {
@@ -116,16 +116,16 @@
             },
             "h" if decimal(value).is_none() => return Err("bad-hint"),
             "at" if value.is_empty() => return Err("bad-backend"),
-            "at" => open.at = Some(value.to_string()),
+            "at" => open.adopted_backend = Some(value.to_string()),
             _ => {}
         }
         at += field.len() + 1;
     }
     q.class = class.ok_or("no-class")?;
-    if open.wait.is_none() {
+    if open.deadline_range.is_none() {
         q.time_left = classes.deadline(q.class);
     }
-    Ok(Opening::Open(open))
+    Ok(FirstLine::Open(open))
 }
 
 fn word64(text: &str) -> Option<u64> {
@@ -144,7 +144,7 @@
 
 /// What a backend's line means to the relay.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum BackendLine {
     /// The connection stands.
     Up,
     /// Served to its end.
@@ -162,27 +162,27 @@
 }
 
 /// Reads a backend's line (without its end).
-pub fn told(line: &[u8], names: &Names) -> Told {
+pub fn parse_backend_line(line: &[u8], names: &Names) -> BackendLine {
     let Ok(text) = std::str::from_utf8(line) else {
-        return Told::Other;
+        return BackendLine::Other;
     };
     let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
     match word {
-        "UP" if !rest.is_empty() => Told::Up,
-        "BYE" => Told::Bye(report(rest, names)),
-        "MOVE" => Told::Move,
-        "ERR" => Told::Err(report(rest, names)),
-        "BUSY" => Told::Busy(report(rest, names)),
+        "UP" if !rest.is_empty() => BackendLine::Up,
+        "BYE" => BackendLine::Bye(parse_load_report(rest, names)),
+        "MOVE" => BackendLine::Move,
+        "ERR" => BackendLine::Err(parse_load_report(rest, names)),
+        "BUSY" => BackendLine::Busy(parse_load_report(rest, names)),
         "LOAD" => match rest.parse::<f32>() {
-            Ok(x) if x.is_finite() && x >= 0.0 => Told::Load(x),
-            _ => Told::Other,
+            Ok(x) if x.is_finite() && x >= 0.0 => BackendLine::Load(x),
+            _ => BackendLine::Other,
         },
-        _ => Told::Other,
+        _ => BackendLine::Other,
     }
 }
 
 /// Reads a load report, in the order of the settings' columns; empty if a column is missing.
-pub fn report(text: &str, names: &Names) -> Vec<f32> {
+pub fn parse_load_report(text: &str, names: &Names) -> Vec<f32> {
     let value = |column: &String| {
         let field = text
             .split(',')
@@ -292,13 +292,13 @@
             (b"\xff\xfe", Err("not-utf8")),
         ];
         for (line, expected) in cases {
-            let read = opening(line, &classes()).map(|o| match o {
-                Opening::Open(open) => open.request,
-                Opening::Ping => panic!("a ping"),
+            let read = parse_first_line(line, &classes()).map(|o| match o {
+                FirstLine::Open(open) => open.request,
+                FirstLine::Ping => panic!("a ping"),
             });
             assert_eq!(&read, expected, "{}", String::from_utf8_lossy(line));
         }
-        assert_eq!(opening(b"PING", &classes()), Ok(Opening::Ping));
+        assert_eq!(parse_first_line(b"PING", &classes()), Ok(FirstLine::Ping));
     }
 
     #[test]
@@ -316,7 +316,7 @@
             ("OPEN 9b 7f c=chat", "OPEN 9b 7f c=chat\r\n"),
         ];
         for (line, forwarded) in cases {
-            let Ok(Opening::Open(open)) = opening(line.as_bytes(), &classes()) else {
+            let Ok(FirstLine::Open(open)) = parse_first_line(line.as_bytes(), &classes()) else {
                 panic!("{line}")
             };
             assert_eq!(open.forward(Some(1_499_999)), forwarded);
@@ -327,27 +327,30 @@
     #[test]
     fn a_backend_s_lines_are_told_apart() {
         let report = vec![7.0, 0.5];
-        let cases: &[(&[u8], Told)] = &[
-            (b"UP r1", Told::Up),
-            (b"UP", Told::Other),
-            (b"BYE", Told::Bye(vec![])),
-            (b"BYE x0=0.5,active=7,new=1", Told::Bye(report.clone())),
-            (b"BYE x0=0.5", Told::Bye(vec![])),
-            (b"BYE x0=inf,active=7", Told::Bye(vec![])),
-            (b"MOVE", Told::Move),
-            (b"ERR active=7,x0=0.5", Told::Err(report.clone())),
-            (b"BUSY active=7,x0=0.5", Told::Busy(report)),
-            (b"LOAD 17.25", Told::Load(17.25)),
-            (b"LOAD", Told::Other),
-            (b"LOAD -1", Told::Other),
-            (b"LOAD NaN", Told::Other),
-            (b"M 1 abc", Told::Other),
-            (b"\xff", Told::Other),
-            (b"", Told::Other),
+        let cases: &[(&[u8], BackendLine)] = &[
+            (b"UP r1", BackendLine::Up),
+            (b"UP", BackendLine::Other),
+            (b"BYE", BackendLine::Bye(vec![])),
+            (
+                b"BYE x0=0.5,active=7,new=1",
+                BackendLine::Bye(report.clone()),
+            ),
+            (b"BYE x0=0.5", BackendLine::Bye(vec![])),
+            (b"BYE x0=inf,active=7", BackendLine::Bye(vec![])),
+            (b"MOVE", BackendLine::Move),
+            (b"ERR active=7,x0=0.5", BackendLine::Err(report.clone())),
+            (b"BUSY active=7,x0=0.5", BackendLine::Busy(report)),
+            (b"LOAD 17.25", BackendLine::Load(17.25)),
+            (b"LOAD", BackendLine::Other),
+            (b"LOAD -1", BackendLine::Other),
+            (b"LOAD NaN", BackendLine::Other),
+            (b"M 1 abc", BackendLine::Other),
+            (b"\xff", BackendLine::Other),
+            (b"", BackendLine::Other),
         ];
         for (line, expected) in cases {
             assert_eq!(
-                &told(line, &names()),
+                &parse_backend_line(line, &names()),
                 expected,
                 "{}",
                 String::from_utf8_lossy(line)
--- a/src/protocol/line/mod.rs
+++ b/src/protocol/line/mod.rs
@@ -1,15 +1,17 @@
 //! The line protocol: lines of text, one request a connection, `MOVE` between two lines.
 
-pub mod note;
-pub mod words;
+pub mod load_samples;
+pub mod messages;
 
 use crate::decisions::api::{Micros, Outcome, Request};
-use crate::protocol::buffer::{trim, Buffer, TooLong, MAX_LINE};
+use crate::protocol::buffer::{trim_line_end, Buffer, TooLong, MAX_LINE};
 use crate::protocol::{
-    Answer, Away, Exchange, Fault, Greeter, News, Next, Order, Passage, Passed, Rules, Short, Step,
+    AttemptAction, AttemptProtocol, BackendEvent, ClientRequest, CloseReason, FinalAnswer,
+    Forwardable, Forwarder, FrontSettings, Interruption, ProtocolViolation, ReaderAction,
+    RequestReader,
 };
+use messages::{parse_backend_line, parse_first_line, BackendLine, FirstLine, OpenRequest};
 use std::sync::Arc;
-use words::{opening, told, Open, Opening, Told};
 
 /// A connection must ask for something within this, and a line that has begun must end. Less than the
 /// three seconds that a client is owed, so that the answer also arrives.
@@ -33,146 +35,153 @@
 }
 
 /// Hears a client up to its first line that asks for something.
-pub struct Greeting {
+pub struct LineRequestReader {
     until: Micros,
     /// Whether a line has begun.
     half: bool,
 }
 
-impl Greeting {
+impl LineRequestReader {
     /// For a client that has come at `now`.
-    pub fn new(now: Micros) -> Greeting {
-        Greeting {
+    pub fn new(now: Micros) -> LineRequestReader {
+        LineRequestReader {
             until: now + HEARD,
             half: false,
         }
     }
 }
 
-impl Greeter for Greeting {
-    fn next(&mut self, inbox: &mut Buffer, now: Micros, rules: &Arc<Rules>) -> Next {
-        let refused = match inbox.line() {
-            Ok(Some(range)) => match opening(trim(inbox.at(range)), &rules.classes) {
-                // A client waits for its answer: what sends on at once is no client's, and no backend
-                // could make sense of it.
-                Ok(Opening::Open(_)) if !inbox.rest().is_empty() => "sent-on",
-                Ok(Opening::Open(open)) => {
-                    return Next::Place(Box::new(Asked {
-                        open,
-                        rules: rules.clone(),
-                    }))
+impl RequestReader for LineRequestReader {
+    fn next_action(
+        &mut self,
+        inbox: &mut Buffer,
+        now: Micros,
+        rules: &Arc<FrontSettings>,
+    ) -> ReaderAction {
+        let refused = match inbox.take_line() {
+            Ok(Some(range)) => {
+                match parse_first_line(trim_line_end(inbox.slice(range)), &rules.classes) {
+                    // A client waits for its answer: what sends on at once is no client's, and no backend
+                    // could make sense of it.
+                    Ok(FirstLine::Open(_)) if !inbox.unread().is_empty() => "sent-on",
+                    Ok(FirstLine::Open(open)) => {
+                        return ReaderAction::Request(Box::new(LineRequest {
+                            open,
+                            rules: rules.clone(),
+                        }))
+                    }
+                    Ok(FirstLine::Ping) => {
+                        (self.until, self.half) = (now + IDLE, false);
+                        return ReaderAction::Send(line("PONG"));
+                    }
+                    Err(what) => what,
                 }
-                Ok(Opening::Ping) => {
-                    (self.until, self.half) = (now + IDLE, false);
-                    return Next::Say(line("PONG"));
-                }
-                Err(what) => what,
-            },
+            }
             Ok(None) => {
                 // A line has begun: it has as long as one at the start has.
-                if !self.half && !inbox.rest().is_empty() {
+                if !self.half && !inbox.unread().is_empty() {
                     (self.until, self.half) = (self.until.min(now + HEARD), true);
                 }
-                return Next::Read;
+                return ReaderAction::Read;
             }
             Err(TooLong) => "line-too-long",
         };
-        Next::End(line(&format!("ERR {refused}")), refused)
+        ReaderAction::Close(line(&format!("ERR {refused}")), refused)
     }
 
-    fn until(&self) -> Micros {
+    fn deadline(&self) -> Micros {
         self.until
     }
 
-    fn cut_short(&mut self, inbox: &Buffer, why: Short) -> (Vec<u8>, &'static str) {
-        match (inbox.rest().is_empty(), why) {
-            (_, Short::Dismissed) => (line("BUSY"), ""),
+    fn interrupt(&mut self, inbox: &Buffer, why: Interruption) -> (Vec<u8>, &'static str) {
+        match (inbox.unread().is_empty(), why) {
+            (_, Interruption::Dismissed) => (line("BUSY"), ""),
             // The health checks of the front come and go; they are no connections.
             (true, _) => (Vec::new(), ""),
-            (false, Short::Late) => (line("ERR half-a-line"), "half-a-line"),
-            (false, Short::Ended) => (Vec::new(), "half-a-line"),
+            (false, Interruption::TimedOut) => (line("ERR half-a-line"), "half-a-line"),
+            (false, Interruption::Disconnected) => (Vec::new(), "half-a-line"),
         }
     }
 }
 
 /// A request that was read.
-struct Asked {
-    open: Open,
-    rules: Arc<Rules>,
+struct LineRequest {
+    open: OpenRequest,
+    rules: Arc<FrontSettings>,
 }
 
-impl Order for Asked {
+impl ClientRequest for LineRequest {
     fn front(&self) -> &'static str {
         "line"
     }
 
-    fn name(&self) -> &str {
-        &self.open.name
+    fn connection_id(&self) -> &str {
+        &self.open.connection_id
     }
 
     fn request(&self) -> &Request {
         &self.open.request
     }
 
-    fn at(&self) -> Option<&str> {
-        self.open.at.as_deref()
+    fn adopted_backend(&self) -> Option<&str> {
+        self.open.adopted_backend.as_deref()
     }
 
-    fn exchange(&self) -> Box<dyn Exchange> {
-        Box::new(Attempt {
+    fn start_attempt(&self) -> Box<dyn AttemptProtocol> {
+        Box::new(LineAttempt {
             open: self.open.clone(),
             rules: self.rules.clone(),
             asked: false,
         })
     }
 
-    fn words(&self, answer: Answer) -> Vec<u8> {
+    fn encode_answer(&self, answer: FinalAnswer) -> Vec<u8> {
         match answer {
-            Answer::Refused(0) => line("BUSY"),
-            Answer::Refused(wait) => line(&format!("BUSY {}", wait.div_ceil(1000))),
-            Answer::Failed(_) => line("FAILED"),
-            Answer::IdInUse => line("ERR id-in-use"),
+            FinalAnswer::Rejected(0) => line("BUSY"),
+            FinalAnswer::Rejected(wait) => line(&format!("BUSY {}", wait.div_ceil(1000))),
+            FinalAnswer::Failed(_) => line("FAILED"),
+            FinalAnswer::IdInUse => line("ERR id-in-use"),
         }
     }
 }
 
 /// One attempt: the first line, and the line that answers it.
-struct Attempt {
-    open: Open,
-    rules: Arc<Rules>,
+struct LineAttempt {
+    open: OpenRequest,
+    rules: Arc<FrontSettings>,
     asked: bool,
 }
 
-impl Exchange for Attempt {
-    fn step(&mut self, inbox: &mut Buffer, left: Micros) -> Step {
+impl AttemptProtocol for LineAttempt {
+    fn next_action(&mut self, inbox: &mut Buffer, left: Micros) -> AttemptAction {
         if !std::mem::replace(&mut self.asked, true) {
             // One that was open before the start is waited for as long as it takes, not as long as its
             // client said then.
-            let left = self.open.at.is_none().then_some(left);
-            return Step::Ask(self.open.forward(left).into_bytes());
+            let left = self.open.adopted_backend.is_none().then_some(left);
+            return AttemptAction::SendRequest(self.open.forward(left).into_bytes());
         }
-        let Ok(answer) = inbox.peek() else {
-            return Step::Not(Outcome::Error, Vec::new());
+        let Ok(answer) = inbox.peek_line() else {
+            return AttemptAction::Failed(Outcome::Error, Vec::new());
         };
         let Some(answer) = answer else {
-            return Step::Read;
+            return AttemptAction::Read;
         };
-        match told(trim(answer), &self.rules.names) {
-            Told::Up => Step::Up,
-            Told::Busy(report) => Step::Not(Outcome::Rejected, report),
-            Told::Err(report) => Step::Not(Outcome::Error, report),
-            Told::Move => Step::Not(Outcome::Cancelled, Vec::new()),
-            other => Step::Nonsense(format!("{other:?}")),
+        match parse_backend_line(trim_line_end(answer), &self.rules.names) {
+            BackendLine::Up => AttemptAction::Established,
+            BackendLine::Busy(report) => AttemptAction::Failed(Outcome::Rejected, report),
+            BackendLine::Err(report) => AttemptAction::Failed(Outcome::Error, report),
+            BackendLine::Move => AttemptAction::Failed(Outcome::Cancelled, Vec::new()),
+            other => AttemptAction::UnexpectedReply(format!("{other:?}")),
         }
     }
 
-    fn passage(self: Box<Self>) -> Box<dyn Passage> {
-        Box::new(Lines)
+    fn into_forwarder(self: Box<Self>) -> Box<dyn Forwarder> {
+        Box::new(LineForwarder)
     }
 }
 
 /// A connection that is up: whole lines, both ways.
-pub struct Lines;
+pub struct LineForwarder;
 
 /// How many bytes the whole lines at the front have, their ends included. What comes before a line that is
 /// too long is sound.
@@ -188,58 +197,69 @@
     }
 }
 
-impl Passage for Lines {
-    fn up(&mut self, fresh: &[u8]) -> Result<Passed, Fault> {
+impl Forwarder for LineForwarder {
+    fn on_client_data(&mut self, fresh: &[u8]) -> Result<Forwardable, ProtocolViolation> {
         match whole(fresh) {
-            Ok(bytes) => Ok(Passed {
+            Ok(bytes) => Ok(Forwardable {
                 bytes,
-                asks: bytes > 0,
+                expects_response: bytes > 0,
             }),
             // What follows may begin inside that line: none of it may reach the backend.
-            Err(TooLong) => Err(Fault {
-                what: "a line is longer than allowed",
+            Err(TooLong) => Err(ProtocolViolation {
+                description: "a line is longer than allowed",
                 reason: "moved",
-                words: MOVE.to_vec(),
+                closing_message: MOVE.to_vec(),
             }),
         }
     }
 
-    fn down(&mut self, fresh: &[u8], rules: &Rules, news: &mut Vec<News>) -> Result<usize, Fault> {
+    fn on_backend_data(
+        &mut self,
+        fresh: &[u8],
+        rules: &FrontSettings,
+        news: &mut Vec<BackendEvent>,
+    ) -> Result<usize, ProtocolViolation> {
         let Ok(whole) = whole(fresh) else {
-            let what = "the backend's line is longer than allowed";
-            return Err(Fault {
-                what,
+            let description = "the backend's line is longer than allowed";
+            return Err(ProtocolViolation {
+                description,
                 reason: "line-too-long",
-                words: MOVE.to_vec(),
+                closing_message: MOVE.to_vec(),
             });
         };
         let mut heard = false;
         for line in fresh[..whole].split_inclusive(|&b| b == b'\n') {
-            let told = told(trim(line), &rules.names);
+            let told = parse_backend_line(trim_line_end(line), &rules.names);
             // A note of the load answers nobody: a stream that has stopped may still bring them.
-            heard |= !matches!(told, Told::Load(_));
+            heard |= !matches!(told, BackendLine::Load(_));
             match told {
-                Told::Load(x) => news.push(News::Load(x)),
-                Told::Bye(report) => news.push(News::Farewell(Outcome::Success, report, "served")),
-                Told::Move => {
-                    news.push(News::Farewell(Outcome::Cancelled, Vec::new(), "sent-away"))
-                }
+                BackendLine::Load(x) => news.push(BackendEvent::LoadSample(x)),
+                BackendLine::Bye(report) => news.push(BackendEvent::EndAnnounced(
+                    Outcome::Success,
+                    report,
+                    "served",
+                )),
+                BackendLine::Move => news.push(BackendEvent::EndAnnounced(
+                    Outcome::Cancelled,
+                    Vec::new(),
+                    "sent-away",
+                )),
                 _ => {}
             }
         }
-        news.extend(heard.then_some(News::Heard));
+        news.extend(heard.then_some(BackendEvent::Response));
         Ok(whole)
     }
 
-    fn words(&self, _why: Away) -> Vec<u8> {
+    fn closing_message(&self, _why: CloseReason) -> Vec<u8> {
         MOVE.to_vec()
     }
 
-    fn lost(&self, unanswered: Micros, unheard: Micros) -> bool {
+    fn is_backend_lost(&self, unanswered: Micros, unheard: Micros) -> bool {
         unanswered > SILENT || (unanswered > ASKED_FOR && unheard > UNHEARD)
     }
 
-    fn marks_answers(&self) -> bool {
+    fn reports_responses(&self) -> bool {
         true
     }
 }
@@ -251,16 +271,22 @@
     #[test]
     fn sound_lines_go_on_and_one_that_is_too_long_does_not() {
         let text = [b"sound\r\n".to_vec(), vec![b'x'; MAX_LINE]].concat();
-        let mut lines = Lines;
+        let mut lines = LineForwarder;
         assert_eq!(
-            lines.up(&text),
-            Ok(Passed {
+            lines.on_client_data(&text),
+            Ok(Forwardable {
                 bytes: 7,
-                asks: true
+                expects_response: true
             })
         );
-        assert_eq!(lines.up(&text[7..]).unwrap_err().words, MOVE);
-        assert_eq!(lines.up(b"half"), Ok(Passed::default()));
+        assert_eq!(
+            lines
+                .on_client_data(&text[7..])
+                .unwrap_err()
+                .closing_message,
+            MOVE
+        );
+        assert_eq!(lines.on_client_data(b"half"), Ok(Forwardable::default()));
     }
 
     /// One that stopped right after an answer was once ended 7.2 s later, when its client had given up on it.
@@ -281,7 +307,7 @@
         ];
         for (unanswered, unheard, lost) in cases {
             assert_eq!(
-                Lines.lost(unanswered, unheard),
+                LineForwarder.is_backend_lost(unanswered, unheard),
                 lost,
                 "{unanswered} {unheard}"
             );
@@ -291,39 +317,42 @@
     /// Notes of the load once passed for answers: a stream that had stopped was kept for as long as they came.
     #[test]
     fn a_note_of_the_load_is_no_answer() {
-        let told = |text: &str| {
+        let events = |text: &str| {
             let mut news = Vec::new();
-            Lines
-                .down(text.as_bytes(), &Rules::default(), &mut news)
+            LineForwarder
+                .on_backend_data(text.as_bytes(), &FrontSettings::default(), &mut news)
                 .unwrap();
             news
         };
-        assert_eq!(told("LOAD 2.5\r\n"), [News::Load(2.5)]);
+        assert_eq!(events("LOAD 2.5\r\n"), [BackendEvent::LoadSample(2.5)]);
         assert_eq!(
-            told("LOAD 2.5\r\nany line\r\n"),
-            [News::Load(2.5), News::Heard]
+            events("LOAD 2.5\r\nany line\r\n"),
+            [BackendEvent::LoadSample(2.5), BackendEvent::Response]
         );
-        assert_eq!(told("half a li"), []);
+        assert_eq!(events("half a li"), []);
     }
 
     /// A client that asked for a ping and then began a line once had the long wait of an idle one for it.
     #[test]
     fn a_line_that_has_begun_must_end_soon() {
-        let rules = Arc::new(Rules::default());
-        let mut greeting = Greeting::new(0);
-        let mut inbox = Buffer::holding(b"PING\r\nOPE".to_vec());
+        let rules = Arc::new(FrontSettings::default());
+        let mut greeting = LineRequestReader::new(0);
+        let mut inbox = Buffer::from_bytes(b"PING\r\nOPE".to_vec());
         assert!(
-            matches!(greeting.next(&mut inbox, 5, &rules), Next::Say(pong) if pong == b"PONG\r\n")
+            matches!(greeting.next_action(&mut inbox, 5, &rules), ReaderAction::Send(pong) if pong == b"PONG\r\n")
         );
-        assert_eq!(greeting.until(), 5 + IDLE);
-        assert!(matches!(greeting.next(&mut inbox, 6, &rules), Next::Read));
-        assert_eq!(greeting.until(), 6 + HEARD);
+        assert_eq!(greeting.deadline(), 5 + IDLE);
+        assert!(matches!(
+            greeting.next_action(&mut inbox, 6, &rules),
+            ReaderAction::Read
+        ));
+        assert_eq!(greeting.deadline(), 6 + HEARD);
         assert_eq!(
-            greeting.cut_short(&inbox, Short::Late).0,
+            greeting.interrupt(&inbox, Interruption::TimedOut).0,
             b"ERR half-a-line\r\n"
         );
         assert_eq!(
-            greeting.cut_short(&Buffer::default(), Short::Late),
+            greeting.interrupt(&Buffer::default(), Interruption::TimedOut),
             (Vec::new(), "")
         );
     }
--- a/src/protocol/xmpp/greeting.rs
+++ b/src/protocol/xmpp/client_negotiation.rs
@@ -3,14 +3,17 @@
 //! Guards against: clear text that a third party puts behind `<starttls/>` and that would be taken for
 //! protected; a client that says each step a byte at a time; bytes sent on behind `<auth/>`.
 
-use super::exchange::Attempt;
 use super::frame::{Condition, Element, Framer, Header, Unit, NS_CLIENT, NS_SASL, NS_TLS};
 use super::jid::{self, Jid};
-use super::terms::Terms;
+use super::server_negotiation::ServerNegotiation;
+use super::settings::XmppSettings;
 use super::{error, header, stream_error, NS_RELAY, TAG};
 use crate::decisions::api::{Micros, Request};
 use crate::protocol::buffer::Buffer;
-use crate::protocol::{Answer, Cause, Exchange, Greeter, Next, Order, Rules, Short};
+use crate::protocol::{
+    AttemptProtocol, ClientRequest, FailureCause, FinalAnswer, FrontSettings, Interruption,
+    ReaderAction, RequestReader,
+};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use std::sync::Arc;
 
@@ -20,7 +23,7 @@
 const NEGOTIATION: usize = 10_000;
 
 /// Three numbers that nobody can guess: the ids of two streams, and the session's own.
-pub type Ids = [u64; 3];
+pub type SessionIds = [u64; 3];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum At {
@@ -39,9 +42,9 @@
 }
 
 /// Hears a client up to its request.
-pub struct Greeting {
-    terms: Arc<Terms>,
-    ids: Ids,
+pub struct ClientNegotiation {
+    terms: Arc<XmppSettings>,
+    ids: SessionIds,
     at: At,
     framer: Framer,
     /// Whether a header of the relay's own stands.
@@ -56,17 +59,22 @@
     mistakes: u32,
 }
 
-impl Greeting {
+impl ClientNegotiation {
     /// For a client that has come at `now`; `direct` where TLS stands from the first byte (XEP-0368).
-    pub fn new(terms: Arc<Terms>, ids: Ids, direct: bool, now: Micros) -> Greeting {
+    pub fn new(
+        terms: Arc<XmppSettings>,
+        ids: SessionIds,
+        direct: bool,
+        now: Micros,
+    ) -> ClientNegotiation {
         let at = if direct { At::Header } else { At::ClearHeader };
-        Greeting {
+        ClientNegotiation {
             framer: fresh(&terms),
             ids,
             at,
             opened: false,
-            until: now + terms.step,
-            end: now + terms.negotiation,
+            until: now + terms.step_timeout,
+            end: now + terms.negotiation_timeout,
             domain: String::new(),
             from: None,
             mechanism: String::new(),
@@ -77,11 +85,11 @@
 
     fn step(&mut self, at: At, now: Micros) {
         self.at = at;
-        self.until = (now + self.terms.step).min(self.end);
+        self.until = (now + self.terms.step_timeout).min(self.end);
     }
 
-    fn fail(&mut self, condition: Condition) -> Next {
-        Next::End(self.words(&error(TAG, condition)), condition.reason())
+    fn fail(&mut self, condition: Condition) -> ReaderAction {
+        ReaderAction::Close(self.words(&error(TAG, condition)), condition.reason())
     }
 
     /// An error stands inside a stream, also where the client's own header could not be read.
@@ -117,7 +125,7 @@
 
     /// The client's header: whom it is for, and whether that is here.
     fn hear_header(&mut self, header: &Header) -> Result<(), Condition> {
-        if header.content.as_deref() != Some(NS_CLIENT) {
+        if header.default_namespace.as_deref() != Some(NS_CLIENT) {
             return Err(Condition::InvalidNamespace);
         }
         let version = header.version.as_deref().and_then(|v| v.split_once('.'));
@@ -150,16 +158,21 @@
         Ok(())
     }
 
-    fn hear(&mut self, unit: Unit, now: Micros, rules: &Arc<Rules>) -> Option<Next> {
+    fn hear(
+        &mut self,
+        unit: Unit,
+        now: Micros,
+        rules: &Arc<FrontSettings>,
+    ) -> Option<ReaderAction> {
         match (self.at, unit) {
-            (_, Unit::Space) => None,
+            (_, Unit::Whitespace) => None,
             (_, Unit::End) => {
                 let words = if self.opened {
                     format!("</{TAG}>")
                 } else {
                     String::new()
                 };
-                Some(Next::End(words.into_bytes(), "client-left"))
+                Some(ReaderAction::Close(words.into_bytes(), "client-left"))
             }
             (At::ClearHeader, Unit::Header(head)) => Some(match self.hear_header(&head) {
                 Ok(()) => {
@@ -167,7 +180,7 @@
                         format!("<stream:features><starttls xmlns='{NS_TLS}'><required/></starttls></stream:features>");
                     let words = self.own_header() + &features;
                     self.step(At::StartTls, now);
-                    Next::Say(words.into_bytes())
+                    ReaderAction::Send(words.into_bytes())
                 }
                 Err(condition) => self.fail(condition),
             }),
@@ -184,13 +197,13 @@
                     );
                     let words = self.own_header() + &features;
                     self.step(At::Auth, now);
-                    Next::Say(words.into_bytes())
+                    ReaderAction::Send(words.into_bytes())
                 }
                 Err(condition) => self.fail(condition),
             }),
             (At::StartTls, Unit::Element(e)) if e.is(NS_TLS, "starttls") => {
                 self.step(At::Proceed, now);
-                Some(Next::Say(
+                Some(ReaderAction::Send(
                     format!("<proceed xmlns='{NS_TLS}'/>").into_bytes(),
                 ))
             }
@@ -208,7 +221,7 @@
         }
     }
 
-    fn auth(&mut self, e: &Element, now: Micros, rules: &Arc<Rules>) -> Next {
+    fn auth(&mut self, e: &Element, now: Micros, rules: &Arc<FrontSettings>) -> ReaderAction {
         let mechanism = e.get("mechanism").unwrap_or_default();
         if !self.terms.mechanisms.iter().any(|m| m == mechanism) {
             return self.sasl_failure("invalid-mechanism", now);
@@ -218,31 +231,31 @@
             // All mechanisms offered begin with the client: an empty challenge asks for it.
             "" => {
                 self.step(At::Response, now);
-                Next::Say(format!("<challenge xmlns='{NS_SASL}'/>").into_bytes())
+                ReaderAction::Send(format!("<challenge xmlns='{NS_SASL}'/>").into_bytes())
             }
             payload => self.place(payload, rules),
         }
     }
 
     /// A mistake of the client's, which may try once more.
-    fn sasl_failure(&mut self, condition: &str, now: Micros) -> Next {
+    fn sasl_failure(&mut self, condition: &str, now: Micros) -> ReaderAction {
         self.mistakes += 1;
         let words = format!("<failure xmlns='{NS_SASL}'><{condition}/></failure>");
         if self.mistakes >= MISTAKES {
-            return Next::End(
+            return ReaderAction::Close(
                 (words + &error(TAG, Condition::PolicyViolation)).into_bytes(),
                 "sasl-failure",
             );
         }
         self.step(At::Auth, now);
-        Next::Say(words.into_bytes())
+        ReaderAction::Send(words.into_bytes())
     }
 
-    fn place(&mut self, payload: &str, rules: &Arc<Rules>) -> Next {
+    fn place(&mut self, payload: &str, rules: &Arc<FrontSettings>) -> ReaderAction {
         let Some(user) = user(&self.mechanism, payload) else {
             let words =
                 format!("<failure xmlns='{NS_SASL}'><malformed-request/></failure></{TAG}>");
-            return Next::End(words.into_bytes(), "sasl-failure");
+            return ReaderAction::Close(words.into_bytes(), "sasl-failure");
         };
         let named = || {
             Some(Jid {
@@ -253,12 +266,12 @@
         };
         let Some(jid) = self.from.clone().or_else(named) else {
             let words = format!("<failure xmlns='{NS_SASL}'><not-authorized/></failure></{TAG}>");
-            return Next::End(words.into_bytes(), "sasl-failure");
+            return ReaderAction::Close(words.into_bytes(), "sasl-failure");
         };
         let Some(request) = self.terms.request(&jid, &rules.classes) else {
             return self.fail(Condition::InternalServerError);
         };
-        Next::Place(Box::new(Asked {
+        ReaderAction::Request(Box::new(SessionRequest {
             name: format!("{:016x}", self.ids[2]),
             request,
             domain: self.domain.clone(),
@@ -272,7 +285,7 @@
     }
 }
 
-fn fresh(terms: &Terms) -> Framer {
+fn fresh(terms: &XmppSettings) -> Framer {
     Framer::new(
         super::frame::Bounds {
             stanza: NEGOTIATION.min(terms.bounds.stanza),
@@ -306,74 +319,81 @@
     (!name.is_empty() && !name.contains('=')).then(|| name.replace('\0', "="))
 }
 
-impl Greeter for Greeting {
-    fn next(&mut self, inbox: &mut Buffer, now: Micros, rules: &Arc<Rules>) -> Next {
+impl RequestReader for ClientNegotiation {
+    fn next_action(
+        &mut self,
+        inbox: &mut Buffer,
+        now: Micros,
+        rules: &Arc<FrontSettings>,
+    ) -> ReaderAction {
         if self.at == At::Proceed {
-            return Next::Secure(self.domain.clone());
+            return ReaderAction::StartTls(self.domain.clone());
         }
         loop {
-            let (n, unit) = match self.framer.feed(inbox.rest()) {
+            let (n, unit) = match self.framer.feed(inbox.unread()) {
                 Ok(read) => read,
                 Err(condition) => return self.fail(condition),
             };
             inbox.consume(n);
-            let Some(unit) = unit else { return Next::Read };
+            let Some(unit) = unit else {
+                return ReaderAction::Read;
+            };
             let Some(next) = self.hear(unit, now, rules) else {
                 continue;
             };
             // Whoever waits for its answer has sent nothing behind what is answered: it is refused, and
             // nothing of it can be read as protected later.
-            let sent_on = !inbox.rest().is_empty();
-            if sent_on && (self.at == At::Proceed || matches!(next, Next::Place(_))) {
+            let sent_on = !inbox.unread().is_empty();
+            if sent_on && (self.at == At::Proceed || matches!(next, ReaderAction::Request(_))) {
                 return self.fail(Condition::PolicyViolation);
             }
             return next;
         }
     }
 
-    fn secured(&mut self, now: Micros) {
+    fn tls_established(&mut self, now: Micros) {
         (self.framer, self.opened) = (fresh(&self.terms), false);
         self.step(At::Header, now);
     }
 
-    fn until(&self) -> Micros {
+    fn deadline(&self) -> Micros {
         self.until
     }
 
-    fn cut_short(&mut self, _inbox: &Buffer, why: Short) -> (Vec<u8>, &'static str) {
-        let silent = !self.opened && self.framer.between() && self.at == At::ClearHeader;
+    fn interrupt(&mut self, _inbox: &Buffer, why: Interruption) -> (Vec<u8>, &'static str) {
+        let silent = !self.opened && self.framer.at_unit_boundary() && self.at == At::ClearHeader;
         match why {
             // Whoever has said nothing is a health check.
             _ if silent => (Vec::new(), ""),
-            Short::Dismissed => (
+            Interruption::Dismissed => (
                 self.words(&error(TAG, Condition::SystemShutdown)),
                 "dismissed",
             ),
-            Short::Late => (
+            Interruption::TimedOut => (
                 self.words(&error(TAG, Condition::ConnectionTimeout)),
                 "negotiation-late",
             ),
-            Short::Ended => (Vec::new(), "client-left"),
+            Interruption::Disconnected => (Vec::new(), "client-left"),
         }
     }
 }
 
 /// A session that was asked for.
-pub struct Asked {
+pub struct SessionRequest {
     name: String,
     request: Request,
     domain: String,
     from: Jid,
     auth: String,
-    terms: Arc<Terms>,
+    terms: Arc<XmppSettings>,
 }
 
-impl Order for Asked {
+impl ClientRequest for SessionRequest {
     fn front(&self) -> &'static str {
         "xmpp"
     }
 
-    fn name(&self) -> &str {
+    fn connection_id(&self) -> &str {
         &self.name
     }
 
@@ -381,16 +401,16 @@
         &self.request
     }
 
-    fn at(&self) -> Option<&str> {
+    fn adopted_backend(&self) -> Option<&str> {
         None
     }
 
-    fn finishes(&self) -> bool {
+    fn backend_finishes_first(&self) -> bool {
         true
     }
 
-    fn exchange(&self) -> Box<dyn Exchange> {
-        Box::new(Attempt::new(
+    fn start_attempt(&self) -> Box<dyn AttemptProtocol> {
+        Box::new(ServerNegotiation::new(
             self.terms.clone(),
             &self.domain,
             &self.from,
@@ -398,9 +418,9 @@
         ))
     }
 
-    fn words(&self, answer: Answer) -> Vec<u8> {
+    fn encode_answer(&self, answer: FinalAnswer) -> Vec<u8> {
         let condition = match answer {
-            Answer::Refused(wait) => {
+            FinalAnswer::Rejected(wait) => {
                 let more = if wait == 0 {
                     String::new()
                 } else {
@@ -412,9 +432,9 @@
                 let name = Condition::ResourceConstraint.name();
                 return stream_error(TAG, name, "", &more).into_bytes();
             }
-            Answer::Failed(Cause::Late) => Condition::ConnectionTimeout,
-            Answer::Failed(Cause::Broke) => Condition::RemoteConnectionFailed,
-            Answer::IdInUse => Condition::InternalServerError,
+            FinalAnswer::Failed(FailureCause::Timeout) => Condition::ConnectionTimeout,
+            FinalAnswer::Failed(FailureCause::BackendFailed) => Condition::RemoteConnectionFailed,
+            FinalAnswer::IdInUse => Condition::InternalServerError,
         };
         error(TAG, condition).into_bytes()
     }
@@ -422,28 +442,28 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::terms::Rule;
+    use super::super::settings::ClassRule;
     use super::*;
     use crate::config::{Classes, Names};
 
-    fn terms() -> Arc<Terms> {
-        let rule = Rule {
+    fn terms() -> Arc<XmppSettings> {
+        let rule = ClassRule {
             domain: None,
             local: None,
             resource: None,
             class: "view".into(),
             deadline: None,
         };
-        Arc::new(Terms {
+        Arc::new(XmppSettings {
             domains: vec!["a.example".into()],
-            rules: vec![rule],
-            ..Terms::default()
+            class_rules: vec![rule],
+            ..XmppSettings::default()
         })
     }
 
-    fn rules() -> Arc<Rules> {
+    fn rules() -> Arc<FrontSettings> {
         let classes = Classes::new([("view".to_string(), 3_000_000)]);
-        Arc::new(Rules {
+        Arc::new(FrontSettings {
             classes,
             names: Names::default(),
         })
@@ -456,8 +476,15 @@
 
     /// What a greeting says to these inputs, each in pieces of that many bytes; `!` where the link is secured,
     /// `+` where the session is placed, and the reason where it ends.
-    fn talk(direct: bool, inputs: &[&str], step: usize) -> (String, Option<Box<dyn Order>>) {
-        let (mut greeting, rules) = (Greeting::new(terms(), [1, 2, 3], direct, 0), rules());
+    fn talk(
+        direct: bool,
+        inputs: &[&str],
+        step: usize,
+    ) -> (String, Option<Box<dyn ClientRequest>>) {
+        let (mut greeting, rules) = (
+            ClientNegotiation::new(terms(), [1, 2, 3], direct, 0),
+            rules(),
+        );
         let (mut said, mut inbox) = (String::new(), Buffer::default());
         for input in inputs {
             for mut piece in input.as_bytes().chunks(step) {
@@ -465,16 +492,16 @@
                     inbox.fill(&mut piece).unwrap();
                 }
                 loop {
-                    match greeting.next(&mut inbox, 0, &rules) {
-                        Next::Read => break,
-                        Next::Say(words) => said += &String::from_utf8(words).unwrap(),
-                        Next::Secure(domain) => {
-                            assert!(domain == "a.example" && inbox.rest().is_empty());
+                    match greeting.next_action(&mut inbox, 0, &rules) {
+                        ReaderAction::Read => break,
+                        ReaderAction::Send(words) => said += &String::from_utf8(words).unwrap(),
+                        ReaderAction::StartTls(domain) => {
+                            assert!(domain == "a.example" && inbox.unread().is_empty());
                             said.push('!');
-                            greeting.secured(0);
+                            greeting.tls_established(0);
                         }
-                        Next::Place(order) => return (said + "+", Some(order)),
-                        Next::End(words, reason) => {
+                        ReaderAction::Request(order) => return (said + "+", Some(order)),
+                        ReaderAction::Close(words, reason) => {
                             said += &String::from_utf8(words).unwrap();
                             return (format!("{said}[{reason}]"), None);
                         }
@@ -600,20 +627,20 @@
     #[test]
     fn a_step_has_its_time_and_all_of_them_have_theirs() {
         let terms = terms();
-        let mut greeting = Greeting::new(terms.clone(), [1, 2, 3], false, 100);
-        assert_eq!(greeting.until(), 100 + terms.step);
+        let mut greeting = ClientNegotiation::new(terms.clone(), [1, 2, 3], false, 100);
+        assert_eq!(greeting.deadline(), 100 + terms.step_timeout);
         assert_eq!(
-            greeting.cut_short(&Buffer::default(), Short::Late),
+            greeting.interrupt(&Buffer::default(), Interruption::TimedOut),
             (Vec::new(), "")
         );
-        let mut inbox = Buffer::holding(head("").into_bytes());
-        let now = terms.negotiation - 10;
+        let mut inbox = Buffer::from_bytes(head("").into_bytes());
+        let now = terms.negotiation_timeout - 10;
         assert!(matches!(
-            greeting.next(&mut inbox, now, &rules()),
-            Next::Say(_)
+            greeting.next_action(&mut inbox, now, &rules()),
+            ReaderAction::Send(_)
         ));
-        assert_eq!(greeting.until(), 100 + terms.negotiation);
-        let (words, reason) = greeting.cut_short(&inbox, Short::Late);
+        assert_eq!(greeting.deadline(), 100 + terms.negotiation_timeout);
+        let (words, reason) = greeting.interrupt(&inbox, Interruption::TimedOut);
         assert!(
             String::from_utf8(words)
                 .unwrap()
@@ -626,13 +653,14 @@
     fn refusals_say_when_to_come_again() {
         let (_, order) = talk(true, &[&head(""), &auth("PLAIN", "\0ali\0x")], 4096);
         let order = order.unwrap();
-        let words = |answer| String::from_utf8(order.words(answer)).unwrap();
-        let refused = words(Answer::Refused(400_000));
+        let words = |answer| String::from_utf8(order.encode_answer(answer)).unwrap();
+        let refused = words(FinalAnswer::Rejected(400_000));
         assert!(
             refused.contains("<resource-constraint ") && refused.contains("after-ms='400'"),
             "{refused}"
         );
-        assert!(words(Answer::Failed(Cause::Late)).contains("<connection-timeout "));
-        assert!(words(Answer::Failed(Cause::Broke)).contains("<remote-connection-failed "));
+        assert!(words(FinalAnswer::Failed(FailureCause::Timeout)).contains("<connection-timeout "));
+        assert!(words(FinalAnswer::Failed(FailureCause::BackendFailed))
+            .contains("<remote-connection-failed "));
     }
 }
--- a/src/protocol/xmpp/frame.rs
+++ b/src/protocol/xmpp/frame.rs
@@ -8,7 +8,7 @@
 //! Guards against: a unit cut in the middle, a peer that nests without end or sends an attribute of 60 MB, text
 //! where none may stand.
 
-use super::simple;
+use super::fast_path;
 use rxml::error::EndOrError;
 use rxml::parser::WithOptions;
 use rxml::{Event, Options, Parse, Parser, RawEvent, RawParser};
@@ -160,7 +160,7 @@
     /// The name of its tag as it is written: the closing tag has to be the same.
     pub tag: String,
     /// The default namespace that it declares.
-    pub content: Option<String>,
+    pub default_namespace: Option<String>,
 }
 
 /// A part of a stream that may not be cut.
@@ -172,7 +172,7 @@
     /// client's namespace has not even those.
     Element(Element),
     /// White space between elements: a sign of life.
-    Space,
+    Whitespace,
     /// The stream's end.
     End,
 }
@@ -252,7 +252,7 @@
     }
 
     /// Whether no unit has begun that has not ended.
-    pub fn between(&self) -> bool {
+    pub fn at_unit_boundary(&self) -> bool {
         self.unit == 0
     }
 
@@ -278,14 +278,14 @@
             // Behind its end a stream has nothing but white space.
             let space = bytes.iter().all(|b| b.is_ascii_whitespace());
             return if space {
-                Ok((bytes.len(), Some(Unit::Space)))
+                Ok((bytes.len(), Some(Unit::Whitespace)))
             } else {
                 Err(Condition::NotWellFormed)
             };
         }
         let ordinary = self.quick && self.depth == 1 && self.unit == 0 && bytes[0] == b'<';
         if let Some(n) = ordinary
-            .then(|| simple::element(bytes, &self.bounds))
+            .then(|| fast_path::element(bytes, &self.bounds))
             .flatten()
         {
             return Ok((n, Some(Unit::Element(Element::default()))));
@@ -354,7 +354,7 @@
     }
 
     /// Lets go of memory that is needed only while units come.
-    pub fn rest(&mut self) {
+    pub fn release_idle_memory(&mut self) {
         if self.unit == 0 {
             self.parser.release_temporaries();
         }
@@ -433,15 +433,15 @@
                         all.find(|((ns, name), _)| ns.is_empty() && name.as_str() == key)
                             .map(|(_, v)| v.to_string())
                     };
-                    let (tag, content) =
+                    let (tag, default_namespace) =
                         declared(&std::mem::take(&mut self.head), self.bounds.token);
-                    self.quick = !self.keep && content.as_deref() == Some(NS_CLIENT);
+                    self.quick = !self.keep && default_namespace.as_deref() == Some(NS_CLIENT);
                     let header = Header {
                         to: get("to"),
                         from: get("from"),
                         version: get("version"),
                         tag,
-                        content,
+                        default_namespace,
                     };
                     return Ok(Some(Unit::Header(header)));
                 }
@@ -488,7 +488,7 @@
                 if self.depth == 1 {
                     let space = text.bytes().all(|b| b.is_ascii_whitespace());
                     return if space {
-                        Ok(Some(Unit::Space))
+                        Ok(Some(Unit::Whitespace))
                     } else {
                         Err(Condition::NotWellFormed)
                     };
@@ -595,7 +595,7 @@
         }
         let solid = |all: Vec<(usize, Unit)>| -> Vec<(usize, Unit)> {
             all.into_iter()
-                .filter(|(_, unit)| *unit != Unit::Space)
+                .filter(|(_, unit)| *unit != Unit::Whitespace)
                 .collect()
         };
         let whole = solid(whole);
@@ -611,7 +611,7 @@
             (header.tag.as_str(), header.to.as_deref()),
             ("stream:stream", Some("a.example"))
         );
-        assert_eq!(header.content.as_deref(), Some(NS_CLIENT));
+        assert_eq!(header.default_namespace.as_deref(), Some(NS_CLIENT));
         let (_, Unit::Element(message)) = &whole[1] else {
             panic!()
         };
@@ -676,7 +676,7 @@
                 match framer.feed(&all[at..end]) {
                     Ok((n, unit)) => {
                         at += n;
-                        ends.extend(unit.filter(|u| *u != Unit::Space).map(|_| at));
+                        ends.extend(unit.filter(|u| *u != Unit::Whitespace).map(|_| at));
                     }
                     Err(condition) => return (ends, Some(condition)),
                 }
--- a/src/protocol/xmpp/mod.rs
+++ b/src/protocol/xmpp/mod.rs
@@ -2,17 +2,17 @@
 //! its client authenticates; SASL goes through to the placed server unchanged, and from the server's success on
 //! all bytes do. Whole stanzas only, both ways: neither side ever sees half of one.
 //!
-//! - [`greeting`]: the client up to its `<auth/>`, STARTTLS and the restart of the stream included.
-//! - [`exchange`]: one attempt, a stream of the relay's own to a server, up to the first answer to `<auth/>`.
-//! - [`passage`]: what passes then, and between which stanzas it may end.
+//! - [`client_negotiation`]: the client up to its `<auth/>`, STARTTLS and the restart of the stream included.
+//! - [`server_negotiation`]: one attempt, a stream of the relay's own to a server, up to the first answer to `<auth/>`.
+//! - [`stanza_forwarder`]: what passes then, and between which stanzas it may end.
 
-pub mod exchange;
+pub mod client_negotiation;
+pub mod fast_path;
 pub mod frame;
-pub mod greeting;
 pub mod jid;
-pub mod passage;
-pub mod simple;
-pub mod terms;
+pub mod server_negotiation;
+pub mod settings;
+pub mod stanza_forwarder;
 
 use frame::{Condition, NS_CLIENT, NS_ERRORS, NS_STREAMS};
 
--- a/src/protocol/xmpp/exchange.rs
+++ b/src/protocol/xmpp/server_negotiation.rs
@@ -7,11 +7,11 @@
 use super::frame::{Bounds, Condition, Element, Framer, Unit, NS_SASL, NS_STREAMS, NS_TLS};
 use super::header;
 use super::jid::Jid;
-use super::passage::Stanzas;
-use super::terms::{Security, Terms};
+use super::settings::{Security, XmppSettings};
+use super::stanza_forwarder::StanzaForwarder;
 use crate::decisions::api::{Micros, Outcome};
 use crate::protocol::buffer::Buffer;
-use crate::protocol::{Exchange, Passage, Step};
+use crate::protocol::{AttemptAction, AttemptProtocol, Forwarder};
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,12 +27,12 @@
     /// The server's header and features.
     Features,
     /// The answer to `<auth/>`.
-    Answer,
+    AwaitSaslReply,
 }
 
 /// The machine of one attempt.
-pub struct Attempt {
-    terms: Arc<Terms>,
+pub struct ServerNegotiation {
+    terms: Arc<XmppSettings>,
     domain: String,
     from: String,
     auth: Vec<u8>,
@@ -43,9 +43,14 @@
     answered: Element,
 }
 
-impl Attempt {
+impl ServerNegotiation {
     /// An attempt at a session of that address, with this `<auth/>`.
-    pub fn new(terms: Arc<Terms>, domain: &str, from: &Jid, auth: Vec<u8>) -> Attempt {
+    pub fn new(
+        terms: Arc<XmppSettings>,
+        domain: &str,
+        from: &Jid,
+        auth: Vec<u8>,
+    ) -> ServerNegotiation {
         let at = if terms.security == Security::Direct {
             At::Start
         } else {
@@ -57,7 +62,7 @@
             at
         };
         let (domain, from) = (domain.to_string(), from.bare());
-        Attempt {
+        ServerNegotiation {
             framer: fresh(&terms),
             terms,
             domain,
@@ -69,7 +74,7 @@
         }
     }
 
-    fn hello(&mut self, at: At) -> Step {
+    fn hello(&mut self, at: At) -> AttemptAction {
         self.at = at;
         self.framer = fresh(&self.terms);
         // In clear the address is nobody's business.
@@ -78,57 +83,59 @@
             .into_iter()
             .chain([("to", self.domain.as_str())])
             .collect();
-        Step::Say(header(&attributes).into_bytes())
+        AttemptAction::Send(header(&attributes).into_bytes())
     }
 
-    fn hear(&mut self, e: &Element) -> Step {
+    fn hear(&mut self, e: &Element) -> AttemptAction {
         if e.is(NS_STREAMS, "error") {
             return turned_away(e);
         }
         match self.at {
             At::Clear if e.is(NS_STREAMS, "features") => {
                 if e.child(NS_TLS, "starttls").is_none() {
-                    return Step::Nonsense("a server that offers no STARTTLS".into());
+                    return AttemptAction::UnexpectedReply(
+                        "a server that offers no STARTTLS".into(),
+                    );
                 }
                 self.at = At::Proceed;
-                Step::Say(format!("<starttls xmlns='{NS_TLS}'/>").into_bytes())
+                AttemptAction::Send(format!("<starttls xmlns='{NS_TLS}'/>").into_bytes())
             }
             At::Proceed if e.is(NS_TLS, "proceed") => {
                 self.at = At::Secured;
-                Step::Secure(self.domain.clone())
+                AttemptAction::StartTls(self.domain.clone())
             }
             At::Features if e.is(NS_STREAMS, "features") => {
                 if e.child(NS_SASL, "mechanisms").is_none() {
-                    return Step::Nonsense("a server that offers no SASL".into());
+                    return AttemptAction::UnexpectedReply("a server that offers no SASL".into());
                 }
-                self.at = At::Answer;
-                Step::Ask(self.auth.clone())
+                self.at = At::AwaitSaslReply;
+                AttemptAction::SendRequest(self.auth.clone())
             }
-            At::Answer if e.ns == NS_SASL => match e.name.as_str() {
+            At::AwaitSaslReply if e.ns == NS_SASL => match e.name.as_str() {
                 // "Try again later", RFC 6120, 6.5.13: the server did not look at it, so another may.
                 "failure" if e.child(NS_SASL, "temporary-auth-failure").is_some() => {
-                    Step::Not(Outcome::Rejected, Vec::new())
+                    AttemptAction::Failed(Outcome::Rejected, Vec::new())
                 }
-                "challenge" | "success" | "failure" => Step::Up,
-                _ => Step::Nonsense(format!("<{}/>", e.name)),
+                "challenge" | "success" | "failure" => AttemptAction::Established,
+                _ => AttemptAction::UnexpectedReply(format!("<{}/>", e.name)),
             },
-            _ => Step::Nonsense(format!("<{}/>", e.name)),
+            _ => AttemptAction::UnexpectedReply(format!("<{}/>", e.name)),
         }
     }
 }
 
 /// What a stream error says of an attempt.
-fn turned_away(e: &Element) -> Step {
+fn turned_away(e: &Element) -> AttemptAction {
     let condition = e.children.first().map_or("", |c| c.name.as_str());
     match condition {
         "resource-constraint" | "system-shutdown" | "see-other-host" => {
-            Step::Not(Outcome::Rejected, Vec::new())
+            AttemptAction::Failed(Outcome::Rejected, Vec::new())
         }
-        _ => Step::Not(Outcome::Error, Vec::new()),
+        _ => AttemptAction::Failed(Outcome::Error, Vec::new()),
     }
 }
 
-fn fresh(terms: &Terms) -> Framer {
+fn fresh(terms: &XmppSettings) -> Framer {
     // Features are a list of anything; a server is trusted with as much as a stanza may have.
     Framer::new(
         Bounds {
@@ -139,52 +146,52 @@
     )
 }
 
-impl Exchange for Attempt {
-    fn step(&mut self, inbox: &mut Buffer, _left: Micros) -> Step {
+impl AttemptProtocol for ServerNegotiation {
+    fn next_action(&mut self, inbox: &mut Buffer, _left: Micros) -> AttemptAction {
         match (self.at, self.terms.security) {
             (At::Start, Security::Direct) => {
                 self.at = At::Secured;
-                return Step::Secure(self.domain.clone());
+                return AttemptAction::StartTls(self.domain.clone());
             }
             (At::Start, _) => return self.hello(At::Clear),
             (At::Secured, _) => return self.hello(At::Features),
             _ => {}
         }
         loop {
-            let (n, unit) = match self.framer.feed(&inbox.rest()[self.answer..]) {
+            let (n, unit) = match self.framer.feed(&inbox.unread()[self.answer..]) {
                 Ok(read) => read,
-                Err(condition) => return Step::Nonsense(condition.name().into()),
+                Err(condition) => return AttemptAction::UnexpectedReply(condition.name().into()),
             };
-            if self.at == At::Answer {
+            if self.at == At::AwaitSaslReply {
                 self.answer += n;
             } else {
                 inbox.consume(n);
             }
             let step = match unit {
-                None => return Step::Read,
-                Some(Unit::Space | Unit::Header(_)) => {
-                    if self.at == At::Answer {
+                None => return AttemptAction::Read,
+                Some(Unit::Whitespace | Unit::Header(_)) => {
+                    if self.at == At::AwaitSaslReply {
                         // White space before the answer is for nobody.
                         inbox.consume(std::mem::take(&mut self.answer));
                     }
                     continue;
                 }
-                Some(Unit::End) => return Step::Not(Outcome::Reset, Vec::new()),
+                Some(Unit::End) => return AttemptAction::Failed(Outcome::Reset, Vec::new()),
                 Some(Unit::Element(e)) => {
                     let step = self.hear(&e);
                     self.answered = e;
                     step
                 }
             };
-            if matches!(step, Step::Secure(_)) && !inbox.rest().is_empty() {
-                return Step::Nonsense("clear text behind <proceed/>".into());
+            if matches!(step, AttemptAction::StartTls(_)) && !inbox.unread().is_empty() {
+                return AttemptAction::UnexpectedReply("clear text behind <proceed/>".into());
             }
             return step;
         }
     }
 
-    fn passage(self: Box<Self>) -> Box<dyn Passage> {
-        Box::new(Stanzas::new(
+    fn into_forwarder(self: Box<Self>) -> Box<dyn Forwarder> {
+        Box::new(StanzaForwarder::new(
             self.terms,
             self.framer,
             self.answer,
@@ -210,12 +217,12 @@
     use super::super::header;
     use super::*;
 
-    fn attempt(security: Security) -> Attempt {
-        let terms = Arc::new(Terms {
+    fn attempt(security: Security) -> ServerNegotiation {
+        let terms = Arc::new(XmppSettings {
             security,
-            ..Terms::default()
+            ..XmppSettings::default()
         });
-        Attempt::new(
+        ServerNegotiation::new(
             terms,
             "a.example",
             &Jid::parse("ali@a.example").unwrap(),
@@ -224,13 +231,15 @@
     }
 
     /// What an attempt says when its server says these, each in pieces of that many bytes.
-    fn talk(security: Security, inputs: &[&str], step: usize) -> Vec<Step> {
+    fn talk(security: Security, inputs: &[&str], step: usize) -> Vec<AttemptAction> {
         let (mut attempt, mut inbox, mut steps) =
             (attempt(security), Buffer::default(), Vec::new());
         let mut go_on = |inbox: &mut Buffer| loop {
-            match attempt.step(inbox, 1_000) {
-                Step::Read => return false,
-                done @ (Step::Up | Step::Not(..) | Step::Nonsense(_)) => {
+            match attempt.next_action(inbox, 1_000) {
+                AttemptAction::Read => return false,
+                done @ (AttemptAction::Established
+                | AttemptAction::Failed(..)
+                | AttemptAction::UnexpectedReply(_)) => {
                     steps.push(done);
                     return true;
                 }
@@ -269,7 +278,9 @@
         let challenge = sasl("challenge|eA==</challenge>");
         for step in 1..head.len() {
             let steps = talk(Security::Plain, &[&head, OFFER, " ", &challenge], step);
-            let [Step::Say(hello), Step::Ask(auth), Step::Up] = &steps[..] else {
+            let [AttemptAction::Send(hello), AttemptAction::SendRequest(auth), AttemptAction::Established] =
+                &steps[..]
+            else {
                 panic!("{steps:?}")
             };
             let hello = String::from_utf8(hello.clone()).unwrap();
@@ -284,7 +295,7 @@
             &[&head, TLS, PROCEED, &head, OFFER, &challenge],
             4096,
         );
-        let [Step::Say(clear), Step::Say(_), Step::Secure(to), Step::Say(_), Step::Ask(_), Step::Up] =
+        let [AttemptAction::Send(clear), AttemptAction::Send(_), AttemptAction::StartTls(to), AttemptAction::Send(_), AttemptAction::SendRequest(_), AttemptAction::Established] =
             &steps[..]
         else {
             panic!("{steps:?}")
@@ -294,7 +305,12 @@
         assert!(
             matches!(
                 &steps[..],
-                [Step::Secure(_), Step::Say(_), Step::Ask(_), Step::Up]
+                [
+                    AttemptAction::StartTls(_),
+                    AttemptAction::Send(_),
+                    AttemptAction::SendRequest(_),
+                    AttemptAction::Established
+                ]
             ),
             "{steps:?}"
         );
@@ -305,40 +321,43 @@
         let head = header(&[]);
         let error = |c: &str| super::super::stream_error("stream:stream", c, "", "");
         let (full, later, wrong) = (
-            Step::Not(Outcome::Rejected, Vec::new()),
+            AttemptAction::Failed(Outcome::Rejected, Vec::new()),
             sasl("failure|<temporary-auth-failure/></failure>"),
             sasl("failure|<not-authorized/></failure>"),
         );
-        let cases: Vec<(Vec<String>, Step)> = vec![
+        let cases: Vec<(Vec<String>, AttemptAction)> = vec![
             (vec![head.clone() + &error("resource-constraint")], full),
             (
                 vec![head.clone() + OFFER, error("system-shutdown")],
-                Step::Not(Outcome::Rejected, Vec::new()),
+                AttemptAction::Failed(Outcome::Rejected, Vec::new()),
             ),
             (
                 vec![head.clone() + OFFER, error("internal-server-error")],
-                Step::Not(Outcome::Error, Vec::new()),
+                AttemptAction::Failed(Outcome::Error, Vec::new()),
             ),
             (
                 vec![head.clone() + OFFER, later],
-                Step::Not(Outcome::Rejected, Vec::new()),
+                AttemptAction::Failed(Outcome::Rejected, Vec::new()),
+            ),
+            (
+                vec![head.clone() + OFFER, wrong],
+                AttemptAction::Established,
             ),
-            (vec![head.clone() + OFFER, wrong], Step::Up),
             (
                 vec![head.clone() + OFFER, "</stream:stream>".into()],
-                Step::Not(Outcome::Reset, Vec::new()),
+                AttemptAction::Failed(Outcome::Reset, Vec::new()),
             ),
             (
                 vec![head.clone() + TLS],
-                Step::Nonsense("a server that offers no SASL".into()),
+                AttemptAction::UnexpectedReply("a server that offers no SASL".into()),
             ),
             (
                 vec![head.clone() + "<!-- -->"],
-                Step::Nonsense("restricted-xml".into()),
+                AttemptAction::UnexpectedReply("restricted-xml".into()),
             ),
             (
                 vec![head + OFFER, "<message xmlns='jabber:client'/>".into()],
-                Step::Nonsense("<message/>".into()),
+                AttemptAction::UnexpectedReply("<message/>".into()),
             ),
         ];
         for (inputs, expected) in cases {
@@ -351,6 +370,9 @@
         }
         let behind = format!("{PROCEED}<message/>");
         let steps = talk(Security::StartTls, &[&header(&[]), TLS, &behind], 4096);
-        assert!(matches!(steps.last(), Some(Step::Nonsense(_))), "{steps:?}");
+        assert!(
+            matches!(steps.last(), Some(AttemptAction::UnexpectedReply(_))),
+            "{steps:?}"
+        );
     }
 }
--- a/src/protocol/xmpp/terms.rs
+++ b/src/protocol/xmpp/settings.rs
@@ -30,7 +30,7 @@
 
 impl Pattern {
     /// Whether a text is of this pattern.
-    pub fn fits(&self, text: &str) -> bool {
+    pub fn matches(&self, text: &str) -> bool {
         let mut parts = self.0.split('*');
         let first = parts.next().unwrap_or_default();
         let Some(mut rest) = text.strip_prefix(first) else {
@@ -53,7 +53,7 @@
 /// Which class the sessions of some addresses have, and how long their clients wait. The first rule that fits
 /// counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rule {
+pub struct ClassRule {
     /// The domain; any where none is named.
     pub domain: Option<String>,
     /// The local part.
@@ -66,12 +66,12 @@
     pub deadline: Option<Micros>,
 }
 
-impl Rule {
-    fn fits(&self, jid: &Jid) -> bool {
+impl ClassRule {
+    fn matches(&self, jid: &Jid) -> bool {
         let part = |pattern: &Option<Pattern>, part: &Option<String>| {
             pattern
                 .as_ref()
-                .is_none_or(|p| part.as_ref().is_some_and(|part| p.fits(part)))
+                .is_none_or(|p| part.as_ref().is_some_and(|part| p.matches(part)))
         };
         self.domain.as_ref().is_none_or(|d| *d == jid.domain)
             && part(&self.local, &jid.local)
@@ -93,7 +93,7 @@
 
 /// The terms of the XMPP front.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct XmppSettings {
     /// The domains served, in their prepared form.
     pub domains: Vec<String>,
     /// The mechanisms offered, the preferred one first.
@@ -101,37 +101,37 @@
     /// Bounds of what is read.
     pub bounds: Bounds,
     /// The longest time for one step of negotiation.
-    pub step: Micros,
+    pub step_timeout: Micros,
     /// The longest time for all steps up to the request.
-    pub negotiation: Micros,
+    pub negotiation_timeout: Micros,
     /// How long a server that drains may take to finish what it sends, once its session is to be moved.
-    pub finish: Micros,
+    pub finish_timeout: Micros,
     /// A server that leaves a request for acknowledgement (XEP-0198) unanswered for so long is lost.
-    pub silent: Micros,
+    pub ack_timeout: Micros,
     /// What a session's group is.
     pub group: Group,
     /// Classes and deadlines.
-    pub rules: Vec<Rule>,
+    pub class_rules: Vec<ClassRule>,
     /// How servers are spoken to.
     pub security: Security,
     /// Where a client that is moved is to go in place of coming again by itself.
     pub see_other_host: Option<String>,
 }
 
-impl Default for Terms {
+impl Default for XmppSettings {
     fn default() -> Self {
-        Terms {
+        XmppSettings {
             domains: Vec::new(),
             mechanisms: ["SCRAM-SHA-256", "SCRAM-SHA-1", "PLAIN"]
                 .map(String::from)
                 .to_vec(),
             bounds: Bounds::default(),
-            step: 5 * SECOND,
-            negotiation: 15 * SECOND,
-            finish: SECOND / 2,
-            silent: 10 * SECOND,
+            step_timeout: 5 * SECOND,
+            negotiation_timeout: 15 * SECOND,
+            finish_timeout: SECOND / 2,
+            ack_timeout: 10 * SECOND,
             group: Group::Domain,
-            rules: Vec::new(),
+            class_rules: Vec::new(),
             security: Security::Plain,
             see_other_host: None,
         }
@@ -158,10 +158,14 @@
 /// Mechanisms whose credentials go through unchanged where TLS ends here: none that binds to the channel.
 const MECHANISMS: [&str; 3] = ["SCRAM-SHA-256", "SCRAM-SHA-1", "PLAIN"];
 
-impl Terms {
+impl XmppSettings {
     /// The terms that `[xmpp]` sets, checked; `classes` are those of the platform's settings.
-    pub fn of(file: &OperatorFile, x: &Xmpp, classes: &Classes) -> Result<Terms, OperatorError> {
-        let mut terms = Terms::default();
+    pub fn from_operator_file(
+        file: &OperatorFile,
+        x: &Xmpp,
+        classes: &Classes,
+    ) -> Result<XmppSettings, OperatorError> {
+        let mut terms = XmppSettings::default();
         let error = |key: &str, what: String| Err(file.error(&format!("xmpp.{key}"), what));
         if x.listen.is_none() && x.listen_tls.is_none() {
             return error(
@@ -247,7 +251,7 @@
                 );
             }
             let key = format!("class[{n}].deadline_ms");
-            terms.rules.push(Rule {
+            terms.class_rules.push(ClassRule {
                 domain: domain.flatten(),
                 local: rule.local.clone().map(Pattern),
                 resource: rule.resource.clone().map(Pattern),
@@ -290,15 +294,15 @@
             let set = within(file, &format!("times.{key}"), set, 10, most)?;
             Ok::<Micros, OperatorError>(set.map_or(default, |ms| ms * 1_000))
         };
-        terms.step = time("step_ms", x.times.step_ms, terms.step, 120_000)?;
-        terms.negotiation = time(
+        terms.step_timeout = time("step_ms", x.times.step_ms, terms.step_timeout, 120_000)?;
+        terms.negotiation_timeout = time(
             "negotiation_ms",
             x.times.negotiation_ms,
-            terms.negotiation,
+            terms.negotiation_timeout,
             600_000,
         )?;
-        terms.finish = time("finish_ms", x.times.finish_ms, terms.finish, 60_000)?;
-        terms.silent = time("silent_ms", x.times.silent_ms, terms.silent, 600_000)?;
+        terms.finish_timeout = time("finish_ms", x.times.finish_ms, terms.finish_timeout, 60_000)?;
+        terms.ack_timeout = time("silent_ms", x.times.silent_ms, terms.ack_timeout, 600_000)?;
         terms.security = match x.servers.security {
             operator::Security::Plain => Security::Plain,
             operator::Security::StartTls => Security::StartTls,
@@ -310,7 +314,7 @@
 
     /// The request of that address; none where its class is not in force.
     pub fn request(&self, jid: &Jid, classes: &Classes) -> Option<Request> {
-        let rule = self.rules.iter().find(|rule| rule.fits(jid))?;
+        let rule = self.class_rules.iter().find(|rule| rule.matches(jid))?;
         let class = classes.find(&rule.class)?;
         let local = jid.local.as_deref().unwrap_or_default();
         let group = match self.group {
@@ -349,7 +353,11 @@
             ("exact", "exact", true),
             ("exact", "exactly", false),
         ] {
-            assert_eq!(Pattern(pattern.into()).fits(text), fits, "{pattern} {text}");
+            assert_eq!(
+                Pattern(pattern.into()).matches(text),
+                fits,
+                "{pattern} {text}"
+            );
         }
     }
 
@@ -359,21 +367,22 @@
             ("view".to_string(), 3_000_000),
             ("fix".to_string(), 1_800_000),
         ]);
-        let rule = |domain: Option<&str>, resource: Option<&str>, class: &str, deadline| Rule {
-            domain: domain.map(String::from),
-            local: None,
-            resource: resource.map(|r| Pattern(r.into())),
-            class: class.into(),
-            deadline,
-        };
-        let terms = Terms {
-            rules: vec![
+        let rule =
+            |domain: Option<&str>, resource: Option<&str>, class: &str, deadline| ClassRule {
+                domain: domain.map(String::from),
+                local: None,
+                resource: resource.map(|r| Pattern(r.into())),
+                class: class.into(),
+                deadline,
+            };
+        let terms = XmppSettings {
+            class_rules: vec![
                 rule(Some("b.example"), None, "none", None),
                 rule(None, Some("fix*"), "fix", Some(900_000)),
                 rule(None, None, "view", None),
             ],
             group: Group::LocalAfter('.'),
-            ..Terms::default()
+            ..XmppSettings::default()
         };
         let request = |jid: &str| terms.request(&Jid::parse(jid).unwrap(), &classes);
         let (one, two) = (
--- a/src/protocol/xmpp/passage.rs
+++ b/src/protocol/xmpp/stanza_forwarder.rs
@@ -5,12 +5,15 @@
 //! its count (XEP-0198) and then told that the stream ends: it finishes what it sends and ends its own, so that
 //! nothing on its way to the client is lost, and a client that counts knows to the stanza what has arrived.
 
-use super::exchange::ended_by;
 use super::frame::{Bounds, Condition, Element, Framer, Unit, NS_SASL, NS_SM, NS_STREAMS};
-use super::terms::Terms;
+use super::server_negotiation::ended_by;
+use super::settings::XmppSettings;
 use super::{error, header, stream_error, NS_RELAY, TAG};
 use crate::decisions::api::{Micros, Outcome};
-use crate::protocol::{Away, Fault, News, Parting, Passage, Passed, Rules};
+use crate::protocol::{
+    BackendEvent, CloseReason, Forwardable, Forwarder, FrontSettings, MigrationReadiness,
+    ProtocolViolation,
+};
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,14 +23,14 @@
     /// It may; both open a new stream.
     Open,
     /// The relay has ended the stream to the server, which finishes.
-    Parting,
+    ServerFinishing,
     /// Nothing more may go on.
-    Over,
+    Closed,
 }
 
 /// What passes between a client and its server.
-pub struct Stanzas {
-    terms: Arc<Terms>,
+pub struct StanzaForwarder {
+    terms: Arc<XmppSettings>,
     stage: Stage,
     up: Framer,
     down: Framer,
@@ -45,10 +48,15 @@
     counts: bool,
 }
 
-impl Stanzas {
+impl StanzaForwarder {
     /// Behind an attempt: its framer of the server's stream, and the server's first answer, whose bytes are the
-    /// first that [`Passage::down`] is given.
-    pub fn new(terms: Arc<Terms>, down: Framer, bytes: usize, answer: Element) -> Stanzas {
+    /// first that [`Forwarder::down`] is given.
+    pub fn new(
+        terms: Arc<XmppSettings>,
+        down: Framer,
+        bytes: usize,
+        answer: Element,
+    ) -> StanzaForwarder {
         // The client's stream stands; it goes on with elements below a header of the same form.
         let mut up = Framer::new(
             Bounds {
@@ -58,7 +66,7 @@
             true,
         );
         let _ = up.feed(header(&[]).as_bytes());
-        Stanzas {
+        StanzaForwarder {
             terms,
             stage: Stage::Sasl,
             up,
@@ -73,12 +81,12 @@
         }
     }
 
-    fn fault(&self, condition: Condition, what: &'static str) -> Fault {
+    fn fault(&self, condition: Condition, description: &'static str) -> ProtocolViolation {
         let words = self.with_header(|tag| error(tag, condition));
-        Fault {
-            what,
+        ProtocolViolation {
+            description,
             reason: condition.reason(),
-            words: words.into_bytes(),
+            closing_message: words.into_bytes(),
         }
     }
 
@@ -92,7 +100,12 @@
     }
 
     /// The server's word on SASL.
-    fn sasl(&mut self, e: &Element, raw: &[u8], news: &mut Vec<News>) -> Result<bool, Fault> {
+    fn sasl(
+        &mut self,
+        e: &Element,
+        raw: &[u8],
+        news: &mut Vec<BackendEvent>,
+    ) -> Result<bool, ProtocolViolation> {
         // A prefix of the server's own stream means nothing in the client's.
         let plain = raw
             .trim_ascii_start()
@@ -113,13 +126,13 @@
                     Framer::new(self.terms.bounds, false),
                     Framer::new(self.terms.bounds, false),
                 );
-                news.push(News::Answered(true));
+                news.push(BackendEvent::Answered(true));
                 Ok(true)
             }
             "failure" => {
-                self.stage = Stage::Over;
-                news.push(News::Answered(false));
-                news.push(News::Over(
+                self.stage = Stage::Closed;
+                news.push(BackendEvent::Answered(false));
+                news.push(BackendEvent::CloseAfterForwarding(
                     format!("</{TAG}>").into_bytes(),
                     Outcome::Success,
                     "sasl-failure",
@@ -134,9 +147,14 @@
     }
 
     /// A unit of the server's; whether it may go on.
-    fn hear(&mut self, unit: Unit, raw: &[u8], news: &mut Vec<News>) -> Result<bool, Fault> {
+    fn hear(
+        &mut self,
+        unit: Unit,
+        raw: &[u8],
+        news: &mut Vec<BackendEvent>,
+    ) -> Result<bool, ProtocolViolation> {
         match unit {
-            Unit::Space => Ok(true),
+            Unit::Whitespace => Ok(true),
             Unit::Element(e) if self.stage == Stage::Sasl => self.sasl(&e, raw, news),
             Unit::Header(header) => {
                 self.down_tag = Some(header.tag);
@@ -147,33 +165,37 @@
                     Some(c) => ended_by(&c.name),
                     None => (Outcome::Cancelled, "sent-away"),
                 };
-                news.push(News::Farewell(outcome, Vec::new(), reason));
-                Ok(self.stage != Stage::Parting)
+                news.push(BackendEvent::EndAnnounced(outcome, Vec::new(), reason));
+                Ok(self.stage != Stage::ServerFinishing)
             }
             Unit::Element(e) => {
                 self.counts |= e.is(NS_SM, "enabled") || e.is(NS_SM, "resumed");
                 Ok(true)
             }
             Unit::End => {
-                if self.stage == Stage::Parting {
+                if self.stage == Stage::ServerFinishing {
                     // The client is told the reason first.
-                    news.push(News::Finished);
-                    self.stage = Stage::Over;
+                    news.push(BackendEvent::Finished);
+                    self.stage = Stage::Closed;
                     return Ok(false);
                 }
-                self.stage = Stage::Over;
-                news.push(News::Farewell(Outcome::Success, Vec::new(), "served"));
+                self.stage = Stage::Closed;
+                news.push(BackendEvent::EndAnnounced(
+                    Outcome::Success,
+                    Vec::new(),
+                    "served",
+                ));
                 Ok(true)
             }
         }
     }
 }
 
-impl Passage for Stanzas {
-    fn up(&mut self, fresh: &[u8]) -> Result<Passed, Fault> {
-        let mut passed = Passed::default();
+impl Forwarder for StanzaForwarder {
+    fn on_client_data(&mut self, fresh: &[u8]) -> Result<Forwardable, ProtocolViolation> {
+        let mut passed = Forwardable::default();
         // What is still unread when the stream to the server has ended is not on its way: the client counts.
-        if matches!(self.stage, Stage::Parting | Stage::Over) {
+        if matches!(self.stage, Stage::ServerFinishing | Stage::Closed) {
             return Ok(passed);
         }
         loop {
@@ -193,21 +215,26 @@
                             self.fault(Condition::PolicyViolation, "a stanza before its time")
                         );
                     }
-                    passed.asks = true;
+                    passed.expects_response = true;
                 }
                 // A request for acknowledgement is answered by the server itself, at once.
-                Unit::Element(e) => passed.asks |= e.is(NS_SM, "r"),
+                Unit::Element(e) => passed.expects_response |= e.is(NS_SM, "r"),
                 Unit::Header(header) => {
                     self.up_tag = Some(header.tag.clone());
-                    passed.asks = true;
+                    passed.expects_response = true;
                 }
-                Unit::Space | Unit::End => {}
+                Unit::Whitespace | Unit::End => {}
             }
             passed.bytes += std::mem::take(&mut self.up_read);
         }
     }
 
-    fn down(&mut self, fresh: &[u8], _rules: &Rules, news: &mut Vec<News>) -> Result<usize, Fault> {
+    fn on_backend_data(
+        &mut self,
+        fresh: &[u8],
+        _rules: &FrontSettings,
+        news: &mut Vec<BackendEvent>,
+    ) -> Result<usize, ProtocolViolation> {
         let mut passed = 0;
         if self
             .first
@@ -220,7 +247,7 @@
             self.hear(Unit::Element(answer), &fresh[..bytes], news)?;
             passed = bytes;
         }
-        while self.stage != Stage::Over {
+        while self.stage != Stage::Closed {
             let (n, unit) = match self.down.feed(&fresh[passed + self.down_read..]) {
                 Ok(read) => read,
                 Err(_) if passed > 0 => return Ok(passed),
@@ -241,18 +268,18 @@
         Ok(passed)
     }
 
-    fn words(&self, why: Away) -> Vec<u8> {
+    fn closing_message(&self, why: CloseReason) -> Vec<u8> {
         let condition = match why {
-            Away::Moved => Condition::SystemShutdown,
-            Away::Gone => Condition::RemoteConnectionFailed,
-            Away::Late => Condition::ConnectionTimeout,
-            Away::NoRoom => Condition::ResourceConstraint,
+            CloseReason::Migrated => Condition::SystemShutdown,
+            CloseReason::BackendLost => Condition::RemoteConnectionFailed,
+            CloseReason::AnswerTimeout => Condition::ConnectionTimeout,
+            CloseReason::OutOfMemory => Condition::ResourceConstraint,
         };
         let host = self
             .terms
             .see_other_host
             .as_deref()
-            .filter(|_| why == Away::Moved);
+            .filter(|_| why == CloseReason::Migrated);
         let text = self.with_header(|tag| match host {
             Some(host) => stream_error(tag, "see-other-host", host, ""),
             None => stream_error(
@@ -265,11 +292,11 @@
         text.into_bytes()
     }
 
-    fn answered(&self) -> bool {
+    fn established_is_final_answer(&self) -> bool {
         false
     }
 
-    fn portable(&self) -> bool {
+    fn supports_takeover(&self) -> bool {
         false
     }
 
@@ -277,47 +304,47 @@
         false
     }
 
-    fn lost(&self, unanswered: Micros, _unheard: Micros) -> bool {
-        unanswered > self.terms.silent
+    fn is_backend_lost(&self, unanswered: Micros, _unheard: Micros) -> bool {
+        unanswered > self.terms.ack_timeout
     }
 
-    fn part(&mut self) -> Parting {
+    fn prepare_migration(&mut self) -> MigrationReadiness {
         match (self.stage, &self.up_tag) {
             (Stage::Open, Some(tag)) => {
-                self.stage = Stage::Parting;
+                self.stage = Stage::ServerFinishing;
                 let count = if self.counts {
                     format!("<r xmlns='{NS_SM}'/>")
                 } else {
                     String::new()
                 };
-                Parting::Finish {
-                    words: format!("{count}</{tag}>").into_bytes(),
-                    within: self.terms.finish,
+                MigrationReadiness::AfterBackendFinishes {
+                    message: format!("{count}</{tag}>").into_bytes(),
+                    timeout: self.terms.finish_timeout,
                 }
             }
             // SASL, or the first header: it has its answer soon.
-            (Stage::Sasl | Stage::Open, _) => Parting::Later(self.terms.finish),
-            (Stage::Parting | Stage::Over, _) => Parting::Now,
+            (Stage::Sasl | Stage::Open, _) => MigrationReadiness::Later(self.terms.finish_timeout),
+            (Stage::ServerFinishing | Stage::Closed, _) => MigrationReadiness::Now,
         }
     }
 
-    fn rest(&mut self) {
-        self.up.rest();
-        self.down.rest();
+    fn release_idle_memory(&mut self) {
+        self.up.release_idle_memory();
+        self.down.release_idle_memory();
     }
 
-    fn half(&self) -> bool {
-        !self.down.between()
+    fn has_partial_unit(&self) -> bool {
+        !self.down.at_unit_boundary()
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::super::exchange::Attempt;
     use super::super::jid::Jid;
+    use super::super::server_negotiation::ServerNegotiation;
     use super::*;
     use crate::protocol::buffer::Buffer;
-    use crate::protocol::{Exchange, Step};
+    use crate::protocol::{AttemptAction, AttemptProtocol};
 
     const OFFER: &str = "<stream:features><mechanisms xmlns='urn:ietf:params:xml:ns:xmpp-sasl'>\
         <mechanism>PLAIN</mechanism></mechanisms></stream:features>";
@@ -326,51 +353,51 @@
     const RESPONSE: &str = "<response xmlns='urn:ietf:params:xml:ns:xmpp-sasl'>eA==</response>";
 
     /// The passage behind a server whose first answer is this.
-    fn passage(answer: &str) -> (Box<dyn Passage>, Vec<u8>) {
+    fn passage(answer: &str) -> (Box<dyn Forwarder>, Vec<u8>) {
         let from = Jid::parse("ali@a.example").unwrap();
-        let mut attempt = Box::new(Attempt::new(
+        let mut attempt = Box::new(ServerNegotiation::new(
             Arc::default(),
             "a.example",
             &from,
             b"<auth/>".to_vec(),
         ));
-        let mut inbox = Buffer::holding((header(&[("id", "1")]) + OFFER + answer).into_bytes());
-        while attempt.step(&mut inbox, 1_000) != Step::Up {}
-        (attempt.passage(), inbox.rest().to_vec())
+        let mut inbox = Buffer::from_bytes((header(&[("id", "1")]) + OFFER + answer).into_bytes());
+        while attempt.next_action(&mut inbox, 1_000) != AttemptAction::Established {}
+        (attempt.into_forwarder(), inbox.unread().to_vec())
     }
 
     /// What goes on of these bytes of the server's, in pieces; the words of a fault where there is one.
     fn down(
-        p: &mut dyn Passage,
+        p: &mut dyn Forwarder,
         text: &[u8],
         step: usize,
-        news: &mut Vec<News>,
+        news: &mut Vec<BackendEvent>,
     ) -> Result<String, String> {
         let (mut out, mut passed) = (Vec::new(), 0);
         for end in (0..text.len()).step_by(step).skip(1).chain([text.len()]) {
-            let result = p.down(&text[passed..end], &Rules::default(), news);
-            let n = result.map_err(|fault| String::from_utf8(fault.words).unwrap())?;
+            let result = p.on_backend_data(&text[passed..end], &FrontSettings::default(), news);
+            let n = result.map_err(|fault| String::from_utf8(fault.closing_message).unwrap())?;
             out.extend_from_slice(&text[passed..passed + n]);
             passed += n;
         }
         Ok(String::from_utf8(out).unwrap())
     }
 
-    fn up(p: &mut dyn Passage, text: &str) -> Result<usize, String> {
-        p.up(text.as_bytes())
+    fn up(p: &mut dyn Forwarder, text: &str) -> Result<usize, String> {
+        p.on_client_data(text.as_bytes())
             .map(|p| p.bytes)
-            .map_err(|fault| String::from_utf8(fault.words).unwrap())
+            .map_err(|fault| String::from_utf8(fault.closing_message).unwrap())
     }
 
     /// A passage that is open, with streams that both sides have begun.
-    fn open(step: usize) -> Box<dyn Passage> {
+    fn open(step: usize) -> Box<dyn Forwarder> {
         let (mut p, answer) = passage(SUCCESS);
         let mut news = Vec::new();
         assert_eq!(
             down(&mut *p, &answer, answer.len(), &mut news).unwrap(),
             SUCCESS
         );
-        assert_eq!(news, [News::Answered(true)]);
+        assert_eq!(news, [BackendEvent::Answered(true)]);
         let head = header(&[])
             .replace("stream:", "s:")
             .replace("xmlns:stream", "xmlns:s");
@@ -390,12 +417,12 @@
             down(&mut *p, &answer, answer.len(), &mut news).unwrap(),
             CHALLENGE
         );
-        assert!(news.is_empty() && !p.answered());
+        assert!(news.is_empty() && !p.established_is_final_answer());
         assert_eq!(
-            p.up(RESPONSE.as_bytes()),
-            Ok(Passed {
+            p.on_client_data(RESPONSE.as_bytes()),
+            Ok(Forwardable {
                 bytes: RESPONSE.len(),
-                asks: true
+                expects_response: true
             })
         );
         let failure =
@@ -408,8 +435,8 @@
         assert!(matches!(
             &news[..],
             [
-                News::Answered(false),
-                News::Over(_, Outcome::Success, "sasl-failure")
+                BackendEvent::Answered(false),
+                BackendEvent::CloseAfterForwarding(_, Outcome::Success, "sasl-failure")
             ]
         ));
         // A server that breaks the negotiation off has not answered: the relay does.
@@ -426,14 +453,17 @@
             let said = down(&mut *p, &all[..first], first, &mut news)
                 .and_then(|_| down(&mut *p, &all[first..], 4, &mut news));
             if text.starts_with("</") {
-                assert!(matches!(&news[..], [News::Farewell(..)]), "{news:?}");
+                assert!(
+                    matches!(&news[..], [BackendEvent::EndAnnounced(..)]),
+                    "{news:?}"
+                );
             } else {
                 assert!(
                     said.unwrap_err().contains("<remote-connection-failed "),
                     "{text}"
                 );
             }
-            assert!(!news.iter().any(|n| matches!(n, News::Answered(_))));
+            assert!(!news.iter().any(|n| matches!(n, BackendEvent::Answered(_))));
         }
         let (mut p, _) = passage(CHALLENGE);
         assert!(up(&mut *p, "<message xmlns='jabber:client'/>")
@@ -452,7 +482,11 @@
             );
             assert_eq!(
                 news,
-                [News::Farewell(Outcome::Success, Vec::new(), "served")]
+                [BackendEvent::EndAnnounced(
+                    Outcome::Success,
+                    Vec::new(),
+                    "served"
+                )]
             );
         }
         for half in 1..text.find("</s:").unwrap() {
@@ -464,7 +498,11 @@
                 passed.is_empty() || !passed.ends_with("</message"),
                 "{passed}"
             );
-            assert_eq!(p.half(), passed.len() < half, "{passed:?} of {half}");
+            assert_eq!(
+                p.has_partial_unit(),
+                passed.len() < half,
+                "{passed:?} of {half}"
+            );
         }
         let mut p = open(9);
         assert_eq!(
@@ -488,27 +526,27 @@
         );
         let half = "<message><body>x";
         assert_eq!(down(&mut *p, half.as_bytes(), 50, &mut news).unwrap(), "");
-        assert!(p.half());
-        let Parting::Finish { words, .. } = p.part() else {
+        assert!(p.has_partial_unit());
+        let MigrationReadiness::AfterBackendFinishes { message, .. } = p.prepare_migration() else {
             panic!()
         };
         assert_eq!(
-            String::from_utf8(words).unwrap(),
+            String::from_utf8(message).unwrap(),
             "<r xmlns='urn:xmpp:sm:3'/></stream:stream>"
         );
         assert_eq!(up(&mut *p, "<message xmlns='jabber:client'/>"), Ok(0));
         let whole = format!("{half}</body></message><a xmlns='urn:xmpp:sm:3' h='7'/>");
         let n = p
-            .down(
+            .on_backend_data(
                 format!("{whole}</s:stream>").as_bytes(),
-                &Rules::default(),
+                &FrontSettings::default(),
                 &mut news,
             )
             .unwrap();
         assert_eq!(n, whole.len());
-        assert_eq!(news, [News::Finished]);
+        assert_eq!(news, [BackendEvent::Finished]);
         // In the words of the client's own stream, whose tag is the server's.
-        let words = String::from_utf8(p.words(Away::Moved)).unwrap();
+        let words = String::from_utf8(p.closing_message(CloseReason::Migrated)).unwrap();
         assert!(
             words.starts_with("<s:error xmlns:s=") && words.ends_with("</s:error></s:stream>"),
             "{words}"
@@ -519,23 +557,28 @@
     #[test]
     fn a_session_that_has_no_answer_yet_is_not_moved_at_once() {
         let (mut p, _) = passage(CHALLENGE);
-        assert!(matches!(p.part(), Parting::Later(_)));
-        let host = Arc::new(Terms {
+        assert!(matches!(
+            p.prepare_migration(),
+            MigrationReadiness::Later(_)
+        ));
+        let host = Arc::new(XmppSettings {
             see_other_host: Some("b.example:5222".into()),
-            ..Terms::default()
+            ..XmppSettings::default()
         });
-        let p = Stanzas::new(
+        let p = StanzaForwarder::new(
             host,
             Framer::new(Bounds::default(), true),
             0,
             Element::default(),
         );
-        assert!(String::from_utf8(p.words(Away::Moved))
+        assert!(String::from_utf8(p.closing_message(CloseReason::Migrated))
             .unwrap()
             .contains(">b.example:5222</see-other-host>"));
-        assert!(!String::from_utf8(p.words(Away::Gone))
-            .unwrap()
-            .contains("see-other-host"));
+        assert!(
+            !String::from_utf8(p.closing_message(CloseReason::BackendLost))
+                .unwrap()
+                .contains("see-other-host")
+        );
     }
 
     #[test]
@@ -551,7 +594,7 @@
             );
             assert_eq!(down(&mut *p, text.as_bytes(), 11, &mut news).unwrap(), text);
             assert!(
-                matches!(&news[..], [News::Farewell(o, ..)] if *o == outcome),
+                matches!(&news[..], [BackendEvent::EndAnnounced(o, ..)] if *o == outcome),
                 "{condition}: {news:?}"
             );
         }
--- a/tests/xmpp_input.rs
+++ b/tests/xmpp_input.rs
@@ -4,12 +4,14 @@
 
 use jaspermoor::config::{Classes, Names};
 use jaspermoor::protocol::buffer::Buffer;
-use jaspermoor::protocol::xmpp::exchange::Attempt;
+use jaspermoor::protocol::xmpp::client_negotiation::ClientNegotiation;
 use jaspermoor::protocol::xmpp::frame::{Bounds, Framer, Unit};
-use jaspermoor::protocol::xmpp::greeting::Greeting;
 use jaspermoor::protocol::xmpp::jid::Jid;
-use jaspermoor::protocol::xmpp::terms::{Rule, Security, Terms};
-use jaspermoor::protocol::{Exchange, Greeter, Next, Passage, Rules, Step};
+use jaspermoor::protocol::xmpp::server_negotiation::ServerNegotiation;
+use jaspermoor::protocol::xmpp::settings::{ClassRule, Security, XmppSettings};
+use jaspermoor::protocol::{
+    AttemptAction, AttemptProtocol, Forwarder, FrontSettings, ReaderAction, RequestReader,
+};
 use oorandom::Rand64;
 use proptest::prelude::*;
 use std::sync::Arc;
@@ -26,25 +28,25 @@
     "<message id='1'><body>é &amp; &#x20AC; <![CDATA[<a>]]></body></message> \n<iq type='get' \
     id='2'><query xmlns='jabber:iq:roster'/></iq><r xmlns='urn:xmpp:sm:3'/><a xmlns='urn:xmpp:sm:3' h='1'/>";
 
-fn terms(security: Security) -> Arc<Terms> {
-    let rule = Rule {
+fn terms(security: Security) -> Arc<XmppSettings> {
+    let rule = ClassRule {
         domain: None,
         local: None,
         resource: None,
         class: "view".into(),
         deadline: None,
     };
-    Arc::new(Terms {
+    Arc::new(XmppSettings {
         domains: vec!["a.example".into()],
-        rules: vec![rule],
+        class_rules: vec![rule],
         security,
-        ..Terms::default()
+        ..XmppSettings::default()
     })
 }
 
-fn rules() -> Arc<Rules> {
+fn rules() -> Arc<FrontSettings> {
     let classes = Classes::new([("view".to_string(), 3_000_000)]);
-    Arc::new(Rules {
+    Arc::new(FrontSettings {
         classes,
         names: Names::default(),
     })
@@ -57,7 +59,7 @@
         match framer.feed(&text[at..(at + step).min(text.len())]) {
             Ok((n, unit)) => {
                 at += n;
-                found.extend(unit.filter(|u| *u != Unit::Space).map(|_| at));
+                found.extend(unit.filter(|u| *u != Unit::Whitespace).map(|_| at));
             }
             Err(condition) => return (found, Some(condition.name().into())),
         }
@@ -76,7 +78,10 @@
             match framer.feed(&text[at..end]) {
                 Ok((n, unit)) => {
                     at += n;
-                    found.extend(unit.filter(|u| *u != Unit::Space).map(|unit| (at, unit)));
+                    found.extend(
+                        unit.filter(|u| *u != Unit::Whitespace)
+                            .map(|unit| (at, unit)),
+                    );
                     if n == 0 {
                         break;
                     }
@@ -191,9 +196,9 @@
 }
 
 /// Runs a client's machine on this; it must come to an end with words that are a stream, or wait.
-fn greet(terms: &Arc<Terms>, rules: &Arc<Rules>, text: &[u8], step: usize) {
+fn greet(terms: &Arc<XmppSettings>, rules: &Arc<FrontSettings>, text: &[u8], step: usize) {
     let (mut greeting, mut inbox) = (
-        Greeting::new(terms.clone(), [1, 2, 3], false, 0),
+        ClientNegotiation::new(terms.clone(), [1, 2, 3], false, 0),
         Buffer::default(),
     );
     for mut piece in text.chunks(step) {
@@ -201,21 +206,21 @@
             inbox.fill(&mut piece).unwrap();
         }
         loop {
-            match greeting.next(&mut inbox, 0, rules) {
-                Next::Read => break,
-                Next::Say(words) => assert!(!words.is_empty()),
-                Next::Secure(_) => {
+            match greeting.next_action(&mut inbox, 0, rules) {
+                ReaderAction::Read => break,
+                ReaderAction::Send(words) => assert!(!words.is_empty()),
+                ReaderAction::StartTls(_) => {
                     assert!(
-                        inbox.rest().is_empty(),
+                        inbox.unread().is_empty(),
                         "clear text is left for the protected stream"
                     );
-                    greeting.secured(0);
+                    greeting.tls_established(0);
                 }
-                Next::Place(order) => {
-                    assert!(inbox.rest().is_empty() && order.request().client_key != 0);
+                ReaderAction::Request(order) => {
+                    assert!(inbox.unread().is_empty() && order.request().client_key != 0);
                     return;
                 }
-                Next::End(words, reason) => {
+                ReaderAction::Close(words, reason) => {
                     let words = String::from_utf8(words).unwrap();
                     assert!(
                         !reason.is_empty()
@@ -230,40 +235,49 @@
 }
 
 /// Runs an attempt on what a server says, and the passage behind it, and checks that nothing but whole units pass.
-fn relay(terms: &Arc<Terms>, rules: &Arc<Rules>, server: &[u8], client: &[u8], step: usize) {
+fn relay(
+    terms: &Arc<XmppSettings>,
+    rules: &Arc<FrontSettings>,
+    server: &[u8],
+    client: &[u8],
+    step: usize,
+) {
     let from = Jid::parse("ali@a.example").unwrap();
-    let mut attempt = Box::new(Attempt::new(
+    let mut attempt = Box::new(ServerNegotiation::new(
         terms.clone(),
         "a.example",
         &from,
         b"<auth/>".to_vec(),
     ));
-    let mut inbox = Buffer::holding(server.to_vec());
+    let mut inbox = Buffer::from_bytes(server.to_vec());
     loop {
-        match attempt.step(&mut inbox, 1_000) {
-            Step::Up => break,
-            Step::Read | Step::Not(..) | Step::Nonsense(_) => return,
-            Step::Say(_) | Step::Ask(_) | Step::Secure(_) => {}
+        match attempt.next_action(&mut inbox, 1_000) {
+            AttemptAction::Established => break,
+            AttemptAction::Read | AttemptAction::Failed(..) | AttemptAction::UnexpectedReply(_) => {
+                return
+            }
+            AttemptAction::Send(_) | AttemptAction::SendRequest(_) | AttemptAction::StartTls(_) => {
+            }
         }
     }
-    let mut passage: Box<dyn Passage> = attempt.passage();
-    let (down, mut news) = (inbox.rest().to_vec(), Vec::new());
+    let mut passage: Box<dyn Forwarder> = attempt.into_forwarder();
+    let (down, mut news) = (inbox.unread().to_vec(), Vec::new());
     let (mut down_passed, mut up_passed, mut at) = (0, 0, 0);
     let mut ended = [false, false];
     while at < down.len().max(client.len()) {
         at += step;
         let (a, b) = (at.min(down.len()), at.min(client.len()));
         if !ended[0] {
-            match passage.down(&down[down_passed..a], rules, &mut news) {
+            match passage.on_backend_data(&down[down_passed..a], rules, &mut news) {
                 Ok(n) => down_passed += n,
-                Err(fault) => ended[0] = !fault.words.is_empty(),
+                Err(fault) => ended[0] = !fault.closing_message.is_empty(),
             }
             assert!(down_passed <= a);
         }
         if !ended[1] {
-            match passage.up(&client[up_passed..b]) {
+            match passage.on_client_data(&client[up_passed..b]) {
                 Ok(passed) => up_passed += passed.bytes,
-                Err(fault) => ended[1] = !fault.words.is_empty(),
+                Err(fault) => ended[1] = !fault.closing_message.is_empty(),
             }
             assert!(up_passed <= b);
         }
@@ -279,7 +293,7 @@
             let (n, _) = framer.feed(rest).expect("what passed was read before");
             rest = &rest[n..];
         }
-        assert!(framer.between(), "half a unit has passed");
+        assert!(framer.at_unit_boundary(), "half a unit has passed");
     }
 }
 
