--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -23,7 +23,7 @@
 use crate::net::shared::SharedState;
 use crate::platform::health_check::{self, HealthCheck, MAX_HEALTH_CHECKS};
 use crate::platform::takeover::{HandedOver, HandoverListener, LinkState, Predecessor, Successor};
-use crate::protocol::line::Lines;
+use crate::protocol::line::LineForwarder;
 use crate::sys::{boottime, timed_out, Wake};
 use crossbeam_channel::Receiver;
 use std::collections::{BTreeMap, BTreeSet};
@@ -631,7 +631,7 @@
             link: Link::plain(backend),
             id,
             server,
-            passage: Box::new(Lines),
+            passage: Box::new(LineForwarder),
         };
         conn.take_over(account, session, backend, handover);
         self.enter(conn);
