--- a/src/decision_service/actions.rs
+++ b/src/decision_service/actions.rs
@@ -1,4 +1,5 @@
-//! Dispatches events to a cell's balancer and carries out the actions that it returns, in their order.
+//! Dispatches events to a cell's balancer and carries out the actions that it returns, in their
+//! order.
 
 use super::api::Decision;
 use super::callbacks::Callback;
@@ -53,7 +54,7 @@
                 self.timers
                     .set(at, TimerOwner::Balancer { balancer, token });
             }
-            // There is one subscription, and all balancers get its updates: the first one asks for all of them.
+            // All balancers get the updates of one subscription, which the first one controls.
             Action::WatchEndpointList(watch) if balancer == 0 => {
                 (self.hooks.watch_endpoint_list)(watch);
             }
@@ -73,7 +74,7 @@
     ) {
         let cold_budget = self.balancers[balancer].balancer.warm_up_budget(endpoint);
         let listed = self.endpoints.get(&endpoint).map(|known| &known.listed);
-        // JSON log lines carry the target: it names the service, not this file.
+        // The target is a field of the JSON log lines: it names the service, not this file.
         tracing::debug!(target: "jaspermoor::decision_service", server = endpoint.0, ?cold_budget, ?listed, "send");
         let Some(entry) = self.in_flight.get_mut(id) else {
             return;
@@ -90,9 +91,9 @@
     }
 
     fn check_health(&self, endpoint: EndpointId, callbacks: &mut Vec<Callback>) {
-        // Waiting for a health checker that is behind would block all decisions, so the check is dropped.
+        // The check is dropped if the queue is full: waiting would block all decisions.
         if self.hooks.check_health.try_send(endpoint).is_err() {
-            let line = "decide: a probe was dropped, the prober is behind";
+            let line = "decide: a health check was dropped: the health checker is behind";
             callbacks.push(Callback::Log(line.into()));
         }
     }
--- a/src/decision_service/api.rs
+++ b/src/decision_service/api.rs
@@ -6,30 +6,33 @@
 /// The longest time that a request may ask for, in microseconds.
 pub const MAX_REQUEST_DEADLINE: Micros = 3600 * SECOND;
 
-/// What is to be done next for a request.
+/// The next step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Make this attempt, and stop waiting for it at the stated time.
     Attempt {
         /// The endpoint to connect to.
         endpoint: EndpointId,
-        /// When to stop waiting, on the clock of [`DecisionService::now`](super::DecisionService::now).
+        /// When to stop waiting, on the clock of
+        /// [`DecisionService::now`](super::DecisionService::now).
         give_up_at: Micros,
         /// Which attempt of the request it is, from 0.
         number: u16,
     },
-    /// Final: the request is rejected; a retry is harmless after this wait in microseconds (0: no advice).
+    /// Final: the request is rejected. The client may safely send it again, after this advised wait
+    /// in microseconds (0: no advice).
     Reject(Micros),
-    /// Final: the request has failed; a retry may be executed twice.
+    /// Final: the request has failed. It may have been executed.
     Fail,
-    /// No answer is awaited any more.
+    /// The request awaits no answer any more.
     Withdrawn,
 }
 
-/// What the service can ask of a request or connection in flight. Called without the lock; must not block.
+/// Calls of the service to a request or connection in flight. Made without the lock; must not
+/// block.
 pub trait RequestHandle: Send + Sync {
-    /// A decision can be read from the [`PendingDecision`](super::PendingDecision). A caller that blocks there needs
-    /// no notification.
+    /// A decision can be read from the [`PendingDecision`](super::PendingDecision). A caller that
+    /// blocks there needs no notification.
     fn decision_ready(&self) {}
     /// Stop waiting for this attempt.
     fn cancel_attempt(&self, attempt: u16);
@@ -40,18 +43,18 @@
 /// A measurement on an established connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionSample {
-    /// Its present load: work in microseconds a second.
+    /// Its present load: work in microseconds per second.
     Load(f32),
-    /// How long its messages take at the endpoint.
+    /// The delay of a message at its endpoint.
     Delay(Micros),
 }
 
 /// Receivers of the actions that concern no single request. Neither may block.
 pub struct Hooks {
-    /// Subscribes to the endpoint list (`true`; once more after each subscription that failed) or unsubscribes
-    /// (`false`). Called with the lock held.
+    /// Subscribes to the endpoint list (`true`; once more after each subscription that failed) or
+    /// unsubscribes (`false`). Called with the lock held.
     pub watch_endpoint_list: Box<dyn Fn(bool) + Send>,
-    /// Takes the endpoints that need a health check.
+    /// Receives the endpoints that need a health check.
     pub check_health: Sender<EndpointId>,
 }
 
@@ -66,7 +69,7 @@
     pub usable: bool,
     /// Requests and connections in flight.
     pub in_flight: u32,
-    /// Those of them that belong to sites of other cells.
+    /// Those of them that belong to groups of other cells.
     pub borrowed: u32,
     /// Requests that connected, since the start.
     pub connected: u64,
@@ -85,6 +88,6 @@
     pub completed: u64,
     /// Migrations that the fleet has permitted since the start.
     pub permitted: u64,
-    /// The most migrations a second in the whole fleet.
+    /// The most migrations per second in the whole fleet.
     pub max_per_second: u64,
 }
--- a/src/decision_service/callbacks.rs
+++ b/src/decision_service/callbacks.rs
@@ -1,4 +1,4 @@
-//! Effects that are carried out after the lock is released: calls to the handles of requests, and log lines.
+//! Calls that are made after the lock is released: to the handles of requests, and to the log.
 
 use super::api::RequestHandle;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 pub(super) enum Callback {
     /// A decision can be read.
     DecisionReady(Arc<dyn RequestHandle>),
-    /// This attempt of the request is cancelled.
+    /// This attempt of the request is to be cancelled.
     CancelAttempt(Arc<dyn RequestHandle>, u16),
     /// The connection is to be migrated.
     Migrate(Arc<dyn RequestHandle>),
--- a/src/decision_service/cell_balancer.rs
+++ b/src/decision_service/cell_balancer.rs
@@ -1,19 +1,19 @@
-//! The balancer of one cell, with the cell's metrics. It knows the endpoints of its cell only.
+//! The balancer of one cell, with the cell's metrics. It knows only the endpoints of its cell.
 
 use super::api::CellMetrics;
 use crate::decisions::api::Settings;
 use crate::decisions::{Balancer, Parameters};
 
-/// A cell's balancer and what is counted of the cell.
+/// A cell's balancer and the cell's metrics.
 pub(super) struct CellBalancer {
     /// Chooses among the endpoints of the cell.
     pub balancer: Balancer,
-    /// Counted here and not in the balancer; holds the cell's name.
+    /// Updated by the service and not by the balancer. Contains the cell's name.
     pub metrics: CellMetrics,
 }
 
 impl CellBalancer {
-    /// A balancer without endpoints.
+    /// Creates a balancer without endpoints.
     pub(super) fn new(
         cell_name: &str,
         settings: Settings,
--- a/src/decision_service/cell_map.rs
+++ b/src/decision_service/cell_map.rs
@@ -1,8 +1,9 @@
-//! Adopts another cell map: balancers for its cells, endpoints that change their cell, connections that go with them,
-//! and manual ejections.
+//! Applies another cell map: adds balancers for its cells, reassigns endpoints, hands connections
+//! over to other balancers, and reapplies manual ejections.
 //!
-//! An endpoint that changes its cell drains in the old one. Its connections stay where their site is now in the
-//! endpoint's new cell too; all other displaced connections are queued for migration.
+//! An endpoint that changes its cell drains in the old one. A connection to it is handed over to
+//! the endpoint's new cell, and kept, if that is now the cell of its group too. All other displaced
+//! connections are queued for migration.
 
 use super::callbacks::Callback;
 use super::cell_balancer::CellBalancer;
@@ -13,20 +14,20 @@
     EndpointId, EndpointListKind, EndpointState, Event, ListedEndpoint, Micros, Outcome, RequestId,
 };
 
-/// A connection that changes its balancer and not its endpoint.
+/// A connection that changes its balancer but not its endpoint.
 struct Handover {
     id: RequestId,
     new_balancer: usize,
 }
 
-/// A manual ejection in the balancer of a cell that the endpoint has left.
+/// A manual ejection that is left in the balancer of an endpoint's former cell.
 struct StaleEjection {
     balancer: usize,
     endpoint: EndpointId,
 }
 
 impl ServiceState {
-    /// Adopts a cell map and how it is served.
+    /// Applies a cell map and its limits.
     pub(super) fn adopt_cells(&mut self, cells: Cells, now: Micros, callbacks: &mut Vec<Callback>) {
         if cells.map == self.cells.map {
             self.cells = cells;
@@ -46,7 +47,7 @@
         self.queue_displaced_connections(now);
     }
 
-    /// Index of the balancer of the cell of this name.
+    /// Index of the balancer of the cell with this name, which is added if there is none.
     fn find_or_add_balancer(&mut self, cell_name: &str) -> usize {
         let count = self.balancers.len();
         let existing = self
@@ -66,8 +67,9 @@
         })
     }
 
-    /// Ends the connections in their old balancers that are handed over with their endpoint. Without it, a process
-    /// that takes connections over before it knows the fleet's map would migrate all of them under that map.
+    /// Ends the connections that are handed over with their endpoint in their old balancers.
+    /// Without the handover, a process that takes connections over before it knows the fleet's map
+    /// would migrate all of them once it gets that map.
     fn release_handed_over_connections(
         &mut self,
         now: Micros,
@@ -87,7 +89,8 @@
         handovers.into_iter().map(|handover| handover.id).collect()
     }
 
-    /// Index of the balancer that takes over a connection: that of its endpoint's cell, if this is its site's too.
+    /// Index of the balancer that takes over a connection: that of its endpoint's new cell, if this
+    /// is its group's cell too.
     fn handover_target(&self, entry: &InFlight) -> Option<usize> {
         let target = self.mapped_balancer(entry.endpoint);
         let listed = self.endpoints.contains_key(&entry.endpoint);
@@ -122,8 +125,8 @@
         self.dispatch(old_balancer, now, event, callbacks);
     }
 
-    /// Assigns each listed endpoint to the balancer that the map gives it. A new balancer gets its full list, the
-    /// others what has changed.
+    /// Assigns each listed endpoint to the balancer of its cell in the map. A new balancer gets its
+    /// full list, the others get the changes.
     fn reassign_endpoints(
         &mut self,
         known_balancers: usize,
@@ -173,8 +176,9 @@
         stale_ejections
     }
 
-    /// Takes a manual ejection along with its endpoint: when the operator lifts it, the old cell is not notified, and
-    /// the endpoint may be assigned to that cell again.
+    /// Moves manual ejections to the new cells of their endpoints. The old cell is not notified
+    /// when the operator ends an ejection, so it would keep the endpoint ejected if the endpoint is
+    /// assigned to it again.
     fn reapply_manual_ejections(
         &mut self,
         stale_ejections: Vec<StaleEjection>,
@@ -198,7 +202,7 @@
         }
     }
 
-    /// Notifies the balancer of a connection that it has it from now on.
+    /// Notifies the new balancer of a connection that has been handed over.
     fn adopt_connection(&mut self, id: RequestId, now: Micros, callbacks: &mut Vec<Callback>) {
         let Some(entry) = self.in_flight.get(id) else {
             return;
@@ -211,7 +215,7 @@
         self.dispatch(balancer, now, event, callbacks);
     }
 
-    /// Queues the connections that are outside their site's present cell, borrowed ones as well.
+    /// Queues the connections that are not in their group's present cell, also borrowed ones.
     fn queue_displaced_connections(&mut self, now: Micros) {
         let displaced: Vec<RequestId> = self
             .in_flight
--- a/src/decision_service/endpoint_list.rs
+++ b/src/decision_service/endpoint_list.rs
@@ -7,8 +7,8 @@
 };
 
 impl ServiceState {
-    /// Applies an update of the endpoint list. Every balancer gets one, also without endpoints: an update
-    /// shows that its list is fresh.
+    /// Applies an update of the endpoint list. Every balancer gets its part, even if that is empty:
+    /// an update shows that discovery has answered.
     pub(super) fn update_endpoints(
         &mut self,
         kind: EndpointListKind,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// An empty list for each balancer.
+    /// An empty list of changes for each balancer.
     pub(super) fn empty_updates(&self) -> Vec<Vec<ListedEndpoint>> {
         vec![Vec::new(); self.balancers.len()]
     }
--- a/src/decision_service/in_flight.rs
+++ b/src/decision_service/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests and connections in flight, and the mailbox in which a request finds its decisions.
+//! Requests and connections in flight, and the mailbox in which a request receives its decisions.
 
 use super::api::{Decision, RequestHandle};
 use crate::decisions::api::{EndpointId, Request, RequestId};
@@ -6,7 +6,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Decisions that may be unread at one time: an attempt, and the final answer that overtakes it, with some to spare.
+/// Decisions that may be unread at one time: an attempt, and the final answer that overtakes it,
+/// with some to spare.
 const MAILBOX_CAPACITY: usize = 4;
 
 /// A request that awaits its decisions.
@@ -17,17 +18,19 @@
 }
 
 impl PendingDecision {
-    /// The receiving end of a request's mailbox.
+    /// Creates the receiving end of a request's mailbox.
     pub(super) fn new(id: RequestId, decisions: Receiver<Decision>) -> Self {
         PendingDecision { id, decisions }
     }
 
-    /// Blocks until the next decision. [`Decision::Withdrawn`] once the service has removed the request.
+    /// Blocks until the next decision. [`Decision::Withdrawn`] once the service has removed the
+    /// request.
     pub fn wait(&self) -> Decision {
         self.decisions.recv().unwrap_or(Decision::Withdrawn)
     }
 
-    /// The next decision, if there is one yet. [`Decision::Withdrawn`] once the service has removed the request.
+    /// The next decision, if there is one yet. [`Decision::Withdrawn`] once the service has removed
+    /// the request.
     pub fn try_next(&self) -> Option<Decision> {
         match self.decisions.try_recv() {
             Ok(decision) => Some(decision),
@@ -43,7 +46,7 @@
     pub balancer: usize,
     /// The request; the table assigns its id.
     pub request: Request,
-    /// Whether its cell serves it for another one.
+    /// Whether it belongs to the group of another cell and is borrowed by this one.
     pub borrowed: bool,
     /// The endpoint of its last attempt or of its connection.
     pub endpoint: EndpointId,
@@ -51,13 +54,13 @@
     pub attempts: u16,
     /// Whether it has had its final answer, or is connected.
     pub answered: bool,
-    /// Its user's side.
+    /// Called for it by the service.
     pub handle: Arc<dyn RequestHandle>,
     decisions: Sender<Decision>,
 }
 
 impl InFlight {
-    /// A request that awaits its decisions, and where these arrive.
+    /// Creates the entry of a request that awaits its decisions, and the receiver of these.
     pub(super) fn awaiting(
         request: &Request,
         balancer: usize,
@@ -77,7 +80,7 @@
         (entry, mailbox)
     }
 
-    /// A connection that another process established; it has no decision to wait for.
+    /// Creates the entry of a connection that another process established. It awaits no decision.
     pub(super) fn established(
         request: &Request,
         balancer: usize,
@@ -92,8 +95,8 @@
         }
     }
 
-    /// Puts a decision into the mailbox; dropped if the receiver is gone. The mailbox holds an attempt and the decisions
-    /// that may overtake it, so it is never full.
+    /// Puts a decision into the mailbox, or drops it if the receiver is gone. The mailbox has room
+    /// for an attempt and the decisions that may overtake it, so it is never full.
     pub(super) fn send(&self, decision: Decision) {
         let _ = self.decisions.try_send(decision);
     }
@@ -123,22 +126,22 @@
         RequestId(self.last_id)
     }
 
-    /// A request or connection.
+    /// The request or connection with this id.
     pub(super) fn get(&self, id: RequestId) -> Option<&InFlight> {
         self.entries.get(&id)
     }
 
-    /// A request or connection, to change it.
+    /// The request or connection with this id, mutable.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlight> {
         self.entries.get_mut(&id)
     }
 
-    /// A request that awaits its final answer.
+    /// The request with this id, if it awaits its final answer.
     pub(super) fn unanswered(&self, id: RequestId) -> Option<&InFlight> {
         self.get(id).filter(|entry| !entry.answered)
     }
 
-    /// A request that awaits its final answer, to change it.
+    /// The request with this id, mutable, if it awaits its final answer.
     pub(super) fn unanswered_mut(&mut self, id: RequestId) -> Option<&mut InFlight> {
         self.get_mut(id).filter(|entry| !entry.answered)
     }
@@ -148,7 +151,7 @@
         self.entries.remove(&id)
     }
 
-    /// All of them, by ascending id.
+    /// All requests and connections, by ascending id.
     pub(super) fn iter(&self) -> impl Iterator<Item = (RequestId, &InFlight)> {
         self.entries.iter().map(|(id, entry)| (*id, entry))
     }
--- a/src/decision_service/migration_queue.rs
+++ b/src/decision_service/migration_queue.rs
@@ -1,7 +1,8 @@
-//! Paces migrations: which connections wait for theirs, and whether the next one may take place.
+//! The queue of connections to migrate, and whether the next migration may take place.
 //!
-//! Guards against many connections that change their endpoints at once. A fleet can set the pace by permitting a total
-//! number of migrations; without it, time alone paces them.
+//! Migrations are paced, because many connections that change their endpoints at once would
+//! overload the new ones. There is one migration per interval; a fleet can limit them further by
+//! permitting a total number of migrations.
 
 use crate::decisions::api::RequestId;
 use std::collections::VecDeque;
@@ -16,27 +17,28 @@
 }
 
 impl MigrationQueue {
-    /// Adds a connection at the end.
+    /// Adds a connection to the end of the queue.
     pub(super) fn push(&mut self, id: RequestId) {
         self.waiting.push_back(id);
     }
 
-    /// Takes the first connection.
+    /// Removes the first connection.
     pub(super) fn pop(&mut self) -> Option<RequestId> {
         self.waiting.pop_front()
     }
 
-    /// Replaces all connections that wait.
+    /// Replaces all connections in the queue.
     pub(super) fn replace(&mut self, ids: impl IntoIterator<Item = RequestId>) {
         self.waiting = ids.into_iter().collect();
     }
 
-    /// Connections that wait.
+    /// Number of connections in the queue.
     pub(super) fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether a timer has to be set now for the next migration; from then on it counts as set.
+    /// Whether the caller has to set the timer of the next migration now. If so, the timer counts
+    /// as set from then on.
     pub(super) fn needs_timer(&mut self) -> bool {
         let allowed = self
             .permitted
@@ -48,7 +50,7 @@
         true
     }
 
-    /// The timer has fired.
+    /// Records that the timer has fired.
     pub(super) fn timer_fired(&mut self) {
         self.timer_set = false;
     }
@@ -58,22 +60,23 @@
         self.completed += 1;
     }
 
-    /// Migrations since the start.
+    /// Number of migrations since the start.
     pub(super) fn completed(&self) -> u64 {
         self.completed
     }
 
-    /// Migrations that are permitted since the start; none where only time paces them.
+    /// Number of migrations that are permitted since the start; none if no permits are required.
     pub(super) fn permitted(&self) -> Option<u64> {
         self.permitted
     }
 
-    /// From now on each migration needs a permit.
+    /// Requires a permit for each migration from now on.
     pub(super) fn require_permits(&mut self) {
         self.permitted.get_or_insert(0);
     }
 
-    /// Permits this many migrations since the start, if permits are required. A lower number than before is ignored.
+    /// Permits this many migrations in total since the start, if permits are required. A lower
+    /// number than before is ignored.
     pub(super) fn permit(&mut self, total: u64) {
         self.permitted = self.permitted.map(|before| before.max(total));
     }
--- a/src/decision_service/migrations.rs
+++ b/src/decision_service/migrations.rs
@@ -1,22 +1,23 @@
-//! Migrates connections whose site has another cell than they: one at a time, each once.
+//! Migrates connections that are not in the cell of their group: one at a time, each once.
 
 use super::callbacks::Callback;
 use super::state::ServiceState;
 use super::timers::TimerOwner;
 use crate::decisions::api::{Micros, RequestId};
 
-/// What is to be done with a connection whose turn to be migrated has come.
+/// The next step for a connection that is first in the queue of migrations.
 enum MigrationStep {
-    /// It has ended, or is in its site's cell again.
+    /// Remove it from the queue: it has ended, or is in its group's cell again.
     Skip,
-    /// The cell to which it should go has no usable endpoint: it waits.
+    /// Queue it again: the cell to which it should go has no usable endpoint.
     Postpone,
-    /// It is migrated now.
+    /// Migrate it now.
     Migrate(Callback),
 }
 
 impl ServiceState {
-    /// Sets the timer of the next migration if a connection waits, the fleet permits one, and no timer is set.
+    /// Sets the timer of the next migration if a connection waits, the fleet permits one, and no
+    /// timer is set.
     pub(super) fn schedule_migration(&mut self, now: Micros) {
         if self.migrations.needs_timer() {
             let deadline = now + self.cells.migration_interval;
--- a/src/decision_service/mod.rs
+++ b/src/decision_service/mod.rs
@@ -1,11 +1,13 @@
-//! The thread-safe owner of the balancers: one lock round the balancers of all cells, their clock and their timers.
+//! Thread-safe access to the balancers of all cells, with their clock and their timers.
 //!
-//! Users see neither events nor actions. They [submit](DecisionService::submit) a request, read its [`Decision`]s,
-//! report how each attempt ended, and fire the timers; the service turns this into [`Event`]s of the balancer of the
-//! request's cell and carries out the actions that it returns. It depends on no socket or client protocol.
+//! Users see neither events nor actions. They [submit](DecisionService::submit) a request, read its
+//! [`Decision`]s, report how each attempt ended, and fire the timers. The service turns this into
+//! [`Event`]s of the balancer of the request's cell and carries out the actions that the balancer
+//! returns. It depends on no socket or client protocol.
 //!
-//! There is one lock. While it is held, only [`Hooks::watch_endpoint_list`] and the callback of `submit` are called;
-//! after it is released, first the waker, then the handles of requests and the log, in the order of the actions.
+//! One lock protects all state. While it is held, only [`Hooks::watch_endpoint_list`] and the
+//! callback of `submit` are called. After it is released, the waker is called first, then the
+//! handles of requests and the log, in the order of the actions.
 
 #![warn(unreachable_pub, rust_2018_idioms)]
 #![warn(clippy::too_many_lines, clippy::many_single_char_names)]
@@ -46,12 +48,12 @@
 /// The longest sleep of the thread that fires the timers.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Decides for all threads what happens to each request and connection.
+/// Decides about the requests and connections of all threads.
 pub struct DecisionService {
     state: Mutex<ServiceState>,
     /// Wakes the thread that sleeps until the first timer.
     first_timer_changed: Condvar,
-    /// Called where the first timer has changed.
+    /// Called when the first timer has changed.
     waker: OnceLock<Wake>,
     started: Instant,
     /// Unix time at `started`.
@@ -60,7 +62,8 @@
 }
 
 impl DecisionService {
-    /// A service with one cell and these settings; `cached` is the endpoint list as last known.
+    /// Creates a service with one cell and these settings. `cached` is the endpoint list as last
+    /// known.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -82,14 +85,14 @@
         service
     }
 
-    /// Sets what is called where the first timer changes, for a driver that does not wait in
+    /// Sets the callback for a change of the first timer, for a driver that does not wait in
     /// [`DecisionService::fire_timers_and_sleep`]. A second call is ignored.
     pub fn set_waker(&self, wake: Wake) {
         let _ = self.waker.set(wake);
     }
 
-    /// Unix time in microseconds, steady within a process, so that it compares with the start times of the endpoint
-    /// list.
+    /// Unix time in microseconds, comparable with the start times in the endpoint list. Monotonic
+    /// within a process: a change of the system clock after the start has no effect.
     pub fn now(&self) -> Micros {
         self.started_at + self.started.elapsed().as_micros() as Micros
     }
@@ -99,14 +102,16 @@
         Duration::from_micros(until.saturating_sub(self.now()))
     }
 
-    /// Admits new clients up to this moment of [`boottime`](crate::sys::boottime), a clock that counts the time that
-    /// the machine was suspended. Without a call there is no limit.
+    /// Allows new clients to be admitted until this moment of [`boottime`](crate::sys::boottime), a
+    /// clock that includes the time in which the machine was suspended. Without a call there is no
+    /// limit.
     pub fn set_admission_lease(&self, until: Micros) {
         self.lease.set_expiry(until);
     }
 
-    /// Whether a new client may be admitted now. Checked right before each placement and before the first byte of each
-    /// attempt, so that a process that was suspended sends nothing under a policy that has been replaced.
+    /// Whether a new client may be admitted now. Checked right before each placement and before the
+    /// first byte of each attempt, so that a process that was suspended sends nothing under a
+    /// policy that has been replaced.
     pub fn may_admit(&self) -> bool {
         self.lease.is_valid()
     }
@@ -122,8 +127,8 @@
         });
     }
 
-    /// Applies other cells. Endpoints that change their cell drain in the old one; connections whose site has another
-    /// cell are migrated one by one, each once.
+    /// Applies other cells. Endpoints that change their cell drain in the old one; connections
+    /// whose group has another cell are migrated one by one, each once.
     pub fn update_cells(&self, cells: Cells) {
         self.update(self.lock(), |state, now, callbacks| {
             state.adopt_cells(cells, now, callbacks);
@@ -164,7 +169,7 @@
         self.dispatch(state, balancer, event);
     }
 
-    /// How many listed endpoints are avoided now.
+    /// Number of listed endpoints that get no new requests now.
     pub fn unavailable_endpoints(&self) -> usize {
         let now = self.now();
         self.lock()
@@ -174,12 +179,13 @@
             .sum()
     }
 
-    /// From now on a displaced connection is migrated only once the fleet has permitted one more migration.
+    /// Requires from now on that the fleet permits each migration of a displaced connection.
     pub fn pace_migrations(&self) {
         self.lock().migrations.require_permits();
     }
 
-    /// Permits this many migrations since the start. A lower number than before is ignored.
+    /// Permits this many migrations in total since the start. A lower number than before is
+    /// ignored.
     pub fn permit_migrations(&self, total: u64) {
         self.update(self.lock(), |state, now, _| {
             state.migrations.permit(total);
@@ -187,7 +193,7 @@
         });
     }
 
-    /// Progress of the migrations; none unless the fleet paces them.
+    /// Progress of the migrations; none unless they need the fleet's permits.
     pub fn migration_status(&self) -> Option<MigrationProgress> {
         let state = self.lock();
         let permitted = state.migrations.permitted()?;
@@ -199,7 +205,8 @@
         })
     }
 
-    /// The metrics of each cell of the map, and how many connections wait for their migration to another cell.
+    /// The metrics of each cell of the map, and the number of connections that wait for their
+    /// migration to another cell.
     pub fn cell_metrics(&self) -> (Vec<CellMetrics>, usize) {
         let mut state = self.lock();
         state.recount_endpoints();
@@ -209,7 +216,8 @@
         (metrics, state.migrations.len())
     }
 
-    /// Fires the timers whose deadline has come and sleeps until the next one, for a second at most.
+    /// Fires the timers whose deadline has come and sleeps until the next one, for a second at
+    /// most.
     pub fn fire_timers_and_sleep(&self) {
         let (state, next_deadline) = self.fire_expired_timers();
         let sleep = next_deadline.map_or(MAX_SLEEP, |deadline| {
@@ -223,7 +231,8 @@
         self.fire_expired_timers().1
     }
 
-    /// The lock stays with the caller: no timer can be set between the look at the next deadline and the sleep.
+    /// Fires the timers whose deadline has come; returns the next deadline. The returned guard
+    /// keeps the lock, so that no timer can be set before the caller sleeps until that deadline.
     fn fire_expired_timers(&self) -> (MutexGuard<'_, ServiceState>, Option<Micros>) {
         loop {
             let mut state = self.lock();
--- a/src/decision_service/requests.rs
+++ b/src/decision_service/requests.rs
@@ -1,4 +1,5 @@
-//! The part of [`DecisionService`] that each request uses: from its submission to the end of its connection.
+//! The methods of [`DecisionService`] for a single request, from its submission to the end of its
+//! connection.
 
 use super::admission::RETRY_AFTER_WITHOUT_LEASE;
 use super::api::{ConnectionSample, Decision, RequestHandle};
@@ -10,8 +11,9 @@
 use std::sync::Arc;
 
 impl DecisionService {
-    /// Takes a request and gives it its id; its decisions arrive in the returned mailbox. `registered` gets the id
-    /// before the first decision, so that the request can be withdrawn while it waits; it is called with the lock held.
+    /// Submits a request and gives it its id; its decisions arrive in the returned mailbox.
+    /// `registered` gets the id before the first decision, so that the request can be withdrawn
+    /// while it waits. It is called with the lock held.
     pub fn submit(
         &self,
         request: Request,
@@ -37,7 +39,7 @@
             let request = Request { id, ..request };
             self.dispatch(state, balancer, Event::Request(request));
         } else {
-            // No balancer sees the request: no cell can take it, or the lease is not valid.
+            // No balancer gets the request: no cell can take it, or the lease is not valid.
             let retry_after = if placement.is_some() {
                 state.cells.retry_after
             } else {
@@ -50,7 +52,8 @@
         PendingDecision::new(id, decisions)
     }
 
-    /// Takes a connection that another process established to an endpoint, and gives it its id.
+    /// Takes over a connection that another process established to an endpoint, and gives it its
+    /// id.
     pub fn adopt_connection(
         &self,
         request: Request,
@@ -61,7 +64,8 @@
         let balancer = state.balancer_of_endpoint(endpoint);
         let entry = InFlight::established(&request, balancer, endpoint, handle);
         let id = state.register(entry);
-        // The other process may have been migrating its site: this one goes on with it.
+        // The other process may have been migrating the connections of its group; this one
+        // continues.
         let displaced = state.home_balancer(request.group) != balancer;
         if displaced && !state.cells.map.is_single() {
             state.migrations.push(id);
@@ -75,8 +79,8 @@
         id
     }
 
-    /// Reports that an attempt has connected, after `elapsed`. False if the request already has its final
-    /// answer: the caller must then close the connection.
+    /// Reports that an attempt has connected, after `elapsed`. Returns false if the request already
+    /// has its final answer: the caller must then close the connection.
     pub fn connected(&self, id: RequestId, elapsed: Micros) -> bool {
         let mut state = self.lock();
         let Some(entry) = state.in_flight.unanswered_mut(id) else {
@@ -95,7 +99,7 @@
         true
     }
 
-    /// Reports how an attempt ended that did not connect. The next decision follows.
+    /// Reports the outcome of an attempt that did not connect. The next decision follows.
     pub fn attempt_failed(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
         let state = self.lock();
         let Some(entry) = state.in_flight.get(id) else {
@@ -112,7 +116,7 @@
         self.dispatch(state, balancer, event);
     }
 
-    /// Reports the end of an established connection; nothing more follows.
+    /// Reports the end of an established connection. No decision follows.
     pub fn connection_ended(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
         let mut state = self.lock();
         let Some(entry) = state.deregister(id) else {
@@ -128,8 +132,8 @@
         self.dispatch(state, entry.balancer, event);
     }
 
-    /// Reports that a client has disconnected before its answer. It gets [`Decision::Withdrawn`]; an attempt that is
-    /// still under way must be reported all the same.
+    /// Reports that a client has disconnected before its answer. Its request gets
+    /// [`Decision::Withdrawn`]. The end of an attempt that is under way must still be reported.
     pub fn client_disconnected(&self, id: RequestId) {
         let mut state = self.lock();
         let Some(entry) = state.in_flight.unanswered_mut(id) else {
@@ -150,7 +154,8 @@
         self.lock().in_flight.unanswered(id).is_some()
     }
 
-    /// Brings a request's deadline forward, because this process stops. A later one than before is ignored.
+    /// Sets an earlier deadline for a request, because this process stops. A later one than before
+    /// is ignored.
     pub fn shorten_deadline(&self, id: RequestId, deadline: Micros) {
         let state = self.lock();
         let Some(entry) = state.in_flight.unanswered(id) else {
--- a/src/decision_service/state.rs
+++ b/src/decision_service/state.rs
@@ -1,8 +1,9 @@
-//! The state behind the lock: the cell balancers, the endpoint list, what is in flight, timers and migrations.
+//! The state that the lock protects: the cell balancers, the endpoint list, the requests and
+//! connections in flight, timers and migrations.
 //!
 //! A cell has two indices: its *cell index* in the present map, and its *balancer index* in
-//! [`ServiceState::balancers`]. A balancer whose cell has left the map keeps its index, because connections of that cell
-//! may last; so the two differ after a change of the map.
+//! [`ServiceState::balancers`]. The two can differ after a change of the map: a balancer whose cell
+//! is no longer in the map keeps its index, because connections of that cell may still exist.
 
 use super::api::{CellMetrics, Hooks};
 use super::cell_balancer::CellBalancer;
@@ -16,23 +17,23 @@
 use crate::decisions::Parameters;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An endpoint of the list, and whose it is.
+/// An endpoint of the list, and the cell balancer that it is assigned to.
 pub(super) struct KnownEndpoint {
     /// As last listed.
     pub listed: ListedEndpoint,
-    /// Index of the cell balancer that has it.
+    /// Index of that cell balancer.
     pub balancer: usize,
 }
 
-/// What the lock protects.
+/// The state of the service, protected by its lock.
 pub(super) struct ServiceState {
-    /// One balancer a cell, also of cells that have left the map. Never removed.
+    /// The balancers of all cells, also of those that are no longer in the map. None is removed.
     pub balancers: Vec<CellBalancer>,
     /// Balancer index by cell index.
     pub balancer_of_cell: Vec<usize>,
-    /// The present cell map and how it is served.
+    /// The present cell map and its limits.
     pub cells: Cells,
-    /// Seeds of the balancers derive from it.
+    /// The balancers' seeds are derived from it.
     pub seed: u64,
     /// Settings of all balancers.
     pub settings: Settings,
@@ -42,9 +43,9 @@
     pub endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     /// Endpoints that an operator has ejected, listed or not.
     pub manually_ejected: BTreeSet<EndpointId>,
-    /// Connections whose site has another cell than they.
+    /// Connections that are not in the cell of their group.
     pub migrations: MigrationQueue,
-    /// The time of the last event: time never goes back for a balancer.
+    /// Time of the last event. No later event gets an earlier time.
     pub last_event_at: Micros,
     /// Requests and connections in flight.
     pub in_flight: InFlightTable,
@@ -57,7 +58,7 @@
 }
 
 impl ServiceState {
-    /// One cell without endpoints.
+    /// Creates the state of one cell without endpoints.
     pub(super) fn new(settings: Settings, seed: u64, hooks: Hooks) -> Self {
         let cells = Cells::default();
         let parameters = Parameters::default();
@@ -88,7 +89,7 @@
         self.in_flight.insert(entry)
     }
 
-    /// Removes a request or connection and counts it no more.
+    /// Removes a request or connection from the table and the metrics.
     pub(super) fn deregister(&mut self, id: RequestId) -> Option<InFlight> {
         let entry = self.in_flight.remove(id)?;
         let metrics = &mut self.balancers[entry.balancer].metrics;
@@ -97,14 +98,14 @@
         Some(entry)
     }
 
-    /// Places a new request of a site in a cell of the present map.
-    pub(super) fn place(&self, site: u64) -> Placement {
-        // A single cell takes every request: its balancer answers where no endpoint is usable.
+    /// Places a new request of a group in a cell of the present map.
+    pub(super) fn place(&self, group: u64) -> Placement {
+        // A single cell takes every request: its balancer answers if no endpoint is usable.
         if self.cells.map.is_single() {
             return Placement::Home(0);
         }
-        let (home, _) = self.cells.map.home(site);
-        // The common case looks at one cell, however many there are.
+        let (home, _) = self.cells.map.home(group);
+        // In the common case, one cell is looked up, however many there are.
         if self.cell_metrics(home).usable {
             return Placement::Home(home);
         }
@@ -115,7 +116,7 @@
         let borrowed: Vec<u32> = (0..cell_count)
             .map(|cell| self.cell_metrics(cell).borrowed)
             .collect();
-        self.cells.map.place(site, &usable, &borrowed)
+        self.cells.map.place(group, &usable, &borrowed)
     }
 
     /// The metrics of a cell of the present map.
@@ -123,9 +124,9 @@
         &self.balancers[self.balancer_of_cell[cell]].metrics
     }
 
-    /// Index of the balancer of a site's own cell.
-    pub(super) fn home_balancer(&self, site: u64) -> usize {
-        let (cell, _) = self.cells.map.home(site);
+    /// Index of the balancer of a group's own cell.
+    pub(super) fn home_balancer(&self, group: u64) -> usize {
+        let (cell, _) = self.cells.map.home(group);
         self.balancer_of_cell[cell]
     }
 
@@ -134,7 +135,7 @@
         self.balancer_of_cell[self.cells.map.cell_of_endpoint(endpoint)]
     }
 
-    /// Index of the balancer that has a listed endpoint; by the map where it is not listed.
+    /// Index of the balancer that an endpoint is assigned to; by the map if it is not listed.
     pub(super) fn balancer_of_endpoint(&self, endpoint: EndpointId) -> usize {
         match self.endpoints.get(&endpoint) {
             Some(known) => known.balancer,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Recounts the endpoints of each cell.
+    /// Recounts the endpoints of each cell in the metrics.
     pub(super) fn recount_endpoints(&mut self) {
         for cell in &mut self.balancers {
             cell.metrics.endpoints = 0;
--- a/src/decision_service/timers.rs
+++ b/src/decision_service/timers.rs
@@ -1,22 +1,24 @@
 //! The timers of all balancers and of the migrations, in one heap.
 //!
-//! Timers fire in the order of their deadlines; at one deadline those of balancers come first, by balancer and token.
+//! Timers fire in the order of their deadlines. Of timers with the same deadline, those of
+//! balancers come first, ordered by balancer and token.
 
 use crate::decisions::api::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Whom a timer wakes. The order of the variants is the order in which timers of one deadline fire.
+/// The receiver of a timer. The order of the variants is the order in which timers with the same
+/// deadline fire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerOwner {
-    /// A cell's balancer, which gave the token.
+    /// A cell's balancer, which chose the token.
     Balancer {
         /// Index of the cell balancer.
         balancer: usize,
         /// Identifies the timer to that balancer.
         token: u64,
     },
-    /// The next migration of a connection whose site has another cell.
+    /// The next migration of a connection whose group has another cell.
     Migration,
 }
 
