--- a/src/cells/faults.rs
+++ b/src/cells/faults.rs
@@ -1,10 +1,11 @@
-//! Checks the cells of an endpoint list: cells that are too small, too large, or in one zone.
+//! Checks the cells of an endpoint list for faults: too few or too many endpoints, or a single
+//! zone.
 
 use super::map::{Cell, CellMap};
 use crate::decisions::api::{EndpointState, ListedEndpoint};
 use std::fmt;
 
-/// What is wrong with a cell of an endpoint list.
+/// A fault of a cell of an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CellFault {
     /// It has fewer endpoints than the operator file requires.
@@ -34,10 +35,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CellFault::TooFewEndpoints { cell, count } => {
-                write!(f, "cell {cell} has {count} servers, fewer than it should")
+                write!(
+                    f,
+                    "cell {cell} has {count} servers, fewer than least_servers"
+                )
             }
             CellFault::TooManyEndpoints { cell, count } => {
-                write!(f, "cell {cell} has {count} servers, more than it should")
+                write!(f, "cell {cell} has {count} servers, more than most_servers")
             }
             CellFault::SingleZone { cell, zone } => {
                 write!(f, "cell {cell} has all its servers in zone {zone}")
@@ -77,7 +81,7 @@
     }
 }
 
-/// One endpoint alone is in one zone by necessity, which is no fault.
+/// The fault of a cell with all of its endpoints in one zone. A single endpoint is no fault.
 fn zone_fault(cell: &Cell, endpoints: &[&ListedEndpoint]) -> Option<CellFault> {
     let zone = endpoints.first()?.zone;
     let single = endpoints.len() > 1 && endpoints.iter().all(|e| e.zone == zone);
--- a/src/cells/map.rs
+++ b/src/cells/map.rs
@@ -1,26 +1,29 @@
-//! The cell map: the cell of each site and of each endpoint, and where a new connection goes.
+//! The cell map: the cell of each group and of each endpoint, and the cell of a new connection.
 //!
-//! Built for each operator file and looked up for each placement. Both lookups use rendezvous hashing with weights: a
-//! cell that is added gets its fraction of sites and endpoints from all other cells, and nothing else changes its cell.
+//! Built once for each operator file and used for each placement. Groups and endpoints are assigned
+//! by weighted rendezvous hashing: a cell that is added gets its fraction of groups and endpoints
+//! from all other cells, and no group or endpoint changes between these.
 
 use crate::decisions::api::EndpointId;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Slots of the table of sites. With 64 cells, a cell's fraction of sites is off by an eighth or so.
+/// Slots of the table of groups. With 64 cells, a cell's fraction of the groups deviates by about
+/// an eighth.
 pub(super) const SLOT_COUNT: usize = 4096;
-/// The most cells of a map. Each has a balancer of its own, and the table of sites holds a byte a slot.
+/// The most cells of a map. Each cell has a balancer of its own, and the table of groups holds one
+/// byte per slot.
 pub const MAX_CELLS: usize = 64;
 
-/// What becomes of a new connection whose cell has no usable endpoint.
+/// The treatment of a new connection whose cell has no usable endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoEndpointPolicy {
     /// It is rejected.
     Reject,
-    /// It goes to the next usable cell in its site's order.
+    /// It goes to the next usable cell in its group's order.
     Borrow {
-        /// The most borrowed connections of a cell; a cell that has this many is passed over.
+        /// The most borrowed connections of a cell; a cell that has this many is skipped.
         max_borrowed: u32,
     },
 }
@@ -29,13 +32,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Cell {
     pub name: String,
-    /// Its weight in the hash, against those of other cells.
+    /// Its weight in the hash, relative to the other cells.
     pub weight: u32,
-    /// Only sites that are pinned to it belong to it.
+    /// Whether only groups that are pinned to it belong to it.
     pub quarantine: bool,
 }
 
-/// Why a site belongs to its cell.
+/// The reason why a group belongs to its cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HomeReason {
     /// By its hash.
@@ -44,14 +47,14 @@
     Pinned,
 }
 
-/// Where a new connection of a site goes. Cells are given by their index in the map.
+/// The cell of a new connection, by its index in the map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// To its own cell.
+    /// The cell of its group.
     Home(usize),
-    /// To another cell, because its own one has no usable endpoint.
+    /// Another cell, because that of its group has no usable endpoint.
     Borrowed(usize),
-    /// To no cell.
+    /// No cell.
     Rejected,
 }
 
@@ -65,14 +68,15 @@
     }
 }
 
-/// Which cell each site and each endpoint belongs to. Cells have indices from 0, in the order of the operator file.
+/// The cells of all groups and endpoints. Cells have indices from 0, in the order of the operator
+/// file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CellMap {
     pub(super) cells: Vec<Cell>,
-    /// The cell of each slot of sites.
+    /// The cell of each slot of groups.
     pub(super) slots: Vec<u8>,
-    /// Cells of the sites that the operator file pins.
-    pub(super) pinned_sites: BTreeMap<u64, usize>,
+    /// Cells of the groups that the operator file pins.
+    pub(super) pinned_groups: BTreeMap<u64, usize>,
     /// Cells of the endpoints that the operator file names.
     pub(super) named_endpoints: BTreeMap<EndpointId, usize>,
     pub(super) no_endpoint: NoEndpointPolicy,
@@ -82,8 +86,8 @@
     pub(super) max_endpoints: usize,
 }
 
-/// The key of a site as it is written: the hexadecimal key that line clients send, or the name of an XMPP group, such as
-/// `site7@hazri1.example.org`. 0 means no site.
+/// Parses the key of a group: the hexadecimal key that line clients send, or the name of an XMPP
+/// group, such as `site7@hazri1.example.org`, which is hashed. 0 means no group.
 pub fn group_key(text: &str) -> u64 {
     let hexadecimal = (1..=16).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit());
     match u64::from_str_radix(text, 16) {
@@ -93,7 +97,8 @@
     }
 }
 
-/// A cell's score in the rendezvous hash of a key: the highest of one draw for each unit of its weight.
+/// A cell's score in the rendezvous hash of a key: the highest of one draw for each unit of its
+/// weight.
 fn rendezvous_score(cell: &Cell, key: u64) -> u64 {
     (0..cell.weight)
         .map(|draw| xxh3_64_with_seed(cell.name.as_bytes(), key ^ (u64::from(draw) << 56)))
@@ -102,7 +107,7 @@
 }
 
 impl Default for CellMap {
-    /// A single cell.
+    /// A map of a single cell.
     fn default() -> Self {
         let cell = Cell {
             name: "all".into(),
@@ -114,7 +119,7 @@
 }
 
 impl CellMap {
-    /// A map that pins no site and names no endpoint.
+    /// Creates a map that pins no group and names no endpoint.
     pub(super) fn new(
         cells: Vec<Cell>,
         no_endpoint: NoEndpointPolicy,
@@ -124,7 +129,7 @@
         let mut map = CellMap {
             cells,
             slots: Vec::new(),
-            pinned_sites: BTreeMap::new(),
+            pinned_groups: BTreeMap::new(),
             named_endpoints: BTreeMap::new(),
             no_endpoint,
             min_endpoints,
@@ -136,7 +141,8 @@
         map
     }
 
-    /// This many cells of equal weight, for experiments; at least one and at most [`MAX_CELLS`].
+    /// Creates a map of this many cells of equal weight, at least one and at most [`MAX_CELLS`],
+    /// for experiments.
     pub fn with_equal_cells(count: usize) -> CellMap {
         let cells = (0..count.clamp(1, MAX_CELLS))
             .map(|index| Cell {
@@ -148,17 +154,17 @@
         CellMap::new(cells, NoEndpointPolicy::Reject, 0, usize::MAX)
     }
 
-    /// How many cells there are.
+    /// Number of cells.
     pub fn cell_count(&self) -> usize {
         self.cells.len()
     }
 
-    /// Whether everything belongs to one cell.
+    /// Whether all groups and endpoints belong to one cell.
     pub fn is_single(&self) -> bool {
         self.cells.len() <= 1
     }
 
-    /// The cell of this name.
+    /// The cell with this name.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.cells.iter().position(|cell| cell.name == name)
     }
@@ -181,8 +187,10 @@
             .unwrap_or_else(by_hash)
     }
 
-    /// The cells in the order in which they may have a slot of sites, the owner first; without those in quarantine.
+    /// The cells in order of preference for a slot of groups, the owner first; without those in
+    /// quarantine.
     pub(super) fn cells_in_order(&self, slot: u64) -> impl Iterator<Item = usize> {
+        // All relays must hash alike, so the input keeps the former name of the group.
         let key = xxh3_64_with_seed(b"site", slot);
         let mut cells: Vec<usize> = (0..self.cells.len())
             .filter(|cell| !self.cells[*cell].quarantine)
@@ -191,30 +199,31 @@
         cells.into_iter()
     }
 
-    /// The slot of a site.
-    pub(super) fn slot(site: u64) -> usize {
-        (xxh3_64_with_seed(&site.to_le_bytes(), 0) % SLOT_COUNT as u64) as usize
+    /// The slot of a group.
+    pub(super) fn slot(group: u64) -> usize {
+        (xxh3_64_with_seed(&group.to_le_bytes(), 0) % SLOT_COUNT as u64) as usize
     }
 
-    /// A site's own cell, and why. Takes the same time for any number of cells.
-    pub fn home(&self, site: u64) -> (usize, HomeReason) {
-        match self.pinned_sites.get(&site) {
+    /// A group's own cell, and the reason. Takes the same time for any number of cells.
+    pub fn home(&self, group: u64) -> (usize, HomeReason) {
+        match self.pinned_groups.get(&group) {
             Some(cell) => (*cell, HomeReason::Pinned),
-            None => (self.slots[CellMap::slot(site)] as usize, HomeReason::Hash),
+            None => (self.slots[CellMap::slot(group)] as usize, HomeReason::Hash),
         }
     }
 
-    /// Where a new connection of a site goes. `usable` says for each cell whether one of its endpoints may be sent
-    /// requests, `borrowed` how many connections of other cells' sites it has.
-    pub fn place(&self, site: u64, usable: &[bool], borrowed: &[u32]) -> Placement {
-        let (home, _) = self.home(site);
+    /// The cell of a new connection of a group. `usable` says for each cell whether one of its
+    /// endpoints may be sent requests; `borrowed` is the number of connections that each cell has
+    /// of other cells' groups.
+    pub fn place(&self, group: u64, usable: &[bool], borrowed: &[u32]) -> Placement {
+        let (home, _) = self.home(group);
         if usable.get(home) == Some(&true) {
             return Placement::Home(home);
         }
         let NoEndpointPolicy::Borrow { max_borrowed } = self.no_endpoint else {
             return Placement::Rejected;
         };
-        // Borrowing would carry a quarantined site's harm into another cell.
+        // Borrowing would let a quarantined group harm another cell.
         if self.cells.get(home).is_some_and(|cell| cell.quarantine) {
             return Placement::Rejected;
         }
@@ -222,7 +231,7 @@
             let below_limit = borrowed.get(*cell).is_some_and(|n| *n < max_borrowed);
             *cell != home && usable.get(*cell) == Some(&true) && below_limit
         };
-        self.cells_in_order(CellMap::slot(site) as u64)
+        self.cells_in_order(CellMap::slot(group) as u64)
             .find(can_lend)
             .map_or(Placement::Rejected, Placement::Borrowed)
     }
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -1,9 +1,10 @@
-//! Cells: which endpoints and which sites belong together, so that the harm of one site or of one release stays in one
-//! cell.
+//! Cells: the endpoints and the groups are divided into cells, so that a harmful group or a faulty
+//! release affects one cell only. The operator file calls a group a site.
 //!
-//! Inputs are the operator file and the endpoint list; no I/O and no clock. All relays with the same file and the same
-//! list come to the same answers. Guards against a site that is admitted everywhere once its own cell is gone, and
-//! against one endpoint's removal changing the cell of another endpoint.
+//! Inputs: the operator file and the endpoint list. There is no I/O and no clock: all relays with
+//! the same file and the same list compute the same cells. A group whose cell has no usable
+//! endpoint is rejected or borrows within a limit, and is never admitted to all cells. The cell of
+//! an endpoint does not change when another endpoint is removed.
 
 #![warn(unreachable_pub, rust_2018_idioms)]
 #![warn(clippy::too_many_lines, clippy::many_single_char_names)]
@@ -22,20 +23,21 @@
 use crate::decisions::api::{Micros, SECOND};
 use std::sync::Arc;
 
-/// The most connections that may be migrated a second.
+/// The most connections that may be migrated per second.
 const MAX_MIGRATIONS_PER_SECOND: u32 = 1_000;
 /// The longest Retry-After of a client that no cell can take, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 600_000;
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// The cell map, and how clients are served under it.
+/// The cell map, and the limits that apply under it.
 #[derive(Clone, Debug)]
 pub struct Cells {
-    /// Which sites and endpoints belong to which cell.
+    /// The cells of the groups and endpoints.
     pub map: Arc<CellMap>,
     /// Retry-After of a client that no cell can take, in microseconds; 1 s by default.
     pub retry_after: Micros,
-    /// Time between two migrations of connections whose site has another cell, in microseconds; 200 ms by default.
+    /// Time between two migrations of connections whose group has another cell, in microseconds;
+    /// 200 ms by default.
     pub migration_interval: Micros,
 }
 
@@ -51,11 +53,12 @@
 }
 
 impl Cells {
-    /// The cells that `[cells]` of the operator file sets; a single cell where the file does not have it.
+    /// The cells that `[cells]` of the operator file sets; a single cell if the file has no such
+    /// section.
     ///
     /// # Errors
     ///
-    /// Names the first key with a value that is out of range or contradicts another one.
+    /// The first key with a value that is out of range or contradicts another one.
     pub fn from_operator_file(file: &OperatorFile) -> Result<Cells, OperatorError> {
         let Some(settings) = &file.operator.cells else {
             return Ok(Cells::default());
--- a/src/cells/operator_file.rs
+++ b/src/cells/operator_file.rs
@@ -1,17 +1,18 @@
-//! Builds a cell map from `[cells]` of the operator file, and checks it: each error names the key and the value.
+//! Builds a cell map from `[cells]` of the operator file and checks it. Each error names the key
+//! and the value.
 
 use super::map::{group_key, Cell, CellMap, NoEndpointPolicy, MAX_CELLS};
 use crate::config::operator::{self, OperatorError, OperatorFile};
 
-/// The highest weight of a cell: the hash makes a draw for each unit.
+/// The highest weight of a cell. Each unit costs one hash per cell and key.
 const MAX_WEIGHT: u32 = 16;
 
 impl CellMap {
-    /// The map that `[cells]` sets.
+    /// Builds the map that `[cells]` sets.
     ///
     /// # Errors
     ///
-    /// Names the first key with a value that is out of range or contradicts another one.
+    /// The first key with a value that is out of range or contradicts another one.
     pub fn from_operator_file(
         file: &OperatorFile,
         settings: &operator::Cells,
@@ -34,7 +35,7 @@
             settings.most_servers,
         );
         name_endpoints(&mut map, file, settings)?;
-        pin_sites(&mut map, file, settings)?;
+        pin_groups(&mut map, file, settings)?;
         Ok(map)
     }
 }
@@ -67,7 +68,7 @@
         });
     }
     if cells.iter().all(|cell| cell.quarantine) {
-        let problem = "each is for quarantine: sites would have no home";
+        let problem = "all cells are quarantines: sites that are not pinned would have no cell";
         return Err(file.error("cells.cell", problem));
     }
     Ok(cells)
@@ -92,23 +93,23 @@
     Ok(())
 }
 
-fn pin_sites(
+fn pin_groups(
     map: &mut CellMap,
     file: &OperatorFile,
     settings: &operator::Cells,
 ) -> Result<(), OperatorError> {
-    for (index, site) in settings.site.iter().enumerate() {
-        let key = group_key(&site.key);
+    for (index, pin) in settings.site.iter().enumerate() {
+        let key = group_key(&pin.key);
         if key == 0 {
             let problem = "is empty or 0, which means no site";
             return Err(file.error(&format!("cells.site[{index}].key"), problem));
         }
-        let Some(cell) = map.find(&site.cell) else {
-            let problem = format!("'{}' is no cell", site.cell);
+        let Some(cell) = map.find(&pin.cell) else {
+            let problem = format!("'{}' is no cell", pin.cell);
             return Err(file.error(&format!("cells.site[{index}].cell"), problem));
         };
-        if map.pinned_sites.insert(key, cell).is_some() {
-            let problem = format!("'{}' is there twice", site.key);
+        if map.pinned_groups.insert(key, cell).is_some() {
+            let problem = format!("'{}' is there twice", pin.key);
             return Err(file.error(&format!("cells.site[{index}].key"), problem));
         }
     }
--- a/src/cells/reports.rs
+++ b/src/cells/reports.rs
@@ -1,5 +1,6 @@
-//! Texts of the sub-command `cells`: which cells a map makes, why a site is in its cell, and what another map would
-//! change. A line each, for operators.
+//! Output of the command `cells`, line by line: the cells of a map, the reason why a group is in
+//! its cell, and the changes that another map would make. As in the operator file, the output calls
+//! a group a site and an endpoint a server.
 
 use super::map::{CellMap, HomeReason, NoEndpointPolicy, SLOT_COUNT};
 use crate::decisions::api::{EndpointState, ListedEndpoint};
@@ -8,7 +9,7 @@
 pub(super) type NamedEndpoint = (String, ListedEndpoint);
 
 impl CellMap {
-    /// All cells with their sites and endpoints, and the faults of this list.
+    /// Describes all cells with their groups and endpoints, and the faults of this list.
     pub fn describe(&self, listed: &[NamedEndpoint]) -> Vec<String> {
         let mut lines: Vec<String> = (0..self.cells.len())
             .map(|cell| self.describe_cell(cell, listed))
@@ -29,12 +30,12 @@
             .filter(|owner| usize::from(**owner) == cell)
             .count();
         let pinned = self
-            .pinned_sites
+            .pinned_groups
             .values()
             .filter(|owner| **owner == cell)
             .count();
         let quarantine = if self.cells[cell].quarantine {
-            ", set apart"
+            ", quarantine"
         } else {
             ""
         };
@@ -47,22 +48,23 @@
         )
     }
 
-    /// Why a site is in its cell, and where it goes while that cell has no usable endpoint.
-    pub fn explain(&self, site: u64, listed: &[NamedEndpoint]) -> Vec<String> {
-        let (cell, reason) = self.home(site);
+    /// Explains why a group is in its cell, and where its connections go while that cell has no
+    /// usable endpoint.
+    pub fn explain(&self, group: u64, listed: &[NamedEndpoint]) -> Vec<String> {
+        let (cell, reason) = self.home(group);
         let name = self.name(cell);
         let mut lines = vec![match reason {
             HomeReason::Pinned => {
-                format!("site {site:016x} is in cell {name}: the operator file pins it there")
+                format!("site {group:016x} is in cell {name}: the operator file pins it there")
             }
             HomeReason::Hash => format!(
-                "site {site:016x} is in cell {name}: its slot {} of {SLOT_COUNT} is that cell's",
-                CellMap::slot(site)
+                "site {group:016x} is in cell {name}: its slot {} of {SLOT_COUNT} is that cell's",
+                CellMap::slot(group)
             ),
         }];
         if self.cells[cell].quarantine {
             lines.push(format!(
-                "cell {name} is set apart: only sites pinned to it live there"
+                "cell {name} is a quarantine: only sites that are pinned to it belong to it"
             ));
         }
         let endpoints: Vec<&str> = listed
@@ -76,15 +78,15 @@
             endpoints.len(),
             endpoints.join(" ")
         ));
-        lines.push(self.explain_fallback(site, cell));
+        lines.push(self.explain_fallback(group, cell));
         lines
     }
 
-    fn explain_fallback(&self, site: u64, home: usize) -> String {
+    fn explain_fallback(&self, group: u64, home: usize) -> String {
         match self.no_endpoint {
             NoEndpointPolicy::Borrow { max_borrowed } if !self.cells[home].quarantine => {
                 let lender = self
-                    .cells_in_order(CellMap::slot(site) as u64)
+                    .cells_in_order(CellMap::slot(group) as u64)
                     .find(|cell| *cell != home)
                     .map_or("none", |cell| self.name(cell));
                 format!(
@@ -98,8 +100,8 @@
         }
     }
 
-    /// What another map would change: the percentage of sites by hash, each endpoint and pinned site, and the faults
-    /// of this list under it.
+    /// Describes the changes that another map would make: the percentage of groups by hash, each
+    /// endpoint and pinned group, and the faults of this list under it.
     pub fn describe_changes(&self, new: &CellMap, listed: &[NamedEndpoint]) -> Vec<String> {
         let changed_slots = (0..SLOT_COUNT)
             .filter(|slot| self.name(self.slots[*slot].into()) != new.name(new.slots[*slot].into()))
@@ -116,14 +118,14 @@
             }
         }
         let newly_pinned = new
-            .pinned_sites
+            .pinned_groups
             .keys()
-            .filter(|site| !self.pinned_sites.contains_key(site));
-        for site in self.pinned_sites.keys().chain(newly_pinned) {
-            let from = self.name(self.home(*site).0);
-            let to = new.name(new.home(*site).0);
+            .filter(|group| !self.pinned_groups.contains_key(group));
+        for group in self.pinned_groups.keys().chain(newly_pinned) {
+            let from = self.name(self.home(*group).0);
+            let to = new.name(new.home(*group).0);
             if from != to {
-                lines.push(format!("site {site:016x}: {from} to {to}"));
+                lines.push(format!("site {group:016x}: {from} to {to}"));
             }
         }
         lines.extend(new.fault_lines(listed));
@@ -142,7 +144,7 @@
     }
 }
 
-/// The part of all slots that these are, in percent.
+/// The percentage of all slots that this number is.
 fn percent_of_slots(slots: usize) -> f64 {
     100.0 * slots as f64 / SLOT_COUNT as f64
 }
--- a/src/cells/tests.rs
+++ b/src/cells/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use crate::decisions::api::{EndpointId, EndpointState, ListedEndpoint};
 
-/// Name, weight, whether it is for quarantine.
+/// Name and weight of a cell, and whether it is a quarantine.
 type CellSpec = (&'static str, u32, bool);
 
 const A: CellSpec = ("a", 1, false);
@@ -13,7 +13,7 @@
 const ALL_USABLE: [bool; 4] = [true; 4];
 const NONE_BORROWED: [u32; 4] = [0; 4];
 
-/// A map whose cells should have 2 to 60 endpoints.
+/// A map whose cells have a fault unless they have 2 to 60 endpoints.
 fn cell_map(specs: &[CellSpec], no_endpoint: NoEndpointPolicy) -> CellMap {
     let cells = specs
         .iter()
@@ -51,16 +51,16 @@
 }
 
 #[test]
-fn a_new_cell_takes_its_share_and_no_site_moves_between_the_others() {
+fn a_new_cell_takes_its_fraction_and_no_group_changes_between_the_others() {
     let three = rejecting_map(&[A, B, C]);
     let four = rejecting_map(&[A, B, C, D]);
     let mut moved = 0;
-    for site in 0..10_000 {
-        let from = three.home(site).0;
-        let to = four.home(site).0;
+    for group in 0..10_000 {
+        let from = three.home(group).0;
+        let to = four.home(group).0;
         assert!(
             from == to || to == 3,
-            "site {site} went from {from} to {to}"
+            "group {group} changed from {from} to {to}"
         );
         moved += u32::from(from != to);
     }
@@ -73,58 +73,58 @@
 }
 
 #[test]
-fn sites_are_spread_by_weight_and_none_is_hashed_into_quarantine() {
+fn groups_are_spread_by_weight_and_none_is_hashed_into_quarantine() {
     let map = rejecting_map(&[("a", 1, false), ("b", 3, false), ("q", 4, true)]);
-    let mut sites = [0u32; 3];
-    for site in 0..20_000 {
-        sites[map.home(site).0] += 1;
+    let mut groups = [0u32; 3];
+    for group in 0..20_000 {
+        groups[map.home(group).0] += 1;
     }
-    assert_eq!(sites[2], 0);
-    let ratio = f64::from(sites[1]) / f64::from(sites[0]);
-    assert!((2.4..3.7).contains(&ratio), "{sites:?}");
+    assert_eq!(groups[2], 0);
+    let ratio = f64::from(groups[1]) / f64::from(groups[0]);
+    assert!((2.4..3.7).contains(&ratio), "{groups:?}");
     assert!((0..100).any(|endpoint| map.cell_of_endpoint(EndpointId(endpoint)) == 2));
 }
 
 #[test]
-fn a_site_without_a_usable_endpoint_is_rejected_or_borrows_up_to_the_limit() {
+fn a_group_without_a_usable_endpoint_is_rejected_or_borrows_up_to_the_limit() {
     let cells = [A, B, C, QUARANTINE];
     let rejecting = rejecting_map(&cells);
-    let site = (0..).find(|site| rejecting.home(*site).0 == 0).unwrap();
+    let group = (0..).find(|group| rejecting.home(*group).0 == 0).unwrap();
     let home_down = [false, true, true, true];
     assert_eq!(
-        rejecting.place(site, &home_down, &NONE_BORROWED),
+        rejecting.place(group, &home_down, &NONE_BORROWED),
         Placement::Rejected
     );
 
     let lending = lending_map(&cells, 5);
     assert_eq!(
-        lending.place(site, &ALL_USABLE, &NONE_BORROWED),
+        lending.place(group, &ALL_USABLE, &NONE_BORROWED),
         Placement::Home(0)
     );
-    let Placement::Borrowed(first) = lending.place(site, &home_down, &NONE_BORROWED) else {
+    let Placement::Borrowed(first) = lending.place(group, &home_down, &NONE_BORROWED) else {
         panic!("nothing borrowed though two cells are usable")
     };
     assert!(first == 1 || first == 2, "never from quarantine");
     let mut first_full = NONE_BORROWED;
     first_full[first] = 5;
     assert_eq!(
-        lending.place(site, &home_down, &first_full),
+        lending.place(group, &home_down, &first_full),
         Placement::Borrowed(3 - first)
     );
     assert_eq!(
-        lending.place(site, &home_down, &[5; 4]),
+        lending.place(group, &home_down, &[5; 4]),
         Placement::Rejected
     );
     assert_eq!(
-        lending.place(site, &[false; 4], &NONE_BORROWED),
+        lending.place(group, &[false; 4], &NONE_BORROWED),
         Placement::Rejected
     );
 }
 
 #[test]
-fn a_site_in_quarantine_borrows_from_no_cell() {
+fn a_group_in_quarantine_borrows_from_no_cell() {
     let mut map = lending_map(&[A, B, C, QUARANTINE], 5);
-    map.pinned_sites.insert(7, 3);
+    map.pinned_groups.insert(7, 3);
     let quarantine_down = [true, true, true, false];
     assert_eq!(
         map.place(7, &quarantine_down, &NONE_BORROWED),
@@ -162,10 +162,10 @@
 fn changes_are_listed_by_name_and_an_explanation_gives_the_reason() {
     let old = lending_map(&[A, B, C], 4);
     let mut new = old.clone();
-    let site = 0x5c;
+    let group = 0x5c;
     let endpoint = EndpointId(9);
-    let to = (old.home(site).0 + 1) % 3;
-    new.pinned_sites.insert(site, to);
+    let to = (old.home(group).0 + 1) % 3;
+    new.pinned_groups.insert(group, to);
     name_endpoint(&mut new, endpoint, (old.cell_of_endpoint(endpoint) + 1) % 3);
     let listed: Vec<(String, ListedEndpoint)> = (0..12)
         .map(|n| (format!("s-{n}"), ready_endpoint(n, (n % 3) as u16)))
@@ -177,12 +177,12 @@
     );
     assert!(changes.contains(&format!(
         "site 000000000000005c: {} to {}",
-        old.name(old.home(site).0),
+        old.name(old.home(group).0),
         new.name(to)
     )));
-    assert!(new.explain(site, &listed)[0].contains("pins it there"));
+    assert!(new.explain(group, &listed)[0].contains("pins it there"));
     assert!(old
-        .explain(site, &listed)
+        .explain(group, &listed)
         .iter()
         .any(|line| line.contains("lends to 4 sessions")));
     let unchanged = old.describe_changes(&old, &listed);
