--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,11 +1,13 @@
-//! Load reports of endpoints, cached between the fleet's load watch and this relay's health checks.
+//! A cache of load reports between the fleet's load watch and this relay's health checks.
 //!
-//! The fleet's thread inserts the reports that the load watch distributes, and requests the checks that the watch wants
-//! from this relay. The serving thread looks a report up before it checks an endpoint's health itself, makes the
-//! requested checks, and returns their results. Nothing is decided here.
+//! The fleet's thread inserts the reports that the load watch distributes, and requests the health
+//! checks that the load watch wants from this relay. The serving thread looks up a report before it
+//! checks an endpoint itself, makes the requested checks, and returns their results. Nothing is
+//! decided here.
 //!
-//! Guards against reports that are older than a check of one's own would be, and against queues that grow while one of
-//! the threads is behind. All moments are those of [`crate::sys::boottime`].
+//! A report that is older than the result of an own check would be is not used. The queues are
+//! bounded, so that they do not grow while one of the threads is behind. All times are those of
+//! [`crate::sys::boottime`].
 
 #![warn(unreachable_pub, rust_2018_idioms)]
 #![warn(clippy::too_many_lines, clippy::many_single_char_names)]
@@ -19,13 +21,13 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 
-/// A report replaces a health check while it is younger than this, in microseconds: one and a half rounds of the load
-/// watch, and its time on the way. A load lookup of the decisions checks an endpoint again
-/// after 1.5 s (`lookup_max_report_age_us`).
+/// A report replaces a health check while it is younger than this, in microseconds: one and a half
+/// rounds of the load watch, and the time that a report takes to get here. A load lookup of the
+/// decisions checks an endpoint again after 1.5 s (`lookup_max_report_age_us`).
 pub const MAX_REPORT_AGE: Micros = 1_000_000;
 /// Reports older than this are evicted, in microseconds.
 const EVICTION_AGE: Micros = 10 * MAX_REPORT_AGE;
-/// The most checks that wait to be made, and the most results that wait to be taken.
+/// The most requested checks, and the most results, in a queue.
 const QUEUE_CAPACITY: usize = 256;
 
 /// The load that an endpoint reported.
@@ -33,7 +35,7 @@
 pub struct LoadReport {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// When it reported, at the earliest.
+    /// The earliest time at which the endpoint may have made the report.
     pub measured_at: Micros,
     /// The values of its report, in the columns of the settings.
     pub values: Vec<f32>,
@@ -50,10 +52,10 @@
     pub report: Option<Vec<f32>>,
 }
 
-/// What is known of one endpoint.
+/// The newest report of an endpoint.
 struct CachedReport {
     measured_at: Micros,
-    columns: Vec<f32>,
+    values: Vec<f32>,
 }
 
 #[derive(Default)]
@@ -71,7 +73,7 @@
     publisher_waker: OnceLock<Wake>,
     /// Health checks that a fresh report replaced.
     pub checks_avoided: AtomicU64,
-    /// Health checks that were made for want of a fresh report.
+    /// Health checks that were made because there was no fresh report.
     pub checks_sent: AtomicU64,
 }
 
@@ -80,12 +82,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what is called when checks are requested. A second call is ignored.
+    /// Sets the callback for requested checks. A second call is ignored.
     pub fn set_checker_waker(&self, wake: Wake) {
         let _ = self.checker_waker.set(wake);
     }
 
-    /// Sets what is called when a requested check has ended. A second call is ignored.
+    /// Sets the callback for results of requested checks. A second call is ignored.
     pub fn set_publisher_waker(&self, wake: Wake) {
         let _ = self.publisher_waker.set(wake);
     }
@@ -100,21 +102,21 @@
             }
             let newer = CachedReport {
                 measured_at: report.measured_at,
-                columns: report.values,
+                values: report.values,
             };
             state.reports.insert(report.endpoint, newer);
         }
     }
 
-    /// The report that replaces a health check of this endpoint now, if there is a fresh one. Each call counts as a
-    /// check that was avoided or sent.
+    /// The report that replaces a health check of this endpoint now, if there is a fresh one. Each
+    /// call counts as a check that was avoided or sent.
     pub fn fresh_report(&self, endpoint: EndpointId, now: Micros) -> Option<Vec<f32>> {
         let state = self.lock();
         let fresh = state
             .reports
             .get(&endpoint)
             .filter(|cached| now < cached.measured_at + MAX_REPORT_AGE)
-            .map(|cached| cached.columns.clone());
+            .map(|cached| cached.values.clone());
         let counter = if fresh.is_some() {
             &self.checks_avoided
         } else {
@@ -124,15 +126,15 @@
         fresh
     }
 
-    /// Evicts reports of endpoints that are not listed, and reports that are far too old.
+    /// Evicts reports of endpoints that are not listed, and reports older than `EVICTION_AGE`.
     pub fn evict(&self, now: Micros, listed: impl Fn(EndpointId) -> bool) {
         self.lock().reports.retain(|endpoint, cached| {
             now < cached.measured_at + EVICTION_AGE && listed(*endpoint)
         });
     }
 
-    /// Requests health checks for the load watch. A check that does not fit into the queue fails at once, so that the
-    /// watch's round ends.
+    /// Requests health checks for the load watch. A check that does not fit into the queue fails at
+    /// once, so that the round of the load watch ends.
     pub fn request_checks(&self, endpoints: impl IntoIterator<Item = EndpointId>) {
         let mut state = self.lock();
         for endpoint in endpoints {
@@ -150,7 +152,7 @@
         wake(&self.checker_waker);
     }
 
-    /// Takes the next endpoint that the load watch wants checked.
+    /// Takes the next requested check from the queue and returns its endpoint.
     pub fn next_check(&self) -> Option<EndpointId> {
         self.lock().requested_checks.pop_front()
     }
@@ -162,11 +164,11 @@
         checked_at: Micros,
         report: Option<Vec<f32>>,
     ) {
-        let report = report.filter(|columns| !columns.is_empty());
-        self.insert(report.iter().map(|columns| LoadReport {
+        let report = report.filter(|values| !values.is_empty());
+        self.insert(report.iter().map(|values| LoadReport {
             endpoint,
             measured_at: checked_at,
-            values: columns.clone(),
+            values: values.clone(),
         }));
         self.lock().push_result(CheckResult {
             endpoint,
@@ -183,7 +185,8 @@
 }
 
 impl CacheState {
-    /// Adds a result, or drops it while too many wait: the thread that takes them is behind.
+    /// Adds a result, or drops it if the queue is full because the thread that takes the results is
+    /// behind.
     fn push_result(&mut self, result: CheckResult) {
         if self.results.len() < QUEUE_CAPACITY {
             self.results.push_back(result);
