--- a/src/cells/operator_file.rs
+++ b/src/cells/operator_file.rs
@@ -68,7 +68,7 @@
         });
     }
     if cells.iter().all(|cell| cell.quarantine) {
-        let problem = "all cells are quarantines: sites that are not pinned would have no cell";
+        let problem = "all cells are for quarantine: sites that are not pinned would have no cell";
         return Err(file.error("cells.cell", problem));
     }
     Ok(cells)
--- a/src/cells/reports.rs
+++ b/src/cells/reports.rs
@@ -64,7 +64,7 @@
         }];
         if self.cells[cell].quarantine {
             lines.push(format!(
-                "cell {name} is a quarantine: only sites that are pinned to it belong to it"
+                "cell {name} is for quarantine: only sites that are pinned to it belong to it"
             ));
         }
         let endpoints: Vec<&str> = listed
--- a/src/decision_service/cell_map.rs
+++ b/src/decision_service/cell_map.rs
@@ -1,8 +1,8 @@
-//! Applies another cell map: adds balancers for its cells, reassigns endpoints, hands connections
-//! over to other balancers, and reapplies manual ejections.
+//! Applies another cell map: adds balancers for its cells, reassigns endpoints and connections to
+//! balancers, and reapplies manual ejections.
 //!
-//! An endpoint that changes its cell drains in the old one. A connection to it is handed over to
-//! the endpoint's new cell, and kept, if that is now the cell of its group too. All other displaced
+//! An endpoint that changes its cell drains in the old one. A connection to it is reassigned to the
+//! endpoint's new cell, and kept, if that is now the cell of its group too. All other displaced
 //! connections are queued for migration.
 
 use super::callbacks::Callback;
@@ -15,7 +15,7 @@
 };
 
 /// A connection that changes its balancer but not its endpoint.
-struct Handover {
+struct Reassignment {
     id: RequestId,
     new_balancer: usize,
 }
@@ -38,10 +38,10 @@
             .map(|cell| self.find_or_add_balancer(cells.map.name(cell)))
             .collect();
         self.cells = cells;
-        let handed_over = self.release_handed_over_connections(now, callbacks);
+        let reassigned = self.release_reassigned_connections(now, callbacks);
         let stale_ejections = self.reassign_endpoints(known_balancers, now, callbacks);
         self.reapply_manual_ejections(stale_ejections, now, callbacks);
-        for id in handed_over {
+        for id in reassigned {
             self.adopt_connection(id, now, callbacks);
         }
         self.queue_displaced_connections(now);
@@ -67,31 +67,34 @@
         })
     }
 
-    /// Ends the connections that are handed over with their endpoint in their old balancers.
-    /// Without the handover, a process that takes connections over before it knows the fleet's map
-    /// would migrate all of them once it gets that map.
-    fn release_handed_over_connections(
+    /// Ends, in their old balancers, the connections that are reassigned with their endpoint.
+    /// Without the reassignment, a process that takes connections over before it knows the fleet's
+    /// map would migrate all of them once it gets that map.
+    fn release_reassigned_connections(
         &mut self,
         now: Micros,
         callbacks: &mut Vec<Callback>,
     ) -> Vec<RequestId> {
-        let handovers: Vec<Handover> = self
+        let reassignments: Vec<Reassignment> = self
             .in_flight
             .iter()
             .filter_map(|(id, entry)| {
-                let new_balancer = self.handover_target(entry)?;
-                Some(Handover { id, new_balancer })
+                let new_balancer = self.reassignment_target(entry)?;
+                Some(Reassignment { id, new_balancer })
             })
             .collect();
-        for handover in &handovers {
-            self.release_connection(handover, now, callbacks);
+        for reassignment in &reassignments {
+            self.release_connection(reassignment, now, callbacks);
         }
-        handovers.into_iter().map(|handover| handover.id).collect()
+        reassignments
+            .into_iter()
+            .map(|reassignment| reassignment.id)
+            .collect()
     }
 
-    /// Index of the balancer that takes over a connection: that of its endpoint's new cell, if this
-    /// is its group's cell too.
-    fn handover_target(&self, entry: &InFlight) -> Option<usize> {
+    /// Index of the balancer to which a connection is reassigned: that of its endpoint's new cell,
+    /// if this is its group's cell too.
+    fn reassignment_target(&self, entry: &InFlight) -> Option<usize> {
         let target = self.mapped_balancer(entry.endpoint);
         let listed = self.endpoints.contains_key(&entry.endpoint);
         let changes = target != entry.balancer;
@@ -101,22 +104,22 @@
 
     fn release_connection(
         &mut self,
-        handover: &Handover,
+        reassignment: &Reassignment,
         now: Micros,
         callbacks: &mut Vec<Callback>,
     ) {
-        let Some(entry) = self.in_flight.get_mut(handover.id) else {
+        let Some(entry) = self.in_flight.get_mut(reassignment.id) else {
             return;
         };
         let endpoint = entry.endpoint;
-        let old_balancer = std::mem::replace(&mut entry.balancer, handover.new_balancer);
+        let old_balancer = std::mem::replace(&mut entry.balancer, reassignment.new_balancer);
         let was_borrowed = std::mem::take(&mut entry.borrowed);
         let old_metrics = &mut self.balancers[old_balancer].metrics;
         old_metrics.in_flight -= 1;
         old_metrics.borrowed -= u32::from(was_borrowed);
-        self.balancers[handover.new_balancer].metrics.in_flight += 1;
+        self.balancers[reassignment.new_balancer].metrics.in_flight += 1;
         let event = Event::AttemptEnded {
-            id: handover.id,
+            id: reassignment.id,
             endpoint,
             outcome: Outcome::Cancelled,
             request_finished: true,
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Notifies the new balancer of a connection that has been handed over.
+    /// Notifies the new balancer of a connection that has been reassigned.
     fn adopt_connection(&mut self, id: RequestId, now: Micros, callbacks: &mut Vec<Callback>) {
         let Some(entry) = self.in_flight.get(id) else {
             return;
--- a/src/decision_service/endpoint_list.rs
+++ b/src/decision_service/endpoint_list.rs
@@ -7,8 +7,8 @@
 };
 
 impl ServiceState {
-    /// Applies an update of the endpoint list. Every balancer gets its part, even if that is empty:
-    /// an update shows that discovery has answered.
+    /// Applies an update of the endpoint list. Every balancer gets its part, even if that is empty,
+    /// because the update shows how fresh its list is.
     pub(super) fn update_endpoints(
         &mut self,
         kind: EndpointListKind,
--- a/src/decision_service/in_flight.rs
+++ b/src/decision_service/in_flight.rs
@@ -54,7 +54,7 @@
     pub attempts: u16,
     /// Whether it has had its final answer, or is connected.
     pub answered: bool,
-    /// Called for it by the service.
+    /// The handle through which the service calls its user.
     pub handle: Arc<dyn RequestHandle>,
     decisions: Sender<Decision>,
 }
--- a/src/decision_service/migration_queue.rs
+++ b/src/decision_service/migration_queue.rs
@@ -1,8 +1,7 @@
 //! The queue of connections to migrate, and whether the next migration may take place.
 //!
-//! Migrations are paced, because many connections that change their endpoints at once would
-//! overload the new ones. There is one migration per interval; a fleet can limit them further by
-//! permitting a total number of migrations.
+//! Migrations are paced, so that not many connections change their endpoints at once: there is one
+//! migration per interval, and a fleet can limit them further by permitting a total number.
 
 use crate::decisions::api::RequestId;
 use std::collections::VecDeque;
--- a/src/decision_service/mod.rs
+++ b/src/decision_service/mod.rs
@@ -116,7 +116,8 @@
         self.lease.is_valid()
     }
 
-    /// Applies a policy as a whole: no placement falls between its cells and its parameters.
+    /// Applies a policy as a whole: no request is placed while only its cells or only its
+    /// parameters are in force.
     pub fn apply_policy(&self, cells: Cells, parameters: Parameters) {
         self.update(self.lock(), |state, now, callbacks| {
             state.parameters = parameters;
@@ -260,7 +261,7 @@
         });
     }
 
-    /// Changes the state, releases the lock, and then makes the callbacks that the change asks for.
+    /// Changes the state, releases the lock, and then makes the callbacks that the change returned.
     fn update(
         &self,
         mut state: MutexGuard<'_, ServiceState>,
--- a/src/decisions/load_reports.rs
+++ b/src/decisions/load_reports.rs
@@ -11,7 +11,7 @@
 use super::timers::Timer;
 use super::Balancer;
 
-/// Fewer balancers than this check endpoints as often each as this many do.
+/// With fewer balancers than this, each sends health checks as rarely as if there were this many.
 const MIN_CHECKING_BALANCERS: u32 = 3;
 /// Divisor in the estimate of the requests that all balancers have sent to an endpoint since its
 /// report: own requests times the number of balancers, divided by this.
--- a/src/decisions/migration.rs
+++ b/src/decisions/migration.rs
@@ -3,8 +3,8 @@
 //!
 //! Inputs: endpoints that drain or are removed, reported overload, late messages. Output: the
 //! connections to migrate, spread over time so that the clients of an endpoint do not all connect
-//! again at once. Returning clients are exempt in large fleets, because they would otherwise be
-//! migrated from one overloaded endpoint to the next.
+//! again at once. In large fleets, returning clients stay at an overloaded endpoint, because they
+//! would otherwise be migrated from one overloaded endpoint to the next.
 
 use super::api::{Action, EndpointId, Micros, Request, RequestId};
 use super::endpoints::EndpointIndex;
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -3,7 +3,7 @@
 //!
 //! Inputs: the outcomes of attempts, connections and health checks. Outputs: the time until which
 //! an endpoint is ejected, and the fraction of its cap that is in use. An ejected endpoint gets no
-//! requests to fail; an overloaded one gets fewer connections until its cap has recovered.
+//! requests; an overloaded one gets fewer connections until its cap has recovered.
 
 use super::api::{Micros, Outcome};
 use super::endpoints::{Endpoint, EndpointIndex};
--- a/src/decisions/settings.rs
+++ b/src/decisions/settings.rs
@@ -35,7 +35,8 @@
 /// A class of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Latency objective of the set-up: a connection that is up within it earns its full value.
+    /// Latency objective of the set-up. A connection that is established within it has its full
+    /// value.
     pub setup_objective: Micros,
     /// How long a client waits over all its attempts. Requests carry their own time left; the
     /// decisions do not read this.
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -73,8 +73,8 @@
     /// window: N + 2·√N, N being the number that the overload factor allows. None for a warm
     /// endpoint, and while the work of a connection is unknown for lack of load reports.
     ///
-    /// The rule states capacity as a rate of requests. It is taken as the rate that fills an
-    /// endpoint during its warm-up, while its capacity grows linearly.
+    /// Capacity is counted as a rate of requests: the rate that fills an endpoint, whose capacity
+    /// grows linearly, by the end of its warm-up.
     pub fn warm_up_budget(&self, id: EndpointId) -> Option<f32> {
         let endpoint = &self.endpoints[self.endpoints.find(id)?];
         let work_per_connection = self.fleet_load.work_per_connection;
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -5,9 +5,9 @@
 //! checks an endpoint itself, makes the requested checks, and returns their results. Nothing is
 //! decided here.
 //!
-//! A report that is older than the result of an own check would be is not used. The queues are
-//! bounded, so that they do not grow while one of the threads is behind. All times are those of
-//! [`crate::sys::boottime`].
+//! The cache returns no report older than [`MAX_REPORT_AGE`], because an own check gives a fresher
+//! one. The queues are bounded, so that they do not grow while one of the threads is behind. All
+//! times are those of [`crate::sys::boottime`].
 
 #![warn(unreachable_pub, rust_2018_idioms)]
 #![warn(clippy::too_many_lines, clippy::many_single_char_names)]
