--- a/src/decision_service/cell_map.rs
+++ b/src/decision_service/cell_map.rs
@@ -1,8 +1,9 @@
-//! Adopts another cell map: balancers for its cells, endpoints that change their cell, connections that go with them,
-//! and manual ejections.
+//! Applies another cell map: adds balancers for its cells, reassigns endpoints and connections to
+//! balancers, and reapplies manual ejections.
 //!
-//! An endpoint that changes its cell drains in the old one. Its connections stay where their site is now in the
-//! endpoint's new cell too; all other displaced connections are queued for migration.
+//! An endpoint that changes its cell drains in the old one. A connection to it is reassigned to the
+//! endpoint's new cell, and kept, if that is now the cell of its group too. All other displaced
+//! connections are queued for migration.
 
 use super::callbacks::Callback;
 use super::cell_balancer::CellBalancer;
@@ -13,20 +14,20 @@
     EndpointId, EndpointListKind, EndpointState, Event, ListedEndpoint, Micros, Outcome, RequestId,
 };
 
-/// A connection that changes its balancer and not its endpoint.
-struct Handover {
+/// A connection that changes its balancer but not its endpoint.
+struct Reassignment {
     id: RequestId,
     new_balancer: usize,
 }
 
-/// A manual ejection in the balancer of a cell that the endpoint has left.
+/// A manual ejection that is left in the balancer of an endpoint's former cell.
 struct StaleEjection {
     balancer: usize,
     endpoint: EndpointId,
 }
 
 impl ServiceState {
-    /// Adopts a cell map and how it is served.
+    /// Applies a cell map and its limits.
     pub(super) fn adopt_cells(&mut self, cells: Cells, now: Micros, callbacks: &mut Vec<Callback>) {
         if cells.map == self.cells.map {
             self.cells = cells;
@@ -37,16 +38,16 @@
             .map(|cell| self.find_or_add_balancer(cells.map.name(cell)))
             .collect();
         self.cells = cells;
-        let handed_over = self.release_handed_over_connections(now, callbacks);
+        let reassigned = self.release_reassigned_connections(now, callbacks);
         let stale_ejections = self.reassign_endpoints(known_balancers, now, callbacks);
         self.reapply_manual_ejections(stale_ejections, now, callbacks);
-        for id in handed_over {
+        for id in reassigned {
             self.adopt_connection(id, now, callbacks);
         }
         self.queue_displaced_connections(now);
     }
 
-    /// Index of the balancer of the cell of this name.
+    /// Index of the balancer of the cell with this name, which is added if there is none.
     fn find_or_add_balancer(&mut self, cell_name: &str) -> usize {
         let count = self.balancers.len();
         let existing = self
@@ -66,29 +67,34 @@
         })
     }
 
-    /// Ends the connections in their old balancers that are handed over with their endpoint. Without it, a process
-    /// that takes connections over before it knows the fleet's map would migrate all of them under that map.
-    fn release_handed_over_connections(
+    /// Ends, in their old balancers, the connections that are reassigned with their endpoint.
+    /// Without the reassignment, a process that takes connections over before it knows the fleet's
+    /// map would migrate all of them once it gets that map.
+    fn release_reassigned_connections(
         &mut self,
         now: Micros,
         callbacks: &mut Vec<Callback>,
     ) -> Vec<RequestId> {
-        let handovers: Vec<Handover> = self
+        let reassignments: Vec<Reassignment> = self
             .in_flight
             .iter()
             .filter_map(|(id, entry)| {
-                let new_balancer = self.handover_target(entry)?;
-                Some(Handover { id, new_balancer })
+                let new_balancer = self.reassignment_target(entry)?;
+                Some(Reassignment { id, new_balancer })
             })
             .collect();
-        for handover in &handovers {
-            self.release_connection(handover, now, callbacks);
+        for reassignment in &reassignments {
+            self.release_connection(reassignment, now, callbacks);
         }
-        handovers.into_iter().map(|handover| handover.id).collect()
+        reassignments
+            .into_iter()
+            .map(|reassignment| reassignment.id)
+            .collect()
     }
 
-    /// Index of the balancer that takes over a connection: that of its endpoint's cell, if this is its site's too.
-    fn handover_target(&self, entry: &InFlight) -> Option<usize> {
+    /// Index of the balancer to which a connection is reassigned: that of its endpoint's new cell,
+    /// if this is its group's cell too.
+    fn reassignment_target(&self, entry: &InFlight) -> Option<usize> {
         let target = self.mapped_balancer(entry.endpoint);
         let listed = self.endpoints.contains_key(&entry.endpoint);
         let changes = target != entry.balancer;
@@ -98,22 +104,22 @@
 
     fn release_connection(
         &mut self,
-        handover: &Handover,
+        reassignment: &Reassignment,
         now: Micros,
         callbacks: &mut Vec<Callback>,
     ) {
-        let Some(entry) = self.in_flight.get_mut(handover.id) else {
+        let Some(entry) = self.in_flight.get_mut(reassignment.id) else {
             return;
         };
         let endpoint = entry.endpoint;
-        let old_balancer = std::mem::replace(&mut entry.balancer, handover.new_balancer);
+        let old_balancer = std::mem::replace(&mut entry.balancer, reassignment.new_balancer);
         let was_borrowed = std::mem::take(&mut entry.borrowed);
         let old_metrics = &mut self.balancers[old_balancer].metrics;
         old_metrics.in_flight -= 1;
         old_metrics.borrowed -= u32::from(was_borrowed);
-        self.balancers[handover.new_balancer].metrics.in_flight += 1;
+        self.balancers[reassignment.new_balancer].metrics.in_flight += 1;
         let event = Event::AttemptEnded {
-            id: handover.id,
+            id: reassignment.id,
             endpoint,
             outcome: Outcome::Cancelled,
             request_finished: true,
@@ -122,8 +128,8 @@
         self.dispatch(old_balancer, now, event, callbacks);
     }
 
-    /// Assigns each listed endpoint to the balancer that the map gives it. A new balancer gets its full list, the
-    /// others what has changed.
+    /// Assigns each listed endpoint to the balancer of its cell in the map. A new balancer gets its
+    /// full list, the others get the changes.
     fn reassign_endpoints(
         &mut self,
         known_balancers: usize,
@@ -173,8 +179,9 @@
         stale_ejections
     }
 
-    /// Takes a manual ejection along with its endpoint: when the operator lifts it, the old cell is not notified, and
-    /// the endpoint may be assigned to that cell again.
+    /// Moves manual ejections to the new cells of their endpoints. The old cell is not notified
+    /// when the operator ends an ejection, so it would keep the endpoint ejected if the endpoint is
+    /// assigned to it again.
     fn reapply_manual_ejections(
         &mut self,
         stale_ejections: Vec<StaleEjection>,
@@ -198,7 +205,7 @@
         }
     }
 
-    /// Notifies the balancer of a connection that it has it from now on.
+    /// Notifies the new balancer of a connection that has been reassigned.
     fn adopt_connection(&mut self, id: RequestId, now: Micros, callbacks: &mut Vec<Callback>) {
         let Some(entry) = self.in_flight.get(id) else {
             return;
@@ -211,7 +218,7 @@
         self.dispatch(balancer, now, event, callbacks);
     }
 
-    /// Queues the connections that are outside their site's present cell, borrowed ones as well.
+    /// Queues the connections that are not in their group's present cell, also borrowed ones.
     fn queue_displaced_connections(&mut self, now: Micros) {
         let displaced: Vec<RequestId> = self
             .in_flight
