--- a/crates/control/src/injected_bugs.rs
+++ b/crates/control/src/injected_bugs.rs
@@ -1,46 +1,48 @@
-//! Bugs that tests inject, to show that the checkers find them. A build without the feature `injected-bugs` has none.
+//! Bugs that tests inject to prove that the checkers find them. A build without the feature
+//! `injected-bugs` cannot inject any.
 
-/// A bug that is injected to show that a checker finds it.
+/// A bug that tests can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// A relay admits clients though its lease has run out.
+    /// A relay admits clients after its lease has expired.
     IgnoreLease,
-    /// A relay counts its lease from when it was granted, not from when it was requested.
+    /// A relay counts its lease from when the grant arrived instead of when it was requested.
     LeaseFromGrant,
-    /// A relay continues to admit under the old policy after it has confirmed that it stopped.
+    /// A relay continues to admit clients under the old policy after it has confirmed that it
+    /// stopped.
     AdmitAfterStop,
-    /// A restarted relay takes over the lease of its previous process.
+    /// A restarted relay continues to use the lease of its previous process.
     LeaseSurvivesRestart,
-    /// A leader puts a policy in force without waiting for leases that may still run.
+    /// A leader puts a policy in force while leases on the old one may still be valid.
     SkipLeaseWait,
-    /// A new leader does not wait for leases that its predecessor granted.
+    /// A new leader does not wait for leases that its predecessor granted to expire.
     SkipPredecessorWait,
-    /// A leader grants leases without a majority's confirmation that it still leads.
+    /// A leader grants leases before a majority has confirmed that it still leads.
     GrantUnconfirmed,
     /// A leader grants leases on the old policy after the proposal is sealed.
     GrantAfterSeal,
-    /// A voter sends messages before its log is durable, and loses it in a crash.
+    /// A voter sends messages without storing its log first, and loses those entries in a crash.
     SendBeforePersist,
-    /// Voters accept a voter with a replaced disk as the one that they knew.
+    /// Voters accept a voter whose disk was replaced as the original member.
     TrustReplacedDisk,
-    /// An owner continues to act on its jobs though its lease has run out.
+    /// An owner continues to act on its jobs after its lease has expired.
     ActAfterLease,
-    /// A leader releases a job while its owner's lease may still run.
+    /// A leader releases a job while its owner's lease may still be valid.
     ReleaseEarly,
     /// An owner acts on a job after it has confirmed that it stopped.
     ActAfterStop,
-    /// Receivers accept any fencing token.
+    /// Receivers accept stale fencing tokens.
     NoFence,
-    /// A restarted receiver accepts commands before it knows the fencing tokens.
+    /// A restarted receiver accepts commands before it knows the current fencing tokens.
     AcceptBeforeTokens,
-    /// Relays apply changes to a table though earlier ones are missing.
+    /// Relays apply changes of a table although earlier changes are missing.
     ApplyWithGap,
-    /// A relay applies changes that lead to an older version of a table than it has.
+    /// Relays apply changes that lead to an older version of a table than they have.
     ApplyOlderVersion,
 }
 
 impl InjectedBug {
-    /// All bugs, with their names on the command line.
+    /// All bugs with their names in settings and on the command line.
     pub const ALL: [(&'static str, InjectedBug); 17] = [
         ("ignore-lease", InjectedBug::IgnoreLease),
         ("lease-from-grant", InjectedBug::LeaseFromGrant),
@@ -61,7 +63,7 @@
         ("version-back", InjectedBug::ApplyOlderVersion),
     ];
 
-    /// The bug of this name.
+    /// Returns the bug with this name.
     pub fn by_name(name: &str) -> Option<InjectedBug> {
         InjectedBug::ALL
             .iter()
@@ -70,7 +72,7 @@
     }
 }
 
-/// The bug that is injected here. Always none without the feature `injected-bugs`.
+/// The injected bug of a component, if any. Always none without the feature `injected-bugs`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InjectedBugs(#[cfg(feature = "injected-bugs")] pub Option<InjectedBug>);
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,10 +1,13 @@
-//! The control plane of a fleet of relays: a replicated log of policies and jobs, and leases under which relays act on them.
+//! Control plane of a fleet of relays: a replicated log of policies and jobs, and the leases under
+//! which relays act on them.
 //!
-//! Inputs are messages as bytes, times and stored entries; outputs are messages, batches to store and actions. Nothing here
-//! knows a socket, a file or a clock, so the same code runs in the relay and on a virtual network, disk and clock.
+//! Input: encoded messages, the time and stored log entries. Output: messages, batches to store and
+//! actions. The crate does no I/O and reads no clock, so the same code runs in a relay and in a
+//! simulation with a virtual network, disk and clock.
 //!
-//! The rule that all of it serves: at no moment do two relays admit clients under different policies, and none admits under
-//! an older policy than one that was in force before. `docs/design/control.md` has the proof.
+//! Safety property: at no time do two relays admit clients under different policies, and no relay
+//! admits clients under a policy older than one that was in force before. `docs/design/control.md`
+//! has the proof.
 
 #![deny(missing_docs, unreachable_pub, rust_2018_idioms)]
 #![deny(clippy::too_many_lines, clippy::many_single_char_names)]
--- a/crates/control/src/wire/encoding/tests.rs
+++ b/crates/control/src/wire/encoding/tests.rs
@@ -4,17 +4,17 @@
 use crate::wire::message::{Message, RenewRequest};
 use serde::Deserialize;
 
-/// A request as an older build encodes it.
+/// A renewal request with only the fields that an older build has.
 #[derive(Serialize, Deserialize, Debug, PartialEq)]
-struct Older {
+struct OlderRenewRequest {
     relay: crate::relay::RelayId,
     number: u64,
     epoch: u64,
 }
 
-/// A request as a later build encodes it.
+/// A renewal request with a field that only a later build has.
 #[derive(Serialize)]
-struct Later {
+struct LaterRenewRequest {
     #[serde(flatten)]
     renew: RenewRequest,
     of_a_later_build: Vec<u64>,
@@ -28,7 +28,7 @@
         jobs_version: Some(4),
         ..RenewRequest::default()
     };
-    let older: Older = decode(&encode(&renew)).unwrap();
+    let older: OlderRenewRequest = decode(&encode(&renew)).unwrap();
     assert_eq!((older.number, older.epoch), (7, 3));
     let read: RenewRequest = decode(&encode(&older)).unwrap();
     assert_eq!(
@@ -39,7 +39,7 @@
             ..RenewRequest::default()
         }
     );
-    let later = Later {
+    let later = LaterRenewRequest {
         renew: renew.clone(),
         of_a_later_build: vec![1],
     };
@@ -52,11 +52,11 @@
     assert_eq!(decode(&encode_as_later_build(&message)), Some(message));
     // An unknown variant does not decode.
     #[derive(Serialize)]
-    enum Command2 {
+    enum LaterCommand {
         OfALaterBuild(u64),
     }
     assert_eq!(
-        decode::<Command>(&encode(&Command2::OfALaterBuild(1))),
+        decode::<Command>(&encode(&LaterCommand::OfALaterBuild(1))),
         None
     );
     assert_eq!(decode::<Message>(&[0xff, 0x13, 7]), None);
--- a/crates/control/src/wire/frame.rs
+++ b/crates/control/src/wire/frame.rs
@@ -1,10 +1,12 @@
-//! One authenticated connection between two processes of a fleet: frames with a length and a keyed hash (HMAC-SHA256).
+//! Authenticated connection between two processes of a fleet: frames with a length and an
+//! authentication tag (HMAC-SHA256).
 //!
-//! Both sides first send a hello with a nonce. The tag of each frame covers both nonces, its direction and its sequence
-//! number, so a frame that was recorded on one connection is invalid on another, and later on the same.
+//! Each side first sends a hello with a nonce. The tag of a frame covers both nonces, the direction
+//! and the sequence number of the frame, so a recorded frame is invalid on any other connection and
+//! at any other position of the same connection.
 //!
-//! Guards against: processes without the key, of another fleet or of another format, frames that are replayed, reordered or
-//! truncated, and lengths that would exhaust the memory.
+//! Guards against: processes without the key, of another fleet or with another format, frames that
+//! are replayed, reordered or truncated, and lengths that would exhaust memory.
 //!
 //! ```text
 //! hello: magic (3)  format (1)  fleet (8)  nonce (16)  tag (32)
@@ -15,20 +17,21 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// The format of frames and messages. Processes of two formats do not talk to each other.
+/// Format of frames and messages. Processes with different formats reject each other's connections.
 pub const FRAME_FORMAT: u8 = 2;
-/// The longest body and tag of a frame, in bytes: room for the longest policy, or for a batch of log entries.
+/// Maximum length of the body and tag of a frame, in bytes. Large enough for the longest policy or
+/// a batch of log entries.
 pub const MAX_FRAME_BYTES: usize = 512 * 1024;
-/// The first bytes of a hello.
+/// First bytes of a hello.
 const MAGIC: [u8; 3] = *b"JFC";
 const FORMAT_BYTES: usize = 1;
 const FLEET_BYTES: usize = 8;
 const NONCE_BYTES: usize = 16;
 const TAG_BYTES: usize = 32;
 const LENGTH_BYTES: usize = 4;
-/// What a frame adds to its body, in bytes.
+/// Number of bytes that a frame adds to its body.
 pub const FRAME_OVERHEAD: usize = LENGTH_BYTES + TAG_BYTES;
-/// The length of a hello, in bytes.
+/// Length of a hello, in bytes.
 pub const HELLO_BYTES: usize = NONCE_OFFSET + NONCE_BYTES + TAG_BYTES;
 const FORMAT_OFFSET: usize = MAGIC.len();
 const FLEET_OFFSET: usize = FORMAT_OFFSET + FORMAT_BYTES;
@@ -36,46 +39,49 @@
 
 type Hash = Hmac<Sha256>;
 
-/// Why a connection has to be closed: what the peer did.
+/// Why the connection must be closed. The text continues a sentence that starts with the peer's
+/// address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// It speaks another protocol.
+    /// The peer uses another protocol.
     #[error("does not speak the fleet's protocol")]
     WrongProtocol,
-    /// It speaks another format of this protocol.
+    /// The peer uses another format of this protocol.
     #[error("speaks format {0}, this build {FRAME_FORMAT}: upgrade the older one")]
     WrongFormat(u8),
-    /// It belongs to another fleet.
+    /// The peer belongs to another fleet.
     #[error("is of another fleet: compare fleet.id")]
     WrongFleet,
-    /// It has none of the keys, or a frame was changed, repeated or left out.
-    #[error("has none of this relay's keys, or sends what is not its own: compare fleet.keys")]
+    /// The peer has none of the keys, or a frame was altered, replayed or dropped.
+    #[error("has none of this relay's keys, or a frame was altered, replayed or dropped: compare fleet.keys")]
     WrongKey,
-    /// It sent a frame longer than [`MAX_FRAME_BYTES`].
-    #[error("sends a frame longer than {MAX_FRAME_BYTES} bytes")]
+    /// The peer sent a frame that is longer than [`MAX_FRAME_BYTES`], or too short for its tag.
+    #[error("sent a frame whose length is not between {TAG_BYTES} and {MAX_FRAME_BYTES} bytes")]
     InvalidLength,
 }
 
-/// One side of a connection: bytes of the socket in, messages out, and back.
+/// One side of a connection. Converts bytes from the socket into messages, and messages into bytes
+/// for the socket.
 pub struct FrameSession {
     keys: Vec<Vec<u8>>,
-    /// The position of the key in use.
+    /// Index of the key in use.
     key_index: usize,
     fleet: u64,
     is_dialler: bool,
     own_nonce: [u8; NONCE_BYTES],
-    /// The peer's nonce; none before its hello has arrived.
+    /// Nonce of the peer; `None` until its hello has arrived.
     peer_nonce: Option<[u8; NONCE_BYTES]>,
     sent_frames: u64,
     received_frames: u64,
-    /// Received bytes that are not a whole hello or frame yet.
+    /// Received bytes that do not form a complete hello or frame yet.
     incoming: Vec<u8>,
     outgoing: Vec<u8>,
 }
 
 impl FrameSession {
-    /// The side that dials, or the one that accepts. The first key authenticates what is sent first, all are accepted;
-    /// `nonce` must be random.
+    /// Creates the dialling or the accepting side. The dialling side uses the first key; the
+    /// accepting side accepts any of its keys and uses the one that the peer used. `nonce` must be
+    /// random.
     pub fn new(
         is_dialler: bool,
         keys: Vec<Vec<u8>>,
@@ -105,13 +111,13 @@
         self.peer_nonce.is_some()
     }
 
-    /// Bytes to write to the socket; the caller removes what it has written.
+    /// Bytes to write to the socket. The caller removes the bytes that it has written.
     pub fn outgoing(&mut self) -> &mut Vec<u8> {
         &mut self.outgoing
     }
 
     fn new_hash(&self, key_index: usize) -> Hash {
-        // HMAC takes keys of any length: this cannot fail.
+        // HMAC accepts keys of any length, so this cannot fail.
         Hash::new_from_slice(&self.keys[key_index]).unwrap_or_else(|_| unreachable!())
     }
 
@@ -122,13 +128,13 @@
         hello.extend_from_slice(&self.own_nonce);
         let mut hash = self.new_hash(self.key_index);
         hash.update(&hello);
-        // The accepting side thereby proves that its hello answers the dialler's.
+        // Covers the dialler's nonce, which proves that the acceptor's hello answers this dialler.
         hash.update(&self.peer_nonce.unwrap_or_default());
         hello.extend_from_slice(&hash.finalize().into_bytes());
         self.outgoing.extend_from_slice(&hello);
     }
 
-    /// Checks the peer's hello, and selects the key that it uses.
+    /// Checks the peer's hello and selects the key that it uses.
     fn receive_hello(&mut self, hello: &[u8]) -> Result<(), FrameError> {
         if hello[..FORMAT_OFFSET] != MAGIC {
             return Err(FrameError::WrongProtocol);
@@ -164,7 +170,7 @@
         Ok(())
     }
 
-    /// The hash of a frame, over both nonces, its direction, its sequence number and its body.
+    /// Hash of a frame over both nonces, its direction, its sequence number and its body.
     fn frame_hash(&self, from_dialler: bool, sequence: u64, body: &[u8]) -> Hash {
         let peer_nonce = self.peer_nonce.unwrap_or_default();
         let (dialler_nonce, acceptor_nonce) = if self.is_dialler {
@@ -181,7 +187,8 @@
         hash
     }
 
-    /// Puts a message into a frame. Returns false where it is too long for one, or the connection is not established yet.
+    /// Queues a message as a frame. Returns false if it is too long for a frame or the connection
+    /// is not established yet.
     pub fn send(&mut self, body: &[u8]) -> bool {
         let length = body.len() + TAG_BYTES;
         if !self.is_established() || length > MAX_FRAME_BYTES {
@@ -197,11 +204,11 @@
         true
     }
 
-    /// Takes bytes that the socket has received. Returns the messages that they complete.
+    /// Handles bytes received from the socket. Returns the messages that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, FrameError> {
         self.incoming.extend_from_slice(bytes);
         if !self.is_established() {
-            // At the first wrong byte, without a wait for the rest of a hello.
+            // Fails at the first wrong byte instead of waiting for the rest of a hello.
             let starts_as_hello = self.incoming.iter().zip(&MAGIC).all(|(a, b)| a == b);
             if !starts_as_hello {
                 return Err(FrameError::WrongProtocol);
@@ -215,7 +222,7 @@
         self.receive_frames()
     }
 
-    /// Takes the complete frames out of the received bytes.
+    /// Removes the complete frames from the received bytes and returns their bodies.
     fn receive_frames(&mut self) -> Result<Vec<Vec<u8>>, FrameError> {
         let mut messages = Vec::new();
         let mut consumed = 0;
--- a/crates/control/src/wire/frame/tests.rs
+++ b/crates/control/src/wire/frame/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn keys(of: &[&str]) -> Vec<Vec<u8>> {
-    of.iter().map(|key| key.as_bytes().to_vec()).collect()
+fn keys(names: &[&str]) -> Vec<Vec<u8>> {
+    names.iter().map(|key| key.as_bytes().to_vec()).collect()
 }
 
-fn pair(dials: &[&str], accepts: &[&str]) -> (FrameSession, FrameSession) {
+fn session_pair(dialler_keys: &[&str], acceptor_keys: &[&str]) -> (FrameSession, FrameSession) {
     (
-        FrameSession::new(true, keys(dials), 7, [1; 16]),
-        FrameSession::new(false, keys(accepts), 7, [2; 16]),
+        FrameSession::new(true, keys(dialler_keys), 7, [1; 16]),
+        FrameSession::new(false, keys(acceptor_keys), 7, [2; 16]),
     )
 }
 
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn messages_pass_both_ways_in_pieces_and_with_keys_in_another_order() {
-    for (dials, accepts) in [
+fn messages_pass_in_both_directions_split_into_bytes_and_with_keys_in_another_order() {
+    for (dialler_keys, acceptor_keys) in [
         (&["a"][..], &["a"][..]),
         (&["new", "old"], &["old", "new"]),
         (&["old"], &["new", "old"]),
     ] {
-        let (mut a, mut b) = pair(dials, accepts);
+        let (mut a, mut b) = session_pair(dialler_keys, acceptor_keys);
         assert!(!a.send(b"too early"));
         establish(&mut a, &mut b).unwrap();
         assert!(
@@ -49,17 +49,17 @@
 
 #[test]
 fn each_kind_of_wrong_peer_has_its_own_error() {
-    let (mut a, mut b) = pair(&["a"], &["b"]);
+    let (mut a, mut b) = session_pair(&["a"], &["b"]);
     assert_eq!(transfer(&mut a, &mut b), Err(FrameError::WrongKey));
     let mut other = FrameSession::new(false, keys(&["a"]), 8, [2; 16]);
-    let (mut a, _) = pair(&["a"], &["a"]);
+    let (mut a, _) = session_pair(&["a"], &["a"]);
     assert_eq!(transfer(&mut a, &mut other), Err(FrameError::WrongFleet));
-    let (mut a, mut b) = pair(&["a"], &["a"]);
+    let (mut a, mut b) = session_pair(&["a"], &["a"]);
     a.outgoing()[3] = 9;
     assert_eq!(transfer(&mut a, &mut b), Err(FrameError::WrongFormat(9)));
-    let (_, mut b) = pair(&["a"], &["a"]);
+    let (_, mut b) = session_pair(&["a"], &["a"]);
     assert_eq!(b.feed(b"GET / HTTP"), Err(FrameError::WrongProtocol));
-    let (mut a, mut b) = pair(&["a"], &["a"]);
+    let (mut a, mut b) = session_pair(&["a"], &["a"]);
     establish(&mut a, &mut b).unwrap();
     assert_eq!(
         b.feed(&u32::MAX.to_be_bytes()),
@@ -69,7 +69,7 @@
 
 #[test]
 fn replayed_and_reflected_frames_are_rejected() {
-    let (mut a, mut b) = pair(&["a"], &["a"]);
+    let (mut a, mut b) = session_pair(&["a"], &["a"]);
     establish(&mut a, &mut b).unwrap();
     a.send(b"one");
     let frame = std::mem::take(a.outgoing());
@@ -79,13 +79,13 @@
         Err(FrameError::WrongKey),
         "a replayed frame"
     );
-    // Replayed on another connection, after the same hello.
+    // The frame is replayed on another connection after the same hello.
     let mut c = FrameSession::new(false, keys(&["a"]), 7, [3; 16]);
-    let (mut d, _) = pair(&["a"], &["a"]);
+    let (mut d, _) = session_pair(&["a"], &["a"]);
     transfer(&mut d, &mut c).unwrap();
     assert_eq!(c.feed(&frame), Err(FrameError::WrongKey));
-    // A frame that is reflected to its sender.
-    let (mut a, mut b) = pair(&["a"], &["a"]);
+    // The frame is reflected to its sender.
+    let (mut a, mut b) = session_pair(&["a"], &["a"]);
     establish(&mut a, &mut b).unwrap();
     a.send(b"one");
     let frame = std::mem::take(a.outgoing());
--- a/crates/control/src/wire/message.rs
+++ b/crates/control/src/wire/message.rs
@@ -1,5 +1,5 @@
-//! The messages of the control plane. Where a name on the wire differs from the code's, it is the one that earlier builds
-//! understand; `tests/wire_names.rs` pins them.
+//! Messages of the control plane. Names on the wire that differ from the names in the code are
+//! those that earlier builds use; `tests/wire_names.rs` checks them.
 
 pub use super::operator::{FleetStatus, OperatorRequest, OperatorResponse};
 pub use super::renewal::{AssignedJobs, RenewRequest, RenewResponse};
@@ -11,17 +11,18 @@
 use crate::wire;
 use serde::{Deserialize, Serialize};
 
-/// Identifies the sender of a request to the driver, which sends the reply there.
+/// Identifies the connection from which a request arrived. The driver sends the reply there.
 pub type ReplyAddress = u64;
 
 /// A message from one process to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A message of the raft library, in its encoding, with the incarnation of the sender's disk.
+    /// Number of the sender's disk, and a message of the raft library in its own encoding.
     Log(u64, #[serde(with = "serde_bytes")] Vec<u8>),
-    /// A founder's number, and the incarnation of its disk. Founders vote once each knows all others.
+    /// Introduction of a founder: its number and the number of its disk. Founders vote once each
+    /// knows all others.
     Founding(VoterId, u64),
-    /// The voter of this number, with a disk of this incarnation, is no member.
+    /// The voter with this number and this disk is not a member.
     #[serde(rename = "Gone")]
     NotAMember(VoterId, u64),
     /// See [`RenewRequest`].
@@ -30,7 +31,7 @@
     /// See [`RenewResponse`].
     #[serde(rename = "Reply")]
     RenewResponse(RenewResponse),
-    /// See [`OperatorRequest`]; the number returns with the response.
+    /// See [`OperatorRequest`]; the response repeats the number.
     #[serde(rename = "Ask")]
     OperatorRequest(u64, OperatorRequest),
     /// See [`OperatorResponse`].
@@ -56,13 +57,14 @@
     /// See [`Receipt`].
     #[serde(rename = "R")]
     Receipt(Receipt),
-    /// The job has a newer token, this one: an owner that publishes under an older one must stop.
+    /// The current token of a job, sent to an owner that published under an older one and must
+    /// stop.
     #[serde(rename = "Stale")]
     StaleToken(String, FencingToken),
 }
 
 impl Message {
-    /// The encoded message.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         #[cfg(feature = "injected-bugs")]
         if wire::ENCODE_AS_LATER_BUILD.load(std::sync::atomic::Ordering::Relaxed) {
@@ -71,12 +73,12 @@
         wire::encode(self)
     }
 
-    /// The decoded message; none if the bytes are not a message that this build knows.
+    /// Decodes a message. Returns `None` if the bytes are not a message that this build knows.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         wire::decode(bytes)
     }
 
-    /// The name of its type in metrics.
+    /// Name of the message's type in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Message::Log(..) => "log",
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Whether a later message takes its place, so that a full queue may drop it.
+    /// Whether the sender repeats or replaces the message later, so that a full queue may drop it.
     pub fn replaceable(&self) -> bool {
         matches!(
             self,
--- a/crates/control/src/wire/mod.rs
+++ b/crates/control/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! What the processes of a fleet exchange: messages, their encoding, and the frames that authenticate them.
+//! Wire protocol between the processes of a fleet: messages, their encoding, and authenticated
+//! frames.
 
 mod encoding;
 pub mod frame;
--- a/crates/control/src/wire/operator.rs
+++ b/crates/control/src/wire/operator.rs
@@ -6,70 +6,74 @@
 use crate::relay::RelayId;
 use serde::{Deserialize, Serialize};
 
-/// An operator's request. Each may be repeated: one that is done or under way is answered as such.
+/// Request of an operator. A request may be repeated: one that is done or in progress is answered
+/// as such.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorRequest {
-    /// Begin with this proposal, unless it is known.
+    /// Propose a policy, unless the proposal is known already.
     Propose(Proposal),
-    /// The outcome of a proposal.
+    /// Return the outcome of a proposal.
     Outcome(ProposalId),
-    /// The fleet's status.
+    /// Return the fleet's status.
     Status,
-    /// Change the members.
+    /// Add or remove a member.
     #[serde(rename = "Seat")]
     Member(MembershipChange),
-    /// Change the jobs. Changes that only a leader or an owner makes are rejected.
+    /// Change the jobs. Changes that only the leader or an owner may make are rejected.
     Job(JobChange),
-    /// The present token of a job.
+    /// Return the current token of a job.
     Token(String),
-    /// The number of the voter that receives this, and the incarnation of its disk. Answered by any voter.
+    /// Return the number of the receiving voter and of its disk. Answered by any voter.
     #[serde(rename = "Who")]
     Identity,
 }
 
-/// The response to an [`OperatorRequest`].
+/// Response to an [`OperatorRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorResponse {
-    /// Ask the leader: its number, and its address where no operator file names it. None where no leader is known.
+    /// The request must be sent to the leader: its number, and its address, which is empty if the
+    /// operator files name it. `None` if no leader is known.
     #[serde(rename = "Elsewhere")]
     Redirect(Option<(VoterId, String)>),
-    /// The request is under way: its step, and the relays that are waited for.
+    /// The request is in progress: the current step, and what it waits for. These are names of
+    /// relays, and possibly a text about leases of the previous leader.
     #[serde(rename = "UnderWay")]
     InProgress(String, Vec<String>),
-    /// The outcome of the proposal.
+    /// Outcome of the proposal.
     Outcome(ProposalOutcome),
     /// The proposal is not known.
     Unknown,
-    /// The fleet's status.
+    /// Status of the fleet.
     Status(Box<FleetStatus>),
-    /// The change of the members is made, or why it is rejected.
+    /// The change of the members is done, or the reason why it was rejected.
     #[serde(rename = "Seat")]
     Member(Result<(), String>),
-    /// The voter's number, and the incarnation of its disk.
+    /// Number of the voter and of its disk.
     #[serde(rename = "Who")]
     Identity(VoterId, u64),
-    /// A job's name and its present token; 0 for one that was never assigned.
+    /// Name of a job and its current token; 0 if it was never assigned or does not exist.
     Token(String, FencingToken),
-    /// The change of the jobs is made, or why it is rejected.
+    /// The change of the jobs is done, or the reason why it was rejected.
     Job(Result<(), String>),
 }
 
-/// The status of the fleet, as its leader knows it.
+/// Status of the fleet as its leader knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetStatus {
-    /// The leader's number.
+    /// Number of the leader.
     pub leader: u64,
-    /// Its term.
+    /// Term of the leader.
     pub term: u64,
-    /// The state of the log.
+    /// State that results from the log.
     pub state: FleetState,
-    /// Relays that have requested a lease of this leader: whether a lease may still run, and their epoch.
+    /// Relays that have requested a lease from this leader, whether each may hold a lease, and the
+    /// epoch of its policy.
     pub relays: Vec<(RelayId, bool, u64)>,
-    /// Each member's number, whether it has answered lately, and how many entries of the log it lacks.
+    /// Number of each member, whether it has answered recently, and how many log entries it lacks.
     #[serde(rename = "seats")]
     pub voters: Vec<(VoterId, bool, u64)>,
-    /// Jobs that no relay may act on now, and why.
+    /// Jobs that no relay may act on now, and the reason for each.
     #[serde(rename = "idle")]
     pub idle_jobs: Vec<(String, String)>,
 }
--- a/crates/control/src/wire/renewal.rs
+++ b/crates/control/src/wire/renewal.rs
@@ -1,4 +1,4 @@
-//! Renewal of leases: what a relay reports to the leader, and what the leader answers.
+//! Renewal of leases: request of a relay to the leader, and the response.
 
 use crate::jobs::assignment::FencingToken;
 use crate::log::membership::Membership;
@@ -7,97 +7,100 @@
 use crate::serialization::is_default;
 use serde::{Deserialize, Serialize};
 
-/// A relay requests a lease, and reports its progress.
+/// Request of a relay for a lease, with a report of its progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RenewRequest {
-    /// The process that requests it.
+    /// Process that requests the lease.
     pub relay: RelayId,
-    /// Grows by one with each request of a process.
+    /// Sequence number; grows by one with each request of a process.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The sequence of the last of its requests that a leader has answered, as far as the relay knows.
+    /// Highest sequence number whose response from a leader has reached the relay.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "heard")]
     pub last_seen_response: u64,
-    /// The epoch of the relay's policy.
+    /// Epoch of the relay's policy.
     #[serde(skip_serializing_if = "is_default")]
     pub epoch: u64,
-    /// The proposal that it has checked and stored.
+    /// Proposal that the relay has checked and stored.
     #[serde(skip_serializing_if = "is_default")]
     pub prepared: Option<ProposalId>,
-    /// The proposal that it rejects, and why.
+    /// Proposal that the relay rejects, and the reason.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "refused")]
     pub rejected: Option<(ProposalId, String)>,
-    /// The sealed proposal for which it has stopped admitting under the old policy.
+    /// Sealed proposal for which the relay has stopped admitting clients under the old policy.
     #[serde(rename = "yielded", skip_serializing_if = "is_default")]
     pub stopped_for: Option<ProposalId>,
-    /// The version of the members that it knows.
+    /// Version of the membership that the relay knows.
     #[serde(rename = "seats", skip_serializing_if = "is_default")]
     pub membership_version: u64,
-    /// The version of its jobs that it acts by; none where it does no jobs.
+    /// Version of the job list that the relay has applied; `None` if it does no jobs.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "jobs")]
     pub jobs_version: Option<u64>,
-    /// Jobs that it has stopped acting on, each with its token, and why.
+    /// Jobs that the relay relinquishes: name, token and reason.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "gives_up")]
     pub relinquished: Vec<(String, FencingToken, String)>,
-    /// Checkpoints of its jobs: name, token, step and content.
+    /// New checkpoints of the relay's jobs: name, token, step and content.
     #[serde(skip_serializing_if = "is_default")]
     pub checkpoints: Vec<(String, FencingToken, u64, Vec<u8>)>,
-    /// Which jobs it can do.
+    /// Jobs that the relay can do.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "skills")]
     pub capabilities: JobCapabilities,
 }
 
-/// A voter's response to a [`RenewRequest`].
+/// Response of a voter to a [`RenewRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RenewResponse {
-    /// The incarnation of the process that it answers: sequences start over with each.
+    /// Incarnation of the process that sent the request. Each process starts its sequence numbers
+    /// over.
     #[serde(rename = "start")]
     pub incarnation: u64,
-    /// The sequence of the request that it answers.
+    /// Sequence number of the request.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// This voter does not lead: the number of the leader, as far as it knows. No other field but the members is set then.
+    /// Set if this voter does not lead, with the number of the leader if it is known. Of the fields
+    /// below only `membership` can be set then.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "elsewhere")]
     pub redirect: Option<Option<u64>>,
-    /// A lease on the policy of this epoch, from when the request was sent.
+    /// Grants a lease on the policy of this epoch, counted from when the request was sent.
     #[serde(skip_serializing_if = "is_default")]
     pub grant: Option<u64>,
-    /// The policy in force, where the relay has another.
+    /// Policy in force, if the relay has another.
     #[serde(skip_serializing_if = "is_default")]
     pub policy: Option<Policy>,
-    /// A proposal to check and store.
+    /// Proposal that the relay must check and store.
     #[serde(skip_serializing_if = "is_default")]
     pub prepare: Option<Proposal>,
-    /// The sealed proposal for which the relay has to stop admitting under its policy.
+    /// Sealed proposal for which the relay must stop admitting clients under its policy.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "close")]
     pub sealed: Option<ProposalId>,
-    /// The members, where the relay knows an older version.
+    /// Members of the log, if the relay knows an older version.
     #[serde(rename = "seats", skip_serializing_if = "is_default")]
     pub membership: Option<Membership>,
-    /// The relay's jobs, where it knows another version of them.
+    /// Jobs of the relay, if it has applied an older version of the list.
     #[serde(skip_serializing_if = "is_default")]
     pub jobs: Option<AssignedJobs>,
-    /// The step of the last checkpoint in the log, for each job of which the request has a checkpoint.
+    /// Step of the latest checkpoint in the log, for each job of which the request has a
+    /// checkpoint.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "steps")]
     pub checkpoint_steps: Vec<(String, u64)>,
-    /// The last fencing token of the fleet; none where the voter does not lead.
+    /// Latest fencing token that the fleet has issued; `None` if the voter does not lead.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "last")]
     pub last_token: Option<FencingToken>,
 }
 
 impl RenewResponse {
-    /// A response to a request, with nothing in it yet.
+    /// Creates an empty response to a request.
     pub fn for_request(request: &RenewRequest) -> RenewResponse {
         RenewResponse {
             incarnation: request.relay.incarnation,
@@ -107,13 +110,13 @@
     }
 }
 
-/// The jobs of a relay.
+/// Jobs assigned to a relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct AssignedJobs {
-    /// The version of all jobs.
+    /// Version of [`Jobs`](crate::jobs::assignment::Jobs) from which the list was made.
     pub version: u64,
-    /// Each job's name and token, and the step and content of its last checkpoint.
+    /// Name and token of each job, and the step and content of its latest checkpoint.
     #[serde(rename = "of")]
     pub jobs: Vec<(String, FencingToken, u64, Vec<u8>)>,
 }
--- a/crates/control/src/wire/updates.rs
+++ b/crates/control/src/wire/updates.rs
@@ -1,4 +1,5 @@
-//! Updates of owners of jobs to all relays, and reports of relays to the owners, both by way of the voters.
+//! Updates of job owners to all relays and reports of relays to job owners, both forwarded by the
+//! voters. The compact messages are in [`crate::broadcast::message`].
 
 use crate::jobs::assignment::FencingToken;
 use crate::relay::RelayId;
@@ -6,106 +7,109 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A relay subscribes to a voter's updates, and reports to the owners of jobs.
+/// Subscription of a relay to a voter's updates, with its reports to the owners of jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Subscribe {
-    /// The subscriber.
+    /// Relay that subscribes.
     pub relay: RelayId,
-    /// Grows with each request of a process.
+    /// Sequence number; grows with each request of a process.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The newest update of each job that it has: job, token and sequence.
+    /// Newest update of each job that the relay has: job, token and sequence number.
     #[serde(rename = "knows")]
     pub known_updates: Vec<(String, FencingToken, u64)>,
-    /// Its reports.
+    /// Reports of the relay.
     #[serde(rename = "facts")]
     pub reports: Vec<Report>,
-    /// The version of the updates' protocol that it speaks; 0 for builds that know no deliveries.
+    /// Version of the broadcast protocol that the relay supports; 0 for builds that do not support
+    /// deliveries.
     #[serde(skip_serializing_if = "is_default")]
     pub version: u32,
-    /// Its zone: updates of that zone's jobs are sent to it first.
+    /// Zone of the relay. Updates of that zone's jobs are sent to it first.
     #[serde(skip_serializing_if = "is_default")]
     pub zone: String,
-    /// The tables that it has: job, token and version.
+    /// Tables that the relay has: job, token and version.
     #[serde(skip_serializing_if = "is_default")]
     pub tables: Vec<(String, FencingToken, u64)>,
-    /// The version of its reports.
+    /// Version of the reports.
     #[serde(skip_serializing_if = "is_default")]
     pub reports_version: u64,
-    /// It wants this voter's clock only: an owner that subscribes to another voter.
+    /// Set by an owner that follows another voter and only needs this voter's clock.
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "asks_only")]
     pub clock_only: bool,
 }
 
-/// A relay's report to the owners of one kind of jobs.
+/// Report of a relay to the owners of one kind of jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Report {
-    /// The kind of jobs.
+    /// Kind of the jobs.
     pub kind: String,
-    /// The content, in the encoding of that kind.
+    /// Content, in the encoding of that kind.
     #[serde(with = "serde_bytes")]
     #[serde(rename = "body")]
     pub payload: Vec<u8>,
 }
 
-/// An owner's update for all relays.
+/// Update of a job's owner for all relays.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Update {
-    /// The job.
+    /// Name of the job.
     pub job: String,
-    /// The token under which its owner sends it.
+    /// Fencing token of the owner.
     pub token: FencingToken,
-    /// Grows with each update under one token.
+    /// Sequence number; grows with each update under one token.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// Its age when it was sent on, in microseconds; an upper bound.
+    /// Upper bound of the age at the time of sending, in microseconds.
     pub age: Micros,
-    /// The content, in the encoding of that kind of job.
+    /// Content, in the encoding of that kind of job.
     #[serde(with = "serde_bytes")]
     #[serde(rename = "body")]
     pub payload: Vec<u8>,
 }
 
-/// An owner publishes an update at a voter.
+/// Message of an owner that publishes a full update at a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Publish {
-    /// The update.
+    /// Update to publish.
     #[serde(rename = "item")]
     pub update: Update,
-    /// The last time of the voter's clock that the voter has sent to this owner.
+    /// Latest time of the voter's clock that the owner has received from it.
     pub stamp: Micros,
-    /// How long ago that arrived, by the owner's clock, in microseconds.
+    /// How long ago the owner received that time, by its own clock, in microseconds.
     #[serde(rename = "since")]
     pub stamp_age: Micros,
 }
 
-/// A voter's updates for a subscriber.
+/// Response of a voter to a subscription, or full updates for a relay of an older build.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Updates {
-    /// The incarnation of the subscriber's process: sequences start over with each.
+    /// Incarnation of the subscribed process. Each process starts its sequence numbers over.
     #[serde(rename = "start")]
     pub incarnation: u64,
-    /// The sequence of the subscriber's last request that has arrived.
+    /// Sequence number of the latest request that the voter received from that process.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// How long ago that arrived, in microseconds.
+    /// Age of that request when this message was sent, in microseconds.
     #[serde(rename = "since")]
     pub request_age: Micros,
-    /// The time of the voter's clock.
+    /// Time of the voter's clock.
     pub stamp: Micros,
-    /// The updates.
+    /// Updates that the relay lacks.
     #[serde(rename = "items")]
     pub updates: Vec<Update>,
-    /// For owners: the reports of relays to their kinds of jobs, each with an upper bound of its age in microseconds.
+    /// For owners of older builds: the reports of relays to their kinds of jobs, each with the time
+    /// since the voter received it, in microseconds.
     #[serde(rename = "facts")]
     pub reports: Vec<(RelayId, Micros, Vec<Report>)>,
-    /// The version of the updates' protocol that the voter speaks; 0 for builds that know no deliveries.
+    /// Version of the broadcast protocol that the voter supports; 0 for builds that do not support
+    /// deliveries.
     #[serde(skip_serializing_if = "is_default")]
     pub version: u32,
 }
