--- a/crates/control/src/lease/client/mod.rs
+++ b/crates/control/src/lease/client/mod.rs
@@ -1,13 +1,15 @@
-//! Lease client: the policy that a relay has, and the lease under which it may admit clients.
+//! Lease client: the policy of a relay, and the lease under which it may admit clients.
 //!
-//! A lease runs from when the relay requested it, by a clock that counts the time during which the machine was suspended. It
-//! is checked right before each client is placed, so a process that was paused places no client under a policy that may have
-//! been replaced. A process that has just started admits no client before it has a lease of its own.
+//! Input: the time, and responses of voters. Output: [`LeaseAction`]s.
 //!
-//! Guards against: responses to requests from before the relay stopped or changed its policy (ignored), a lease that outlives
-//! a restart, and a proposal that this build does not understand (rejected with the reason; the fleet keeps its policy).
+//! A lease starts when the relay requested it, by a clock that also counts time during which the
+//! machine was suspended. It is checked right before each client is admitted, so a process that was
+//! paused does not admit clients under a policy that may have been replaced. A restarted process
+//! admits no clients until it has a lease of its own.
 //!
-//! Inputs are times and responses, outputs are [`LeaseAction`]s.
+//! Guards against: responses to requests that were sent before the relay stopped admitting or
+//! changed its policy (ignored), a lease that outlives a restart, and a proposal that this build
+//! does not understand (rejected with the reason; the policy in force stays).
 
 use crate::jobs::owner::JobOwner;
 use crate::log::membership::Membership;
@@ -21,39 +23,43 @@
 #[cfg(test)]
 mod tests;
 
-/// Requests whose responses may still arrive. A lease from an older one would have run out.
+/// Maximum number of requests whose responses are still accepted. A lease from an older request
+/// would have expired.
 const MAX_TRACKED_REQUESTS: usize = 32;
-/// A request without a response is repeated, at the next voter, after this part of the renewal interval.
+/// A request without a response is sent to the next voter after the renewal interval divided by
+/// this.
 const RETRY_DIVISOR: Micros = 2;
 
-/// What a relay does while no leader answers it.
+/// Behaviour of a relay while no leader responds to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaderlessMode {
-    /// It admits no clients once its lease has run out: never are clients admitted under two policies.
+    /// The relay rejects clients once its lease has expired, so clients are never admitted under
+    /// two policies.
     #[default]
     Reject,
-    /// It continues under the policy that it has, which may have been replaced.
+    /// The relay continues to admit clients under its policy, which may have been replaced.
     Serve,
 }
 
-/// What the caller must do, in the order of the list.
+/// An action that the caller must execute, in the order in which actions are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Store the proposal durably, then call [`LeaseClient::proposal_persisted`].
     PersistProposal(Proposal),
-    /// Store the policy durably as the one to start with, then admit clients under it.
+    /// Store the policy durably, to be used after a restart, and apply it to the decisions.
+    /// [`LeaseClient::may_admit`] says when clients may be admitted under it.
     AdoptPolicy(Policy),
-    /// Store the members durably, and connect to their voters.
+    /// Store the membership durably, and connect to its voters.
     PersistMembership(Membership),
-    /// Send the request to the voter of this number.
+    /// Send the request to the voter with this number.
     SendRenew(u64, Box<RenewRequest>),
 }
 
-/// A renewal that was sent.
+/// A renewal request that was sent.
 #[derive(Clone, Copy, Debug)]
 struct SentRequest {
     sequence: u64,
-    at: Micros,
+    sent_at: Micros,
 }
 
 /// A proposal that this relay has rejected.
@@ -63,14 +69,14 @@
     reason: String,
 }
 
-/// A sealed proposal for which this relay has stopped admitting.
+/// A sealed proposal for which this relay has stopped admitting clients, and when.
 #[derive(Clone, Copy, Debug)]
 struct AdmissionStop {
     id: ProposalId,
     at: Micros,
 }
 
-/// Lease client: tracks the policy in force and the lease under which this relay may admit clients.
+/// Tracks the policy of this relay and the lease under which it may admit clients.
 #[derive(Clone, Debug)]
 pub struct LeaseClient {
     relay: RelayId,
@@ -78,37 +84,39 @@
     leaderless_mode: LeaderlessMode,
     injected: InjectedBugs,
     voters: Vec<u64>,
-    /// The version of the members that the voters are from; 0 for those of the operator file.
+    /// Version of the membership that `voters` was taken from; 0 for the operator file.
     membership_version: u64,
     policy: Policy,
-    /// The proposal that this relay has checked and stored.
+    /// Proposal that this relay has checked and stored.
     prepared: Option<Proposal>,
     rejected: Option<Rejection>,
     stopped_for: Option<AdmissionStop>,
-    /// Clients may be admitted before this time; 0 for no lease.
+    /// The lease expires at this time; 0 if there is none.
     lease_until: Micros,
-    /// The sequence of the last request.
+    /// Sequence number of the latest request.
     last_sequence: u64,
-    /// The last request that a leader has answered.
+    /// Highest sequence number whose response from a leader has arrived.
     last_seen_response: u64,
-    /// Responses to requests up to this sequence are ignored.
-    barrier: u64,
-    /// The last requests, the newest last.
+    /// Responses to requests up to this sequence number are ignored, because they were sent before
+    /// the relay stopped admitting or changed its policy.
+    ignored_up_to: u64,
+    /// Latest requests, the newest last.
     requests: VecDeque<SentRequest>,
-    /// When the next request is due if nothing arrives before.
+    /// When the next request is due, unless a response arrives before.
     next_request_at: Micros,
-    /// Whether the last request has no response yet.
+    /// Whether the latest request has no response yet.
     awaits_response: bool,
-    /// Counts up from voter to voter, see [`LeaseClient::voter_position`].
+    /// Index into `voters`, modulo its length, of the voter that requests are sent to.
     voter_cursor: usize,
-    /// This relay's jobs, where it does any.
+    /// Jobs of this relay; `None` if it does no jobs.
     owner: Option<JobOwner>,
-    /// The last fencing token of the fleet that a leader has reported.
+    /// Latest fencing token of the fleet that a leader has reported.
     last_token: Option<u64>,
 }
 
 impl LeaseClient {
-    /// A relay with the policy that it had stored. It requests leases from each of the voters in turn, until one leads.
+    /// Creates the lease client of a relay with its stored policy. It sends requests to one voter
+    /// after the other until it finds the leader.
     pub fn new(
         relay: RelayId,
         voters: Vec<u64>,
@@ -116,7 +124,7 @@
         timing: FleetTiming,
         leaderless_mode: LeaderlessMode,
     ) -> LeaseClient {
-        // By its name, so that relays begin with different voters.
+        // Derived from the name, so that relays start with different voters.
         let voter_cursor = relay.name.bytes().map(usize::from).sum::<usize>() % voters.len().max(1);
         LeaseClient {
             relay,
@@ -132,7 +140,7 @@
             lease_until: 0,
             last_sequence: 0,
             last_seen_response: 0,
-            barrier: 0,
+            ignored_up_to: 0,
             requests: VecDeque::new(),
             next_request_at: 0,
             awaits_response: false,
@@ -142,7 +150,7 @@
         }
     }
 
-    /// The same client with an injected bug, for tests of the checkers.
+    /// Injects a bug, for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(mut self, injected: InjectedBugs, now: Micros) -> LeaseClient {
         self.injected = injected;
@@ -152,8 +160,9 @@
         self
     }
 
-    /// Sends requests to the voters among these members from now on, and not to those that it was made with. A relay that
-    /// votes knows them from its log, too. Returns whether they are newer than those that it had.
+    /// Replaces the known voters by those of a membership, which comes from a response or, on a
+    /// relay that votes, from its log. Returns false, and changes nothing, if it is not newer than
+    /// the known one or has no voters.
     pub fn learn_membership(&mut self, membership: &Membership) -> bool {
         if membership.version <= self.membership_version {
             return false;
@@ -171,69 +180,71 @@
         true
     }
 
-    /// Allows this relay to be assigned jobs.
+    /// Makes this relay available for jobs.
     pub fn set_job_owner(&mut self, owner: JobOwner) {
         self.owner = Some(owner);
     }
 
-    /// This relay's jobs, to act on.
+    /// Jobs of this relay, for changes.
     pub fn owner_mut(&mut self) -> Option<&mut JobOwner> {
         self.owner.as_mut()
     }
 
-    /// This relay's jobs.
+    /// Jobs of this relay.
     pub fn owner(&self) -> Option<&JobOwner> {
         self.owner.as_ref()
     }
 
-    /// The last fencing token of the fleet that a leader has reported to this process. A receiver needs it before it accepts
-    /// commands.
+    /// Latest fencing token of the fleet that a leader has reported to this process. A receiver
+    /// accepts no commands without it.
     pub fn last_token(&self) -> Option<u64> {
         self.last_token
     }
 
-    /// The voters that this relay knows, and the one that it sends requests to: the leader, as far as it is known.
+    /// The known voters, and the one that requests are sent to, which is the leader if it is known.
     pub fn voters(&self) -> (&[u64], Option<u64>) {
         let current = self.voters.get(self.voter_position()).copied();
         (&self.voters, current)
     }
 
-    /// This process of the relay.
+    /// Identity of this process.
     pub fn relay(&self) -> &RelayId {
         &self.relay
     }
 
-    /// The relay stops: relinquishes its jobs, and reports it with the request that is returned.
+    /// Relinquishes all jobs because the relay stops. Returns the request that reports this.
     pub fn relinquish_jobs(&mut self, now: Micros) -> Option<LeaseAction> {
         self.owner.as_mut()?.relinquish_all();
         Some(self.send_request(now))
     }
 
-    /// The policy that this relay has.
+    /// Policy of this relay.
     pub fn policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// Whether a client may be admitted now.
+    /// Whether clients may be admitted now.
     pub fn may_admit(&self, now: Micros) -> bool {
         now < self.admit_until(now)
     }
 
-    /// Clients may be admitted before this time, unless something arrives that changes it.
+    /// Time until which clients may be admitted, unless a response changes it.
     pub fn admit_until(&self, now: Micros) -> Micros {
-        let ignores_lease = self.injected.is(InjectedBug::IgnoreLease) && self.lease_until > 0;
-        // Also a relay that serves without a leader stops for a sealed proposal, for as long as the fleet may need.
+        let injected_ignore_lease =
+            self.injected.is(InjectedBug::IgnoreLease) && self.lease_until > 0;
+        // A relay that serves without a leader also stops for a sealed proposal, until the
+        // proposal's timeout.
         let has_stopped = self
             .stopped_for
             .is_some_and(|stop| now < stop.at + self.timing.proposal_timeout);
         let serves_leaderless = self.leaderless_mode == LeaderlessMode::Serve && !has_stopped;
-        if ignores_lease || serves_leaderless {
+        if injected_ignore_lease || serves_leaderless {
             return Micros::MAX;
         }
         self.lease_until
     }
 
-    /// Time has passed: renews the lease where that is due.
+    /// Sends a renewal request if it is due.
     pub fn tick(&mut self, now: Micros) -> Option<LeaseAction> {
         if now < self.next_request_at {
             return None;
@@ -244,7 +255,7 @@
         Some(self.send_request(now))
     }
 
-    /// A position in the list of voters.
+    /// Index of the voter that requests are sent to.
     fn voter_position(&self) -> usize {
         self.voter_cursor % self.voters.len().max(1)
     }
@@ -260,7 +271,7 @@
         }
         self.requests.push_back(SentRequest {
             sequence: self.last_sequence,
-            at: now,
+            sent_at: now,
         });
         self.next_request_at = now + self.timing.renew_interval / RETRY_DIVISOR;
         self.awaits_response = true;
@@ -282,13 +293,13 @@
         LeaseAction::SendRenew(self.voters[self.voter_position()], Box::new(request))
     }
 
-    /// A proposal is stored durably: reports it with the request that is returned.
+    /// Records that a proposal was stored durably. Returns the request that reports this.
     pub fn proposal_persisted(&mut self, now: Micros, proposal: Proposal) -> LeaseAction {
         self.prepared = Some(proposal);
         self.send_request(now)
     }
 
-    /// When [`LeaseClient::tick`] has something to do if nothing arrives before.
+    /// When [`LeaseClient::tick`] must be called next, unless a response arrives before.
     pub fn next_tick(&self) -> Micros {
         self.next_request_at
     }
--- a/crates/control/src/lease/client/response.rs
+++ b/crates/control/src/lease/client/response.rs
@@ -1,23 +1,26 @@
-//! What follows from a voter's response to a renewal: members, a redirect, the jobs, a policy, a lease, a proposal.
+//! Handling of a voter's response to a renewal: membership, redirect, jobs, policy, lease and
+//! proposal.
 
 use super::{AdmissionStop, LeaseAction, LeaseClient, Rejection, SentRequest};
 use crate::log::state::{Policy, ProposalId};
 use crate::wire::message::RenewResponse;
 use crate::{InjectedBug, Micros};
 
-/// A relay that has stopped for a sealed proposal renews after this part of the renewal interval: the proposal takes force
-/// shortly.
+/// A relay that has stopped for a sealed proposal renews after the renewal interval divided by
+/// this, since the proposal will be in force soon.
 const SEALED_RENEW_DIVISOR: Micros = 10;
 
 impl LeaseClient {
-    /// A response has arrived. `check` returns what is wrong with a policy's text where this build does not understand it.
+    /// Handles a response. `check` returns an error if this build does not understand the text of a
+    /// policy.
     pub fn handle_response(
         &mut self,
         now: Micros,
         mut response: RenewResponse,
         check: impl Fn(&str) -> Result<(), String>,
     ) -> Vec<LeaseAction> {
-        // A delayed response to the previous process may bear the sequence of a request of this one.
+        // A delayed response to the previous process may have the sequence number of a request of
+        // this one.
         if response.incarnation != self.relay.incarnation {
             return Vec::new();
         }
@@ -35,7 +38,7 @@
             return actions;
         }
         self.record_response(&response);
-        // What changes is reported at once: the leader waits for it.
+        // Changes are reported at once, because the leader waits for them.
         let mut has_changed = self.update_jobs(request, &response);
         if let Some(policy) = self.adopt_policy(response.policy) {
             actions.push(LeaseAction::AdoptPolicy(policy));
@@ -65,16 +68,17 @@
         actions
     }
 
-    /// The request of this sequence, where its response still counts.
+    /// The request with this sequence number, if its response is still accepted.
     fn find_request(&self, sequence: u64) -> Option<SentRequest> {
         self.requests
             .iter()
-            .find(|request| request.sequence == sequence && request.sequence > self.barrier)
+            .find(|request| request.sequence == sequence && request.sequence > self.ignored_up_to)
             .copied()
     }
 
-    /// The voter does not lead. Where the last request was answered so, it is sent to the leader at once, or to the next
-    /// voter when it is due.
+    /// Handles a redirect, which a voter sends that does not lead. If it answers the latest
+    /// request, the request is repeated at once at the leader, or when it is due at the next voter
+    /// if the leader is not known.
     fn follow_redirect(
         &mut self,
         now: Micros,
@@ -96,46 +100,52 @@
         }
     }
 
-    /// A leader has answered: the next renewal is due by the interval again.
+    /// Records the response of a leader. The next renewal is due one renewal interval after the
+    /// latest request.
     fn record_response(&mut self, response: &RenewResponse) {
         if std::mem::take(&mut self.awaits_response) {
             if let Some(last) = self.requests.back() {
-                self.next_request_at = last.at + self.timing.renew_interval;
+                self.next_request_at = last.sent_at + self.timing.renew_interval;
             }
         }
         self.last_seen_response = self.last_seen_response.max(response.sequence);
         self.last_token = response.last_token.max(self.last_token);
     }
 
-    /// Renews the lease on this relay's jobs. Returns whether the jobs have changed.
+    /// Updates the jobs of this relay and their lease. Returns whether the response has a list of
+    /// jobs.
     fn update_jobs(&mut self, request: SentRequest, response: &RenewResponse) -> bool {
         let Some(owner) = &mut self.owner else {
             return false;
         };
-        owner.handle_response(request.at, response, self.timing);
+        owner.handle_response(request.sent_at, response, self.timing);
         response.jobs.is_some()
     }
 
-    /// Takes a newer policy in place of the present one, without a lease on it. Returns it.
+    /// Replaces the policy by a newer one, on which the relay has no lease yet. Returns it.
     fn adopt_policy(&mut self, policy: Option<Policy>) -> Option<Policy> {
         let policy = policy.filter(|policy| policy.epoch > self.policy.epoch)?;
         self.prepared = None;
         self.rejected = None;
         self.stopped_for = None;
         self.lease_until = 0;
-        self.barrier = self.last_sequence;
+        self.ignored_up_to = self.last_sequence;
         self.policy = policy.clone();
         Some(policy)
     }
 
     fn extend_lease(&mut self, now: Micros, request: SentRequest) {
-        let from_grant = self.injected.is(InjectedBug::LeaseFromGrant);
-        let start = if from_grant { now } else { request.at };
+        let injected_lease_from_grant = self.injected.is(InjectedBug::LeaseFromGrant);
+        let start = if injected_lease_from_grant {
+            now
+        } else {
+            request.sent_at
+        };
         let until = start + self.timing.lease_duration;
         self.lease_until = self.lease_until.max(until);
     }
 
-    /// Whether this relay has stored or rejected a proposal.
+    /// Whether this relay has stored or rejected the proposal.
     fn has_checked(&self, id: ProposalId) -> bool {
         let has_prepared = self
             .prepared
@@ -148,7 +158,8 @@
         has_prepared || has_rejected
     }
 
-    /// Ends the lease for a sealed proposal, before that is reported. Returns whether the relay had not stopped for it yet.
+    /// Ends the lease for a sealed proposal, before that is reported. Returns false if the relay
+    /// had already stopped for it.
     fn stop_admitting(&mut self, now: Micros, id: ProposalId) -> bool {
         if self.stopped_for.is_some_and(|stop| stop.id == id) {
             return false;
@@ -157,7 +168,7 @@
             self.lease_until = 0;
         }
         self.stopped_for = Some(AdmissionStop { id, at: now });
-        self.barrier = self.last_sequence;
+        self.ignored_up_to = self.last_sequence;
         true
     }
 }
--- a/crates/control/src/lease/client/tests.rs
+++ b/crates/control/src/lease/client/tests.rs
@@ -3,11 +3,11 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn lease_client(start: u64) -> LeaseClient {
+fn lease_client(incarnation: u64) -> LeaseClient {
     LeaseClient::new(
         RelayId {
             name: "n1".into(),
-            incarnation: start,
+            incarnation,
         },
         vec![1],
         Policy::default(),
@@ -16,7 +16,7 @@
     )
 }
 
-fn request(client: &mut LeaseClient, now: Micros) -> RenewRequest {
+fn next_request(client: &mut LeaseClient, now: Micros) -> RenewRequest {
     match client.tick(now) {
         Some(LeaseAction::SendRenew(1, renewal)) => *renewal,
         other => panic!("{other:?}"),
@@ -35,23 +35,23 @@
 }
 
 #[test]
-fn a_lease_runs_from_when_it_was_requested() {
+fn a_lease_starts_when_it_was_requested() {
     let mut client = lease_client(1);
-    let renewal = request(&mut client, SECOND);
+    let renewal = next_request(&mut client, SECOND);
     assert!(!client.may_admit(SECOND));
     client.handle_response(2 * SECOND, grant(&renewal), accept);
     assert!(client.may_admit(3 * SECOND - 1) && !client.may_admit(3 * SECOND));
-    // A response that arrives after the lease would have run out grants none.
-    let renewal = request(&mut client, 4 * SECOND);
+    // A response that arrives after the lease would have expired grants nothing.
+    let renewal = next_request(&mut client, 4 * SECOND);
     client.handle_response(7 * SECOND, grant(&renewal), accept);
     assert!(!client.may_admit(7 * SECOND));
 }
 
 #[test]
 fn a_response_to_the_previous_process_grants_no_lease() {
-    let old = request(&mut lease_client(1), SECOND);
+    let old = next_request(&mut lease_client(1), SECOND);
     let mut new = lease_client(2);
-    assert_eq!(request(&mut new, 5 * SECOND).sequence, old.sequence);
+    assert_eq!(next_request(&mut new, 5 * SECOND).sequence, old.sequence);
     assert_eq!(new.handle_response(5 * SECOND, grant(&old), accept), []);
     assert!(!new.may_admit(5 * SECOND));
 }
@@ -59,8 +59,8 @@
 #[test]
 fn a_relay_that_stopped_ignores_a_lease_that_was_in_flight() {
     let mut client = lease_client(1);
-    let first = request(&mut client, SECOND);
-    let second = request(&mut client, SECOND + FleetTiming::default().renew_interval);
+    let first = next_request(&mut client, SECOND);
+    let second = next_request(&mut client, SECOND + FleetTiming::default().renew_interval);
     let actions = client.handle_response(
         2 * SECOND,
         RenewResponse {
@@ -74,8 +74,9 @@
     );
     client.handle_response(2 * SECOND, grant(&first), accept);
     assert!(!client.may_admit(2 * SECOND));
-    // The policy that it stopped for arrives with the next response, a lease on it with the one after.
-    let renewal = request(&mut client, 3 * SECOND);
+    // The policy for which it stopped arrives with the next response, and a lease on it with the
+    // one after that.
+    let renewal = next_request(&mut client, 3 * SECOND);
     let policy = Policy {
         epoch: 1,
         ..Policy::default()
@@ -94,9 +95,9 @@
 }
 
 #[test]
-fn a_redirect_brings_the_new_members_and_is_followed_at_once() {
+fn a_redirect_updates_the_membership_and_is_followed_at_once() {
     let mut client = lease_client(1);
-    let renewal = request(&mut client, SECOND);
+    let renewal = next_request(&mut client, SECOND);
     let mut membership = Membership::for_new_fleet(&[1]);
     membership.apply(&crate::log::membership::MembershipChange::Add(
         2,
@@ -119,14 +120,14 @@
     );
     assert!(
         !client.learn_membership(&Membership::for_new_fleet(&[1])),
-        "older members are ignored"
+        "an older membership is ignored"
     );
 }
 
 #[test]
 fn a_proposal_is_rejected_with_a_reason_or_stored_before_it_is_reported() {
     let mut client = lease_client(1);
-    let renewal = request(&mut client, SECOND);
+    let renewal = next_request(&mut client, SECOND);
     let proposal = Proposal {
         id: 9,
         base_epoch: 0,
@@ -147,7 +148,7 @@
         (Some((9, "line 1".into())), None)
     );
     let mut client = lease_client(1);
-    request(&mut client, SECOND);
+    next_request(&mut client, SECOND);
     assert_eq!(
         client.handle_response(SECOND, response, accept),
         [LeaseAction::PersistProposal(proposal.clone())]
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn a_leaderless_relay_stops_for_a_sealed_proposal_until_the_timeout() {
+fn a_relay_in_serve_mode_stops_for_a_sealed_proposal_until_the_timeout() {
     let timing = FleetTiming::default();
     let relay = RelayId {
         name: "n1".into(),
@@ -173,7 +174,7 @@
         LeaderlessMode::Serve,
     );
     assert!(client.may_admit(0));
-    let renewal = request(&mut client, SECOND);
+    let renewal = next_request(&mut client, SECOND);
     client.handle_response(
         SECOND,
         RenewResponse {
--- a/crates/control/src/lease/mod.rs
+++ b/crates/control/src/lease/mod.rs
@@ -1,3 +1,3 @@
-//! Leases on the policy in force, on the relay's side. The leader's side is part of the voter.
+//! Leases on the policy in force: the relay's side. The leader's side is in [`crate::log::voter`].
 
 pub mod client;
