--- a/crates/control/src/log/error.rs
+++ b/crates/control/src/log/error.rs
@@ -1,38 +1,40 @@
-//! Why a voter cannot start, or must not vote any more.
+//! Errors because of which a voter cannot start or must stop voting.
 
 use thiserror::Error;
 
-/// A log that cannot be trusted, or that is not this voter's any more. Each is final until an operator acts.
+/// Why a voter must not use its log. No retry helps: an operator must replace the voter, its disk
+/// or its build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LogError {
     /// The stored snapshot is damaged.
-    #[error("the snapshot cannot be read")]
+    #[error("the stored snapshot cannot be read")]
     UnreadableSnapshot,
     /// The stored term, vote and commit index are damaged.
-    #[error("the vote cannot be read")]
+    #[error("the stored term, vote and commit index cannot be read")]
     UnreadableHardState,
     /// A stored entry is damaged.
-    #[error("an entry of the log cannot be read")]
+    #[error("a stored entry of the log cannot be read")]
     UnreadableEntry,
     /// The indices of the stored entries have a gap.
-    #[error("entries of the log are missing")]
+    #[error("the log has a gap: entries are missing")]
     MissingEntries,
-    /// No snapshot is stored; each log begins with one.
-    #[error("there is no snapshot")]
+    /// No snapshot is stored, although each log begins with one.
+    #[error("the log has no snapshot")]
     MissingSnapshot,
     /// The stored commit index is beyond the last stored entry.
-    #[error("entries that were answered for are missing at the end of the log")]
+    #[error("committed entries are missing at the end of the log")]
     MissingCommittedEntries,
-    /// The leader knows more entries as acknowledged by this voter than its disk has.
-    #[error("entries that were answered for are not there any more")]
+    /// The leader has recorded acknowledgements of this voter for entries that its disk does not
+    /// have.
+    #[error("the log lacks entries that this voter has acknowledged")]
     AcknowledgedEntriesLost,
-    /// The raft library does not accept the log with its voters.
-    #[error("the log does not fit its voters")]
+    /// The raft library rejects the log together with its voters.
+    #[error("the log does not match its voters")]
     VotersMismatch,
-    /// An entry or a state that this build cannot read.
-    #[error("the log has what this build cannot read: it is of a later build (upgrade this relay), or damaged")]
+    /// This build cannot read an entry or the state in a snapshot.
+    #[error("the log has an entry or a state that this build cannot read: a later build wrote it (upgrade this relay), or it is damaged")]
     UnsupportedVersion,
-    /// The members have another voter under this number, or none any more.
+    /// The membership has no voter with this number and this disk.
     #[error("this voter was removed")]
     Removed,
 }
--- a/crates/control/src/log/membership.rs
+++ b/crates/control/src/log/membership.rs
@@ -1,45 +1,47 @@
-//! The members of the log: which voters there are, by number, and which changes of them are allowed.
+//! Membership of the log: the voters by number, and which changes are allowed.
 //!
-//! Members change one at a time, by entries of the log, so that any two successive majorities have a voter in common. A
-//! newcomer first learns the log without a vote (a learner), and is promoted once it has caught up.
+//! The membership changes by one member at a time, through entries of the log, so that any two
+//! successive majorities have a voter in common. A new member first receives the log without a
+//! vote, as a learner, and is promoted once it has caught up.
 //!
-//! Guards against: a voter whose disk was lost and that returns under its number without what it had acknowledged (each disk
-//! has a random number, which the log knows, and a number is given only once), and the removal of a voter without
-//! which no majority answers.
+//! Guards against: a voter that returns under its number after its disk was lost, without the
+//! entries that it had acknowledged (each disk has a random number, which the log records, and a
+//! voter number is never reused), and the removal of a voter after which no majority of the others
+//! would answer.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// A voter's number, never given twice.
+/// Number of a voter. A number is never reused.
 pub type VoterId = u64;
 
-/// The longest address of a member, in bytes: a host name of 253 bytes, and a port.
+/// Maximum length of a member's address, in bytes: a host name of 253 bytes, and a port.
 const MAX_ADDRESS_BYTES: usize = 264;
-/// The most members, learners included.
+/// Maximum number of members, including learners.
 const MAX_MEMBERS: usize = 8;
 
 /// A member of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Member {
-    /// The address where it can be reached; empty for a founder, which every operator file names.
+    /// Address of the member; empty for a founder, whose address is in every operator file.
     pub address: String,
-    /// Random number of its disk; 0 for a founder until the founding is complete.
+    /// Random number of the member's disk; 0 for a founder until the founding is complete.
     #[serde(rename = "incarnation")]
     pub disk_id: u64,
-    /// Whether it votes; a learner otherwise.
+    /// Whether the member votes. If not, it is a learner.
     #[serde(rename = "votes")]
     pub is_voter: bool,
 }
 
-/// All members.
+/// All members of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Membership {
     /// Grows by one with each change.
     pub version: u64,
-    /// The highest number that was ever given.
+    /// Highest number that was ever given to a member.
     #[serde(rename = "highest")]
     pub highest_id: VoterId,
     /// The members by number.
@@ -47,71 +49,73 @@
     pub members: BTreeMap<VoterId, Member>,
 }
 
-/// A change of the members, as it stands in the log.
+/// Change of the membership, as an entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// Adds a learner: its number, its address, and the number of its disk.
+    /// Adds a learner with this number, address and number of its disk.
     Add(VoterId, String, u64),
-    /// Gives a learner its vote. Proposed by a leader only, never requested.
+    /// Gives a learner a vote. Only the leader proposes this.
     Promote(VoterId),
-    /// Removes a member for good.
+    /// Removes a member permanently.
     Remove(VoterId),
 }
 
-/// Whether a requested change may be made.
+/// Whether a requested change is allowed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeDecision {
-    /// It is made already.
+    /// The change was made before.
     Done,
-    /// The voter of this number was added and is still a learner.
+    /// The member with this number was added before and is still a learner.
     Learning(VoterId),
-    /// It may be made now.
+    /// The change may be made now.
     Allowed,
-    /// It may not be made.
+    /// The change may not be made.
     Rejected(MembershipError),
 }
 
-/// Why a change of the members is rejected.
+/// Why a change of the membership is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MembershipError {
-    /// Promotions are the leader's, not the operators'.
-    #[error("a vote is given by the leader, once its voter has caught up")]
+    /// An operator requested a promotion, which only the leader makes.
+    #[error(
+        "operators cannot promote a learner: the leader does it once the learner has caught up"
+    )]
     PromotionRequested,
     /// The number belongs to a member with another disk.
-    #[error("voter {0} has another disk: a lost one's place is taken under a new number")]
+    #[error("voter {0} is a member with another disk; to replace a lost disk, add a voter with a new number")]
     OtherDisk(VoterId),
     /// The number was given before.
-    #[error("the number {number} was given before; the next is {next}")]
+    #[error("the number {number} was used before; the next is {next}")]
     NumberTaken {
-        /// The number that was asked for.
+        /// Number that was requested.
         number: VoterId,
-        /// The lowest number that is free.
+        /// Lowest number that was never used.
         next: VoterId,
     },
     /// The address is empty or too long.
-    #[error("the address has {bytes} bytes, 1 to {MAX_ADDRESS_BYTES} are wanted")]
+    #[error("the address has {bytes} bytes, allowed are 1 to {MAX_ADDRESS_BYTES}")]
     AddressLength {
-        /// Its length.
+        /// Length of the address.
         bytes: usize,
     },
-    /// There are as many members as there may be.
+    /// The maximum number of members is reached.
     #[error("there are {MAX_MEMBERS} members already; remove one first")]
     TooManyMembers,
-    /// Another newcomer has no vote yet.
-    #[error("voter {0} is learning the log: one change at a time, or remove {0}")]
+    /// Another member is still a learner.
+    #[error("voter {0} is still a learner: wait until it votes, or remove it")]
     LearnerExists(VoterId),
-    /// Without the voter, fewer than a majority of the others answer.
-    #[error("of the {remaining} that would be left {active} answer, no majority: add one first, or bring one back")]
+    /// Without the voter, no majority of the remaining ones would answer.
+    #[error("only {active} of the {remaining} remaining voters answer, which is no majority: add a voter or restart one first")]
     NoMajorityLeft {
-        /// Voters that would remain.
+        /// Number of voters that would remain.
         remaining: usize,
-        /// Those of them that have answered lately.
+        /// Number of those that have answered recently.
         active: usize,
     },
 }
 
 impl Membership {
-    /// The members of a new fleet.
+    /// Creates the membership of a new fleet with these founders.
     pub fn for_new_fleet(numbers: &[VoterId]) -> Membership {
         let founder = Member {
             is_voter: true,
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Applies a change that is committed in the log.
+    /// Applies a committed change.
     pub fn apply(&mut self, change: &MembershipChange) {
         self.version += 1;
         match change {
@@ -151,28 +155,30 @@
         }
     }
 
-    /// Records the disk numbers of the founders, once the founders have met.
+    /// Records the disk numbers of the founders when the founding is complete.
     pub fn record_founders(&mut self, disk_ids: &BTreeMap<VoterId, u64>) {
         for (number, member) in &mut self.members {
             member.disk_id = disk_ids.get(number).copied().unwrap_or_default();
         }
     }
 
-    /// Whether the founders have yet to meet.
+    /// Whether the founding is not complete yet, so that disks of founders are unknown.
     pub fn is_founding(&self) -> bool {
         self.members.values().any(|member| member.disk_id == 0)
     }
 
-    /// Whether a voter of this number, with this disk, is no member: it was removed, or its disk replaced.
+    /// Whether the voter with this number and this disk is no longer a member, because it was
+    /// removed or its disk was replaced.
     pub fn is_removed_or_replaced(&self, number: VoterId, disk_id: u64) -> bool {
         match self.members.get(&number) {
             Some(member) => member.disk_id != disk_id,
-            // One with a higher number may have been added by entries that are not applied here yet.
+            // A voter with a higher number may have been added by entries that are not applied here
+            // yet.
             None => number <= self.highest_id,
         }
     }
 
-    /// The numbers of the members that vote.
+    /// Numbers of the members that vote.
     pub fn voters(&self) -> impl Iterator<Item = VoterId> + '_ {
         self.members
             .iter()
@@ -180,7 +186,7 @@
             .map(|(number, _)| *number)
     }
 
-    /// The member that has no vote yet. There is at most one.
+    /// The learner, if there is one. There is at most one.
     pub(crate) fn learner(&self) -> Option<VoterId> {
         self.members
             .iter()
@@ -188,7 +194,8 @@
             .map(|(number, _)| *number)
     }
 
-    /// Whether a requested change may be made; `active` are the members that the leader has had answers from lately.
+    /// Whether a requested change is allowed. `active` are the members that have answered the
+    /// leader recently.
     pub fn check(&self, change: &MembershipChange, active: &[VoterId]) -> ChangeDecision {
         match change {
             MembershipChange::Add(number, address, disk_id) => {
@@ -244,7 +251,7 @@
             .iter()
             .filter(|voter| active.contains(voter))
             .count();
-        // A learner has no vote: its removal changes no majority.
+        // A learner has no vote, so its removal does not affect the majority.
         if !member.is_voter || active_voters > remaining.len() / 2 {
             return ChangeDecision::Allowed;
         }
--- a/crates/control/src/log/membership/tests.rs
+++ b/crates/control/src/log/membership/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_number_is_given_once_and_a_replaced_disk_cannot_reuse_it() {
+fn a_number_is_never_reused_and_a_replaced_disk_is_not_a_member() {
     let mut membership = Membership::for_new_fleet(&[1, 2, 3]);
     let add = |number, disk_id| MembershipChange::Add(number, "host:1".into(), disk_id);
     assert!(membership.is_founding());
@@ -10,7 +10,7 @@
     assert!(!membership.is_removed_or_replaced(3, 30) && membership.is_removed_or_replaced(3, 31));
     assert!(
         !membership.is_removed_or_replaced(9, 1),
-        "it may have been added by entries that are not applied yet"
+        "a higher number may have been added by entries that are not applied yet"
     );
     assert_eq!(
         membership.check(&add(4, 40), &[1, 2]),
@@ -26,7 +26,7 @@
             membership.check(&add(5, 50), &[1, 2]),
             ChangeDecision::Rejected(_)
         ),
-        "one at a time"
+        "only one learner at a time"
     );
     membership.apply(&MembershipChange::Promote(4));
     assert_eq!(membership.check(&add(4, 40), &[1, 2]), ChangeDecision::Done);
@@ -57,7 +57,7 @@
             membership.check(&MembershipChange::Remove(1), &[1, 2]),
             ChangeDecision::Rejected(_)
         ),
-        "only 2 of 2 and 3 is active"
+        "of voters 2 and 3, only 2 is active"
     );
     assert_eq!(
         membership.check(&MembershipChange::Remove(3), &[1, 2]),
--- a/crates/control/src/log/mod.rs
+++ b/crates/control/src/log/mod.rs
@@ -1,4 +1,5 @@
-//! The replicated log: its voters, what they store, who is a member, and the state that the entries come to.
+//! Replicated log: its voters, their storage, the membership, and the state that results from the
+//! entries.
 
 pub mod error;
 pub mod membership;
--- a/crates/control/src/log/state.rs
+++ b/crates/control/src/log/state.rs
@@ -1,9 +1,10 @@
-//! The state that the log's entries come to: the policy in force, the proposal under way, the outcomes of earlier ones, the
-//! members and the jobs. Every voter comes to the same state from the same entries.
+//! Replicated state machine: the policy in force, the pending proposal, the outcomes of earlier
+//! ones, the membership and the jobs. Every voter computes the same state from the same entries of
+//! the log.
 //!
-//! Guards against: two proposals at once (the second is rejected), a proposal made for a policy that is no longer in force,
-//! a proposal that is sent twice (it has one outcome), and entries of a deposed leader (each names its proposal and takes
-//! effect in one phase only).
+//! Guards against: two proposals at once (the second is rejected), a proposal for a policy that is
+//! no longer in force (rejected), a proposal that is sent twice (it has one outcome), and entries
+//! of a deposed leader (each names its proposal and takes effect in one phase only).
 
 use crate::jobs::assignment::{JobChange, Jobs};
 use crate::log::membership::Membership;
@@ -11,23 +12,24 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Identifies a proposal for good. Random, so that a repeated request is recognised.
+/// Identifies a proposal permanently. Random, so that a repeated request is recognised.
 pub type ProposalId = u128;
 
-/// The most outcomes, and the most earlier policies, that the state keeps.
+/// Maximum number of outcomes, and of earlier policies, that the state keeps.
 const MAX_HISTORY: usize = 64;
-/// Stands for the relay's name where the log itself rejects a proposal.
+/// Takes the place of a relay's name in the outcome of a proposal that the state machine rejects.
+/// Part of the replicated state.
 const REJECTED_BY_FLEET: &str = "the fleet";
-/// The longest text of a policy, in bytes: it has to fit a frame, and people have to read it.
+/// Maximum length of a policy's text, in bytes. It must fit into a frame and remain readable.
 pub const MAX_POLICY_BYTES: usize = 64 * 1024;
 
-/// What decides behaviour beyond the platform's settings.
+/// Policy of the fleet: the part of the configuration that all relays must change together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Policy {
-    /// Its number, one more than that of the policy before.
+    /// Epoch of the policy, one more than that of its predecessor.
     pub epoch: u64,
-    /// The text of its file.
+    /// Text of the policy file.
     pub text: String,
     /// Who proposed it.
     #[serde(rename = "who")]
@@ -35,7 +37,7 @@
     /// Why it was proposed.
     #[serde(rename = "why")]
     pub reason: String,
-    /// Its proposal; 0 for the empty policy that a fleet begins with.
+    /// Proposal that introduced it; 0 for the empty policy of a new fleet.
     pub proposal: ProposalId,
 }
 
@@ -43,9 +45,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Proposal {
-    /// Identifies it.
+    /// Identifies the proposal.
     pub id: ProposalId,
-    /// The epoch in force that it was made for; 0 for any.
+    /// Epoch that must be in force for the proposal to be accepted; 0 for any.
     #[serde(rename = "base")]
     pub base_epoch: u64,
     /// See [`Policy::text`].
@@ -58,34 +60,38 @@
     pub reason: String,
 }
 
-/// The phase of the proposal under way.
+/// Phase of the pending proposal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalPhase {
-    /// None is under way.
+    /// No proposal is pending.
     #[default]
     #[serde(rename = "Rest")]
     Idle,
-    /// Each relay checks and stores it. All admit clients under the policy in force.
+    /// Each relay checks and stores the proposal, and continues to admit clients under the policy
+    /// in force.
     Preparing(Proposal),
-    /// No lease is granted. Once no relay can hold one, the proposal takes force; it cannot be rejected any more.
+    /// No leases are granted, and the proposal can no longer be rejected. It takes force once no
+    /// relay can hold a lease on the old policy.
     #[serde(rename = "Closing")]
     Sealed(Proposal),
 }
 
-/// What became of a proposal.
+/// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is or was in force under this epoch.
+    /// The proposal is or was in force under this epoch.
     InForce(u64),
-    /// It was rejected: by which relay, and why.
+    /// The proposal was rejected, by the relay with this name, for this reason.
     #[serde(rename = "Refused")]
     Rejected(String, String),
-    /// These relays did not answer in time.
+    /// The proposal was not prepared in time. The list has the names of the relays that did not
+    /// prepare it, and possibly a text about leases of the previous leader.
     #[serde(rename = "GivenUp")]
     TimedOut(Vec<String>),
 }
 
-/// Why the log rejects a proposal. The text is stored with the outcome.
+/// Why the state machine rejects a proposal. Each voter computes the text itself and stores it with
+/// the outcome, so it must not differ between builds.
 #[derive(Debug, Error)]
 enum ProposalError {
     #[error("another change is under way, by {author}: ask for its outcome and propose again")]
@@ -99,56 +105,59 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Begins with a proposal.
+    /// Starts a proposal.
     Propose(Proposal),
-    /// A relay rejects the proposal that is being prepared: its name, and why.
+    /// The relay with this name rejects the proposal that is being prepared, for this reason.
     #[serde(rename = "Refuse")]
     Reject(ProposalId, String, String),
-    /// These relays have not prepared the proposal in time.
+    /// The proposal was not prepared in time; see [`ProposalOutcome::TimedOut`] for the list.
     #[serde(rename = "GiveUp")]
     TimeOut(ProposalId, Vec<String>),
-    /// All relays have prepared the proposal: no lease is granted on the policy in force any more.
+    /// All relays that may hold a lease have prepared the proposal. From now on no lease is granted
+    /// on the policy in force.
     #[serde(rename = "Close")]
     Seal(ProposalId),
-    /// No lease on the policy in force runs any more: the sealed proposal takes its place.
+    /// No lease on the policy in force can be valid any more. The sealed proposal replaces it.
     Commit(ProposalId),
     /// Changes the jobs.
     #[serde(rename = "Deal")]
     ChangeJobs(JobChange),
 }
 
-/// The state of the fleet, as it stands in snapshots.
+/// Replicated state of the fleet, as stored in snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetState {
-    /// The policy in force.
+    /// Policy in force.
     pub policy: Policy,
-    /// The phase of the proposal under way.
+    /// Phase of the pending proposal.
     pub phase: ProposalPhase,
-    /// Outcomes of the last proposals, the newest last.
+    /// Outcomes of the latest proposals, the newest last.
     pub outcomes: Vec<(ProposalId, ProposalOutcome)>,
-    /// Policies that were in force before, the newest last.
+    /// Policies that were in force before the current one, the newest last.
     pub history: Vec<Policy>,
-    /// The members of the log.
+    /// Members of the log.
     #[serde(rename = "seats")]
     pub membership: Membership,
-    /// The jobs of the fleet.
+    /// Jobs of the fleet.
     pub jobs: Jobs,
-    /// The lowest [`STATE_VERSION`] of a build that can read this state without loss: 0, or 1 once there has been a job.
+    /// Lowest [`STATE_VERSION`] of a build that can read this state without loss: 0, or 1 once the
+    /// jobs have been changed.
     #[serde(rename = "needs")]
     pub required_version: u32,
 }
 
-/// The version of the state that this build knows, see [`FleetState::required_version`].
+/// Version of the state that this build supports, see [`FleetState::required_version`].
 pub const STATE_VERSION: u32 = 1;
 
 impl FleetState {
-    /// The state in a snapshot; none where it is damaged or requires a later build.
+    /// Decodes the state in a snapshot. Returns `None` if it is damaged or requires a later build.
     pub fn decode(bytes: &[u8]) -> Option<FleetState> {
         wire::decode(bytes).filter(|state: &FleetState| state.required_version <= STATE_VERSION)
     }
 
-    /// Applies the next entry. One that does not fit the phase is of a deposed leader, and changes nothing.
+    /// Applies the next entry. An entry that does not match the phase comes from a deposed leader
+    /// and changes nothing.
     pub fn apply(&mut self, command: Command) {
         match (command, std::mem::take(&mut self.phase)) {
             (Command::Propose(proposal), phase) => {
@@ -234,7 +243,7 @@
         self.outcomes.push((id, outcome));
     }
 
-    /// The proposal under way.
+    /// The pending proposal, if there is one.
     pub fn pending_proposal(&self) -> Option<&Proposal> {
         match &self.phase {
             ProposalPhase::Idle => None,
@@ -242,7 +251,8 @@
         }
     }
 
-    /// What became of a proposal; none where it is under way, unknown, or older than the outcomes that are kept.
+    /// Outcome of a proposal; `None` if it is pending, unknown, or older than the outcomes that are
+    /// kept.
     pub fn outcome(&self, id: ProposalId) -> Option<&ProposalOutcome> {
         self.outcomes
             .iter()
@@ -252,7 +262,7 @@
     }
 }
 
-/// Removes the oldest of `items`, which come first, down to `count`.
+/// Removes the first, oldest items until at most `count` are left.
 fn keep_newest<T>(items: &mut Vec<T>, count: usize) {
     let excess = items.len().saturating_sub(count);
     items.drain(..excess);
--- a/crates/control/src/log/state/tests.rs
+++ b/crates/control/src/log/state/tests.rs
@@ -10,7 +10,7 @@
     }
 }
 
-fn after(commands: &[Command]) -> FleetState {
+fn state_after(commands: &[Command]) -> FleetState {
     let mut state = FleetState::default();
     commands
         .iter()
@@ -19,17 +19,23 @@
 }
 
 #[test]
-fn each_proposal_has_one_outcome_whatever_entries_are_repeated_or_late() {
+fn each_proposal_has_one_outcome_even_if_entries_are_repeated_or_late() {
     let (one, two) = (
         Command::Propose(proposal(1, 0)),
         Command::Propose(proposal(2, 0)),
     );
-    let whole = [one.clone(), Command::Seal(1), Command::Commit(1)];
-    assert_eq!(after(&whole).outcome(1), Some(&ProposalOutcome::InForce(1)));
+    let complete = [one.clone(), Command::Seal(1), Command::Commit(1)];
+    assert_eq!(
+        state_after(&complete).outcome(1),
+        Some(&ProposalOutcome::InForce(1))
+    );
     // A repeated entry changes nothing.
-    assert_eq!(after(&[&whole[..], &whole[..]].concat()), after(&whole));
-    // The second of two at once is rejected; the first continues.
-    let both = after(&[
+    assert_eq!(
+        state_after(&[&complete[..], &complete[..]].concat()),
+        state_after(&complete)
+    );
+    // Of two proposals at the same time the second is rejected, and the first continues.
+    let both = state_after(&[
         one.clone(),
         two.clone(),
         Command::Seal(1),
@@ -46,22 +52,22 @@
         Command::Seal(1),
         Command::Reject(1, "n1".into(), "no".into()),
     ];
-    assert!(matches!(after(&late).phase, ProposalPhase::Sealed(_)));
-    let refused = [
+    assert!(matches!(state_after(&late).phase, ProposalPhase::Sealed(_)));
+    let rejected = [
         one.clone(),
         Command::Reject(1, "n1".into(), "no".into()),
         Command::Seal(1),
     ];
-    assert_eq!(after(&refused).phase, ProposalPhase::Idle);
+    assert_eq!(state_after(&rejected).phase, ProposalPhase::Idle);
     assert_eq!(
-        after(&[one.clone(), Command::Commit(1)]).policy.epoch,
+        state_after(&[one.clone(), Command::Commit(1)]).policy.epoch,
         0,
-        "not before it is sealed"
+        "a proposal is not committed before it is sealed"
     );
-    // Made for another epoch.
-    let stale = [&whole[..], &[Command::Propose(proposal(3, 7))]].concat();
+    // A proposal for another epoch is rejected.
+    let stale = [&complete[..], &[Command::Propose(proposal(3, 7))]].concat();
     assert!(matches!(
-        after(&stale).outcome(3),
+        state_after(&stale).outcome(3),
         Some(ProposalOutcome::Rejected(..))
     ));
 }
--- a/crates/control/src/log/storage.rs
+++ b/crates/control/src/log/storage.rs
@@ -1,10 +1,13 @@
-//! The raft log of one voter: its entries, its hard state, and the snapshot that stands for the entries before them.
+//! Raft log of one voter: its entries, its hard state, and the snapshot that replaces the entries
+//! before them.
 //!
-//! It is held in memory, for the raft library to read. Every change leaves as a [`PersistBatch`] for the disk and comes back
-//! as a [`PersistedLog`] at the next start.
+//! The log is held in memory, where the raft library reads it. Every change is also returned as a
+//! [`PersistBatch`] to be written to disk, and the disk's content is passed in as a
+//! [`PersistedLog`] at the next start.
 //!
-//! Guards against: a disk that lost acknowledged entries, has gaps or cannot be read (refused by [`RaftLog::restore`]), and a
-//! crash between storing a snapshot and deleting the entries that it stands for (those are skipped).
+//! Guards against: a disk that lost committed entries, has gaps or is damaged ([`RaftLog::restore`]
+//! fails), and a crash between storing a snapshot and deleting the entries that it replaces (they
+//! are skipped).
 
 use crate::log::error::LogError;
 use crate::log::membership::Membership;
@@ -13,19 +16,21 @@
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 
-/// Index and term of a new fleet's first snapshot. The raft library takes index 0 for a voter that knows nothing yet.
+/// Index and term of a new fleet's first snapshot. To the raft library, index 0 means a voter whose
+/// log is empty.
 const FIRST_INDEX: u64 = 1;
 const FIRST_TERM: u64 = 1;
 
-/// What must be durable before any message that follows from it is sent. Messages of the raft library are encoded as
-/// protocol buffers.
+/// Changes of the log that must be durable before the messages that depend on them are sent. Values
+/// of the raft library are encoded as protocol buffers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistBatch {
-    /// Term, vote and commit index, in place of the stored ones.
+    /// Term, vote and commit index, which replace the stored ones.
     pub hard_state: Option<Vec<u8>>,
-    /// A snapshot in place of the stored one. Without `compact_to` it replaces all entries, too.
+    /// Snapshot that replaces the stored one. Without `compact_to` it also replaces all entries.
     pub snapshot: Option<Vec<u8>>,
-    /// Entries with their indices, in ascending order; stored entries from the first of these indices on are deleted.
+    /// Entries with their indices, in ascending order. Stored entries with the first of these
+    /// indices or a higher one are deleted.
     pub entries: Vec<(u64, Vec<u8>)>,
     /// Stored entries up to and including this index may be deleted.
     pub compact_to: Option<u64>,
@@ -38,23 +43,23 @@
     }
 }
 
-/// What the disk returns at a start.
+/// The stored log, as read from disk at a start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedLog {
     /// See [`PersistBatch::hard_state`].
     pub hard_state: Option<Vec<u8>>,
     /// See [`PersistBatch::snapshot`].
     pub snapshot: Option<Vec<u8>>,
-    /// All entries, by ascending index.
+    /// All entries, in ascending order of their indices.
     pub entries: Vec<Vec<u8>>,
 }
 
-/// The log of one voter, as the raft library reads it.
+/// Log of one voter in memory. Implements the storage interface of the raft library.
 #[derive(Default)]
 pub struct RaftLog {
     hard_state: HardState,
     snapshot: Snapshot,
-    /// The entries after the snapshot, without gaps.
+    /// Entries after the snapshot, without gaps.
     entries: Vec<Entry>,
 }
 
@@ -62,13 +67,13 @@
     M::parse_from_bytes(bytes).map_err(|_| error)
 }
 
-/// A message of the raft library as stored and sent.
+/// Encodes a value of the raft library for the disk or the wire.
 pub(crate) fn to_bytes(message: &impl protobuf::Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
 
 impl RaftLog {
-    /// The log of a new fleet with these voters.
+    /// Creates the log of a new fleet with these voters.
     pub fn for_new_fleet(voters: &[u64]) -> RaftLog {
         let state = FleetState {
             membership: Membership::for_new_fleet(voters),
@@ -85,12 +90,12 @@
         log
     }
 
-    /// The log of a voter that joins a fleet: empty, and learned from the leader.
+    /// Creates the log of a voter that joins a fleet. It is empty; the leader sends the content.
     pub fn for_joining_voter() -> RaftLog {
         RaftLog::default()
     }
 
-    /// The log as it was stored. Fails where a part is damaged or missing.
+    /// Restores the stored log. Fails if a part of it is damaged or missing.
     pub fn restore(stored: &PersistedLog) -> Result<RaftLog, LogError> {
         let mut log = RaftLog::default();
         if let Some(snapshot) = &stored.snapshot {
@@ -101,7 +106,7 @@
         }
         for entry in &stored.entries {
             let entry: Entry = from_bytes(entry, LogError::UnreadableEntry)?;
-            // A crash after the snapshot was stored leaves entries that it stands for.
+            // A crash right after storing the snapshot leaves entries that the snapshot replaces.
             if entry.index <= log.snapshot_index() {
                 continue;
             }
@@ -120,7 +125,7 @@
         Ok(log)
     }
 
-    /// Replaces the state in a founder's first snapshot, once it knows the other founders.
+    /// Replaces the state in a founder's first snapshot when the founding is complete.
     pub(crate) fn replace_founding_state(&mut self, state: Vec<u8>) -> PersistBatch {
         self.snapshot.data = state.into();
         PersistBatch {
@@ -130,7 +135,7 @@
         }
     }
 
-    /// The whole log, as the first batch that is stored.
+    /// The complete log as a batch, for the first write to a new disk.
     pub fn persist_all(&self) -> PersistBatch {
         let entries = self.entries.iter();
         PersistBatch {
@@ -143,24 +148,24 @@
         }
     }
 
-    /// The index of the last entry that the snapshot stands for.
+    /// Index of the last entry that the snapshot replaces.
     fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    /// The index of the last entry.
+    /// Index of the last entry of the log.
     fn end_index(&self) -> u64 {
         self.entries
             .last()
             .map_or(self.snapshot_index(), |entry| entry.index)
     }
 
-    /// The encoded state in the snapshot; empty for a voter that joins.
+    /// Encoded state in the snapshot; empty for a voter that joins.
     pub fn state(&self) -> &[u8] {
         &self.snapshot.data
     }
 
-    /// The number of entries after the snapshot.
+    /// Number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -178,14 +183,14 @@
         self.hard_state = hard_state;
     }
 
-    /// Appends entries; those from the first one's index on are replaced.
+    /// Appends entries. Existing entries with the first one's index or a higher one are deleted.
     pub(crate) fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         self.entries.retain(|entry| entry.index < first.index);
         self.entries.extend_from_slice(entries);
     }
 
-    /// Replaces the whole log by a leader's snapshot.
+    /// Replaces the whole log with a snapshot of the leader.
     pub(crate) fn install(&mut self, snapshot: &Snapshot) {
         self.snapshot = snapshot.clone();
         let metadata = snapshot.get_metadata();
@@ -194,8 +199,8 @@
         self.entries.clear();
     }
 
-    /// Replaces the entries up to and including `index`, which is applied, by a snapshot with this state. Empty where the
-    /// entry is not in the log.
+    /// Replaces the entries up to and including `index`, which must be applied, with a snapshot of
+    /// this state. Returns an empty batch if the entry is not in the log.
     pub(crate) fn compact(
         &mut self,
         index: u64,
--- a/crates/control/src/log/voter/broadcast.rs
+++ b/crates/control/src/log/voter/broadcast.rs
@@ -1,4 +1,5 @@
-//! Updates of owners of jobs to all relays: hands requests to the [`Broadcaster`] and its messages to the driver.
+//! Broadcast of updates of job owners: passes requests to the [`Broadcaster`], and queues its
+//! messages as replies.
 //!
 //! [`Broadcaster`]: crate::broadcast::broadcaster::Broadcaster
 
@@ -7,7 +8,7 @@
 use crate::Micros;
 
 impl Voter {
-    /// A relay subscribes to this voter's updates.
+    /// Handles the subscription of a relay to this voter's updates.
     pub fn handle_subscribe(&mut self, now: Micros, from: ReplyAddress, request: Subscribe) {
         self.now = now;
         let messages = self
@@ -17,7 +18,7 @@
             .extend(messages.into_iter().map(|message| (from, message)));
     }
 
-    /// A subscriber acknowledges what it has and asks for what is new.
+    /// Handles the poll of a relay, which acknowledges received updates and requests new ones.
     pub fn handle_poll(&mut self, now: Micros, from: ReplyAddress, poll: Poll) {
         self.now = now;
         let delivery = self
@@ -27,7 +28,7 @@
             .extend(delivery.map(|delivery| (from, Message::Delivery(delivery))));
     }
 
-    /// An owner of an older build publishes an update for all relays.
+    /// Handles an update for all relays that an owner of an older build publishes.
     pub fn handle_publish(&mut self, now: Micros, from: ReplyAddress, publish: Publish) {
         self.now = now;
         let messages: Vec<(ReplyAddress, Message)> =
@@ -36,7 +37,7 @@
         self.replies.extend(messages);
     }
 
-    /// An owner submits an update for all relays.
+    /// Handles an update for all relays that an owner submits.
     pub fn handle_submission(&mut self, now: Micros, from: ReplyAddress, submission: Submission) {
         self.now = now;
         let messages: Vec<(ReplyAddress, Message)> =
@@ -45,7 +46,7 @@
         self.replies.extend(messages);
     }
 
-    /// A connection has ended.
+    /// Ends the subscription of a connection that was closed.
     pub fn disconnected(&mut self, from: ReplyAddress) {
         self.broadcaster.disconnected(from);
     }
--- a/crates/control/src/log/voter/founding.rs
+++ b/crates/control/src/log/voter/founding.rs
@@ -1,6 +1,8 @@
-//! Founding a fleet: the founders introduce their disks to each other, and vote only once each knows all others.
+//! Founding of a fleet: the founders exchange the numbers of their disks, and each votes only once
+//! it knows those of all others.
 //!
-//! Guards against: a founder whose disk was lost and replaced. Voters past the founding answer it that it is no member.
+//! Guards against: a founder whose disk was lost and replaced. Voters that have completed the
+//! founding answer it that it is not a member.
 
 use super::Voter;
 use crate::wire;
@@ -8,14 +10,15 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Time between two introductions of a founder that does not know all others yet, in microseconds.
+/// Interval between two introductions of a founder that does not know all others yet, in
+/// microseconds.
 const INTRODUCTION_INTERVAL: Micros = 200_000;
-/// The shortest time between two answers to one founder after the founding, in microseconds.
+/// Minimum interval between two answers to one founder after the founding, in microseconds.
 const MIN_ANSWER_INTERVAL: Micros = INTRODUCTION_INTERVAL / 2;
 
-/// The exchange of introductions, as one founder sees it.
+/// Progress of the founding at one founder.
 pub(super) struct Founding {
-    /// The disk numbers of the founders that are known so far, this founder's own among them.
+    /// Known disk numbers by founder, including this founder's own.
     disk_ids: BTreeMap<u64, u64>,
     next_introduction_at: Micros,
 }
@@ -30,8 +33,8 @@
 }
 
 impl Voter {
-    /// A founder introduces its disk. A voter past the founding answers with its own introduction, or that the other is no
-    /// member.
+    /// Handles the introduction of a founder. A voter that has completed the founding answers with
+    /// its own introduction, or that the other is not a member.
     pub fn handle_founding(&mut self, now: Micros, from: ReplyAddress, number: u64, disk_id: u64) {
         self.now = now;
         let Some(founding) = &mut self.founding else {
@@ -44,8 +47,9 @@
         self.complete_founding();
     }
 
-    /// Answers an introduction after this voter's own founding. Answers to one founder are limited in rate: two voters that
-    /// are both past the founding would otherwise answer each other's answers without end.
+    /// Answers an introduction after this voter has completed the founding. Answers to one founder
+    /// are rate-limited: otherwise two voters that have both completed it would answer each other's
+    /// answers endlessly.
     fn answer_founder(&mut self, from: ReplyAddress, number: u64, disk_id: u64) {
         if self.is_not_member(number, disk_id) {
             self.reply(from, Message::NotAMember(number, disk_id));
@@ -61,7 +65,8 @@
         self.reply(from, Message::Founding(self.id(), self.disk_id));
     }
 
-    /// Ends the founding once all founders are known: each then knows the same of the others, and votes.
+    /// Completes the founding once all founders are known. This voter starts to vote, and records
+    /// the disks, which are the same at all founders.
     pub(super) fn complete_founding(&mut self) {
         if !self.missing_founders().is_empty() {
             return;
@@ -74,7 +79,8 @@
         self.founding_batch = Some(self.node.mut_store().replace_founding_state(state));
     }
 
-    /// The numbers of founders that have not introduced themselves yet; none once the founding is over.
+    /// Numbers of the founders that have not introduced themselves yet; empty once the founding is
+    /// complete.
     pub fn missing_founders(&self) -> Vec<u64> {
         let Some(founding) = &self.founding else {
             return Vec::new();
@@ -87,7 +93,7 @@
             .collect()
     }
 
-    /// Introductions to the other founders, where they are due.
+    /// Introductions to the other founders, if they are due.
     pub(super) fn introductions(&mut self) -> Vec<(u64, Message)> {
         let (now, own_id) = (self.now, self.id());
         let introduction = Message::Founding(own_id, self.disk_id);
--- a/crates/control/src/log/voter/job_assignment.rs
+++ b/crates/control/src/log/voter/job_assignment.rs
@@ -1,9 +1,11 @@
-//! Assignment of jobs by the leader: which relay owns which job, and when a job is revoked and released.
+//! Assignment of jobs by the leader: which relay owns which job, and when a job is revoked and
+//! released.
 //!
-//! A relay owns a job by an entry of the log and acts on it while its lease on its jobs runs. A job is revoked by one entry
-//! and released by a later one, after its owner has confirmed that it stopped, or its lease cannot run any more.
+//! An entry of the log makes a relay the owner of a job, and the relay acts on it while its lease
+//! on its jobs is valid. One entry revokes a job, and a later one releases it, after its owner has
+//! confirmed that it stopped or its lease has expired.
 //!
-//! Guards against: two owners of one job, and jobs that move whenever a relay restarts.
+//! Guards against: two owners of one job, and jobs that move each time a relay restarts.
 
 use super::leadership::{AssignmentRun, Leadership, RelayProgress};
 use super::Voter;
@@ -14,17 +16,19 @@
 use crate::wire::message::OperatorResponse;
 use crate::{InjectedBug, Micros};
 
-/// Time between two runs of the assignment where the jobs have not changed, in microseconds: bounds how late an expired
-/// lease is noticed.
+/// Interval between two runs of the assignment while the jobs do not change, in microseconds.
+/// Limits how late an expired lease is noticed.
 const ASSIGNMENT_INTERVAL: Micros = 200_000;
-/// The shortest time between two revocations for balance, in microseconds: a relay that restarts moves no jobs.
+/// Minimum interval between two rebalancings, in microseconds, so that a restart of a relay does
+/// not move jobs.
 const REBALANCE_INTERVAL: Micros = 10_000_000;
 
 impl Leadership {
-    /// Counts the jobs among these that owners have relinquished because they could not do them.
-    pub(super) fn record_relinquished(&mut self, assignments: &[JobChange], now: Micros) {
-        for assignment in assignments {
-            let JobChange::Revoke(jobs) = assignment else {
+    /// Records in `relinquished` the jobs that owners relinquish by these changes because they
+    /// cannot do them.
+    pub(super) fn record_relinquished(&mut self, changes: &[JobChange], now: Micros) {
+        for change in changes {
+            let JobChange::Revoke(jobs) = change else {
                 continue;
             };
             for (name, _, _) in jobs.iter().filter(|(.., reason)| reason != RELAY_STOPS) {
@@ -34,13 +38,13 @@
         }
     }
 
-    fn backs_off(&self, job: &str, now: Micros) -> bool {
+    fn is_backing_off(&self, job: &str, now: Micros) -> bool {
         self.relinquished
             .get(job)
             .is_some_and(|backoff| backoff.is_active(now))
     }
 
-    /// Relays that do jobs and may act on them now.
+    /// Relays that do jobs and for which `may_act` holds.
     fn workers(&self, may_act: impl Fn(&RelayId) -> bool) -> Vec<(RelayId, JobCapabilities)> {
         self.relays
             .iter()
@@ -49,7 +53,8 @@
             .collect()
     }
 
-    /// Whether a job's owner has confirmed that it stopped, by reporting the version of the jobs that revokes it.
+    /// Whether the owner of a revoked job has confirmed that it stopped, by reporting that it
+    /// applied the job list of the revocation or a later one.
     fn has_stopped(&self, owner: &RelayId, job: &Job) -> bool {
         let confirmed = self.relays.get(owner).and_then(|relay| relay.jobs_version);
         match (job.revoked_at, confirmed) {
@@ -59,20 +64,20 @@
     }
 }
 
-/// The next changes of the jobs' owners.
+/// Changes of the owners of jobs to propose next.
 #[derive(Default)]
 struct AssignmentPlan {
-    /// Jobs whose owners have stopped, or cannot act any more.
+    /// Jobs to release because their owners have stopped or can no longer act.
     release: Vec<(String, FencingToken)>,
-    /// Jobs to assign, to which relays.
+    /// Jobs to assign, and the relay for each.
     assign: Vec<(String, RelayId)>,
-    /// Jobs to revoke from their owners, and why.
+    /// Jobs to revoke from their owners, with token and reason.
     revoke: Vec<(String, FencingToken, String)>,
 }
 
 impl AssignmentPlan {
-    /// The entries of the log, in the order in which they are proposed.
-    fn into_assignments(self) -> impl Iterator<Item = JobChange> {
+    /// The changes as entries of the log, in the order in which they are proposed.
+    fn into_changes(self) -> impl Iterator<Item = JobChange> {
         let entries = [
             (!self.release.is_empty()).then_some(JobChange::Release(self.release)),
             (!self.assign.is_empty()).then_some(JobChange::Assign(self.assign)),
@@ -83,8 +88,8 @@
 }
 
 impl Voter {
-    /// Releases jobs whose owners cannot act on them any more, assigns those without an owner, and revokes some where a relay
-    /// owns more than its share.
+    /// Releases jobs whose owners can no longer act on them, assigns jobs without an owner, and
+    /// revokes jobs of relays that own more than their share.
     pub(super) fn assign_jobs(&mut self) {
         let (now, jobs_version) = (self.now, self.state.jobs.version);
         let Some(leadership) = &self.leadership else {
@@ -98,8 +103,8 @@
         }
         let plan = self.plan_assignments(leadership);
         let revokes = !plan.revoke.is_empty();
-        for assignment in plan.into_assignments() {
-            self.propose(&Command::ChangeJobs(assignment));
+        for change in plan.into_changes() {
+            self.propose(&Command::ChangeJobs(change));
         }
         if let Some(leadership) = &mut self.leadership {
             leadership.last_assignment = Some(AssignmentRun {
@@ -115,10 +120,11 @@
     fn plan_assignments(&self, leadership: &Leadership) -> AssignmentPlan {
         let (now, jobs) = (self.now, &self.state.jobs);
         let is_settled = self.previous_leases_expired(leadership);
-        // Before that, a relay that is not known here may hold a lease of the previous leader.
+        // Until then, a relay that is unknown to this leader may hold a lease of the previous one.
         let may_act = |relay: &RelayId| !is_settled || self.may_hold_jobs_lease(leadership, relay);
         let mut plan = self.plan_revocations(leadership, may_act);
-        // Only then have all relays renewed: otherwise the first one would be assigned all jobs.
+        // Until then, not all relays have renewed, and the first ones to do so would be assigned
+        // all jobs.
         if !is_settled {
             return plan;
         }
@@ -126,14 +132,16 @@
         if plan.revoke.is_empty() && now >= leadership.rebalanced_at + REBALANCE_INTERVAL {
             plan.revoke = jobs.excess_jobs(workers.len());
         }
-        plan.assign = jobs.assignments(&workers, |name| leadership.backs_off(name, now));
+        plan.assign = jobs.assignments(&workers, |name| leadership.is_backing_off(name, now));
         plan
     }
 
-    /// Jobs to revoke because their owner cannot act on them or operators paused them, and revoked jobs to release.
+    /// Jobs to revoke because their owner cannot act on them or operators paused them, and revoked
+    /// jobs to release.
     ///
-    /// A job is never released by the entry that revokes it. Once the revocation is in the log, an owner that renews its
-    /// lease learns of it in the same response, so that what is decided here stays true until the release is in the log.
+    /// Revocation and release are always separate entries. Once the revocation is in the log, an
+    /// owner that renews its lease learns of it in the same response, so a decision made here that
+    /// the owner cannot act remains true until the release is in the log.
     fn plan_revocations(
         &self,
         leadership: &Leadership,
@@ -149,9 +157,9 @@
                 }
             } else if cannot_act || job.paused {
                 let reason = if cannot_act {
-                    "nothing is heard of it"
+                    "the lease of its relay has expired"
                 } else {
-                    "it is held"
+                    "operators hold it"
                 };
                 plan.revoke.push((name.clone(), job.token, reason.into()));
             }
@@ -169,7 +177,7 @@
             .is_some_and(|progress| progress.may_hold_jobs_lease(self.now, &self.timing))
     }
 
-    /// With the bug injected: whether an owner is late with a renewal, and therefore taken to have no lease.
+    /// Whether the injected bug treats an owner as having no lease because its renewal is late.
     fn injected_early_release(&self, leadership: &Leadership, owner: &RelayId) -> bool {
         let is_late =
             |relay: &RelayProgress| self.now >= relay.last_seen + self.timing.renew_interval;
@@ -177,7 +185,7 @@
             && leadership.relays.get(owner).is_none_or(is_late)
     }
 
-    /// Jobs that no relay may act on now, and why.
+    /// Jobs that no relay may act on now, and the reason for each.
     pub(super) fn idle_jobs(&self) -> Vec<(String, String)> {
         let Some(leadership) = &self.leadership else {
             return Vec::new();
@@ -194,7 +202,7 @@
         .collect()
     }
 
-    /// Why the owner of a job may not act on it; none where it may.
+    /// Why the owner of a job may not act on it; `None` if it may.
     fn owned_idle_reason(
         &self,
         leadership: &Leadership,
@@ -203,13 +211,14 @@
     ) -> Option<String> {
         let owner_name = &owner.name;
         if job.revoked_at.is_some() {
-            let last_owner = last_revocation_suffix(job);
+            let revocation = last_revocation_suffix(job);
             return Some(format!(
-                "it is taken back from {owner_name}, whose lease may still run{last_owner}"
+                "it is being revoked from {owner_name}, whose lease may still be valid{revocation}"
             ));
         }
         let may_act = self.may_hold_jobs_lease(leadership, owner);
-        (!may_act).then(|| format!("nothing is heard of {owner_name}, whose lease may still run"))
+        (!may_act)
+            .then(|| format!("{owner_name} does not renew its lease, which may still be valid"))
     }
 
     /// Why a job has no owner.
@@ -221,34 +230,37 @@
         workers: &[(RelayId, JobCapabilities)],
     ) -> String {
         if job.paused {
-            return "it is held: 'fleet release' gives it free".into();
+            return "operators hold it: 'fleet release' allows its assignment".into();
         }
         if !self.previous_leases_expired(leadership) {
-            return "the leader is new and waits for leases of before".into();
+            return "the leader is new and waits for leases of its predecessor to expire".into();
         }
         if !workers
             .iter()
             .any(|(_, capabilities)| capabilities.supports(name))
         {
             let kind = job_kind(name);
-            return format!("no relay that answers does jobs of kind '{kind}'");
+            return format!("no relay with a valid lease does jobs of kind '{kind}'");
         }
-        let last_owner = last_revocation_suffix(job);
-        if leadership.backs_off(name, self.now) {
-            return format!("it rests, since it was given up again and again{last_owner}");
+        let revocation = last_revocation_suffix(job);
+        if leadership.is_backing_off(name, self.now) {
+            return format!(
+                "its assignment is delayed, because owners relinquished it repeatedly{revocation}"
+            );
         }
-        format!("it is about to be given{last_owner}")
+        format!("it is about to be assigned{revocation}")
     }
 
-    /// Makes a change of the jobs that operators ask for. One that is made already is answered as done.
-    pub(super) fn change_jobs(&mut self, assignment: JobChange) -> OperatorResponse {
+    /// Makes a change of the jobs that an operator requests. A change that was made before is
+    /// answered as done.
+    pub(super) fn change_jobs(&mut self, change: JobChange) -> OperatorResponse {
         let jobs = &self.state.jobs.by_name;
         let is_revoked = |name: &String, token: FencingToken| {
             jobs.get(name).is_none_or(|job| {
                 job.token != token || job.revoked_at.is_some() || job.owner.is_none()
             })
         };
-        let is_done = match &assignment {
+        let is_done = match &change {
             JobChange::Open(names) => names.iter().all(|name| jobs.contains_key(name)),
             JobChange::Close(name) => !jobs.contains_key(name),
             JobChange::Hold(name, paused) => match jobs.get(name) {
@@ -259,18 +271,21 @@
                 .iter()
                 .all(|(name, token, _)| is_revoked(name, *token)),
             JobChange::Assign(_) | JobChange::Release(_) | JobChange::Checkpoint(..) => {
-                return OperatorResponse::Job(Err("a leader decides that, or an owner".into()))
+                return OperatorResponse::Job(Err(
+                    "only the leader or an owner makes this change".into()
+                ))
             }
         };
         if is_done {
             return OperatorResponse::Job(Ok(()));
         }
-        self.propose(&Command::ChangeJobs(assignment));
-        OperatorResponse::InProgress("handed to the log".into(), Vec::new())
+        self.propose(&Command::ChangeJobs(change));
+        OperatorResponse::InProgress("proposed to the log".into(), Vec::new())
     }
 }
 
-/// The relay that relinquished a job last, and why, as the end of a sentence; empty where none did.
+/// The relay that a job was last revoked from and the reason, as the end of a sentence; empty if it
+/// was never revoked.
 fn last_revocation_suffix(job: &Job) -> String {
     match &job.last_revocation {
         Some((relay, reason)) => format!("; {relay}: {reason}"),
--- a/crates/control/src/log/voter/job_leases.rs
+++ b/crates/control/src/log/voter/job_leases.rs
@@ -1,5 +1,5 @@
-//! Leases on jobs: what the leader answers to a renewal of a relay that does jobs, and which changes of the jobs follow from
-//! it. One lease stands for all jobs of a relay.
+//! Leases on jobs: the job part of the leader's response to a renewal, and the changes of jobs that
+//! follow from the request. One lease covers all jobs of a relay.
 
 use super::leadership::RelayProgress;
 use crate::jobs::assignment::{is_valid_job_name, FencingToken, JobChange, Jobs, MAX_JOBS};
@@ -7,8 +7,8 @@
 use crate::wire::message::{AssignedJobs, RenewRequest, RenewResponse};
 use crate::Micros;
 
-/// Renews a relay's lease on its jobs and fills the response with what it has to know of them. Returns the changes of the
-/// jobs that follow from the request.
+/// Renews a relay's lease on its jobs and fills the job fields of the response. Returns the changes
+/// of the jobs that follow from the request.
 pub(super) fn renew_jobs_lease(
     jobs: &Jobs,
     relay: &mut RelayProgress,
@@ -31,14 +31,14 @@
         .iter()
         .map(|(name, ..)| (name.clone(), checkpoint_step(jobs, name)))
         .collect();
-    let mut assignments = Vec::new();
-    assignments.extend(relinquished_jobs(jobs, request));
-    assignments.extend(jobs_to_open(jobs, request));
-    assignments.extend(new_checkpoints(jobs, request));
-    assignments
+    let mut changes = Vec::new();
+    changes.extend(relinquished_jobs(jobs, request));
+    changes.extend(jobs_to_open(jobs, request));
+    changes.extend(new_checkpoints(jobs, request));
+    changes
 }
 
-/// A relay's jobs, each with its token and last checkpoint.
+/// Jobs of a relay, each with its token and latest checkpoint.
 fn assigned_jobs(jobs: &Jobs, relay: &RelayId) -> AssignedJobs {
     let with_checkpoint = |(name, token): (String, FencingToken)| {
         let job = jobs.by_name.get(&name).cloned().unwrap_or_default();
@@ -54,12 +54,12 @@
     }
 }
 
-/// The number of a job's last checkpoint in the log.
+/// Step of a job's latest checkpoint in the log.
 fn checkpoint_step(jobs: &Jobs, name: &str) -> u64 {
     jobs.by_name.get(name).map_or(0, |job| job.checkpoint_step)
 }
 
-/// The revocation of the jobs that the relay relinquishes and that are not revoked yet.
+/// Revokes the jobs that the relay relinquishes and that are not revoked yet.
 fn relinquished_jobs(jobs: &Jobs, request: &RenewRequest) -> Option<JobChange> {
     let is_owned = |(name, token, _): &&(String, FencingToken, String)| {
         jobs.by_name
@@ -75,8 +75,8 @@
     (!relinquished.is_empty()).then_some(JobChange::Revoke(relinquished))
 }
 
-/// The jobs that the relay expects and that do not exist yet. Invalid names are left out: they would be proposed with each
-/// renewal.
+/// Creates the jobs that the relay expects and that do not exist yet. Invalid names are left out,
+/// since they would be proposed again with each renewal.
 fn jobs_to_open(jobs: &Jobs, request: &RenewRequest) -> Option<JobChange> {
     let new: Vec<String> = request
         .capabilities
@@ -89,7 +89,7 @@
     (!new.is_empty() && has_room).then_some(JobChange::Open(new))
 }
 
-/// The checkpoints of the relay that follow directly on the log's.
+/// Stores the checkpoints of the relay whose steps directly follow those in the log.
 fn new_checkpoints<'a>(
     jobs: &'a Jobs,
     request: &'a RenewRequest,
--- a/crates/control/src/log/voter/leadership.rs
+++ b/crates/control/src/log/voter/leadership.rs
@@ -1,5 +1,6 @@
-//! What a voter knows while it leads: of each relay, of the proposal under way, and of jobs that were relinquished. All of
-//! it is lost with the leadership; a new leader waits until the leases of its predecessor have run out.
+//! State of a voter while it leads: progress of each relay, step of the pending proposal, and
+//! relinquished jobs. It is discarded when the leadership ends; a new leader waits until the leases
+//! of its predecessor have expired.
 
 use super::relinquish_backoff::RelinquishBackoff;
 use super::Voter;
@@ -9,56 +10,58 @@
 use crate::{FleetTiming, InjectedBug, Micros};
 use std::collections::BTreeMap;
 
-/// Relays that a leader tracks; renewals of more are rejected.
+/// Maximum number of relays that a leader tracks. Renewals of further ones are rejected.
 const MAX_RELAYS: usize = 8192;
 
-/// What a leader knows of a relay from its renewals. Times are of the leader's clock.
+/// Progress of a relay, as known from its renewals. Times are of the leader's clock.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RelayProgress {
-    /// When it was last granted a lease on the policy.
+    /// When the relay was last granted a lease on the policy.
     pub lease_granted_at: Option<Micros>,
-    /// The epoch of its policy.
+    /// Epoch of the relay's policy.
     pub epoch: u64,
-    /// The proposal that it has checked and stored.
+    /// Proposal that the relay has checked and stored.
     pub prepared: Option<ProposalId>,
-    /// The proposal for which it has stopped admitting under the old policy.
+    /// Sealed proposal for which the relay has stopped admitting clients under the old policy.
     pub stopped_for: Option<ProposalId>,
-    /// The version of the jobs that it acts by; none where it does no jobs.
+    /// Version of the job list that the relay has applied; `None` if it does no jobs.
     pub jobs_version: Option<u64>,
-    /// When it was last granted a lease on its jobs.
+    /// When the relay was last granted a lease on its jobs.
     pub jobs_lease_granted_at: Option<Micros>,
-    /// Which jobs it can do.
+    /// Jobs that the relay can do.
     pub capabilities: JobCapabilities,
-    /// The first response that it has not acknowledged.
+    /// First response that the relay has not acknowledged.
     pub unacknowledged: Option<SentResponse>,
-    /// When its last renewal was processed.
+    /// When the relay's latest renewal was processed.
     pub last_seen: Micros,
 }
 
-/// A response to a renewal.
+/// A response to a renewal that was sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentResponse {
-    /// The sequence of the request that it answers.
+    /// Sequence number of the request.
     sequence: u64,
     sent_at: Micros,
 }
 
 impl RelayProgress {
-    /// Whether its lease on the policy may still run.
+    /// Whether the relay's lease on the policy may still be valid.
     pub(super) fn may_hold_lease(&self, now: Micros, timing: &FleetTiming) -> bool {
         self.lease_granted_at
             .is_some_and(|at| now < timing.lease_expired_by(at))
     }
 
-    /// Whether its lease on its jobs may still run.
+    /// Whether the relay's lease on its jobs may still be valid.
     pub(super) fn may_hold_jobs_lease(&self, now: Micros, timing: &FleetTiming) -> bool {
         self.jobs_lease_granted_at
             .is_some_and(|at| now < timing.lease_expired_by(at))
     }
 
-    /// Records a renewal that is about to be answered. Returns whether responses reach the relay: one that has acknowledged
-    /// none for the length of a lease holds no lease, and must be granted none until it acknowledges one. Otherwise it would
-    /// keep its jobs, and hold up a change of policy, for as long as only its requests arrive.
+    /// Records a renewal that is about to be answered. Returns whether responses reach the relay.
+    ///
+    /// A relay that has acknowledged no response for the duration of a lease holds no lease, and
+    /// must not be granted one until it acknowledges a response. Otherwise a relay whose requests
+    /// arrive but which receives no responses would keep its jobs and delay policy changes.
     pub(super) fn record_renewal(
         &mut self,
         request: &RenewRequest,
@@ -83,25 +86,25 @@
     }
 }
 
-/// The step of a proposal that the leader is at.
+/// Step of the pending proposal, as seen by this leader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProposalStep {
     /// The proposal.
     pub id: ProposalId,
-    /// Whether it is sealed; it is being prepared otherwise.
+    /// Whether the proposal is sealed. If not, it is being prepared.
     pub is_sealed: bool,
-    /// Since when this leader sees it at this step.
+    /// When this leader first saw the proposal at this step.
     pub since: Micros,
-    /// When the entry for its next step was last proposed.
+    /// When the entry for the next step was last proposed.
     pub proposed_at: Option<Micros>,
 }
 
 /// A run of the job assignment.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AssignmentRun {
-    /// The version of the jobs that it looked at.
+    /// Version of the jobs that the run was based on.
     pub jobs_version: u64,
-    /// When it was.
+    /// Time of the run.
     pub at: Micros,
 }
 
@@ -110,24 +113,25 @@
 pub(super) struct Leadership {
     /// The term.
     pub term: u64,
-    /// When this voter knew that it leads. Later than its election, which errs on the safe side.
+    /// When this voter noticed that it leads. This is after its election, so waits that count from
+    /// it are longer than necessary, which is safe.
     pub since: Micros,
-    /// The relays that have asked this leader for a lease.
+    /// Relays that have requested a lease from this leader.
     pub relays: BTreeMap<RelayId, RelayProgress>,
-    /// The proposal under way.
+    /// Step of the pending proposal.
     pub proposal_step: Option<ProposalStep>,
-    /// When a change of the members was last proposed.
+    /// When a change of the membership was last proposed.
     pub membership_proposed_at: Option<Micros>,
-    /// The last run of the job assignment.
+    /// Latest run of the job assignment.
     pub last_assignment: Option<AssignmentRun>,
     /// When jobs were last revoked for balance.
     pub rebalanced_at: Micros,
-    /// Jobs that their owners have relinquished lately.
+    /// Jobs that their owners have relinquished because they could not do them.
     pub relinquished: BTreeMap<String, RelinquishBackoff>,
 }
 
 impl Leadership {
-    /// What is known of a relay, from now on also of a new one; none where too many are tracked.
+    /// Progress of a relay, which is tracked from now on. `None` if too many relays are tracked.
     pub(super) fn track_relay(&mut self, relay: &RelayId) -> Option<&mut RelayProgress> {
         if !self.relays.contains_key(relay) && self.relays.len() >= MAX_RELAYS {
             return None;
@@ -137,8 +141,8 @@
 }
 
 impl Voter {
-    /// Begins or ends this voter's leadership where that has changed. Returns whether it leads, with an entry of its own
-    /// term committed.
+    /// Starts or ends this voter's leadership if the raft library's state has changed. Returns
+    /// whether this voter leads and an entry of its own term is committed.
     pub(super) fn update_leadership(&mut self) -> bool {
         let confirmed_term = self
             .leader_term()
@@ -161,7 +165,7 @@
         true
     }
 
-    /// What this voter knows as leader of the raft library's present term.
+    /// State of the leadership, if it belongs to the raft library's current term.
     pub(super) fn current_leadership(&mut self) -> Option<&mut Leadership> {
         let term = self.node.raft.term;
         self.leadership
@@ -169,13 +173,14 @@
             .filter(|leadership| leadership.term == term)
     }
 
-    /// Whether all leases that the previous leader may have granted have run out.
+    /// Whether all leases that the previous leader may have granted have expired.
     pub(super) fn previous_leases_expired(&self, leadership: &Leadership) -> bool {
         self.injected.is(InjectedBug::SkipPredecessorWait)
             || self.now >= self.timing.lease_expired_by(leadership.since)
     }
 
-    /// Forgets relays whose last renewal is older than a proposal's timeout and a lease: their leases have run out.
+    /// Removes relays whose latest renewal is older than the sum of the proposal timeout and the
+    /// lease duration. Their leases have expired.
     pub(super) fn forget_silent_relays(&mut self) {
         let (now, timing) = (self.now, self.timing);
         let timeout = timing.proposal_timeout + timing.lease_expired_by(0);
--- a/crates/control/src/log/voter/leases.rs
+++ b/crates/control/src/log/voter/leases.rs
@@ -1,6 +1,7 @@
-//! Leases on the policy in force: what the leader answers to a relay's renewal.
+//! Leases on the policy in force: the leader's response to a relay's renewal.
 //!
-//! A relay gets a lease where it has the policy in force, no proposal is sealed, and responses reach it.
+//! A relay is granted a lease if it has the policy in force, no proposal is sealed, and responses
+//! reach it.
 
 use super::job_leases::renew_jobs_lease;
 use super::read_confirmation::PendingRequest;
@@ -10,7 +11,8 @@
 use crate::{InjectedBug, Micros};
 
 impl Voter {
-    /// A relay asks for its lease. The response follows in a later [`super::Ready`], once the leadership is confirmed.
+    /// Handles the renewal request of a relay. The response follows in a later [`super::Ready`],
+    /// once the leadership is confirmed.
     pub fn handle_renew(&mut self, now: Micros, from: ReplyAddress, request: RenewRequest) {
         self.now = now;
         self.enqueue(PendingRequest::Renew {
@@ -19,11 +21,12 @@
         });
     }
 
-    /// The leader's response to a confirmed renewal, which also reports the relay's progress and may reject the proposal.
+    /// Returns the leader's response to a renewal after the leadership was confirmed. Records the
+    /// relay's progress, and proposes the entries that follow from the request.
     pub(super) fn grant_lease(&mut self, request: &RenewRequest) -> RenewResponse {
         let now = self.now;
         let lease_duration = self.timing.lease_duration;
-        let ignores_seal = self.injected.is(InjectedBug::GrantAfterSeal);
+        let injected_grant_after_seal = self.injected.is(InjectedBug::GrantAfterSeal);
         let term = self.node.raft.term;
         let mut response = RenewResponse::for_request(request);
         let leadership = self
@@ -48,19 +51,24 @@
         }
         let may_hold_lease = is_reachable && request.epoch == policy.epoch;
         let phase = &self.state.phase;
-        let rejection =
-            respond_to_phase(phase, request, may_hold_lease, ignores_seal, &mut response);
+        let rejection = respond_to_phase(
+            phase,
+            request,
+            may_hold_lease,
+            injected_grant_after_seal,
+            &mut response,
+        );
         if response.grant.is_some() {
             relay.lease_granted_at = Some(now);
         }
-        let mut assignments = Vec::new();
+        let mut job_changes = Vec::new();
         if is_reachable {
-            assignments = renew_jobs_lease(&self.state.jobs, relay, request, &mut response, now);
-            leadership.record_relinquished(&assignments, now);
+            job_changes = renew_jobs_lease(&self.state.jobs, relay, request, &mut response, now);
+            leadership.record_relinquished(&job_changes, now);
         }
         let commands = rejection
             .into_iter()
-            .chain(assignments.into_iter().map(Command::ChangeJobs));
+            .chain(job_changes.into_iter().map(Command::ChangeJobs));
         for command in commands {
             self.propose(&command);
         }
@@ -68,17 +76,17 @@
     }
 }
 
-/// Grants the lease, or asks the relay to prepare or to stop, as the phase of the proposal wants. Returns the entry to
-/// propose where the relay rejects the proposal that is being prepared.
+/// Grants the lease, or requests that the relay prepares or stops, depending on the phase of the
+/// proposal. Returns the entry to propose if the relay rejects the proposal that is being prepared.
 fn respond_to_phase(
     phase: &ProposalPhase,
     request: &RenewRequest,
     may_hold_lease: bool,
-    ignores_seal: bool,
+    injected_grant_after_seal: bool,
     response: &mut RenewResponse,
 ) -> Option<Command> {
     if let ProposalPhase::Sealed(proposal) = phase {
-        if !ignores_seal {
+        if !injected_grant_after_seal {
             response.sealed = Some(proposal.id);
             return None;
         }
--- a/crates/control/src/log/voter/membership.rs
+++ b/crates/control/src/log/voter/membership.rs
@@ -1,5 +1,6 @@
-//! Changes of the members, one at a time, by entries of the log: a newcomer learns the log without a vote, gets its vote from
-//! the leader once it has caught up, and is removed where a majority that answers is left.
+//! Changes of the membership, one at a time, through entries of the log: a new member first
+//! receives the log as a learner, is promoted by the leader once it has caught up, and can be
+//! removed if a majority that answers remains.
 
 use super::Voter;
 use crate::log::error::LogError;
@@ -9,22 +10,24 @@
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry};
 
-/// The most entries that a learner may be behind the commit index to count as caught up: those are in flight.
+/// Maximum number of entries by which a learner may lag behind the commit index to count as caught
+/// up, since some entries are always in flight.
 const MAX_LEARNER_LAG: u64 = 8;
 
-/// How far a member has come, as its leader knows.
+/// Replication progress of a member, as the leader knows it.
 pub(super) struct MemberProgress {
-    /// Its number.
+    /// Number of the member.
     pub number: u64,
-    /// Whether it has answered within the last election timeout.
+    /// Whether the member has answered within the last election timeout.
     pub is_active: bool,
-    /// How many entries of the leader's log it lacks.
+    /// Number of entries of the leader's log that the member lacks.
     pub entries_behind: u64,
 }
 
 impl Voter {
-    /// Whether a change of the members may be proposed now: by a leader with a committed entry of its own term, as raft's
-    /// changes of one member need, and at most once a tick.
+    /// Whether a change of the membership may be proposed now: only by a leader with a committed
+    /// entry of its own term, as raft requires for changes of a single member, and at most once per
+    /// tick.
     fn may_propose_membership(&mut self) -> bool {
         if !self.node.raft.commit_to_current_term() {
             return false;
@@ -42,7 +45,7 @@
         is_due
     }
 
-    /// How far each member has come.
+    /// Replication progress of all members.
     pub(super) fn member_progress(&self) -> Vec<MemberProgress> {
         let last_index = self.node.raft.raft_log.last_index();
         let own_id = self.id();
@@ -58,7 +61,7 @@
             .collect()
     }
 
-    /// Makes a change that operators ask for, where it is allowed.
+    /// Makes a change that an operator requests, if it is allowed.
     pub(super) fn change_membership(&mut self, change: &MembershipChange) -> OperatorResponse {
         let active: Vec<u64> = self
             .member_progress()
@@ -75,7 +78,8 @@
             ChangeDecision::Allowed if *change == MembershipChange::Remove(self.id()) => {
                 self.transfer_leadership();
                 OperatorResponse::InProgress(
-                    "the voter to be removed leads, and hands its leadership over".into(),
+                    "the voter to be removed is the leader and transfers the leadership first"
+                        .into(),
                     Vec::new(),
                 )
             }
@@ -83,13 +87,14 @@
                 if self.may_propose_membership() {
                     self.propose_membership(change);
                 }
-                OperatorResponse::InProgress("handed to the log".into(), Vec::new())
+                OperatorResponse::InProgress("proposed to the log".into(), Vec::new())
             }
         }
     }
 
-    /// Hands the leadership to the active voter that lacks the fewest entries. A leader that is to be removed does so before
-    /// its successor removes it: it would otherwise lead voters that it is not one of.
+    /// Transfers the leadership to the active voter that lacks the fewest entries. A leader that is
+    /// to be removed does this first, and its successor removes it. Otherwise it would lead a
+    /// membership that it is not part of.
     fn transfer_leadership(&mut self) {
         let own_id = self.id();
         let successor = self
@@ -106,7 +111,8 @@
         }
     }
 
-    /// Proposes a change of the members. The raft library accepts no other while one is under way.
+    /// Proposes a change of the membership. The raft library rejects it while another one is in
+    /// progress.
     fn propose_membership(&mut self, change: &MembershipChange) {
         let (change_type, number) = match change {
             MembershipChange::Add(number, ..) => (ConfChangeType::AddLearnerNode, *number),
@@ -123,7 +129,7 @@
             .propose_conf_change(wire::encode(change), conf_change);
     }
 
-    /// Gives a learner that has caught up its vote.
+    /// Proposes to promote the learner once it has caught up.
     pub(super) fn promote_learner(&mut self) {
         let Some(number) = self.state.membership.learner() else {
             return;
@@ -137,13 +143,13 @@
         }
     }
 
-    /// Applies an entry that changes the members.
+    /// Applies an entry that changes the membership.
     pub(super) fn apply_membership_change(&mut self, entry: &Entry) {
         let Ok(conf_change) = ConfChange::parse_from_bytes(&entry.data) else {
             return;
         };
         let Some(change) = wire::decode::<MembershipChange>(&entry.context) else {
-            self.fault = Some(LogError::UnsupportedVersion);
+            self.log_error = Some(LogError::UnsupportedVersion);
             return;
         };
         if self.node.apply_conf_change(&conf_change).is_ok() {
--- a/crates/control/src/log/voter/mod.rs
+++ b/crates/control/src/log/voter/mod.rs
@@ -1,13 +1,17 @@
-//! A voter: it replicates the log with the other voters and, while it leads, grants leases, assigns jobs and carries policy
-//! proposals through their phases.
+//! Voter: replicates the log with the other voters and, while it leads, grants leases, assigns jobs
+//! and advances policy proposals through their phases.
 //!
-//! Inputs are messages, the time and what the disk stored; the output is a [`Ready`], to be persisted first and sent
-//! afterwards. A lease is granted only after a majority has confirmed, later than the relay's request, that this voter still
-//! leads, and it runs from when the relay sent the request. A new leader therefore needs no knowledge of its predecessor's
-//! leases: one lease after its election none of them runs any more.
+//! Input: messages, the time and the stored log. Output: a [`Ready`] with changes to persist and
+//! messages to send afterwards.
 //!
-//! Guards against: a leader that was paused and continues to grant when it wakes (no majority confirms it), a relay that
-//! is down or cut off (its lease runs out), and a relay that never answers a proposal (the proposal times out and names it).
+//! A lease is granted only after a majority has confirmed, later than the relay's request arrived,
+//! that this voter still leads. The lease starts when the relay sent the request. A new leader
+//! therefore does not need to know the leases of its predecessor: one lease duration after its
+//! election all of them have expired.
+//!
+//! Guards against: a leader that was paused and continues to grant leases when it resumes (no
+//! majority confirms it), a relay that is down or cut off (its lease expires), and a relay that
+//! never prepares a proposal (the proposal times out and its outcome names the relay).
 
 mod broadcast;
 mod founding;
@@ -40,58 +44,66 @@
 pub use ready::Ready;
 use std::collections::BTreeMap;
 
-/// Ticks between two heartbeats of a leader.
+/// Number of ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks without a leader before the voter with the lowest number stands for election.
+/// Election timeout of the voter with the shortest one, in ticks.
 const ELECTION_TICKS: usize = 10;
-/// Ticks by which the election timeout of each further number is longer, so that two voters seldom stand at once.
+/// Number of ticks by which the election timeout grows with the voter's number, so that two voters
+/// rarely start an election at the same time.
 const ELECTION_TICKS_STEP: usize = 3;
-/// Numbers after which the election timeouts repeat.
+/// Number of different election timeouts. Voters whose numbers differ by a multiple of it have the
+/// same.
 const ELECTION_TIMEOUTS: usize = 8;
-/// The most messages with entries in flight to one voter.
+/// Maximum number of messages with entries in flight to one voter.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// The most bytes of entries in one message to a voter.
+/// Maximum size of the entries in one message to a voter, in bytes.
 const MAX_MESSAGE_BYTES: u64 = 64 * 1024;
-/// The most ticks that a voter makes up for after a pause, while messages of the leader may still be unread.
+/// Maximum number of ticks that a voter catches up on after a pause. More could trigger an election
+/// while messages of the leader are still unread.
 const MAX_TICKS_BEHIND: u64 = 3;
-/// Time after which a command that did not enter the log, or a snapshot that was not acknowledged, is sent again, in
-/// microseconds.
+/// Time after which a command that did not enter the log is proposed again, or a snapshot that was
+/// not acknowledged is sent again, in microseconds.
 const RESEND_INTERVAL: Micros = 1_000_000;
 
-/// A voting member of the replicated log; grants leases, assigns jobs and advances proposals while it is leader.
+/// Voting member of the replicated log, or learner. While it leads, it grants leases, assigns jobs
+/// and advances proposals.
 pub struct Voter {
     node: RawNode<RaftLog>,
-    /// The number of this voter's disk.
+    /// Random number of this voter's disk.
     disk_id: u64,
     timing: FleetTiming,
     injected: InjectedBugs,
-    /// What the applied entries come to.
+    /// State that results from the applied entries.
     state: FleetState,
-    /// What this voter knows as leader; none while it does not lead.
+    /// State of this voter's leadership; `None` while it does not lead.
     leadership: Option<Leadership>,
-    /// Up to when ticks were given to the raft library.
+    /// Time up to which the raft library has received its ticks.
     last_tick_at: Micros,
     confirmations: ReadConfirmations,
-    /// Messages for whoever sent a request, until the next [`Ready`].
+    /// Replies to senders of requests, for the next [`Ready`].
     replies: Vec<(ReplyAddress, Message)>,
-    /// The members have changed since the last snapshot. A newcomer takes no snapshot that does not name it.
+    /// Whether the membership has changed since the latest snapshot. A new member does not accept a
+    /// snapshot whose membership lacks it.
     membership_changed: bool,
-    /// When each voter that has not acknowledged its snapshot yet was first seen to wait for it.
+    /// For each member that has not acknowledged a snapshot yet: when this leader first noticed it,
+    /// or last reported the snapshot as lost.
     snapshots_sent_at: BTreeMap<u64, Micros>,
-    /// The founders' exchange of introductions, until it is complete.
+    /// Progress of the founding; `None` once it is complete.
     founding: Option<Founding>,
-    /// What the founders know once they have met, to be persisted with the next [`Ready`].
+    /// Result of the founding, to be persisted with the next [`Ready`].
     founding_batch: Option<PersistBatch>,
-    /// When each founder was last answered after this voter's own founding.
+    /// When each founder was last answered after this voter had completed the founding.
     introduced_at: BTreeMap<u64, Micros>,
-    /// The log has what this build cannot read: this voter must not vote, nor may its state stand for the log.
-    fault: Option<LogError>,
-    /// Updates that owners of jobs send to all relays.
+    /// Set if the log has content that this build cannot read. This voter must then stop voting,
+    /// and its state must not replace entries in a snapshot.
+    log_error: Option<LogError>,
+    /// Distributes the updates of job owners to relays.
     broadcaster: Broadcaster,
     now: Micros,
 }
 
-/// A number that no earlier process of this voter had: none of them started at this moment of its clock.
+/// Identifies this process of the voter. Differs from those of earlier processes, since each
+/// started at another time of the clock.
 fn process_incarnation(disk_id: u64, now: Micros) -> u64 {
     xxhash_rust::xxh3::xxh3_64(&[disk_id.to_be_bytes(), now.to_be_bytes()].concat())
 }
@@ -114,9 +126,10 @@
 }
 
 impl Voter {
-    /// The voter with this number, this disk and this stored log. The other voters are in the log.
+    /// Creates the voter with this number, this disk and this stored log. The log names the other
+    /// voters.
     ///
-    /// Fails where the stored log is damaged, incomplete or of a later build.
+    /// Fails if the stored log is damaged, incomplete or written by a later build.
     pub fn new(
         id: u64,
         disk_id: u64,
@@ -152,13 +165,13 @@
             founding,
             founding_batch: None,
             introduced_at: BTreeMap::new(),
-            fault: None,
+            log_error: None,
             broadcaster: Broadcaster::new(process_incarnation(disk_id, now)),
             now,
         })
     }
 
-    /// The same voter with an injected bug, for tests of the checkers.
+    /// Injects a bug, for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(mut self, injected: InjectedBugs) -> Voter {
         self.injected = injected;
@@ -166,42 +179,44 @@
         self
     }
 
-    /// The same voter, broadcasting updates as builds did that knew no deliveries: for tests of fleets of two builds.
+    /// Broadcasts updates as builds without support for deliveries do, for tests of fleets with two
+    /// builds.
     #[cfg(feature = "injected-bugs")]
     pub fn of_older_build(mut self) -> Voter {
         self.broadcaster = self.broadcaster.of_older_build();
         self
     }
 
-    /// This voter's number.
+    /// Number of this voter.
     pub fn id(&self) -> u64 {
         self.node.raft.id
     }
 
-    /// The number of this voter's disk.
+    /// Random number of this voter's disk.
     pub fn disk_id(&self) -> u64 {
         self.disk_id
     }
 
-    /// The term in which this voter leads, as far as it knows; none while it does not lead.
+    /// Term in which this voter leads, as far as it knows; `None` while it does not lead.
     pub fn leader_term(&self) -> Option<u64> {
         (self.node.raft.state == StateRole::Leader).then_some(self.node.raft.term)
     }
 
-    /// Why this voter must not vote any more. To be checked before a [`Ready`] is carried out.
+    /// Error because of which this voter must stop voting, if any. The caller must check it before
+    /// it executes a [`Ready`].
     pub fn fatal_error(&self) -> Option<LogError> {
         let members = &self.state.membership;
         let removed =
             self.founding.is_none() && members.is_removed_or_replaced(self.id(), self.disk_id);
-        self.fault.or(removed.then_some(LogError::Removed))
+        self.log_error.or(removed.then_some(LogError::Removed))
     }
 
-    /// What the applied entries of the log come to.
+    /// State that results from the applied entries of the log.
     pub fn state(&self) -> &FleetState {
         &self.state
     }
 
-    /// Time has passed: elections, heartbeats, and what a leader does by time.
+    /// Advances the time: runs elections and heartbeats, and the periodic work of a leader.
     pub fn tick(&mut self, now: Micros) {
         self.now = now;
         if self.founding.is_some() {
@@ -230,9 +245,11 @@
         }
     }
 
-    /// A message of another voter's raft library. A sender that is no member is told so.
+    /// Handles a message of another voter's raft library. A sender that is not a member is
+    /// notified.
     ///
-    /// An error is final: this voter's disk has lost entries that it had acknowledged, and it must not vote any more.
+    /// Fails if this voter's disk has lost entries that it had acknowledged. The voter must then
+    /// stop voting permanently.
     pub fn step(
         &mut self,
         now: Micros,
@@ -251,7 +268,8 @@
             self.reply(from, Message::NotAMember(message.from, disk_id));
             return Ok(());
         }
-        // A leader reports entries as committed to a voter only as far as that voter has acknowledged them.
+        // The commit index that a leader sends to a voter never exceeds the entries that the voter
+        // has acknowledged.
         let is_current = message.term >= self.node.raft.term;
         if is_current && message.get_msg_type() == MessageType::MsgHeartbeat {
             let last_index = raft::Storage::last_index(self.node.store()).unwrap_or(0);
@@ -259,12 +277,13 @@
                 return Err(LogError::AcknowledgedEntriesLost);
             }
         }
-        // The library itself drops messages of an earlier term or for another voter.
+        // The library drops messages of an earlier term or for another voter.
         let _ = self.node.step(message);
         Ok(())
     }
 
-    /// What there is to do now. To be called again until it is empty: each call returns what the last one led to.
+    /// Returns what the caller must do now. The caller repeats the call until the result is empty,
+    /// since executing one result can lead to the next.
     pub fn ready(&mut self, now: Micros) -> Ready {
         self.now = now;
         let mut output = Ready::default();
@@ -286,16 +305,17 @@
         self.replies.push((to, message));
     }
 
-    /// Whether a sender that claims to be this voter, with this disk, is not the member of that number.
+    /// Whether a sender with this number and this disk is not a member.
     fn is_not_member(&self, number: u64, disk_id: u64) -> bool {
-        let replaced = self
+        let is_not_member = self
             .state
             .membership
             .is_removed_or_replaced(number, disk_id);
-        replaced && !self.injected.is(InjectedBug::TrustReplacedDisk)
+        is_not_member && !self.injected.is(InjectedBug::TrustReplacedDisk)
     }
 
-    /// Proposes an entry of the log. One that the library does not accept is proposed again by the rule that wanted it.
+    /// Proposes an entry of the log. If the library rejects it, the caller's condition still holds
+    /// and it is proposed again later.
     fn propose(&mut self, command: &Command) {
         let _ = self.node.propose(Vec::new(), wire::encode(command));
     }
--- a/crates/control/src/log/voter/operator.rs
+++ b/crates/control/src/log/voter/operator.rs
@@ -1,5 +1,5 @@
-//! Requests of operators: the fleet's status, proposals, and changes of members and jobs. Each may be repeated: one that is
-//! done or under way already is answered as such.
+//! Requests of operators: the fleet's status, proposals, and changes of the membership and the
+//! jobs. A request may be repeated: one that is done or in progress is answered as such.
 
 use super::leadership::RelayProgress;
 use super::read_confirmation::PendingRequest;
@@ -10,8 +10,9 @@
 use crate::Micros;
 
 impl Voter {
-    /// An operator's request; `number` comes back with the response. All but the identity are answered by the leader, in a
-    /// later [`super::Ready`], once its leadership is confirmed.
+    /// Handles a request of an operator. The response repeats `number`. All requests except for the
+    /// identity are answered by the leader only, in a later [`super::Ready`], once its leadership
+    /// is confirmed.
     pub fn handle_operator_request(
         &mut self,
         now: Micros,
@@ -32,7 +33,7 @@
         });
     }
 
-    /// The leader's response to a confirmed request.
+    /// Returns the leader's response to a request after the leadership was confirmed.
     pub(super) fn answer_operator(&mut self, request: OperatorRequest) -> OperatorResponse {
         match request {
             OperatorRequest::Status => OperatorResponse::Status(Box::new(self.status())),
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Proposes it, unless it is known already.
+    /// Starts a proposal, unless it is known already.
     fn begin_proposal(&mut self, proposal: Proposal) -> OperatorResponse {
         let id = proposal.id;
         let is_pending = self
@@ -90,10 +91,10 @@
             return self.proposal_progress(id);
         }
         self.propose(&Command::Propose(proposal));
-        OperatorResponse::InProgress("handed to the log".into(), Vec::new())
+        OperatorResponse::InProgress("proposed to the log".into(), Vec::new())
     }
 
-    /// What became of a proposal, or how far it is.
+    /// Outcome of a proposal, or its current step.
     fn proposal_progress(&self, id: ProposalId) -> OperatorResponse {
         if let Some(outcome) = self.state.outcome(id) {
             return OperatorResponse::Outcome(outcome.clone());
@@ -105,6 +106,6 @@
             ProposalPhase::Sealed(proposal) if proposal.id == id => "waits until no lease runs",
             _ => return OperatorResponse::Unknown,
         };
-        OperatorResponse::InProgress(step.into(), self.waited_for())
+        OperatorResponse::InProgress(step.into(), self.unmet_conditions())
     }
 }
--- a/crates/control/src/log/voter/proposals.rs
+++ b/crates/control/src/log/voter/proposals.rs
@@ -1,7 +1,7 @@
-//! How the leader carries a policy proposal through its phases: preparing, sealed, in force.
+//! Phases of a policy proposal, as the leader advances them: preparing, sealed, in force.
 //!
-//! A proposal is sealed once each relay that may hold a lease has prepared it, and committed once each of them has revoked
-//! its lease on the old policy or that lease has run out.
+//! A proposal is sealed once each relay that may hold a lease has prepared it. It is committed once
+//! each of them has stopped admitting clients under the old policy or its lease has expired.
 
 use super::leadership::{ProposalStep, RelayProgress};
 use super::{Voter, RESEND_INTERVAL};
@@ -9,7 +9,8 @@
 use crate::InjectedBug;
 
 impl Voter {
-    /// Proposes the entry for the next step of the proposal under way, where nothing is waited for any more.
+    /// Proposes the entry for the next step of the pending proposal, once the conditions for it are
+    /// met.
     pub(super) fn advance_proposal(&mut self) {
         let (id, is_sealed) = match &self.state.phase {
             ProposalPhase::Idle => {
@@ -50,25 +51,28 @@
         }
     }
 
-    /// The entry by which a proposal leaves this step; none while it has to wait.
+    /// Entry that ends this step of a proposal; `None` while it must wait.
     fn next_command(&self, step: &ProposalStep) -> Option<Command> {
-        let waited_for = self.waited_for();
+        let unmet_conditions = self.unmet_conditions();
         if step.is_sealed {
-            // Any lease on the old policy was granted before the seal, whatever this leader knows of it.
+            // All leases on the old policy were granted before the seal, including those that this
+            // leader does not know.
             let leases_expired = self.now >= self.timing.lease_expired_by(step.since);
-            let skips_wait = self.injected.is(InjectedBug::SkipLeaseWait);
-            return (waited_for.is_empty() || leases_expired || skips_wait)
+            let injected_skip_wait = self.injected.is(InjectedBug::SkipLeaseWait);
+            return (unmet_conditions.is_empty() || leases_expired || injected_skip_wait)
                 .then_some(Command::Commit(step.id));
         }
-        if waited_for.is_empty() {
+        if unmet_conditions.is_empty() {
             return Some(Command::Seal(step.id));
         }
         let timed_out = self.now >= step.since + self.timing.proposal_timeout;
-        timed_out.then_some(Command::TimeOut(step.id, waited_for))
+        timed_out.then_some(Command::TimeOut(step.id, unmet_conditions))
     }
 
-    /// Relays that may hold a lease and have not done what the proposal's phase wants of them, by name.
-    pub(super) fn waited_for(&self) -> Vec<String> {
+    /// Conditions that the phase of the proposal still waits for, as texts for operators: the name
+    /// of each relay that may hold a lease and has not prepared the proposal (or, once it is
+    /// sealed, has not stopped), and a text if leases of the previous leader may still be valid.
+    pub(super) fn unmet_conditions(&self) -> Vec<String> {
         let Some(leadership) = &self.leadership else {
             return Vec::new();
         };
@@ -77,15 +81,15 @@
             ProposalPhase::Preparing(proposal) => relay.prepared == Some(proposal.id),
             ProposalPhase::Sealed(proposal) => relay.stopped_for == Some(proposal.id),
         };
-        let mut names: Vec<String> = leadership
+        let mut conditions: Vec<String> = leadership
             .relays
             .iter()
             .filter(|(_, relay)| relay.may_hold_lease(self.now, &self.timing) && !is_done(relay))
             .map(|(relay, _)| relay.name.clone())
             .collect();
         if !self.previous_leases_expired(leadership) {
-            names.push("leases that the leader before may have given".into());
+            conditions.push("leases that the previous leader may have granted".into());
         }
-        names
+        conditions
     }
 }
--- a/crates/control/src/log/voter/read_confirmation.rs
+++ b/crates/control/src/log/voter/read_confirmation.rs
@@ -1,7 +1,8 @@
-//! Quorum confirmation of pending requests (raft's read index): a request is answered only after a majority has confirmed,
-//! later than it arrived, that this voter still leads.
+//! Quorum confirmation of requests (raft's read index): a request is answered only after a majority
+//! has confirmed, later than the request arrived, that this voter still leads.
 //!
-//! Guards against: a leader that was deposed while it was paused or cut off and answers from an old state.
+//! Guards against: a leader that was deposed while it was paused or cut off, and that would answer
+//! from an old state.
 
 use super::{ReplyAddress, Voter};
 use crate::wire::message::{
@@ -11,7 +12,7 @@
 use raft::ReadState;
 use std::collections::BTreeMap;
 
-/// Requests that wait for the next confirmation; more are rejected.
+/// Maximum number of requests that wait for the next confirmation. Further ones are rejected.
 const MAX_PENDING_REQUESTS: usize = 8192;
 
 /// A request that waits for a confirmation.
@@ -27,33 +28,33 @@
     },
 }
 
-/// Requests by the confirmation that they wait for.
+/// Requests that wait for a confirmation of the leadership.
 #[derive(Default)]
 pub(super) struct ReadConfirmations {
-    /// Requests for which no confirmation has been requested yet.
+    /// Requests whose confirmation has not been requested yet.
     queued: Vec<PendingRequest>,
-    /// Requests that wait for a confirmation under way, by its number.
+    /// Requests whose confirmation is in progress, by the number of the confirmation.
     in_flight: BTreeMap<u64, Vec<PendingRequest>>,
-    /// The number of the last confirmation that was requested.
+    /// Number of the latest confirmation that was requested.
     last_number: u64,
-    /// When that was.
+    /// When the latest confirmation was requested.
     requested_at: Micros,
 }
 
 impl ReadConfirmations {
-    /// Whether a confirmation is under way that may still arrive: it is taken for lost after `timeout`.
-    fn is_under_way(&self, now: Micros, timeout: Micros) -> bool {
+    /// Whether a confirmation is in progress. It counts as lost after `timeout`.
+    fn is_in_progress(&self, now: Micros, timeout: Micros) -> bool {
         !self.in_flight.is_empty() && now < self.requested_at + timeout
     }
 
-    /// Requests that the raft library reports as confirmed.
+    /// Removes and returns the requests that the raft library reports as confirmed.
     pub(super) fn take_confirmed(&mut self, read_states: Vec<ReadState>) -> Vec<PendingRequest> {
         let mut confirmed = Vec::new();
         for read_state in read_states {
             let Ok(number) = read_state.request_ctx.as_slice().try_into() else {
                 continue;
             };
-            // A confirmation stands for all earlier ones, too, which may have been lost.
+            // A confirmation also covers all earlier ones, which may have been lost.
             let later = self.in_flight.split_off(&(u64::from_be_bytes(number) + 1));
             let up_to_this = std::mem::replace(&mut self.in_flight, later);
             confirmed.extend(up_to_this.into_values().flatten());
@@ -63,7 +64,8 @@
 }
 
 impl Voter {
-    /// Queues a request for the next confirmation, or rejects it.
+    /// Queues a request for the next confirmation, or rejects it if this voter does not lead or the
+    /// queue is full.
     pub(super) fn enqueue(&mut self, request: PendingRequest) {
         let has_room = self.confirmations.queued.len() < MAX_PENDING_REQUESTS;
         if self.leader_term().is_some() && has_room {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Asks a majority to confirm that this voter still leads, for all queued requests.
+    /// Requests a confirmation by a majority that this voter still leads, for all queued requests.
     pub(super) fn request_confirmation(&mut self) {
         if self.confirmations.queued.is_empty() {
             return;
@@ -88,9 +90,12 @@
         if !self.node.raft.commit_to_current_term() {
             return;
         }
-        // One at a time: requests that arrive before it is complete share the next one, so the cost does not grow with the
-        // number of relays.
-        if self.confirmations.is_under_way(self.now, self.timing.tick) {
+        // Only one confirmation at a time: requests that arrive in the meantime share the next one,
+        // so the cost does not grow with the number of relays.
+        if self
+            .confirmations
+            .is_in_progress(self.now, self.timing.tick)
+        {
             return;
         }
         self.confirmations.last_number += 1;
@@ -107,7 +112,7 @@
         self.node.read_index(number.to_be_bytes().to_vec());
     }
 
-    /// Answers a request that was confirmed.
+    /// Answers a confirmed request.
     pub(super) fn answer(&mut self, request: PendingRequest) {
         if self.leader_term().is_none() {
             self.reject(request);
@@ -129,7 +134,8 @@
         }
     }
 
-    /// Rejects the requests in flight where this voter does not lead any more: no confirmation will arrive for them.
+    /// Rejects the requests in progress if this voter no longer leads, since their confirmation
+    /// will not arrive.
     pub(super) fn reject_unconfirmed(&mut self) {
         if self.leader_term().is_some() {
             return;
@@ -140,7 +146,7 @@
         }
     }
 
-    /// Redirects a request to the leader, as far as it is known.
+    /// Rejects a request by redirecting it to the leader, if it is known.
     fn reject(&mut self, request: PendingRequest) {
         let leader = Some(self.node.raft.leader_id).filter(|id| *id != 0 && *id != self.id());
         match request {
@@ -158,7 +164,8 @@
         }
     }
 
-    /// With the members where the relay knows older ones: the leader may be one that its operator file does not name.
+    /// Response that redirects a renewal. It has the membership if the relay knows an older one,
+    /// since the leader may be missing from the relay's operator file.
     fn redirect_renewal(&self, request: &RenewRequest, leader: Option<u64>) -> RenewResponse {
         let members = &self.state.membership;
         let is_newer = request.membership_version < members.version;
@@ -169,7 +176,7 @@
         }
     }
 
-    /// The address of a member; empty where it is not known here.
+    /// Address of a member; empty if it is not known.
     fn address_of(&self, number: u64) -> String {
         let member = self.state.membership.members.get(&number);
         member.map_or(String::new(), |member| member.address.clone())
--- a/crates/control/src/log/voter/ready.rs
+++ b/crates/control/src/log/voter/ready.rs
@@ -1,4 +1,4 @@
-//! What a voter asks its caller to do, and how the raft library's `Ready` is turned into it: persist, then send, then apply.
+//! Output of a voter to its caller, and its derivation from the `Ready` of the raft library.
 
 use super::{ReplyAddress, Voter};
 use crate::log::error::LogError;
@@ -8,18 +8,19 @@
 use crate::wire::message::Message;
 use raft::eraftpb::{Entry, EntryType, HardState, Snapshot};
 
-/// What the caller must do, in this order:
+/// Changes to persist and messages to send. The caller must, in this order:
 ///
-/// 1. Check [`Voter::fatal_error`]; where there is one, do nothing of what follows and stop this voter.
-/// 2. Write [`Ready::persist`] to the disk, durably. A voter whose disk fails must not send.
-/// 3. Send [`Ready::voter_messages`] and [`Ready::replies`], in any order; each may be lost.
+/// 1. Check [`Voter::fatal_error`]. If there is one, skip the following steps and stop this voter.
+/// 2. Write [`Ready::persist`] to disk durably. If that fails, send nothing and stop this voter.
+/// 3. Send [`Ready::voter_messages`] and [`Ready::replies`], in any order. Messages may be lost.
 ///
-/// Then call [`Voter::ready`] again, until the result is empty.
+/// The caller then calls [`Voter::ready`] again, until the result is empty.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// To be durable before any message of this `Ready` is sent: the messages acknowledge it.
+    /// Changes that must be durable before any message of this `Ready` is sent, because messages
+    /// may acknowledge them.
     pub persist: PersistBatch,
-    /// Messages for other voters, by their numbers.
+    /// Messages for other voters, with their numbers.
     pub voter_messages: Vec<(u64, Message)>,
     /// Messages for the senders of earlier requests.
     pub replies: Vec<(ReplyAddress, Message)>,
@@ -33,7 +34,7 @@
 }
 
 impl Voter {
-    /// Takes the raft library's `Ready`, in the order that the library asks for.
+    /// Processes the raft library's `Ready`, in the order that the library requires.
     pub(super) fn process_raft_ready(&mut self, output: &mut Ready) {
         let mut ready = self.node.ready();
         let mut messages = ready.take_messages();
@@ -54,7 +55,8 @@
         self.apply_entries(light.take_committed_entries());
         self.node.advance_apply();
 
-        // Only after `advance_apply`: an answer may propose an entry, which the library does not accept before.
+        // Only after `advance_apply`: an answer may propose an entry, which the library rejects
+        // before.
         for request in confirmed {
             self.answer(request);
         }
@@ -74,7 +76,7 @@
         output.persist.snapshot = Some(to_bytes(snapshot));
         match FleetState::decode(&snapshot.data) {
             Some(state) => self.state = state,
-            None => self.fault = Some(LogError::UnsupportedVersion),
+            None => self.log_error = Some(LogError::UnsupportedVersion),
         }
     }
 
@@ -113,13 +115,13 @@
         }
     }
 
-    /// An entry that this build cannot read is a fault, and no later command is applied: without it the state would differ
-    /// from that of the voters that can read it.
+    /// Applies a command. After an entry that this build cannot read no later command is applied,
+    /// because the state would differ from that of voters that can read the entry.
     fn apply_command(&mut self, entry: &Entry) {
         match wire::decode(&entry.data) {
-            Some(command) if self.fault.is_none() => self.state.apply(command),
+            Some(command) if self.log_error.is_none() => self.state.apply(command),
             Some(_) => {}
-            None => self.fault = Some(LogError::UnsupportedVersion),
+            None => self.log_error = Some(LogError::UnsupportedVersion),
         }
     }
 }
--- a/crates/control/src/log/voter/snapshots.rs
+++ b/crates/control/src/log/voter/snapshots.rs
@@ -1,16 +1,17 @@
-//! Snapshots: when one replaces the log's entries, and when one that was lost on its way is sent again.
+//! Snapshots: compaction of the log, and repetition of snapshots that were lost in transit.
 
 use super::{Ready, Voter, RESEND_INTERVAL};
 use crate::wire;
 
-/// Entries after which a snapshot takes their place.
+/// Number of entries above which the log is compacted.
 const MAX_LOG_ENTRIES: usize = 256;
 
 impl Voter {
-    /// Replaces the applied entries by a snapshot where there are many, or where the members have changed.
+    /// Replaces the applied entries with a snapshot if there are many, or if the membership has
+    /// changed.
     pub(super) fn compact_log(&mut self, output: &mut Ready) {
-        let wanted = self.membership_changed || self.node.store().len() > MAX_LOG_ENTRIES;
-        if !wanted || self.fault.is_some() || output.persist.snapshot.is_some() {
+        let needs_compaction = self.membership_changed || self.node.store().len() > MAX_LOG_ENTRIES;
+        if !needs_compaction || self.log_error.is_some() || output.persist.snapshot.is_some() {
             return;
         }
         let applied = self.node.raft.raft_log.applied;
@@ -22,9 +23,10 @@
         self.membership_changed = false;
     }
 
-    /// Reports snapshots that were not acknowledged in time as lost, so that the raft library sends them again: by itself it
-    /// would wait for good, and send that voter nothing else. Also done before an entry of the leader's own term is
-    /// committed, for which that very voter's acknowledgement may be needed.
+    /// Reports snapshots that were not acknowledged in time as lost, so that the raft library sends
+    /// them again. Otherwise it would wait forever and send nothing else to that voter. This is
+    /// also done before an entry of the leader's own term is committed, since that may require the
+    /// acknowledgement of that voter.
     pub(super) fn resend_lost_snapshots(&mut self) {
         if self.leader_term().is_none() {
             return;
