--- a/crates/control/src/jobs/assignment.rs
+++ b/crates/control/src/jobs/assignment.rs
@@ -1,14 +1,17 @@
 //! Job assignments: which relay owns each job of the fleet, as the replicated log records it.
 //!
-//! Input: [`JobChange`] entries of the log, in order. Output: the state [`Jobs`], the same on every voter, and the
-//! proposals of the leader for the next entries ([`Jobs::assignments`], [`Jobs::excess`]).
+//! Input: [`JobChange`] entries of the log, in order. Output: the state [`Jobs`], the same on every
+//! voter, and the proposals of the leader for the next entries ([`Jobs::assignments`],
+//! [`Jobs::excess`]).
 //!
-//! Each job has at most one owner. Every assignment takes a fencing token from one counter that only grows; the owner's
-//! commands carry the token, and receivers reject tokens older than the highest that they know (`fence.rs`).
+//! Each job has at most one owner. Every assignment takes a fencing token from one counter that
+//! only grows; the owner's commands carry the token, and receivers reject tokens older than the
+//! highest that they know (`fence.rs`).
 //!
-//! Guards against: an owner that was paused and resumes after its lease expired (receivers fence its commands), stale
-//! entries of an earlier owner or leader (each names the token that it refers to), and flapping (rendezvous hashing with
-//! a bounded share, so that a relay that joins or leaves moves few jobs).
+//! Guards against: an owner that was paused and resumes after its lease expired (receivers fence
+//! its commands), stale entries of an earlier owner or leader (each names the token that it refers
+//! to), and flapping (rendezvous hashing with a bounded share, so that a relay that joins or leaves
+//! moves few jobs).
 
 use crate::relay::{JobCapabilities, RelayId};
 use serde::{Deserialize, Serialize};
@@ -18,7 +21,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Fencing token of an assignment. Grows with each assignment of any job; 0 means that there was none yet.
+/// Fencing token of an assignment. Grows with each assignment of any job; 0 means that there was
+/// none yet.
 pub type FencingToken = u64;
 
 /// Maximum number of jobs. All of them are part of each snapshot of the log.
@@ -27,10 +31,10 @@
 const MAX_NAME_BYTES: usize = 64;
 /// Maximum size of a job's checkpoint, in bytes.
 const MAX_CHECKPOINT_BYTES: usize = 1024;
-/// Maximum number of jobs that one entry of the log assigns, revokes or releases.
+/// Maximum number of jobs that one [`JobChange`] of the leader assigns, revokes or releases.
 pub const MAX_JOBS_PER_CHANGE: usize = 256;
-/// Maximum number of jobs of one relay, relative to an even share. Above 1, so that a relay that joins or leaves moves
-/// few jobs.
+/// Maximum number of jobs of one relay, relative to an even share. Above 1, so that a relay that
+/// joins or leaves moves few jobs.
 const MAX_SHARE_FACTOR: f64 = 1.25;
 
 /// State of one job.
@@ -41,13 +45,15 @@
     pub token: FencingToken,
     /// The relay that owns the job, if any.
     pub owner: Option<RelayId>,
-    /// Set while the job is being revoked: the owner has stopped once it acknowledges this version of [`Jobs`].
+    /// Set while the job is being revoked: the owner has stopped once it reports this version of
+    /// [`Jobs`] or a later one.
     #[serde(rename = "yields")]
     pub revoked_at: Option<u64>,
     /// Whether operators have paused the job. A paused job is not assigned.
     #[serde(rename = "held")]
     pub paused: bool,
-    /// Name of the relay that relinquished the job last, and the reason. Other relays are preferred to it.
+    /// Name of the relay that the job was last revoked from, and the reason. This includes jobs
+    /// that the owner relinquished. Other relays are preferred for the next assignment.
     #[serde(rename = "gave_up")]
     pub last_revocation: Option<(String, String)>,
     /// Sequence number of the latest checkpoint; 0 before the first.
@@ -82,23 +88,24 @@
     /// Assigns each job to a relay, under a new token.
     #[serde(rename = "Give")]
     Assign(Vec<(String, RelayId)>),
-    /// Asks the owner of each job (name, token) to stop, with the reason.
+    /// Revokes each job (name, token) from its owner, which must stop, with the reason.
     #[serde(rename = "Yield")]
     Revoke(Vec<(String, FencingToken, String)>),
-    /// Clears the owner of each job (name, token), which can no longer act on it.
+    /// Releases each job (name, token) from its owner, which has stopped or can no longer act on
+    /// it.
     #[serde(rename = "Free")]
     Release(Vec<(String, FencingToken)>),
-    /// Stores a checkpoint of the owner: name, token, step and content.
+    /// Stores a checkpoint of the owner: name of the job, token, step and content.
     Checkpoint(String, FencingToken, u64, Vec<u8>),
     /// Pauses (true) or resumes (false) the assignment of a job.
     Hold(String, bool),
 }
 
 impl Jobs {
-    /// Applies an entry of the log. A part that does not match the current state comes from a former leader or owner and
-    /// is ignored.
-    pub fn apply(&mut self, assignment: JobChange) {
-        match assignment {
+    /// Applies an entry of the log. A part that does not match the current state comes from a
+    /// former leader or owner and is ignored.
+    pub fn apply(&mut self, change: JobChange) {
+        match change {
             JobChange::Open(names) => {
                 for name in names {
                     self.open(name);
@@ -195,7 +202,8 @@
             .filter(|job| job.token == token && job.owner.is_some())
     }
 
-    /// Names and tokens of the jobs that a relay's process owns, without those that are being revoked.
+    /// Names and tokens of the jobs that a relay's process owns, without those that are being
+    /// revoked.
     pub fn owned_by(&self, relay: &RelayId) -> Vec<(String, FencingToken)> {
         self.by_name
             .iter()
@@ -204,11 +212,12 @@
             .collect()
     }
 
-    /// The next jobs to assign, and the relay for each. `workers` are the relays that may own jobs; `is_backing_off` names
-    /// jobs that must not be assigned yet.
+    /// The next jobs to assign, and the relay for each. `workers` are the relays that may own jobs;
+    /// `is_backing_off` says which jobs must not be assigned yet.
     ///
-    /// Among the workers that support a job and are below their share, those rank first that did not relinquish it last,
-    /// then those of the job's zone, then the highest rendezvous weight.
+    /// Among the workers that support a job and are below their share, those from which it was not
+    /// last revoked are preferred, then those of the job's zone, then the one with the highest
+    /// rendezvous weight.
     pub fn assignments(
         &self,
         workers: &[(RelayId, JobCapabilities)],
@@ -240,7 +249,7 @@
         assignments
     }
 
-    /// How many jobs each of these relays owns.
+    /// Number of jobs that each of these relays owns.
     fn job_counts<'a>(
         &self,
         workers: &'a [(RelayId, JobCapabilities)],
@@ -255,8 +264,8 @@
         counts
     }
 
-    /// Jobs to revoke because their owner has more than its share among this number of relays: name, token and reason.
-    /// Of one owner, those with the lowest rendezvous weight come first.
+    /// Jobs to revoke because their owner has more than its share among this number of relays:
+    /// name, token and reason. Of one owner, those with the lowest rendezvous weight come first.
     pub fn excess_jobs(&self, relay_count: usize) -> Vec<(String, FencingToken, String)> {
         let max_per_relay = self.max_jobs_per_relay(relay_count);
         let mut by_owner: BTreeMap<&RelayId, Vec<(u64, &String, FencingToken)>> = BTreeMap::new();
@@ -275,7 +284,7 @@
         for mut owned in by_owner.into_values() {
             owned.sort();
             let excess_count = owned.len().saturating_sub(max_per_relay);
-            let reason = "it has more than its part";
+            let reason = "its relay has more than its share of jobs";
             excess.extend(
                 owned
                     .into_iter()
@@ -305,7 +314,7 @@
         workers: &'a [(RelayId, JobCapabilities)],
         has_capacity: impl Fn(&RelayId) -> bool,
     ) -> Option<&'a RelayId> {
-        let relinquished = |relay: &RelayId| {
+        let was_revoked_from = |relay: &RelayId| {
             self.last_revocation
                 .as_ref()
                 .is_some_and(|(former_owner, _)| *former_owner == relay.name)
@@ -315,7 +324,7 @@
             .filter(|(relay, capabilities)| capabilities.supports(name) && has_capacity(relay))
             .max_by_key(|(relay, capabilities)| {
                 (
-                    !relinquished(relay),
+                    !was_revoked_from(relay),
                     capabilities.is_local(name),
                     rendezvous_weight(name, relay),
                 )
@@ -324,7 +333,7 @@
     }
 }
 
-/// Whether a job may have this name: not empty, and at most 64 bytes.
+/// Whether a job may have this name: it must not be empty or longer than 64 bytes.
 pub fn is_valid_job_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
--- a/crates/control/src/jobs/assignment/tests.rs
+++ b/crates/control/src/jobs/assignment/tests.rs
@@ -57,10 +57,10 @@
     assert_eq!(
         assignments(&jobs, &[relay(1), relay(2)]),
         [(name.clone(), relay(2))],
-        "another relay is preferred"
+        "a relay other than the former owner is preferred"
     );
     jobs.apply(JobChange::Assign(vec![(name.clone(), relay(2))]));
-    // Late entries of the former owner.
+    // Late entries that name the former owner's token.
     jobs.apply(JobChange::Release(vec![(name.clone(), 1)]));
     jobs.apply(JobChange::Checkpoint(name.clone(), 1, 2, vec![8]));
     let job = job_0(&jobs);
@@ -129,7 +129,7 @@
         expected_jobs: Vec::new(),
         zone: zone.into(),
     };
-    let all: Vec<_> = (0..8)
+    let workers: Vec<_> = (0..8)
         .map(|n| {
             (
                 relay(n),
@@ -137,17 +137,20 @@
             )
         })
         .collect();
-    let assignments = jobs.assignments(&all, |_| false);
+    let assignments = jobs.assignments(&workers, |_| false);
     let is_in_its_zone = |name: &str, assignments: &[(String, RelayId)]| {
         let (_, owner) = assignments.iter().find(|(job, _)| job == name).unwrap();
-        all.iter()
+        workers
+            .iter()
             .any(|(relay, capabilities)| relay == owner && capabilities.is_local(name))
     };
     assert_eq!(assignments.len(), 2, "no relay supports moves");
     assert!(is_in_its_zone("load/a", &assignments) && is_in_its_zone("load/b", &assignments));
-    // Without a relay in its zone, a relay of another zone is assigned. A resting job is not assigned.
+    // Without a relay in the job's zone, a relay of another zone is assigned. A job that is backing
+    // off is not assigned.
     assert_eq!(
-        jobs.assignments(&all[..4], |name| name == "load/a").len(),
+        jobs.assignments(&workers[..4], |name| name == "load/a")
+            .len(),
         1
     );
 }
--- a/crates/control/src/jobs/fence.rs
+++ b/crates/control/src/jobs/fence.rs
@@ -1,11 +1,13 @@
 //! Fencing: rejects commands that a former owner of a job sent.
 //!
-//! Input: the fencing tokens of commands, the latest token of the fleet when this receiver started, and answers of the
-//! leader about single jobs. Output: a [`FenceDecision`] for each command.
+//! Input: the fencing tokens of commands, the latest token of the fleet when this receiver started,
+//! and the tokens of single jobs as the leader answers them. Output: a [`FenceDecision`] for each
+//! command.
 //!
-//! Guards against: a command that was delayed in a socket or in a paused process while its job was assigned to another
-//! relay, and a receiver that restarted without stored state: it accepts nothing before it knows how far the tokens are,
-//! and asks for the token of each job that was assigned before it started.
+//! Guards against: a command that was delayed in a socket or in a paused process while its job was
+//! assigned to another relay, and a receiver that restarted without stored state. Such a receiver
+//! accepts nothing until it knows the fleet's latest token, and requests the token of each job that
+//! was assigned before it started.
 
 use crate::jobs::assignment::FencingToken;
 use crate::{InjectedBug, InjectedBugs};
@@ -19,9 +21,11 @@
 pub enum FenceDecision {
     /// Execute it.
     Accept,
-    /// Reject it and answer with the job's current token, which is this one, so that the sender stops.
+    /// Reject it and answer with the job's current token, which is this one, so that the sender
+    /// stops.
     Stale(FencingToken),
-    /// Ask the leader for the job's token, pass the answer to [`Fence::learn_token`], and check the command again.
+    /// Ask the leader for the job's token, pass the answer to [`Fence::learn_token`], and check the
+    /// command again.
     Unknown,
 }
 
@@ -29,13 +33,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fence {
     injected: InjectedBugs,
-    /// The latest token of the fleet when this receiver started; none until it is known.
+    /// Latest token of the fleet when this receiver started; `None` until it is known. Tokens above
+    /// it are of later assignments.
     floor: Option<FencingToken>,
+    /// Highest known token by job.
     highest: BTreeMap<String, FencingToken>,
 }
 
 impl Fence {
-    /// A fence with an injected fault, for tests of the checkers.
+    /// Creates a fence with an injected bug, for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(injected: InjectedBugs) -> Fence {
         Fence {
@@ -44,19 +50,21 @@
         }
     }
 
-    /// Sets the latest token that the fleet has issued. Only the first call counts: later tokens arrive with their
-    /// commands.
+    /// Sets the latest token that the fleet has issued. Only the first call has an effect: later
+    /// tokens arrive with commands.
     pub fn set_floor(&mut self, last_token: FencingToken) {
         self.floor.get_or_insert(last_token);
     }
 
-    /// Records the current token of a job, as the leader answered. An older one than is known changes nothing.
+    /// Records the current token of a job, as the leader answered. A token older than the known one
+    /// changes nothing.
     pub fn learn_token(&mut self, name: &str, token: FencingToken) {
         let highest = self.highest.entry(name.into()).or_insert(token);
         *highest = token.max(*highest);
     }
 
-    /// Decides about a command for this job with this token, and records the token if it is accepted.
+    /// Decides about a command for this job with this token, and records the token if it is
+    /// accepted.
     pub fn check(&mut self, name: &str, token: FencingToken) -> FenceDecision {
         match (self.highest.get(name), self.floor) {
             _ if self.injected.is(InjectedBug::NoFence) => FenceDecision::Accept,
@@ -65,7 +73,7 @@
             }
             (Some(highest), _) if token < *highest => FenceDecision::Stale(*highest),
             (Some(_), _) => self.accept(name, token),
-            // Issued since this receiver started, so no older owner can have it.
+            // The token was issued after this receiver started, so no earlier owner can have it.
             (None, Some(floor)) if token > floor => self.accept(name, token),
             (None, _) => FenceDecision::Unknown,
         }
--- a/crates/control/src/jobs/fence/tests.rs
+++ b/crates/control/src/jobs/fence/tests.rs
@@ -6,14 +6,14 @@
     assert_eq!(
         fence.check("a", 5),
         FenceDecision::Unknown,
-        "before it knows how far the tokens are"
+        "the fleet's latest token is not known yet"
     );
     fence.set_floor(5);
     fence.set_floor(9);
     assert_eq!(
         fence.check("a", 5),
         FenceDecision::Unknown,
-        "it may be of a former owner"
+        "the token may belong to a former owner"
     );
     assert_eq!(fence.check("a", 6), FenceDecision::Accept);
     assert_eq!(fence.check("a", 5), FenceDecision::Stale(6));
--- a/crates/control/src/jobs/load_watch.rs
+++ b/crates/control/src/jobs/load_watch.rs
@@ -1,11 +1,12 @@
-//! Load watch: the job of probing the load of a zone's endpoints for all relays.
+//! Load watch: the job of checking the load of a zone's endpoints on behalf of all relays.
 //!
-//! Input: the time, the endpoints of the zone, and the results of probes. Output: endpoints to probe, and once a round the
-//! reports of those that answered.
+//! Input: the time, the endpoints of the zone, and the results of health checks. Output: endpoints
+//! to check, and once per round the load reports of those that answered.
 //!
-//! Guards against: an owner that reaches no endpoint (failed probes are not published, so no relay takes an endpoint for
-//! down because of them, and after a while the owner relinquishes the job), a round that never ends (it is published after
-//! a timeout), and too many concurrent probes.
+//! Guards against: an owner that reaches no endpoint (failed health checks are not published, so no
+//! relay considers an endpoint down because of them, and after a timeout the owner relinquishes the
+//! job), a round that never ends (it is published after a timeout), and too many concurrent health
+//! checks.
 
 use crate::broadcast::table::{LoadReport, Row, Table};
 use crate::{wire, Micros};
@@ -17,12 +18,14 @@
 
 /// Kind of these jobs; their names are `load/ZONE`.
 pub const KIND: &str = "load";
-/// Interval between the starts of two rounds. Endpoints refresh their reports every 570 to 1,400 ms.
+/// Interval between the starts of two rounds. Endpoints refresh their reports every 570 to 1,400
+/// ms.
 const ROUND_INTERVAL: Micros = 500_000;
-/// A round is published after this time, even if endpoints have not answered: a step of a probe may take 250 ms.
+/// A round is published after this time even if endpoints have not answered. A step of a health
+/// check may take 250 ms.
 const ROUND_TIMEOUT: Micros = 300_000;
-/// Maximum number of concurrent probes: as many as a relay has for its own decisions.
-const MAX_CONCURRENT_PROBES: usize = 4;
+/// Maximum number of concurrent health checks, the same as for a relay's own decisions.
+const MAX_CONCURRENT_CHECKS: usize = 4;
 /// An owner that has reached no endpoint for this time relinquishes the job.
 const UNREACHABLE_TIMEOUT: Micros = 3_000_000;
 
@@ -38,17 +41,17 @@
 }
 
 impl LoadReports {
-    /// The reports as bytes.
+    /// Encodes the reports.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
-    /// The reports from bytes; none if the bytes cannot be decoded.
+    /// Decodes reports. Returns `None` if the bytes are invalid.
     pub fn decode(bytes: &[u8]) -> Option<LoadReports> {
         wire::decode(bytes)
     }
 
-    /// The rows of a table that its current version saw.
+    /// Reports from the rows that the current version of a table confirms.
     pub fn of_table(table: &Table) -> LoadReports {
         let report = |row: &Row| LoadReport {
             endpoint: row.endpoint,
@@ -61,8 +64,9 @@
         }
     }
 
-    /// The reports with only these columns, in this order. Reports with a wrong number of values are left out; all are if
-    /// a column is missing, since the sender then has other settings.
+    /// The reports with only these columns, in this order. Reports with a wrong number of values
+    /// are left out. If a column is missing, all reports are left out, since the sender has other
+    /// settings.
     pub fn rows<'a>(&'a self, columns: &[String]) -> impl Iterator<Item = LoadReport> + 'a {
         let indexes = column_indexes(&self.columns, columns);
         self.reports.iter().filter_map(move |report| {
@@ -79,7 +83,7 @@
     }
 }
 
-/// Index of each wanted column among the available ones; none if one is missing.
+/// Index of each wanted column among the available ones; `None` if one is missing.
 pub(super) fn column_indexes(available: &[String], wanted: &[String]) -> Option<Vec<usize>> {
     let index_of = |column: &String| available.iter().position(|other| other == column);
     wanted.iter().map(index_of).collect()
@@ -93,9 +97,9 @@
         .collect()
 }
 
-/// Result of a successful probe.
+/// Result of a successful health check.
 #[derive(Clone, Debug)]
-struct ProbeResult {
+struct HealthCheckResult {
     received_at: Micros,
     values: Vec<f32>,
 }
@@ -105,20 +109,21 @@
 pub struct LoadWatch {
     /// Start of the current round.
     round_started_at: Option<Micros>,
-    /// Endpoints that are still to be probed in this round.
+    /// Endpoints that have not been checked yet in this round.
     waiting: VecDeque<u64>,
-    /// Endpoints whose probes have not ended.
+    /// Endpoints whose health checks have not ended.
     in_flight: Vec<u64>,
     /// Endpoints that have answered in this round.
-    answered: BTreeMap<u64, ProbeResult>,
+    answered: BTreeMap<u64, HealthCheckResult>,
     /// Whether this round has been published.
     is_published: bool,
-    /// Since when all probes have failed.
+    /// Since when all health checks have failed.
     failing_since: Option<Micros>,
 }
 
 impl LoadWatch {
-    /// Returns the endpoints to probe now. `endpoints` lists those of the zone; it is called at the start of each round.
+    /// Returns the endpoints to check now. `endpoints` lists those of the zone; it is called at the
+    /// start of each round.
     pub fn tick<L>(&mut self, now: Micros, endpoints: impl FnOnce() -> L) -> Vec<u64>
     where
         L: IntoIterator<Item = u64>,
@@ -133,14 +138,15 @@
             self.in_flight.clear();
             self.answered.clear();
         }
-        let free_slots = MAX_CONCURRENT_PROBES.saturating_sub(self.in_flight.len());
+        let free_slots = MAX_CONCURRENT_CHECKS.saturating_sub(self.in_flight.len());
         let count = free_slots.min(self.waiting.len());
-        let probes: Vec<u64> = self.waiting.drain(..count).collect();
-        self.in_flight.extend(&probes);
-        probes
+        let started: Vec<u64> = self.waiting.drain(..count).collect();
+        self.in_flight.extend(&started);
+        started
     }
 
-    /// Handles the end of a probe; `report` is none if it failed. Endpoints without a probe in flight are ignored.
+    /// Handles the end of a health check; `report` is `None` if it failed. Endpoints without a
+    /// health check in flight are ignored.
     pub fn health_checked(&mut self, now: Micros, endpoint: u64, report: Option<Vec<f32>>) {
         let Some(index) = self.in_flight.iter().position(|other| *other == endpoint) else {
             return;
@@ -149,7 +155,7 @@
         match report.filter(|values| !values.is_empty()) {
             Some(values) => {
                 self.failing_since = None;
-                let result = ProbeResult {
+                let result = HealthCheckResult {
                     received_at: now,
                     values,
                 };
@@ -159,7 +165,8 @@
         }
     }
 
-    /// Returns the reports to publish, once a round: when all endpoints have answered, or after the timeout.
+    /// Returns the reports to publish, once per round: when all endpoints have answered, or after
+    /// the timeout.
     pub fn take_reports(&mut self, now: Micros, columns: &[String]) -> Option<LoadReports> {
         let started_at = self.round_started_at?;
         let is_complete = self.waiting.is_empty() && self.in_flight.is_empty();
@@ -167,12 +174,13 @@
         if self.is_published || !(is_complete || is_timed_out) {
             return None;
         }
-        // Also if there is nothing to publish: the round is over, and nothing is due before the next.
+        // Also if there is nothing to publish, since the round is over and nothing is due before
+        // the next one.
         self.is_published = true;
         if self.answered.is_empty() {
             return None;
         }
-        let report = |(endpoint, result): (&u64, &ProbeResult)| LoadReport {
+        let report = |(endpoint, result): (&u64, &HealthCheckResult)| LoadReport {
             endpoint: *endpoint,
             age: now - result.received_at,
             values: result.values.clone(),
@@ -183,14 +191,15 @@
         })
     }
 
-    /// Why this owner should relinquish the job, if it should.
+    /// Reason for which this owner should relinquish the job, if there is one.
     pub fn failure(&self, now: Micros) -> Option<&'static str> {
         self.failing_since
             .filter(|since| now >= since + UNREACHABLE_TIMEOUT)
-            .map(|_| "it reaches no backend of the zone")
+            .map(|_| "it reaches no endpoint of the zone")
     }
 
-    /// When [`LoadWatch::tick`] or [`LoadWatch::take_reports`] has something to do next, if no probe ends before.
+    /// When [`LoadWatch::tick`] or [`LoadWatch::take_reports`] has something to do next, unless a
+    /// health check ends before.
     pub fn next_tick(&self) -> Micros {
         let delay = if self.is_published {
             ROUND_INTERVAL
--- a/crates/control/src/jobs/load_watch/tests.rs
+++ b/crates/control/src/jobs/load_watch/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_round_probes_each_endpoint_once_with_bounded_concurrency_and_reports_the_answers() {
+fn a_round_checks_each_endpoint_once_with_bounded_concurrency_and_reports_the_answers() {
     let mut watch = LoadWatch::default();
     let columns = columns(&["x0"]);
     assert_eq!(watch.tick(0, || 0..6), [0, 1, 2, 3]);
@@ -15,7 +15,7 @@
     assert_eq!(
         watch.take_reports(3_000, &columns),
         None,
-        "four probes are in flight"
+        "four health checks are in flight"
     );
     for endpoint in 2..5 {
         watch.health_checked(4_000, endpoint, Some(vec![1.0]));
@@ -33,14 +33,14 @@
     assert_eq!(
         watch.take_reports(ROUND_TIMEOUT + 1, &columns),
         None,
-        "once a round"
+        "once per round"
     );
     assert_eq!(
         watch.tick(ROUND_INTERVAL, || 0..2),
         [0, 1],
-        "the next round does not wait for probes in flight"
+        "the next round does not wait for health checks in flight"
     );
-    // No endpoint answers: the next tick is that of the next round, not one in the past.
+    // If no endpoint answers, the next tick is that of the next round and not in the past.
     assert_eq!(
         watch.take_reports(ROUND_INTERVAL + ROUND_TIMEOUT, &columns),
         None
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_watch_that_reaches_no_endpoint_fails_after_a_while() {
+fn a_watch_that_reaches_no_endpoint_fails_after_a_timeout() {
     let mut watch = LoadWatch::default();
     for n in 0..7 {
         let now = n * ROUND_INTERVAL;
@@ -63,7 +63,7 @@
     watch.health_checked(7 * ROUND_INTERVAL, 5, Some(vec![0.1]));
     assert!(
         watch.failure(7 * ROUND_INTERVAL).is_some(),
-        "that endpoint was not probed"
+        "that endpoint was not being checked"
     );
     watch.health_checked(7 * ROUND_INTERVAL, 0, Some(vec![0.1]));
     assert_eq!(watch.failure(20 * ROUND_INTERVAL), None);
@@ -86,17 +86,17 @@
         [report(7, &[3.0, 0.25])]
     );
     assert_eq!(loads.rows(&columns(&["qps"])).count(), 0);
-    assert_eq!(LoadReports::decode(b"what is this"), None);
+    assert_eq!(LoadReports::decode(b"not a load report"), None);
 }
 
 #[test]
-fn load_reports_are_encoded_as_older_builds_encode_them() {
+fn load_reports_have_the_encoding_of_older_builds() {
     #[derive(Serialize)]
-    struct FormerLoadReports {
+    struct OlderLoadReports {
         columns: Vec<String>,
         of: Vec<(u64, Micros, Vec<f32>)>,
     }
-    let former = FormerLoadReports {
+    let older = OlderLoadReports {
         columns: columns(&["x0"]),
         of: vec![(7, 5, vec![0.25])],
     };
@@ -108,6 +108,6 @@
             values: vec![0.25],
         }],
     };
-    assert_eq!(current.encode(), wire::encode(&former));
-    assert_eq!(LoadReports::decode(&wire::encode(&former)), Some(current));
+    assert_eq!(current.encode(), wire::encode(&older));
+    assert_eq!(LoadReports::decode(&wire::encode(&older)), Some(current));
 }
--- a/crates/control/src/jobs/mod.rs
+++ b/crates/control/src/jobs/mod.rs
@@ -1,4 +1,5 @@
-//! Jobs of the fleet: which relay owns each, how stale commands of former owners are fenced, and what each kind does.
+//! Jobs of the fleet: their assignment to relays, fencing of former owners, and the work of each
+//! kind.
 
 pub mod assignment;
 pub mod fence;
--- a/crates/control/src/jobs/moves.rs
+++ b/crates/control/src/jobs/moves.rs
@@ -1,16 +1,19 @@
-//! Migration pacing: the job of limiting the rate at which all relays migrate established connections to other cells.
-//! Migrations away from draining or overloaded endpoints are not counted here.
+//! Migration pacing: the job of limiting the rate at which all relays together migrate established
+//! connections to other cells. Migrations away from draining or overloaded endpoints are not
+//! counted.
 //!
-//! Each relay reports how many of its connections wait and how many it has migrated since its start. The owner permits
-//! each relay a number of migrations since that start, which only grows, so a message that arrives late or twice permits
-//! nothing more. A relay without a permit migrates nothing.
+//! Each relay reports how many of its connections wait to be migrated and how many it has migrated
+//! since its start. The owner permits each relay a total number of migrations since that start.
+//! This total only grows, so a message that arrives late or twice permits nothing more. A relay
+//! without a permit migrates nothing.
 //!
-//! Voters merge the reports of the relays that follow them into one summary and distribute the allowance that the owner
-//! gives them; [`crate::broadcast::allowance`] has the argument for the bound. Relays that follow voters of older builds
-//! get their permits one by one.
+//! Voters merge the reports of the relays that follow them into one summary, and distribute the
+//! allowance that the owner gives them; [`crate::broadcast::allowance`] explains why the total
+//! stays bounded. Relays that follow voters of older builds get their permits individually.
 //!
-//! Guards against: more migrations per second than the policy allows the fleet, also when the owner changes (a new one
-//! starts with the permits that are reported and without tokens), and a relay that is gone (it gets no permits).
+//! Guards against: more migrations per second than the policy allows the fleet, also when the owner
+//! changes (a new owner starts from the reported permits and with an empty token bucket), and a
+//! relay that no longer reports (it gets no permits).
 
 use crate::broadcast::message::{Allowance, MigrationSummary};
 use crate::relay::RelayId;
@@ -25,33 +28,35 @@
 pub const KIND: &str = "moves";
 /// A relay or voter that has not reported for this time gets no permits.
 const REPORT_TIMEOUT: Micros = 3_000_000;
-/// Interval at which permits are given.
+/// Interval between two distributions of permits.
 const PERMIT_INTERVAL: Micros = 250_000;
-/// Size of the token bucket, as the time in which the rate fills it. Permits that no relay needs do not accumulate.
+/// Size of the token bucket, as the time in which the rate fills it. Permits that no relay needs do
+/// not accumulate.
 const MAX_BURST: Micros = 1_000_000;
-/// Tokens that one permit costs: the bucket gains the rate, in migrations per second, with each microsecond.
+/// Number of tokens that one permit costs. In each microsecond the bucket gains as many tokens as
+/// the rate in migrations per second.
 const TOKENS_PER_PERMIT: u64 = 1_000_000;
 
 /// Report of a relay about its migrations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MigrationStatus {
-    /// Connections that wait to be migrated.
+    /// Number of connections that wait to be migrated.
     pub waiting: u64,
-    /// Migrations since the relay's start.
+    /// Number of migrations since the relay's start.
     #[serde(rename = "made")]
     pub completed: u64,
-    /// Permitted migrations since the relay's start, as far as it knows.
+    /// Permitted number of migrations since the relay's start, as far as the relay knows.
     pub permitted: u64,
 }
 
 impl MigrationStatus {
-    /// The report as bytes.
+    /// Encodes the report.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
-    /// The report from bytes; none if the bytes cannot be decoded.
+    /// Decodes a report. Returns `None` if the bytes are invalid.
     pub fn decode(bytes: &[u8]) -> Option<MigrationStatus> {
         wire::decode(bytes)
     }
@@ -67,17 +72,17 @@
 }
 
 impl MigrationPermits {
-    /// The permits as bytes.
+    /// Encodes the permits.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
-    /// The permits from bytes; none if the bytes cannot be decoded.
+    /// Decodes permits. Returns `None` if the bytes are invalid.
     pub fn decode(bytes: &[u8]) -> Option<MigrationPermits> {
         wire::decode(bytes)
     }
 
-    /// The number of migrations that a relay's process is permitted, if it is named.
+    /// Number of migrations that a relay's process is permitted, if the permits name it.
     pub fn for_relay(&self, relay: &RelayId) -> Option<u64> {
         self.by_relay
             .iter()
@@ -86,12 +91,12 @@
     }
 }
 
-/// Who requests permits.
+/// A process that requests permits.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Requester {
     /// A relay that follows a voter of an older build.
     Relay(RelayId),
-    /// A process of a voter, for all relays that follow it.
+    /// A voter's process, on behalf of all relays that follow it.
     Voter { voter: u64, incarnation: u64 },
 }
 
@@ -104,7 +109,7 @@
 struct RequesterState {
     demand: Demand,
     reported_at: Micros,
-    /// Permits in total. Each increment costs tokens.
+    /// Total number of permits. Each increment costs tokens.
     permitted: u64,
 }
 
@@ -124,17 +129,20 @@
     }
 }
 
-/// The owner's state: a token bucket, and what relays and voters report. Default: nothing is known, the bucket is empty.
+/// State of the job's owner: a token bucket, and the reports of relays and voters. By default there
+/// are no reports and the bucket is empty.
 #[derive(Default)]
 pub struct MigrationPacer {
     requesters: BTreeMap<Requester, RequesterState>,
     last_tick: Option<Micros>,
     tokens: u64,
+    /// Total number of permits given by all owners, see [`MigrationPacer::permitted_total`].
     permitted_total: u64,
 }
 
 impl MigrationPacer {
-    /// A pacer that continues from a checkpoint; an empty or damaged one counts as zero.
+    /// Creates a pacer that continues from a checkpoint. An empty or damaged checkpoint counts as
+    /// zero.
     pub fn resume(checkpoint: &[u8]) -> MigrationPacer {
         MigrationPacer {
             permitted_total: checkpoint.try_into().map_or(0, u64::from_be_bytes),
@@ -142,24 +150,25 @@
         }
     }
 
-    /// The checkpoint for the log.
+    /// Checkpoint of the current state, for the log.
     pub fn checkpoint(&self) -> Vec<u8> {
         self.permitted_total.to_be_bytes().to_vec()
     }
 
-    /// Migrations that all owners have permitted since the job was created, up to the latest checkpoint and by this one.
+    /// Number of migrations permitted since the job was created: up to the checkpoint by former
+    /// owners, and since then by this one.
     pub fn permitted_total(&self) -> u64 {
         self.permitted_total
     }
 
-    /// When permits are given next.
+    /// When permits are distributed next.
     pub fn next_tick(&self) -> Micros {
         self.last_tick
             .map_or(0, |last_tick| last_tick + PERMIT_INTERVAL)
     }
 
-    /// Handles the report of a relay that was valid at this time at the earliest. An older report than the latest is
-    /// ignored.
+    /// Handles a relay's report; `reported_at` is the earliest time at which it was valid. A report
+    /// older than the latest one is ignored.
     pub fn handle_report(&mut self, reported_at: Micros, relay: RelayId, report: &[u8]) {
         let Some(status) = MigrationStatus::decode(report) else {
             return;
@@ -182,8 +191,8 @@
         }
     }
 
-    /// Handles the summary of a voter. Its allowance continues from the one that it reports. An older summary than the
-    /// latest is ignored.
+    /// Handles a voter's summary. Its allowance continues from the value that it reports. A summary
+    /// older than the latest one is ignored.
     pub fn handle_summary(&mut self, now: Micros, voter: u64, summary: MigrationSummary) {
         let requester = Requester::Voter {
             voter,
@@ -207,7 +216,7 @@
         }
     }
 
-    /// The allowance of a voter's latest process; none until the voter has reported.
+    /// Allowance of a voter's latest process; `None` until the voter has reported.
     pub fn allowance(&self, voter: u64) -> Option<Allowance> {
         let all_incarnations = Requester::Voter {
             voter,
@@ -229,8 +238,9 @@
         })
     }
 
-    /// Gives permits at this rate, in migrations per second of the whole fleet, each to the requester with the largest
-    /// unmet demand. Returns the permits for single relays, if there are new ones or a relay does not know its permits yet.
+    /// Distributes permits at this rate, in migrations per second of the whole fleet, each to the
+    /// requester with the largest unmet demand. Returns the permits for single relays, if there are
+    /// new ones or a relay does not know its permits yet.
     pub fn tick(&mut self, now: Micros, per_second: u64) -> Option<MigrationPermits> {
         let last_tick = *self.last_tick.get_or_insert(now);
         if now < last_tick + PERMIT_INTERVAL {
@@ -245,7 +255,8 @@
         self.permits_for_relays(has_new_permits)
     }
 
-    /// Gives permits until the tokens are spent or no demand is left. Returns whether it gave any.
+    /// Gives permits until the tokens are spent or there is no unmet demand. Returns whether it
+    /// gave any.
     fn spend_tokens(&mut self) -> bool {
         let mut has_new_permits = false;
         while self.tokens >= TOKENS_PER_PERMIT {
@@ -264,8 +275,8 @@
         has_new_permits
     }
 
-    /// The permits of relays that follow voters of older builds. They are repeated while a relay does not know its permits,
-    /// since a message may be lost.
+    /// Permits of relays that follow voters of older builds. They are repeated while a relay does
+    /// not know its permits, since messages may be lost.
     fn permits_for_relays(&self, has_new_permits: bool) -> Option<MigrationPermits> {
         let mut by_relay = Vec::new();
         let mut has_unknown_permits = false;
--- a/crates/control/src/jobs/moves/tests.rs
+++ b/crates/control/src/jobs/moves/tests.rs
@@ -33,7 +33,7 @@
     let mut total = 0;
     for interval in 0..40u64 {
         let now = interval * PERMIT_INTERVAL;
-        // Half-way another owner continues from the checkpoint and the reports.
+        // After half of the intervals another owner continues from the checkpoint and the reports.
         if interval == 20 {
             pacer = MigrationPacer::resume(&pacer.checkpoint());
         }
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn idle_or_silent_relays_get_no_permits_and_tokens_are_capped() {
+fn idle_or_silent_relays_get_no_permits_and_tokens_are_bounded() {
     let mut pacer = MigrationPacer::default();
     report(&mut pacer, 0, 0, 0, 5, 5);
     pacer.tick(0, 100);
@@ -86,5 +86,5 @@
         None,
         "the relay is silent"
     );
-    pacer.handle_report(0, relay(1), b"what is this");
+    pacer.handle_report(0, relay(1), b"not a report");
 }
--- a/crates/control/src/jobs/owner.rs
+++ b/crates/control/src/jobs/owner.rs
@@ -1,11 +1,12 @@
 //! Job ownership on a relay: which jobs it owns, and until when it may act on them.
 //!
-//! Input: responses of the leader to lease renewals. Output: the owned jobs while the lease is valid, and the job fields
-//! of the next renewal request.
+//! Input: responses of the leader to lease renewals. Output: the owned jobs while the lease is
+//! valid, and the job fields of the next renewal request.
 //!
-//! Guards against: acting after the lease has expired (each check takes the time), acting on a job that the newest list
-//! no longer contains (the relay stops before it acknowledges that list), acting after a receiver has reported a newer
-//! token, and an older list that arrives late (versions only grow).
+//! Guards against: acting after the lease has expired (each check compares it with the time),
+//! acting on a job that the newest list no longer contains (the relay stops before it reports that
+//! it applied the list), acting after a receiver has reported a newer token, and an older list that
+//! arrives late (ignored by its version).
 
 use crate::jobs::assignment::FencingToken;
 use crate::wire::message::{AssignedJobs, JobCapabilities, RenewRequest, RenewResponse};
@@ -15,7 +16,8 @@
 #[cfg(test)]
 mod tests;
 
-/// The reason with which a stopping relay relinquishes its jobs. It does not count against the relay.
+/// Reason with which a stopping relay relinquishes its jobs. Such a job is not backed off. The text
+/// is sent to leaders of other builds, which compare it.
 pub const RELAY_STOPS: &str = "its relay stops";
 
 /// Maximum number of expected jobs that one renewal request names, so that requests stay short.
@@ -26,9 +28,9 @@
 pub struct OwnedJob {
     /// Fencing token, to be sent with each command.
     pub token: FencingToken,
-    /// Sequence number of the latest checkpoint in the log; 0 if there is none.
+    /// Step of the latest checkpoint in the log; 0 if there is none.
     pub checkpoint_step: u64,
-    /// Content of the latest checkpoint in the log: where to resume.
+    /// Content of the latest checkpoint in the log, from which the job resumes.
     pub checkpoint: Vec<u8>,
     /// A checkpoint that the log does not contain yet.
     pending_checkpoint: Option<Vec<u8>>,
@@ -41,17 +43,18 @@
     /// Version of the newest list that was applied.
     version: u64,
     jobs: BTreeMap<String, OwnedJob>,
-    /// Assignments that this relay relinquished, with the reason, until a list no longer contains them.
+    /// Assignments that this relay relinquished, with the reason, until a list no longer contains
+    /// them.
     relinquished: BTreeMap<(String, FencingToken), String>,
-    /// The lease expires at this time of the local clock.
+    /// When the lease expires, by the local clock.
     lease_expiry: Micros,
     capabilities: JobCapabilities,
-    /// The relay is stopping and accepts no more jobs.
+    /// Whether the relay is stopping and accepts no more jobs.
     is_stopping: bool,
 }
 
 impl JobOwner {
-    /// An owner with an injected fault, for tests of the checkers.
+    /// Creates an owner with an injected bug, for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(injected: InjectedBugs) -> JobOwner {
         JobOwner {
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Sets which jobs this relay supports. Default: any.
+    /// Sets which jobs this relay supports. Default: all kinds.
     pub fn with_capabilities(self, capabilities: JobCapabilities) -> JobOwner {
         JobOwner {
             capabilities,
@@ -76,10 +79,11 @@
         }
     }
 
-    /// The job, if this relay may act on it at this moment. To be checked right before each command is sent.
+    /// The job, if this relay may act on it now. Must be checked right before each command is sent.
     pub fn may_act(&self, now: Micros, name: &str) -> Option<&OwnedJob> {
-        let ignores_expiry = self.injected.is(InjectedBug::ActAfterLease) && self.lease_expiry > 0;
-        let is_lease_valid = now < self.lease_expiry || ignores_expiry;
+        let injected_act_after_lease =
+            self.injected.is(InjectedBug::ActAfterLease) && self.lease_expiry > 0;
+        let is_lease_valid = now < self.lease_expiry || injected_act_after_lease;
         self.jobs.get(name).filter(|_| is_lease_valid)
     }
 
@@ -88,7 +92,8 @@
         self.jobs.keys().map(String::as_str)
     }
 
-    /// Stops acting on a job and reports the reason with the next renewals. The job comes back only under a new token.
+    /// Stops acting on a job and reports this with the reason in the next renewals. The relay
+    /// accepts the job again only under a new token.
     pub fn relinquish(&mut self, name: &str, reason: &str) {
         if let Some(job) = self.jobs.remove(name) {
             self.relinquished
@@ -96,7 +101,8 @@
         }
     }
 
-    /// Submits a checkpoint of an owned job. Returns false, and does nothing, while an earlier one is pending.
+    /// Submits a checkpoint of an owned job. Returns false, and does nothing, if an earlier one is
+    /// pending or the job is not owned.
     pub fn checkpoint(&mut self, name: &str, content: Vec<u8>) -> bool {
         let Some(job) = self
             .jobs
@@ -109,7 +115,8 @@
         true
     }
 
-    /// Some of the expected jobs. Successive sequence numbers go through all of them in turn.
+    /// The expected jobs that the request with this sequence number names. Successive requests go
+    /// through all of them in turn.
     fn expected_jobs(&self, sequence: u64) -> Vec<String> {
         let all = &self.capabilities.expected_jobs;
         let first = sequence as usize * MAX_EXPECTED_JOBS_PER_REQUEST % all.len().max(1);
@@ -142,7 +149,8 @@
 
     fn advertised_capabilities(&self, sequence: u64) -> JobCapabilities {
         if self.is_stopping {
-            // A kind that no job has: this relay supports none. An empty list would mean any kind.
+            // No job has this kind, so this relay supports none. An empty list would mean all
+            // kinds.
             return JobCapabilities {
                 kinds: vec![String::new()],
                 ..JobCapabilities::default()
@@ -154,8 +162,9 @@
         }
     }
 
-    /// Applies a response that a leader confirmed with a majority after the request, which was sent at `requested_at` of
-    /// the local clock. A response without the last token is not from a leader and is ignored.
+    /// Handles a response to the request that was sent at `requested_at` of the local clock. A
+    /// leader responds only after a majority has confirmed its leadership. A response without the
+    /// latest token has no renewal of the lease and is ignored.
     pub fn handle_response(
         &mut self,
         requested_at: Micros,
@@ -176,7 +185,7 @@
         self.lease_expiry = self.lease_expiry.max(requested_at + timing.lease_duration);
     }
 
-    /// The log contains the checkpoint with this step.
+    /// Records that the log contains the checkpoint with this step.
     fn confirm_checkpoint(&mut self, name: &str, step: u64) {
         let Some(job) = self.jobs.get_mut(name) else {
             return;
--- a/crates/control/src/jobs/worker/takeover.rs
+++ b/crates/control/src/jobs/worker/active_jobs.rs
@@ -1,4 +1,4 @@
-//! Starts jobs that this relay has been assigned, and stops those that it may no longer act on.
+//! Start of jobs that this relay was assigned, and stop of those that it may no longer act on.
 
 use super::{ActiveJob, JobState, LoadJob, MigrationJob, Worker, WorkerCommand};
 use crate::jobs::assignment::FencingToken;
@@ -9,8 +9,9 @@
 use crate::Micros;
 
 impl Worker {
-    /// Brings the active jobs in line with those that the lease allows to act on now.
-    pub(super) fn take_over(
+    /// Stops active jobs that this relay may no longer act on, and starts those that it may act on
+    /// now.
+    pub(super) fn sync_active_jobs(
         &mut self,
         now: Micros,
         lease_client: &LeaseClient,
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Stops a job of which a voter knows this token, and relinquishes it if the token is newer than the own.
+    /// Stops a job for which a voter has reported this token, and relinquishes it if the token is
+    /// newer than this relay's.
     pub fn handle_stale_token(
         &mut self,
         now: Micros,
--- a/crates/control/src/jobs/worker/load_job.rs
+++ b/crates/control/src/jobs/worker/load_job.rs
@@ -1,4 +1,5 @@
-//! A load watch that this relay owns: probes endpoints and publishes their loads as a table.
+//! Load watch that this relay owns: requests health checks of endpoints and publishes their loads
+//! as a table.
 
 use super::{EndpointLoad, JobTick, WorkerCommand};
 use crate::broadcast::subscriber::UpdateId;
@@ -17,7 +18,8 @@
 }
 
 impl LoadJob {
-    /// A job that starts under this token. `last_sequence` is the last that this relay used as an owner.
+    /// Creates the state of a job that starts under this token. `last_sequence` is the last
+    /// sequence number that this relay used as an owner.
     pub(super) fn new(token: FencingToken, last_sequence: u64) -> LoadJob {
         LoadJob {
             watch: LoadWatch::default(),
@@ -26,18 +28,19 @@
         }
     }
 
-    /// Probes endpoints, and publishes a round that has ended. Relinquishes the job if no endpoint can be reached.
+    /// Requests health checks, and publishes a round that has ended. Relinquishes the job if no
+    /// endpoint can be reached.
     pub(super) fn tick(&mut self, mut tick: JobTick<'_>) {
         let zone = tick.name.split_once('/').map_or("", |(_, zone)| zone);
-        let probes = self
+        let endpoints = self
             .watch
             .tick(tick.now, || (tick.context.endpoints_in_zone)(zone));
         tick.commands
-            .extend(probes.into_iter().map(WorkerCommand::CheckHealth));
+            .extend(endpoints.into_iter().map(WorkerCommand::CheckHealth));
         if let Some(reason) = self.watch.failure(tick.now) {
             tick.owner.relinquish(tick.name, reason);
             tick.commands.push(WorkerCommand::Log(format!(
-                "fleet: gives up {}, token {}: {reason}",
+                "fleet: relinquishes {}, token {}: {reason}",
                 tick.name, tick.token
             )));
             return;
@@ -48,7 +51,8 @@
         }
     }
 
-    /// Updates the table, uses it on this relay at once, and sends each voter what it lacks.
+    /// Updates the table, applies it on this relay at once, and sends each voter the changes that
+    /// it lacks.
     fn publish(&mut self, tick: &mut JobTick<'_>, reports: &LoadReports) {
         self.table
             .update(tick.now, &reports.columns, &reports.reports);
@@ -72,12 +76,12 @@
         tick.send_as_owner(messages);
     }
 
-    /// Records the version that a voter has.
+    /// Records the version that a voter has acknowledged.
     pub(super) fn handle_receipt(&mut self, voter: u64, version: Version) {
         self.acknowledged.insert(voter, version);
     }
 
-    /// Handles the end of a probe; `report` is none if it failed.
+    /// Handles the end of a health check; `report` is `None` if it failed.
     pub(super) fn health_checked(&mut self, now: Micros, endpoint: u64, report: Option<Vec<f32>>) {
         self.watch.health_checked(now, endpoint, report);
     }
@@ -91,7 +95,8 @@
     }
 }
 
-/// The loads in a table, with only these columns. None if a column is missing or there are no rows.
+/// Command to store the loads in a table, with only these columns; `None` if a column is missing or
+/// there are no rows.
 pub(super) fn table_loads(table: &Table, columns: &[String]) -> Option<WorkerCommand> {
     let indexes = column_indexes(table.columns(), columns)?;
     let endpoint_load = |row: &Row| {
@@ -105,7 +110,8 @@
     load_reports(table.rows().iter().map(endpoint_load).collect())
 }
 
-/// The loads in a full update that was valid at this time, with only these columns.
+/// Command to store the loads in a full update, with only these columns; `None` if there are none.
+/// `valid_since` is the earliest time at which the update was valid.
 pub(super) fn full_update_loads(
     reports: &LoadReports,
     valid_since: Micros,
--- a/crates/control/src/jobs/worker/migration_job.rs
+++ b/crates/control/src/jobs/worker/migration_job.rs
@@ -1,4 +1,4 @@
-//! The migration job that this relay owns: paces the fleet's migrations and publishes permits.
+//! Migration job that this relay owns: paces the fleet's migrations and publishes permits.
 
 use super::JobTick;
 use crate::broadcast::message::MigrationSummary;
@@ -9,7 +9,8 @@
 
 /// Interval between two checkpoints.
 const CHECKPOINT_INTERVAL: Micros = 1_000_000;
-/// Interval between two submissions, which give voters their allowance and request their summaries.
+/// Interval between two submissions. A submission gives a voter its allowance, and the receipt
+/// returns the voter's summary.
 const SUBMISSION_INTERVAL: Micros = 500_000;
 
 /// State of the owned migration job.
@@ -20,7 +21,7 @@
 }
 
 impl MigrationJob {
-    /// A job that resumes from a checkpoint.
+    /// Creates the state of a job that resumes from a checkpoint.
     pub(super) fn new(now: Micros, checkpoint: &[u8]) -> MigrationJob {
         MigrationJob {
             pacer: MigrationPacer::resume(checkpoint),
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Gives permits, and stores a checkpoint at its interval.
+    /// Distributes permits, and submits a checkpoint if one is due.
     pub(super) fn tick(&mut self, mut tick: JobTick<'_>) {
         if tick.now < self.pacer.next_tick() {
             return;
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Gives permits at this rate per second, and sends them to the voters.
+    /// Distributes permits at this rate per second, and sends them to the voters.
     fn publish(&mut self, tick: &mut JobTick<'_>, rate: u64) {
         let permits = self.pacer.tick(tick.now, rate);
         let id = UpdateId {
--- a/crates/control/src/jobs/worker/mod.rs
+++ b/crates/control/src/jobs/worker/mod.rs
@@ -1,18 +1,20 @@
-//! Worker: runs the jobs that this relay owns, and executes the updates of other owners. No I/O and no clock.
+//! Worker: runs the jobs that this relay owns, and executes the updates of other owners. It does no
+//! I/O and reads no clock.
 //!
-//! Input: the time, the lease, this relay's endpoints and migrations, and received messages. Output: commands that the
-//! relay executes.
+//! Input: the time, the lease, this relay's endpoints and migrations, and received messages.
+//! Output: commands that the relay executes.
 //!
-//! An owner's message is created only in the call that has checked the lease. What leaves an owner: updates (fenced at
-//! each voter and each relay), checkpoints (fenced by the log), and probes of endpoints, which carry no token and are
-//! harmless when late or repeated.
+//! An owner's messages are created only in the call that has checked the lease. An owner sends
+//! updates (fenced at each voter and each relay), checkpoints (fenced by the log), and health
+//! checks, which carry no token but are harmless when late or repeated.
 //!
-//! Guards against: a job that continues with the state of a former owner (each token starts new state, from the
-//! checkpoint), reports to jobs that this relay does not own, and an owner that cannot do its job (it relinquishes it).
+//! Guards against: a job that continues with the state of an earlier assignment (each token starts
+//! with new state from the checkpoint), reports to jobs that this relay does not own (ignored), and
+//! an owner that cannot do its job (it relinquishes it).
 
+mod active_jobs;
 mod load_job;
 mod migration_job;
-mod takeover;
 mod updates;
 
 use crate::broadcast::subscriber::{Subscriber, POLL_INTERVAL};
@@ -29,27 +31,28 @@
 use migration_job::MigrationJob;
 use std::collections::BTreeMap;
 
-/// Number of a request for a job's token. Operators send theirs over other links, so one number is enough.
+/// Number of a request for a job's token. It is always the same, since operators send their
+/// requests over other links.
 const TOKEN_REQUEST_NUMBER: u64 = 1;
 
-/// What the relay must do.
+/// A command that the relay must execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCommand {
     /// Send a message to a voter.
     Send(u64, Message),
     /// Send a message to a voter as the owner of a job. The lease was checked in this call.
     SendAsOwner(u64, Message),
-    /// Probe the load of this endpoint and pass the result to [`Worker::health_checked`].
+    /// Check the health of this endpoint and pass the result to [`Worker::health_checked`].
     CheckHealth(u64),
     /// Store these loads, which the owner of a load watch has published.
     LoadReports(Vec<EndpointLoad>),
-    /// Permit this number of migrations, counted since the relay's start.
+    /// Permit this total number of migrations, counted since the relay's start.
     PermitMigrations(u64),
     /// Write a line to the log.
     Log(String),
 }
 
-/// Load of an endpoint, dated by the local clock.
+/// Load of an endpoint, with a time of the local clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointLoad {
     /// The endpoint's number.
@@ -60,15 +63,15 @@
     pub values: Vec<f32>,
 }
 
-/// What the worker needs to know of its relay.
+/// Settings and state of the relay that the worker needs.
 #[derive(Clone, Copy)]
 pub struct WorkContext<'a> {
     /// Names of the columns in which the endpoints report their load.
     pub report_columns: &'a [String],
     /// Endpoints of a zone that may get requests, by the zone's name.
     pub endpoints_in_zone: &'a dyn Fn(&str) -> Vec<u64>,
-    /// This relay's migrations, and how many per second the policy allows the whole fleet; none if the fleet does not pace
-    /// them.
+    /// This relay's migrations, and how many per second the policy allows the whole fleet; `None`
+    /// if the policy does not limit them.
     pub migration_status: &'a dyn Fn() -> Option<(MigrationStatus, u64)>,
 }
 
@@ -81,11 +84,11 @@
 enum JobState {
     LoadWatch(Box<LoadJob>),
     Migrations(MigrationJob),
-    /// Of a kind without work in this build.
+    /// A kind of job for which this build has no work.
     Idle,
 }
 
-/// What a job's tick reads and writes.
+/// Arguments of a job's tick.
 struct JobTick<'a> {
     now: Micros,
     name: &'a str,
@@ -110,7 +113,7 @@
 pub struct Worker {
     subscriber: Subscriber,
     jobs: BTreeMap<String, ActiveJob>,
-    /// Jobs whose token must be requested, and when it is requested next.
+    /// Jobs whose tokens must be requested, and when each is requested next.
     unknown_tokens: BTreeMap<String, Micros>,
     /// Number of updates that were rejected because a former owner sent them.
     pub updates_rejected: u64,
@@ -119,7 +122,7 @@
 }
 
 impl Worker {
-    /// The worker of a process that has just started.
+    /// Creates the worker of a process that has just started.
     pub fn new(subscriber: Subscriber) -> Worker {
         Worker {
             subscriber,
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Injects a fault, for tests of the checkers.
+    /// Injects a bug, for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(self, injected: InjectedBugs) -> Worker {
         Worker {
@@ -139,7 +142,8 @@
         }
     }
 
-    /// Starts and stops jobs as the lease says, runs those that are active, and sends requests to voters.
+    /// Starts and stops jobs according to the lease, runs the active ones, and sends requests to
+    /// voters.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -147,7 +151,7 @@
         context: WorkContext<'_>,
     ) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
-        self.take_over(now, lease_client, &mut commands);
+        self.sync_active_jobs(now, lease_client, &mut commands);
         self.run_jobs(now, lease_client, context, &mut commands);
         self.send_requests(now, lease_client, context, &mut commands);
         commands
@@ -188,7 +192,7 @@
         }
     }
 
-    /// Polls voters, and requests unknown tokens from the leader.
+    /// Sends requests to voters, and requests unknown tokens from the leader.
     fn send_requests(
         &mut self,
         now: Micros,
@@ -230,7 +234,7 @@
             .map(|(name, job)| (name.as_str(), job.token))
     }
 
-    /// When [`Worker::tick`] has something to do next, if no message arrives before.
+    /// When [`Worker::tick`] has something to do next, unless a message arrives before.
     pub fn next_tick(&self) -> Micros {
         self.jobs
             .values()
@@ -244,7 +248,8 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// The table of a load watch: the published one if this relay owns the job, else the received one.
+    /// The table of a load watch: the published one if this relay owns the job, else the received
+    /// one.
     pub fn table(&self, job: &str) -> Option<&Table> {
         match self.jobs.get(job).map(|job| &job.state) {
             Some(JobState::LoadWatch(load_job)) => Some(load_job.table()),
--- a/crates/control/src/jobs/worker/updates.rs
+++ b/crates/control/src/jobs/worker/updates.rs
@@ -1,4 +1,5 @@
-//! Messages that a worker receives: updates of owners, reports of relays, receipts of voters, and results of probes.
+//! Handling of what a worker receives: updates of owners, reports of relays, receipts of voters,
+//! and results of health checks.
 
 use super::load_job::{full_update_loads, table_loads};
 use super::{JobState, WorkContext, Worker, WorkerCommand};
@@ -13,7 +14,7 @@
 use crate::Micros;
 
 impl Worker {
-    /// Handles a voter's response in the format of older builds.
+    /// Handles a voter's response to a subscription, or full updates of a voter of an older build.
     pub fn handle_updates(
         &mut self,
         now: Micros,
@@ -89,7 +90,8 @@
         commands
     }
 
-    /// Passes a relay's reports to the jobs that this relay owns. A report's kind is the name of its job.
+    /// Passes a relay's reports to the jobs that this relay owns. A report's kind is the name of
+    /// its job.
     fn handle_reports(&mut self, relay_reports: RelayReports) {
         for report in relay_reports.reports {
             if let Some(JobState::Migrations(migration_job)) = self.job_state(&report.kind) {
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Executes an update of an owner. Kinds and contents that this build does not know are ignored.
+    /// Executes an update of an owner. Kinds of jobs and contents that this build does not know are
+    /// ignored.
     fn execute(
         &mut self,
         lease_client: &LeaseClient,
@@ -140,7 +143,8 @@
         }
     }
 
-    /// Handles the end of a probe that [`WorkerCommand::CheckHealth`] requested; `report` is none if it failed.
+    /// Handles the end of a health check that [`WorkerCommand::CheckHealth`] requested; `report` is
+    /// `None` if it failed.
     pub fn health_checked(&mut self, now: Micros, endpoint: u64, report: Option<Vec<f32>>) {
         for job in self.jobs.values_mut() {
             if let JobState::LoadWatch(load_job) = &mut job.state {
--- a/crates/control/src/jobs/zones/capacity.rs
+++ b/crates/control/src/jobs/zones/capacity.rs
@@ -1,15 +1,17 @@
-//! Capacity of the other zones for the traffic of a zone that is ejected or returns.
+//! Spare capacity of the other zones for the traffic of a zone that is ejected or returns.
 
 use super::ZoneCapacity;
 use std::collections::BTreeMap;
 
-/// Maximum utilization of the other zones after an ejection. The rest absorbs uneven load, as in the cap of the decisions.
+/// Maximum utilization of the other zones after an ejection. The rest absorbs uneven load, like the
+/// load cap of the decisions.
 const MAX_UTILIZATION_AFTER_EJECTION: f64 = 0.9;
-/// Above this utilization of the other zones a return makes no further step.
+/// Utilization of the other zones above which the return of a zone does not advance.
 const PEAK_UTILIZATION: f64 = 0.85;
 
-/// Share of a zone's traffic, in percent, for which the other zones have no capacity. 0 if the zone's load is not known.
-/// `shares` are the current shares of the zones in percent; a zone counts with its share of its capacity.
+/// Share of a zone's traffic, in percent, for which the other zones have no capacity; 0 if the
+/// zone's load is not known. `shares` are the current traffic shares of the zones in percent; only
+/// this share of a zone's capacity is counted.
 pub(super) fn required_share(
     zone: &str,
     capacities: &BTreeMap<String, ZoneCapacity>,
@@ -35,7 +37,7 @@
     (required_fraction * 100.0).ceil() as u8
 }
 
-/// Whether the zones other than this one are at their peak.
+/// Whether the utilization of the zones other than this one exceeds [`PEAK_UTILIZATION`].
 pub(super) fn is_peak_elsewhere(zone: &str, capacities: &BTreeMap<String, ZoneCapacity>) -> bool {
     let mut capacity = 0.0;
     let mut load = 0.0;
--- a/crates/control/src/jobs/zones/evidence.rs
+++ b/crates/control/src/jobs/zones/evidence.rs
@@ -1,30 +1,31 @@
-//! Evidence about a zone: what the relays together observe of its endpoints.
+//! Evidence about a zone, combined from what the relays observe of its endpoints.
 //!
-//! Guards against: relays with a fault of their own, which observe failures everywhere, and a network fault between two
-//! zones, which only the relays of one zone observe.
+//! Guards against: relays with a fault of their own, which observe failures everywhere, and a
+//! network fault between two zones, which only the relays of one zone observe.
 
 use super::{ZoneObservation, ZoneObservations};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Minimum number of attempts of a relay in a zone for its observation to count.
 const MIN_ATTEMPTS: u32 = 4;
-/// From this share of failed attempts on, a relay observes a zone as bad.
+/// Share of failed attempts from which a relay's observation counts a zone as bad.
 const BAD_FAILURE_RATE: f64 = 0.5;
-/// Relays of at least this many zones must observe a zone as bad, if relays of as many observe it at all.
+/// Minimum number of zones whose relays must observe a zone as bad. If relays of fewer zones
+/// observe it at all, all of those zones must.
 const MIN_OBSERVER_ZONES: usize = 2;
 
-/// What the relays together observe of a zone.
+/// Combined observations of a zone.
 pub(super) struct Evidence {
-    /// Whether the zone fails, as more than half of the relays and relays of enough zones observe it.
+    /// Whether the zone fails: more than half of the relays, from enough zones, observe it as bad.
     pub is_bad: bool,
-    /// Failed attempts as a share of all; none if there were too few.
+    /// Failed attempts as a share of all; `None` if no relay made enough attempts.
     pub failure_rate: Option<f64>,
-    /// The evidence in words, for operators.
+    /// Summary for operators.
     pub description: String,
 }
 
 impl Evidence {
-    /// The evidence that these observations give about a zone.
+    /// Combines these observations of a zone.
     pub(super) fn for_zone(zone: &str, observations: &[&ZoneObservations]) -> Evidence {
         let mut observers = BTreeSet::new();
         let mut bad_observers = BTreeSet::new();
@@ -45,13 +46,13 @@
             attempts += u64::from(observation.attempts);
             failed += u64::from(observation.failed);
         }
-        // If relays of only one zone observe it, no others can confirm.
+        // If relays of only one zone observe it, relays of other zones cannot confirm it.
         let has_enough_zones = bad_observers.len() >= observers.len().min(MIN_OBSERVER_ZONES);
         Evidence {
             is_bad: bad_relay_count * 2 > relay_count && has_enough_zones,
             failure_rate: (attempts > 0).then(|| failed as f64 / attempts as f64),
             description: format!(
-                "{bad_relay_count} of {relay_count} relays, of {} zones, see it fail",
+                "{bad_relay_count} of {relay_count} relays, in {} zones, observe failures",
                 bad_observers.len()
             ),
         }
@@ -66,7 +67,8 @@
             .find(|observation| observation.zone == zone && observation.attempts >= MIN_ATTEMPTS)
     }
 
-    /// Whether this relay observes most of these zones as bad, of those that it observes; at least two.
+    /// Whether this relay observes at least two of these zones, and most of those that it observes
+    /// as bad.
     fn finds_most_bad(&self, zones: &[&str]) -> bool {
         let observed: Vec<&ZoneObservation> = zones
             .iter()
@@ -86,8 +88,8 @@
     }
 }
 
-/// The observations without those of relays that find most zones bad, since these have a fault of their own. All of them
-/// if most relays do.
+/// The observations without those of relays that find most zones bad, since such a relay probably
+/// has a fault of its own. If most relays find most zones bad, all observations are returned.
 pub(super) fn plausible_observations<'a>(
     all: &[&'a ZoneObservations],
     zones: &[&str],
@@ -104,7 +106,7 @@
     plausible
 }
 
-/// Mean failure rate of the zones other than this one; 0 if none is known.
+/// Mean failure rate of the zones other than this one; 0 if no rate is known.
 pub(super) fn mean_failure_rate_of_others(
     evidence: &BTreeMap<String, Evidence>,
     zone: &str,
--- a/crates/control/src/jobs/zones/mod.rs
+++ b/crates/control/src/jobs/zones/mod.rs
@@ -1,15 +1,18 @@
-//! Zone failover: the job of deciding which zones the fleet ejects, and how their traffic returns. No I/O and no clock.
-//! Not wired in yet: no relay runs this job.
+//! Zone failover: the job of deciding which zones the fleet ejects, and how their traffic returns.
+//! It does no I/O and reads no clock. No relay runs this job yet.
 //!
-//! Input: what relays observe of each zone ([`ZoneObservations`]), the capacity and load of the zones, and shares that
-//! operators set. Output: the state and the traffic share of each zone ([`ZoneStatus`]). It takes effect as a part of the
-//! policy, so all relays change together.
+//! Input: observations of relays ([`ZoneObservations`]), the capacity and load of the zones, and
+//! shares that operators set. Output: the state and the traffic share of each zone
+//! ([`ZoneStatus`]), which takes effect as a part of the policy, so that all relays change
+//! together.
 //!
-//! Guards against: a relay with a fault of its own, or a zone that is cut off from only one other (relays of two zones and
-//! more than half of all must observe the failures), a fault that all zones share, such as a bad release (no zone is
-//! ejected), other zones without capacity for the load (a zone is ejected in part, or not), two zones at a time, flapping
-//! (each state has a minimum duration, which doubles with each relapse), and a return faster than the endpoints can bear
-//! (it goes in steps, and each lasts until the zone fails no more than the others).
+//! Guards against: a relay with a fault of its own or a network fault between only two zones (more
+//! than half of the relays, from at least two zones, must observe the failures), a fault that all
+//! zones share, such as a bad release (no zone is ejected), other zones without capacity for the
+//! load (a zone is ejected in part or not at all), ejection of two zones at a time, flapping (each
+//! state has a minimum duration, which doubles with each relapse), and a return that overloads cold
+//! endpoints (it proceeds in steps, and each lasts until the zone does not fail more often than the
+//! others).
 
 mod capacity;
 mod evidence;
@@ -21,7 +24,7 @@
 use crate::{wire, Micros};
 use evidence::Evidence;
 use serde::{Deserialize, Serialize};
-use state_machine::{Situation, Zone};
+use state_machine::{TransitionInput, Zone};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -40,7 +43,7 @@
     /// Attempts that ended.
     #[serde(rename = "tries")]
     pub attempts: u32,
-    /// Those of them that failed, were reset or had no response.
+    /// Number of them that failed, were reset or got no response.
     pub failed: u32,
 }
 
@@ -57,23 +60,23 @@
 }
 
 impl ZoneObservations {
-    /// The observations as bytes.
+    /// Encodes the observations.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(self)
     }
 
-    /// The observations from bytes; none if the bytes cannot be decoded.
+    /// Decodes observations. Returns `None` if the bytes are invalid.
     pub fn decode(bytes: &[u8]) -> Option<ZoneObservations> {
         wire::decode(bytes)
     }
 }
 
-/// Capacity and load of a zone's endpoints, both in the same unit.
+/// Capacity and load of a zone's endpoints, in the same unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneCapacity {
-    /// Load that they can bear.
+    /// Load that the endpoints can handle.
     pub capacity: f64,
-    /// Load that they have.
+    /// Load that the endpoints have.
     pub load: f64,
 }
 
@@ -81,31 +84,31 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ZoneState {
-    /// It gets its full traffic.
+    /// The zone gets all of its traffic.
     #[default]
     #[serde(rename = "well")]
     Healthy,
-    /// It is observed to fail, but not for long enough.
+    /// The zone has been observed to fail, but not for long enough to be ejected.
     Suspect,
-    /// It gets no new traffic, or less.
+    /// The zone gets no new traffic, or only a part of it.
     #[serde(rename = "out")]
     Ejected,
-    /// It gets a part of its traffic again, more with each step.
+    /// The zone gets a part of its traffic again, which grows with each step.
     Returning,
-    /// Operators have set its share.
+    /// Operators have set the zone's share.
     #[serde(rename = "held")]
     Manual,
 }
 
-/// What the fleet must do with a zone.
+/// State of a zone and its share of traffic, as all relays must apply them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ZoneStatus {
     /// State of the zone.
     pub state: ZoneState,
-    /// Share of its traffic that it gets, in percent.
+    /// Share of its traffic that the zone gets, in percent.
     pub share: u8,
-    /// The reason, for operators.
+    /// Reason for the state, for operators.
     #[serde(rename = "why")]
     pub reason: String,
 }
@@ -115,7 +118,7 @@
 pub enum ManualShareError {
     /// There is no zone of this name.
     UnknownZone {
-        /// The name that was given.
+        /// Name that was requested.
         zone: String,
         /// Names of the zones that exist.
         known: Vec<String>,
@@ -132,9 +135,9 @@
         match self {
             ManualShareError::UnknownZone { zone, known } => {
                 let known = known.join(", ");
-                write!(f, "there is no zone '{zone}'; there are {known}")
+                write!(f, "there is no zone '{zone}'; the zones are {known}")
             }
-            ManualShareError::NotManual { zone } => write!(f, "{zone} is not held"),
+            ManualShareError::NotManual { zone } => write!(f, "zone '{zone}' has no manual share"),
         }
     }
 }
@@ -148,31 +151,33 @@
     observations: ZoneObservations,
 }
 
-/// The owner's state: the zones, and the latest observations of the relays. Default: no zones.
+/// State of the job's owner: the zones, and the latest observations of the relays. By default there
+/// are no zones.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneFailover {
     zones: BTreeMap<String, Zone>,
-    /// By name of the relay.
+    /// Latest observations by name of the relay.
     observations: BTreeMap<String, ReceivedObservations>,
 }
 
 impl ZoneFailover {
-    /// Adds zones of the settings as healthy. Zones that exist already do not change.
+    /// Adds zones as healthy. Existing zones do not change.
     pub fn add_zones<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
         for name in names {
             self.zones.entry(name.into()).or_insert_with(Zone::healthy);
         }
     }
 
-    /// Continues from the states that a former owner put in force. Each starts its minimum duration again, so no zone
-    /// returns faster because the owner changed.
+    /// Continues from the states that a former owner put in force. The minimum duration of each
+    /// state starts again, so a change of the owner does not make a zone return faster.
     pub fn resume(&mut self, now: Micros, statuses: &BTreeMap<String, ZoneStatus>) {
         for (name, status) in statuses {
             self.zones.insert(name.clone(), Zone::resume(now, status));
         }
     }
 
-    /// Stores the observations of a relay, which were valid at this time at the earliest, unless newer ones are known.
+    /// Stores the observations of a relay, unless newer ones are known. `valid_since` is the
+    /// earliest time at which they were valid.
     pub fn handle_observations(
         &mut self,
         valid_since: Micros,
@@ -192,7 +197,8 @@
         }
     }
 
-    /// Sets the share of a zone in percent (at most 100), or clears it: the zone then returns by steps from its share.
+    /// Sets the share of a zone in percent (at most 100), or clears it; the zone then returns in
+    /// steps from its current share.
     pub fn set_manual_share(
         &mut self,
         now: Micros,
@@ -213,7 +219,7 @@
         Ok(())
     }
 
-    /// Returns the status of all zones, if it has changed.
+    /// Updates the states of all zones. Returns the status of all zones if it has changed.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -224,10 +230,11 @@
         let before = self.status();
         let evidence = self.evidence();
         let bad_zones = evidence.values().filter(|of_zone| of_zone.is_bad).count();
-        // A fault of most zones is not a zone's own: it is a release, discovery, or the relays themselves.
+        // If most zones fail, the fault is not in one zone but in a release, discovery, or the
+        // relays themselves.
         let is_common_fault = bad_zones * 2 > self.zones.len();
         for (name, of_zone) in &evidence {
-            let situation = Situation {
+            let input = TransitionInput {
                 now,
                 evidence: of_zone,
                 is_common_fault,
@@ -237,7 +244,7 @@
                 is_peak_elsewhere: capacity::is_peak_elsewhere(name, capacities),
             };
             if let Some(zone) = self.zones.get_mut(name) {
-                zone.tick(situation);
+                zone.tick(input);
             }
         }
         let status = self.status();
@@ -258,7 +265,7 @@
             .collect()
     }
 
-    /// Another zone that does not have its full traffic because it was ejected.
+    /// Name of another zone that was ejected and has not returned completely.
     fn other_ejected_zone(&self, name: &str) -> Option<String> {
         self.zones
             .iter()
--- a/crates/control/src/jobs/zones/tests.rs
+++ b/crates/control/src/jobs/zones/tests.rs
@@ -32,8 +32,9 @@
         }
     }
 
-    /// Runs for this many seconds. Every quarter second each relay reports its observations; `failures` gives the failed
-    /// ones of ten attempts for the number of the relay, its zone and the observed zone.
+    /// Runs for this many seconds. Every quarter second each relay reports its observations:
+    /// `failures` returns the number of failed attempts out of ten, for the number of the relay,
+    /// its zone and the observed zone.
     fn run(&mut self, seconds: u64, failures: impl Fn(usize, &str, &str) -> u32) {
         for _ in 0..seconds * 4 {
             self.now += SECOND / 4;
@@ -74,21 +75,21 @@
     }
 }
 
-fn dead(zone: &'static str) -> impl Fn(usize, &str, &str) -> u32 {
-    move |_, _, of| if of == zone { 10 } else { 0 }
+fn all_attempts_fail(zone: &'static str) -> impl Fn(usize, &str, &str) -> u32 {
+    move |_, _, observed| if observed == zone { 10 } else { 0 }
 }
 
 #[test]
-fn a_dead_zone_is_ejected_within_two_seconds_and_returns_in_steps_without_relapse() {
+fn a_failed_zone_is_ejected_within_two_seconds_and_returns_in_steps_without_relapse() {
     let mut fleet = Fleet::new(4.0);
     fleet.run(3, |_, _, _| 0);
-    fleet.run(2, dead("b"));
+    fleet.run(2, all_attempts_fail("b"));
     assert_eq!(
         (fleet.zone("b").state, fleet.zone("b").share),
         (ZoneState::Ejected, 0)
     );
     assert!(fleet.changes.iter().all(|(at, ..)| *at <= 5 * SECOND));
-    fleet.run(8, dead("b"));
+    fleet.run(8, all_attempts_fail("b"));
     assert_eq!(
         fleet.zone("b").state,
         ZoneState::Ejected,
@@ -106,18 +107,26 @@
 }
 
 #[test]
-fn a_minority_of_relays_or_a_single_zone_ejects_no_zone() {
+fn observations_of_a_minority_of_relays_or_of_a_single_zone_eject_no_zone() {
     let mut fleet = Fleet::new(4.0);
     fleet.run(
         20,
         |relay, _, of| if relay < 3 && of == "b" { 10 } else { 0 },
     );
-    assert_eq!(fleet.changes, [], "three of nine, of three zones");
+    assert_eq!(
+        fleet.changes,
+        [],
+        "only three of nine relays, in three zones, observe failures"
+    );
     fleet.run(
         20,
         |_, own, of| if own == "a" && of == "b" { 10 } else { 0 },
     );
-    assert_eq!(fleet.changes, [], "one zone is cut off from another");
+    assert_eq!(
+        fleet.changes,
+        [],
+        "zone a is cut off from zone b, and zone c is not"
+    );
     // Relays that observe only failures have a fault of their own, even all relays of a zone.
     fleet.run(20, |_, own, _| if own == "c" { 10 } else { 0 });
     assert_eq!(fleet.changes, []);
@@ -132,26 +141,27 @@
         "{:?}",
         fleet.changes
     );
-    assert!(fleet.zone("a").reason.contains("nobody leaves"));
+    assert!(fleet.zone("a").reason.contains("no zone is ejected"));
     let mut fleet = Fleet::new(2.0);
-    fleet.run(3, dead("a"));
+    fleet.run(3, all_attempts_fail("a"));
     fleet.run(10, |_, _, of| if of == "c" { 0 } else { 10 });
     assert_eq!((fleet.zone("a").share, fleet.zone("b").share), (0, 100));
 }
 
 #[test]
 fn load_beyond_the_capacity_of_the_other_zones_stays() {
-    // Each of the others has a capacity of 10 and may be loaded up to 9: 1 more than its load of 8.
+    // Each of the others has a capacity of 10 and may have a load of 9, which is 1 more than its
+    // load of 8.
     let mut fleet = Fleet::new(8.0);
-    fleet.run(5, dead("b"));
+    fleet.run(5, all_attempts_fail("b"));
     let b = fleet.zone("b");
     assert_eq!((b.state, b.share), (ZoneState::Ejected, 75), "{}", b.reason);
-    assert!(b.reason.contains("a part only"));
+    assert!(b.reason.contains("only a part"));
     let mut fleet = Fleet::new(9.5);
-    fleet.run(5, dead("b"));
+    fleet.run(5, all_attempts_fail("b"));
     assert_eq!(fleet.zone("b").share, 100);
     assert!(
-        fleet.zone("b").reason.contains("no room"),
+        fleet.zone("b").reason.contains("no capacity"),
         "{}",
         fleet.zone("b").reason
     );
@@ -160,7 +170,7 @@
 #[test]
 fn a_zone_that_fails_again_goes_back_a_step_and_waits_longer_each_time() {
     let mut fleet = Fleet::new(4.0);
-    fleet.run(3, dead("b"));
+    fleet.run(3, all_attempts_fail("b"));
     // From 10% of its traffic on, two of ten attempts fail.
     for _ in 0..200 {
         let share = fleet.zone("b").share;
@@ -208,7 +218,7 @@
         .set_manual_share(0, "x", None)
         .unwrap_err()
         .to_string()
-        .contains("there are a, b, c"));
+        .contains("the zones are a, b, c"));
     fleet.zones.set_manual_share(fleet.now, "b", None).unwrap();
     fleet
         .capacities
@@ -227,7 +237,7 @@
 #[test]
 fn a_new_owner_resumes_the_states_and_returns_no_faster() {
     let mut fleet = Fleet::new(4.0);
-    fleet.run(3, dead("b"));
+    fleet.run(3, all_attempts_fail("b"));
     let statuses = fleet.zones.status();
     let mut next = ZoneFailover::default();
     next.resume(fleet.now, &statuses);
