--- a/crates/control/src/broadcast/allowance.rs
+++ b/crates/control/src/broadcast/allowance.rs
@@ -1,16 +1,20 @@
-//! A voter's share of the fleet's migrations: distributes the owner's allowance among the relays that follow the voter.
+//! Allowance of a voter: the share of the fleet's migrations that the owner gives it, distributed
+//! among the relays that follow it.
 //!
-//! Input: allowances of the owner of migrations, and reports of relays. Output: permits for each relay, and one summary
-//! of all of them for the owner.
+//! Input: allowances from the owner of migrations, and reports of relays. Output: permits for each
+//! relay, and one summary of all relays for the owner.
 //!
-//! Two counters that only grow bound the migrations: the allowance of a voter's process, which the owner raises, and the
-//! permits of a relay's process since its start, which its voter raises. Each increment is paid for: by the owner from
-//! its token bucket, by the voter from its allowance. A new owner, or a new voter of the same relay, continues from the
-//! value that the other side reports, which was paid for. So no counter exceeds what was paid for it, whatever messages
-//! are lost, late or duplicated.
+//! Two counters that only grow bound the migrations: the allowance of a voter's process, which the
+//! owner raises, and the permits of a relay's process since its start, which its voter raises. The
+//! owner pays for each increment of an allowance from its token bucket, and the voter pays for each
+//! permit from its allowance. A new owner, or a new voter of the same relay, continues from the
+//! value that the other side reports, which was paid for. So no counter exceeds what was paid for
+//! it, no matter which messages are lost, late or duplicated.
 //!
-//! Guards against: an allowance for the voter's previous process (it names the process), one for relays that no longer
-//! wait (the unused rest expires when the next one arrives), and a relay that claims to wait for more than anyone has.
+//! Guards against: an allowance for the voter's previous process (the allowance names the process),
+//! an accumulated allowance that no relay needs (the unused rest expires when the next one
+//! arrives), and a relay that reports an excessive number of waiting connections (the allowance
+//! limits its permits).
 
 use super::message::{Allowance, MigrationSummary};
 use crate::jobs::moves::MigrationStatus;
@@ -21,11 +25,11 @@
 /// Maximum number of permits that one call distributes.
 const MAX_PERMITS_PER_CALL: u64 = 4_096;
 
-/// What one relay reports of its migrations, and what it is permitted.
+/// Migrations of one relay: its latest report, and its permits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayMigrations {
     reported: MigrationStatus,
-    /// Migrations that the relay may have made since its start.
+    /// Permitted number of migrations since the relay's start.
     permitted: u64,
 }
 
@@ -36,12 +40,13 @@
         self.permitted = self.permitted.max(reported.permitted);
     }
 
-    /// Raises the permits to a number that an owner of an older build gave, and paid for, directly.
+    /// Raises the permits to a total that an owner of an older build gave directly and has paid
+    /// for.
     pub fn permit(&mut self, permitted: u64) {
         self.permitted = self.permitted.max(permitted);
     }
 
-    /// The permitted number of migrations, if the relay does not know it yet.
+    /// Permitted number of migrations, if the relay has not reported yet that it knows it.
     pub fn unreported_permits(&self) -> Option<u64> {
         (self.permitted > self.reported.permitted).then_some(self.permitted)
     }
@@ -55,19 +60,19 @@
     }
 }
 
-/// The allowance of this voter's process.
+/// Allowance of this voter's process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AllowancePool {
-    /// Identifies this process.
+    /// Incarnation of this process.
     incarnation: u64,
-    /// Highest allowance that the owner gave.
+    /// Highest allowance received from the owner.
     allowed: u64,
     /// Part of it that was distributed or has expired.
     used: u64,
 }
 
 impl AllowancePool {
-    /// The pool of a process that has just started.
+    /// Creates the pool of a process that has just started.
     pub fn new(incarnation: u64) -> AllowancePool {
         AllowancePool {
             incarnation,
@@ -75,8 +80,9 @@
         }
     }
 
-    /// Takes an allowance of the owner. The unused rest of the previous one expires, so that none accumulates here. An
-    /// allowance for another process, or a lower one, changes nothing.
+    /// Handles an allowance from the owner. The unused rest of the previous one expires, so that
+    /// allowances do not accumulate. An allowance for another process, or a lower one, changes
+    /// nothing.
     pub fn allow(&mut self, allowance: Allowance) {
         if allowance.incarnation == self.incarnation && allowance.permitted >= self.allowed {
             self.used = self.allowed;
@@ -84,10 +90,10 @@
         }
     }
 
-    /// Distributes the unused allowance, each permit to the relay with the largest unmet demand. Returns the indexes of
-    /// the relays whose permits grew.
+    /// Distributes the unused allowance, each permit to the relay with the largest unmet demand.
+    /// Returns the indexes of the relays that got new permits.
     pub fn distribute(&mut self, relays: &mut [&mut RelayMigrations]) -> Vec<usize> {
-        let mut raised = Vec::new();
+        let mut changed = Vec::new();
         let available = self.allowed - self.used;
         for _ in 0..available.min(MAX_PERMITS_PER_CALL) {
             let neediest = relays
@@ -100,14 +106,14 @@
             };
             relay.permitted += 1;
             self.used += 1;
-            raised.push(index);
+            changed.push(index);
         }
-        raised.sort_unstable();
-        raised.dedup();
-        raised
+        changed.sort_unstable();
+        changed.dedup();
+        changed
     }
 
-    /// Summary of this pool and these relays for the owner.
+    /// Summary of this pool and these relays, for the owner.
     pub fn summary<'a>(
         &self,
         relays: impl Iterator<Item = &'a RelayMigrations>,
--- a/crates/control/src/broadcast/allowance/tests.rs
+++ b/crates/control/src/broadcast/allowance/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_pool_permits_at_most_its_allowance_and_serves_the_largest_need_first() {
+fn a_pool_permits_at_most_its_allowance_and_serves_the_largest_demand_first() {
     let mut pool = AllowancePool::new(7);
     let (mut one, mut two) = (relay(10, 0, 0), relay(12, 5, 5));
     assert!(
@@ -28,7 +28,7 @@
     allow(&mut pool, 6, 100);
     assert!(
         pool.distribute(&mut [&mut one, &mut two]).is_empty(),
-        "it is for the previous process"
+        "the allowance is for the previous process"
     );
     allow(&mut pool, 7, 4);
     assert_eq!(pool.distribute(&mut [&mut one, &mut two]), [0, 1]);
@@ -72,7 +72,11 @@
     });
     allow(&mut pool, 7, 11);
     pool.distribute(&mut [&mut one]);
-    assert_eq!(one.unreported_permits(), Some(3), "eight have expired");
+    assert_eq!(
+        one.unreported_permits(),
+        Some(3),
+        "the unused eight of the first allowance have expired"
+    );
 }
 
 #[test]
@@ -84,5 +88,9 @@
         completed: u64::MAX,
         permitted: 1,
     });
-    assert_eq!(one.unreported_permits(), Some(9), "it is sent again");
+    assert_eq!(
+        one.unreported_permits(),
+        Some(9),
+        "the permits are sent again"
+    );
 }
--- a/crates/control/src/broadcast/broadcaster/mod.rs
+++ b/crates/control/src/broadcast/broadcaster/mod.rs
@@ -1,16 +1,19 @@
-//! Broadcaster: the voter's end of the broadcast of reports and updates. It stores the newest update of each job, sends it
-//! to the relays that follow this voter, and sends owners a summary of what those relays report.
+//! Broadcaster: the voter's side of the broadcast. It stores the newest update of each job, sends
+//! it to the relays that follow this voter, and sends owners a summary of the reports of those
+//! relays.
 //!
-//! Input: the time, messages of relays and owners, and the jobs as this voter's log has them. Output: messages to send.
+//! Input: the time, messages of relays and owners, and the jobs as recorded in this voter's log.
+//! Output: messages to send.
 //!
-//! Clocks are never compared: each update carries an upper bound of its age, derived from a request and its response, so
-//! an update that was delayed on its way counts as that much older. A load table is encoded once for all relays that have
-//! the same version. Relays and owners of older builds get full updates, and the reports of each relay.
+//! Clocks of different processes are never compared. Instead each update carries an upper bound of
+//! its age, derived from a request and its response, so that a delay in transit adds to the age. A
+//! load table is encoded once for all relays that have the same version. Relays of older builds get
+//! full updates, and owners of older builds get the individual reports of relays.
 //!
-//! Guards against: an update under a stale token (it is rejected with the newer token, which stops the sender), an owner
-//! that is cut off (its updates age, and relays see how old they are), a relay that is silent (it is sent nothing more), a
-//! slow relay (only the newest update of each job is sent, at a limited rate), and updates of jobs that do not exist (they
-//! are dropped).
+//! Guards against: an update under a stale token (it is rejected with the newer token, which stops
+//! the sender), an owner that is cut off (relays see how old its updates are), a relay that is
+//! silent (it is sent nothing more), a slow relay (only the newest update of each job is sent, at a
+//! limited rate), and updates of jobs that do not exist (they are dropped).
 
 mod publications;
 mod subscriptions;
@@ -34,12 +37,13 @@
     feed: Feed,
     /// This voter's share of the fleet's migrations.
     pool: AllowancePool,
-    /// Whether to behave as builds before deliveries did.
+    /// Whether to behave like builds that do not support deliveries.
     is_older_build: bool,
 }
 
 impl Broadcaster {
-    /// The broadcaster of a process. `incarnation` identifies the process: no earlier process of this voter had it.
+    /// Creates the broadcaster of a voter's process. `incarnation` must differ from those of
+    /// earlier processes of this voter.
     pub fn new(incarnation: u64) -> Broadcaster {
         Broadcaster {
             pool: AllowancePool::new(incarnation),
@@ -47,14 +51,15 @@
         }
     }
 
-    /// Injects a fault, for tests of the checkers.
+    /// Injects a bug, for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(mut self, injected: InjectedBugs) -> Broadcaster {
         self.feed.injected = injected;
         self
     }
 
-    /// Behaves as builds before deliveries did, for tests of fleets with two builds. Default: off.
+    /// Behaves like builds that do not support deliveries, for tests of fleets with two builds.
+    /// Default: off.
     #[cfg(feature = "injected-bugs")]
     pub fn of_older_build(self) -> Broadcaster {
         Broadcaster {
@@ -68,7 +73,7 @@
         self.subscriptions.remove(&from);
     }
 
-    /// Number of subscriptions, silent ones included.
+    /// Number of subscriptions, including silent ones.
     pub fn subscription_count(&self) -> usize {
         self.subscriptions.len()
     }
--- a/crates/control/src/broadcast/broadcaster/publications.rs
+++ b/crates/control/src/broadcast/broadcaster/publications.rs
@@ -1,4 +1,4 @@
-//! Messages of job owners: submissions, and publications of owners of older builds.
+//! Handling of messages of job owners: submissions, and full updates of owners of older builds.
 
 use super::{live_subscriptions, Broadcaster};
 use crate::broadcast::allowance::RelayMigrations;
@@ -17,12 +17,12 @@
 enum Rejection {
     /// The job does not exist.
     UnknownJob,
-    /// The job has this newer token.
+    /// A newer token of the job is known, which is this one.
     StaleToken(FencingToken),
 }
 
 impl Rejection {
-    /// The answer to the owner, if there is one.
+    /// The answer to the owner; empty if there is none.
     fn into_messages(self, from: ReplyAddress, job: &str) -> Vec<(ReplyAddress, Message)> {
         match self {
             Rejection::UnknownJob => Vec::new(),
@@ -32,7 +32,8 @@
 }
 
 impl Broadcaster {
-    /// Handles a full update of an owner of an older build. Returns the messages to its sender and to relays.
+    /// Handles a full update of an owner of an older build. Returns the messages to the sender or
+    /// to relays.
     pub fn handle_publish(
         &mut self,
         now: Micros,
@@ -55,9 +56,9 @@
             self.store_permits(&update);
         } else {
             let valid_since = sent_at.saturating_sub(max_elapsed(update.age));
-            let is_forced = self.feed.injected.is(InjectedBug::NoFence);
+            let injected_no_fence = self.feed.injected.is(InjectedBug::NoFence);
             let channel = self.feed.channels.entry(name.clone()).or_default();
-            if !channel.store_full(valid_since, update, is_forced) {
+            if !channel.store_full(valid_since, update, injected_no_fence) {
                 return Vec::new();
             }
         }
@@ -78,8 +79,9 @@
         }
     }
 
-    /// Handles the changes or the allowance of an owner. Returns the messages to relays, and last the receipt, with the
-    /// version that this voter has and a summary of the relays' reports.
+    /// Handles a submission, with changes or an allowance. Returns the messages to relays, followed
+    /// by the receipt, which has the version of the table that this voter has and, for migrations,
+    /// a summary of the relays' reports.
     pub fn handle_submission(
         &mut self,
         now: Micros,
@@ -123,7 +125,8 @@
         messages
     }
 
-    /// Applies the changes of a submission, if they can be dated. Returns the messages to relays.
+    /// Applies the changes of a submission, if the time of sending can be bounded. Returns the
+    /// messages to relays.
     fn apply_submitted_changes(
         &mut self,
         now: Micros,
@@ -148,8 +151,8 @@
         self.notify_subscribers(now, &submission.job, jobs)
     }
 
-    /// Checks that the job exists and that no newer token of it is known. The log of this voter may lag behind, so a
-    /// higher token than in the log is accepted.
+    /// Checks that the job exists and that no newer token of it is known. This voter's log may lag
+    /// behind, so a higher token than in the log is accepted.
     fn check_token(&self, job: &str, token: FencingToken, jobs: &Jobs) -> Result<(), Rejection> {
         let Some(assigned) = jobs.by_name.get(job) else {
             return Err(Rejection::UnknownJob);
@@ -189,9 +192,9 @@
             live_subscriptions(&mut self.subscriptions, now)
                 .filter_map(|(from, subscription)| Some((from, subscription.migrations.as_mut()?)))
                 .unzip();
-        let raised = self.pool.distribute(&mut migrations);
+        let changed = self.pool.distribute(&mut migrations);
         let mut messages = Vec::new();
-        for from in raised.into_iter().filter_map(|index| addresses.get(index)) {
+        for from in changed.into_iter().filter_map(|index| addresses.get(index)) {
             let Some(subscription) = self.subscriptions.get_mut(from) else {
                 continue;
             };
@@ -202,8 +205,9 @@
     }
 }
 
-/// Earliest time, by this voter's clock, at which an owner sent something: it had received this voter's clock before.
-/// None if it had not, or if the result is in the future.
+/// Earliest time, by this voter's clock, at which an owner sent a message, derived from the latest
+/// time of this clock that the owner had received. `None` if it had received none, or if the result
+/// is in the future.
 fn sent_at(now: Micros, stamp: Micros, stamp_age: Micros) -> Option<Micros> {
     let sent_at = stamp.saturating_add(min_elapsed(stamp_age));
     (stamp > 0 && sent_at <= now).then_some(sent_at)
--- a/crates/control/src/broadcast/broadcaster/subscriptions.rs
+++ b/crates/control/src/broadcast/broadcaster/subscriptions.rs
@@ -1,4 +1,4 @@
-//! Requests of relays: subscriptions and polls.
+//! Handling of requests of relays: subscriptions and polls.
 
 use super::Broadcaster;
 use crate::broadcast::feed::Trigger;
@@ -14,8 +14,8 @@
 const MAX_SUBSCRIPTIONS: usize = 4096;
 
 impl Broadcaster {
-    /// Handles a subscription. The response has the updates that the relay lacks; for an owner of an older build it also
-    /// has the reports of the other relays.
+    /// Handles a subscription. The responses have the updates that the relay lacks and, for an
+    /// owner of an older build, the reports of all relays.
     pub fn handle_subscribe(
         &mut self,
         now: Micros,
@@ -57,7 +57,8 @@
         messages
     }
 
-    /// Reports of all relays to the kinds of jobs that this owner of an older build has: relay, age and reports.
+    /// Reports of all relays for the kinds of jobs that this relay of an older build owns: relay,
+    /// age and reports.
     fn reports_for(
         &self,
         now: Micros,
@@ -89,7 +90,7 @@
         all_reports
     }
 
-    /// Handles a poll of a relay. None if this voter behaves as an older build.
+    /// Handles a poll of a relay. Returns `None` if this voter behaves like an older build.
     pub fn handle_poll(
         &mut self,
         now: Micros,
@@ -111,7 +112,7 @@
         Some(delivery.unwrap_or(must_resubscribe))
     }
 
-    /// The delivery for a poll; none if its stream is not known.
+    /// The delivery that answers a poll; `None` if its stream is not known.
     fn answer_poll(
         &mut self,
         now: Micros,
@@ -133,7 +134,7 @@
             bitmap: poll.received_bitmap,
         };
         deliveries.stream.acknowledged(now, received);
-        // A poll that a later one has overtaken is no sign of life.
+        // A poll that a later one has overtaken does not show that the relay is still alive.
         if poll.sequence >= subscription.sequence {
             subscription.sequence = poll.sequence;
             subscription.last_request_at = now;
--- a/crates/control/src/broadcast/broadcaster/tests/deliveries.rs
+++ b/crates/control/src/broadcast/broadcaster/tests/deliveries.rs
@@ -18,7 +18,7 @@
     );
     assert!(matches!(&messages.last().unwrap().1, Message::Receipt(of) if of.version == 2));
     assert_eq!(delivered_versions(messages), [(7, vec![(0, 2)])]);
-    // The next changes start from that version, and for a relay with an older version from that one.
+    // The next changes start from the version that was sent, or from the one that the relay has.
     owner.update(3, &["x0".to_string()], &[load_report(0.9)]);
     let messages =
         broadcaster.handle_submission(1_200_000, 9, submit(owner.changes(2), 1_100_000), &jobs);
@@ -33,7 +33,7 @@
     let delivery = broadcaster
         .handle_poll(1_400_000, 7, poll(2, 1, 1), &jobs)
         .unwrap();
-    assert_eq!(delivery.updates, [], "it may be in flight");
+    assert_eq!(delivery.updates, [], "the delivery may still be in flight");
     let delivery = broadcaster
         .handle_poll(2_300_000, 7, poll(3, 1, 1), &jobs)
         .unwrap();
@@ -76,28 +76,28 @@
             .handle_poll(10, 7, poll(5, 3, 0), &jobs)
             .unwrap()
             .must_resubscribe,
-        "another stream"
+        "a stream that the voter does not know"
     );
     assert!(
         broadcaster
             .handle_poll(10, 8, poll(5, 4, 0), &jobs)
             .unwrap()
             .must_resubscribe,
-        "another link"
+        "no subscription from this link"
     );
     assert!(
         broadcaster
             .handle_poll(4_000_000, 7, poll(6, 4, 0), &jobs)
             .unwrap()
             .must_resubscribe,
-        "it was silent"
+        "the relay was silent"
     );
 }
 
 #[test]
 #[allow(
     clippy::too_many_lines,
-    reason = "one history, checked after each step"
+    reason = "one sequence of messages, checked after each step"
 )]
 fn an_owner_receives_one_summary_and_each_relay_its_own_permits() {
     let mut jobs = Jobs::default();
@@ -147,7 +147,7 @@
     );
     assert!(
         Message::Receipt(receipt.clone()).encode().len() < 120,
-        "for any number of relays"
+        "the length does not depend on the number of relays"
     );
     // The relay with the largest demand comes first: from 100 down to 50, and one permit for n49.
     let [(99, Message::Updates(updates)), ..] = &messages[..] else {
@@ -160,6 +160,6 @@
     assert_eq!(
         messages.len(),
         3,
-        "both have an unmet demand of 49: {messages:?}"
+        "both relays have an unmet demand of 49: {messages:?}"
     );
 }
--- a/crates/control/src/broadcast/broadcaster/tests/mod.rs
+++ b/crates/control/src/broadcast/broadcaster/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the broadcaster, with a fleet that has one load watch.
+//! Tests of the broadcaster in a fleet that has one load watch.
 
 use super::*;
 use crate::broadcast::message::{Allowance, DeliveredUpdate, Poll, Submission, VERSION};
@@ -17,6 +17,7 @@
     }
 }
 
+/// Jobs of a fleet whose load watch was assigned this many times, to another relay each time.
 fn jobs(tokens: u64) -> Jobs {
     let mut jobs = Jobs::default();
     jobs.apply(JobChange::Open(vec!["load/a".into()]));
@@ -82,7 +83,7 @@
     }
 }
 
-/// A subscription of this build, in that zone and with these versions of the table.
+/// A subscription of a relay of this build, in this zone and with these versions of the table.
 fn subscribe(name: &str, sequence: u64, zone: &str, tables: &[(FencingToken, u64)]) -> Subscribe {
     let tables = tables
         .iter()
@@ -143,7 +144,7 @@
     crate::broadcast::table::versions(delivered.changes.as_ref().unwrap()).unwrap()
 }
 
-/// For each delivery: the address, and the versions that its changes lead from and to.
+/// For each delivery: the address, and the versions from and to which its changes lead.
 fn delivered_versions(
     messages: Vec<(ReplyAddress, Message)>,
 ) -> Vec<(ReplyAddress, Vec<(u64, u64)>)> {
--- a/crates/control/src/broadcast/broadcaster/tests/older_builds.rs
+++ b/crates/control/src/broadcast/broadcaster/tests/older_builds.rs
@@ -1,4 +1,4 @@
-//! Relays and owners of builds that do not support deliveries.
+//! Messages of relays and owners of builds that do not support deliveries.
 
 use super::*;
 
@@ -15,7 +15,8 @@
         .updates,
         []
     );
-    // Sent 100 ms after the stamp, valid 50 ms before that, and delayed for a second on its way.
+    // The update was sent 100 ms after the stamp, was 50 ms old by then, and was delayed by a
+    // second in transit.
     let messages = broadcaster.handle_publish(
         2_100_000,
         8,
@@ -32,7 +33,7 @@
     );
     let stale = broadcaster.handle_publish(2_200_000, 9, publish(1, 9, 0, 2_000_000, 0), &jobs);
     assert_eq!(stale, [(9, Message::StaleToken("load/a".into(), 2))]);
-    // It is sent again only to a relay that lacks it.
+    // The update is sent again only to a relay that lacks it.
     assert_eq!(
         updates(broadcaster.handle_subscribe(
             2_300_000,
@@ -54,7 +55,7 @@
         .updates,
         []
     );
-    // A token that the log of this voter does not have yet is accepted.
+    // A token that is newer than the one in this voter's log is accepted.
     assert_eq!(
         broadcaster
             .handle_publish(2_500_000, 8, publish(3, 1, 0, 2_400_000, 0), &jobs)
@@ -73,13 +74,13 @@
         broadcaster
             .handle_publish(1_000, 8, publish(1, 1, 0, 0, 0), &jobs)
             .is_empty(),
-        "no stamp"
+        "an update without a stamp"
     );
     assert!(
         broadcaster
             .handle_publish(1_000, 8, publish(1, 1, 0, 900, 300), &jobs)
             .is_empty(),
-        "from the future"
+        "an update that was sent in the future"
     );
     let mut unknown = publish(1, 1, 0, 1, 0);
     unknown.update.job = "load/b".into();
@@ -90,7 +91,7 @@
         broadcaster
             .handle_publish(3_000_000, 8, publish(1, 1, 0, 1, 0), &jobs)
             .is_empty(),
-        "no relay follows any longer"
+        "no relay follows this voter any longer"
     );
 }
 
@@ -102,7 +103,7 @@
         updates(broadcaster.handle_subscribe(10, 8, subscribe_as_older_build("n4", 1, &[]), &jobs))
             .reports,
         [],
-        "it owns nothing"
+        "the relay owns no job"
     );
     let reports =
         updates(broadcaster.handle_subscribe(20, 9, subscribe_as_older_build("n1", 2, &[]), &jobs))
--- a/crates/control/src/broadcast/channel.rs
+++ b/crates/control/src/broadcast/channel.rs
@@ -1,9 +1,11 @@
-//! Channel: the newest update of one job at a voter, which is a table, or a full update of an owner of an older build.
+//! Channel: the newest update of one job at a voter. It is a table, or a full update of an owner of
+//! an older build.
 //!
-//! Input: updates and changes of tables, whose token the caller has checked. Output: what a relay lacks, with its age.
+//! Input: full updates and changes of tables, whose tokens the caller has checked. Output: the
+//! update that a relay lacks, with its age.
 //!
-//! Guards against: updates that arrive late or twice (the newest token and version wins), and updates that are too old to
-//! be used (they are not sent).
+//! Guards against: updates that arrive late or twice (the newest token and version win), and
+//! updates that are too old to be used (they are not sent).
 
 use super::message::DeliveredUpdate;
 use super::stream::HeldVersion;
@@ -14,7 +16,7 @@
 use crate::Micros;
 use serde_bytes::ByteBuf;
 
-/// An update is not sent after this time: relays then use their own load probes.
+/// Updates older than this are not sent. Without updates, relays use their own health checks.
 const MAX_UPDATE_AGE: Micros = 30_000_000;
 
 /// The newest update of a job. Default: none.
@@ -32,7 +34,8 @@
     Full(Update),
     Table {
         table: Box<Table>,
-        /// The table as the payload of a full update, once a relay of an older build has needed it.
+        /// The table encoded as the payload of a full update; cached once a relay of an older build
+        /// has needed it.
         full_payload: Option<Vec<u8>>,
     },
 }
@@ -43,7 +46,7 @@
         self.held().token
     }
 
-    /// Token and version of the update.
+    /// Token and version of the update; the default if there is none.
     pub fn held(&self) -> HeldVersion {
         match &self.content {
             Content::Empty => HeldVersion::default(),
@@ -57,7 +60,8 @@
         now >= self.valid_since + MAX_UPDATE_AGE
     }
 
-    /// Version of the table under this token, from which changes can start; 0 if there is none.
+    /// Version of the table under this token, from which the next changes may start; 0 if there is
+    /// none.
     pub fn version(&self, token: FencingToken) -> Version {
         match &self.content {
             Content::Table { table, .. } if table.token() == token => table.version(),
@@ -65,10 +69,16 @@
         }
     }
 
-    /// Stores a full update if it is newer, or in any case if `is_forced`. Returns whether it was stored.
-    pub fn store_full(&mut self, valid_since: Micros, update: Update, is_forced: bool) -> bool {
+    /// Stores a full update if it is newer, or unconditionally if the injected bug disables the
+    /// check. Returns whether it was stored.
+    pub fn store_full(
+        &mut self,
+        valid_since: Micros,
+        update: Update,
+        injected_no_fence: bool,
+    ) -> bool {
         let is_newer = HeldVersion::new(update.token, update.sequence) > self.held();
-        let is_stored = is_newer || is_forced;
+        let is_stored = is_newer || injected_no_fence;
         if is_stored {
             self.content = Content::Full(update);
             self.valid_since = valid_since;
@@ -76,8 +86,9 @@
         is_stored
     }
 
-    /// Applies changes of the table under this token that were sent at `sent_at` at the earliest. A table of another token
-    /// replaces the content. Returns whether they were applied.
+    /// Applies changes of the table under this token. `sent_at` is the earliest time at which they
+    /// were sent. A table of another token replaces the content. Returns whether the changes were
+    /// applied.
     pub fn apply_changes(&mut self, sent_at: Micros, token: FencingToken, changes: &[u8]) -> bool {
         match &mut self.content {
             Content::Table {
@@ -104,7 +115,8 @@
         true
     }
 
-    /// The update for a relay that takes deliveries and has this version, and its approximate size in bytes.
+    /// The update for a relay that supports deliveries and has this version, and its approximate
+    /// size in bytes.
     pub fn delivered(
         &mut self,
         now: Micros,
--- a/crates/control/src/broadcast/feed.rs
+++ b/crates/control/src/broadcast/feed.rs
@@ -1,9 +1,11 @@
 //! Feed: the newest update of each job at a voter, and which of them are sent to a relay.
 //!
-//! Input: subscriptions with what the relays have. Output: deliveries, or full updates for relays of older builds.
+//! Input: subscriptions, with the versions that the relays have. Output: deliveries, or full
+//! updates for relays of older builds.
 //!
-//! Guards against: a relay that cannot receive as fast as owners publish (a token bucket limits what it is sent; updates
-//! of its own zone go first, then those that waited longest).
+//! Guards against: a relay that cannot receive as fast as owners publish (a token bucket limits
+//! what it is sent; updates of its own zone have priority, then those of which it was sent a
+//! version least recently).
 
 use super::channel::Channel;
 use super::message::{DeliveredUpdate, Delivery};
@@ -15,28 +17,31 @@
 use crate::{InjectedBug, InjectedBugs, Micros};
 use std::collections::BTreeMap;
 
-/// Rate at which a relay is sent updates that are not of its zone, in bytes per second.
+/// Rate at which a relay is sent updates, in bytes per second. Updates of its own zone are sent
+/// even beyond it.
 const BYTES_PER_SECOND: u64 = 1_600;
-/// The same for a relay that owns a job with updates, since it has that traffic as well.
+/// The same for a relay that owns a job with updates, which has the traffic of its own updates in
+/// addition.
 const OWNER_BYTES_PER_SECOND: u64 = 1_100;
 /// Approximate overhead of a message, in bytes.
 const MESSAGE_OVERHEAD_BYTES: usize = 36;
 /// Approximate overhead of an update in a message, in bytes.
 const UPDATE_OVERHEAD_BYTES: usize = 28;
 
-/// The updates that a voter has.
+/// Updates that a voter has.
 #[derive(Default)]
 pub(super) struct Feed {
     pub injected: InjectedBugs,
+    /// Newest update of each job.
     pub channels: BTreeMap<String, Channel>,
-    /// Newest update of the owner of migrations.
+    /// Token and sequence number of the newest update of the owner of migrations.
     pub migrations: HeldVersion,
 }
 
 /// Why a delivery is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Trigger {
-    /// The relay sent a request. It gets a response also if there are no updates.
+    /// The relay sent a request. It gets a response even if there are no updates.
     Request,
     /// A job has a new update.
     NewUpdate,
@@ -44,7 +49,8 @@
     NewPermits,
 }
 
-/// A job whose newest update a relay has not been sent, in the order of sending.
+/// A job whose newest update a relay has not been sent. The order of the fields defines the order
+/// of sending.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MissingUpdate {
     is_of_other_zone: bool,
@@ -60,13 +66,13 @@
 }
 
 impl Feed {
-    /// Drops updates that are too old, and those of jobs that no longer exist.
+    /// Removes updates that are too old, and those of jobs that no longer exist.
     pub(super) fn retain(&mut self, now: Micros, jobs: &Jobs) {
         self.channels
             .retain(|name, channel| jobs.by_name.contains_key(name) && !channel.is_old(now));
     }
 
-    /// The message to a relay after a change of this job; none if there is nothing to send now.
+    /// The message to a relay after an update of this job; `None` if there is nothing to send now.
     pub(super) fn notify(
         &mut self,
         now: Micros,
@@ -93,8 +99,9 @@
         })
     }
 
-    /// The delivery to a relay, with as many updates as its token bucket allows. None if the relay does not support
-    /// deliveries, or if there are no updates and the relay did not send a request.
+    /// The delivery to a relay, with as many updates as its token bucket allows. `None` if the
+    /// relay does not support deliveries, or if there are no updates and the relay did not send a
+    /// request.
     pub(super) fn deliver(
         &mut self,
         now: Micros,
@@ -114,7 +121,7 @@
         let deliveries = subscription.deliveries.as_mut()?;
         deliveries.token_bucket.fill(now, rate);
         let mut batch = self.batch(now, deliveries, missing, rate);
-        // Permits are repeated with each response, until the relay reports that it knows them.
+        // Permits are repeated in each response until the relay reports that it knows them.
         let may_send_permits = trigger != Trigger::NewUpdate || !batch.updates.is_empty();
         if may_send_permits && self.migrations.token > 0 {
             batch
@@ -189,7 +196,8 @@
         missing
     }
 
-    /// The updates that the token bucket allows. Those of the relay's zone are sent even if it is empty.
+    /// The updates that the token bucket allows. Those of the relay's zone are sent even if it is
+    /// empty.
     fn batch(
         &mut self,
         now: Micros,
@@ -220,21 +228,21 @@
         batch
     }
 
-    /// Full updates that a relay of an older build lacks, of one job or of all.
+    /// Full updates that a relay of an older build lacks, for one job or for all.
     pub(super) fn full_updates(
         &mut self,
         now: Micros,
         subscription: &Subscription,
         job: Option<&str>,
     ) -> Vec<Update> {
-        let ignores_versions = self.injected.is(InjectedBug::NoFence);
+        let injected_no_fence = self.injected.is(InjectedBug::NoFence);
         let lacks = |name: &str, newest: HeldVersion| {
             let is_wanted = job.is_none_or(|job| job == name);
             let is_known = subscription
                 .known_updates
                 .get(name)
                 .is_some_and(|known| *known >= newest);
-            is_wanted && (!is_known || ignores_versions)
+            is_wanted && (!is_known || injected_no_fence)
         };
         let mut updates = Vec::new();
         for (name, channel) in &mut self.channels {
--- a/crates/control/src/broadcast/message.rs
+++ b/crates/control/src/broadcast/message.rs
@@ -1,8 +1,8 @@
-//! Compact messages of the broadcast. They are sent only to a peer that has shown that it supports them, by [`VERSION`]
-//! in its `Subscribe` or in its response to one.
+//! Compact messages of the broadcast. They are sent only to a peer that supports them, as shown by
+//! the version in its `Subscribe` message or in its response to one.
 //!
-//! Names on the wire have one letter, since these messages are most of what a fleet sends. Fields with their default
-//! value are left out, and unknown fields are ignored.
+//! Names on the wire have one letter, since these messages are most of the traffic of a fleet.
+//! Fields with their default value are left out, and unknown fields are ignored.
 
 use super::table::Version;
 use crate::jobs::assignment::FencingToken;
@@ -10,17 +10,18 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Version of the broadcast protocol of this build. A peer with this version or a higher one supports these messages.
+/// Version of the broadcast protocol that this build supports. A peer with this version or a higher
+/// one supports these messages.
 pub const VERSION: u32 = 1;
 
-/// Request of a subscribed relay for new updates, with an acknowledgement of those that it received.
+/// Request of a subscribed relay for new updates, which also acknowledges received ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Poll {
     /// Incarnation of the relay's process.
     #[serde(rename = "s")]
     pub incarnation: u64,
-    /// Grows with each poll and each subscription of that process.
+    /// Sequence number; grows with each poll and each subscription of that process.
     #[serde(rename = "n")]
     pub sequence: u64,
     /// Sequence number of the subscription that started the stream of deliveries.
@@ -29,10 +30,11 @@
     /// Highest sequence number that was received in the stream; 0 if there is none.
     #[serde(rename = "h", skip_serializing_if = "is_default")]
     pub highest: u64,
-    /// Which of the 32 sequence numbers below the highest were received; bit 0 is the one right below it.
+    /// Bitmap of the 32 sequence numbers below the highest that were received; bit 0 is the one
+    /// right below it.
     #[serde(rename = "m", skip_serializing_if = "is_default")]
     pub received_bitmap: u32,
-    /// Reports of the relay; none if the voter has acknowledged this version of them.
+    /// Reports of the relay; `None` if the voter has acknowledged their current version.
     #[serde(rename = "r", skip_serializing_if = "is_default")]
     pub reports: Option<Reports>,
 }
@@ -41,7 +43,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Reports {
-    /// Grows with each change.
+    /// Version; grows with each change.
     #[serde(rename = "v")]
     pub version: u64,
     /// Kind of job and content of each report.
@@ -53,7 +55,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Delivery {
-    /// Incarnation of the process that it is for.
+    /// Incarnation of the relay's process.
     #[serde(rename = "s")]
     pub incarnation: u64,
     /// Sequence number of the last request that the voter received from that process.
@@ -62,7 +64,7 @@
     /// Age of that request when the delivery was sent, in milliseconds, rounded down.
     #[serde(rename = "a", skip_serializing_if = "is_default")]
     pub request_age_ms: u64,
-    /// The stream of deliveries.
+    /// Sequence number of the subscription that started the stream of deliveries.
     #[serde(rename = "q")]
     pub stream: u64,
     /// Sequence number in the stream, from 1; 0 for a delivery that needs no acknowledgement.
@@ -71,7 +73,7 @@
     /// Version of the relay's reports that the voter has.
     #[serde(rename = "v", skip_serializing_if = "is_default")]
     pub reports_version: u64,
-    /// The voter does not know the stream: the relay must subscribe again.
+    /// Set if the voter does not know the stream, so that the relay must subscribe again.
     #[serde(rename = "u", skip_serializing_if = "is_default")]
     pub must_resubscribe: bool,
     /// Updates of jobs.
@@ -79,7 +81,7 @@
     pub updates: Vec<DeliveredUpdate>,
 }
 
-/// An update of one job. It has one of `changes`, `full` and `permitted`.
+/// An update of one job, with one of `changes`, `full` and `permitted`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeliveredUpdate {
@@ -92,7 +94,7 @@
     /// Sequence number of a full update.
     #[serde(rename = "n", skip_serializing_if = "is_default")]
     pub sequence: u64,
-    /// Maximum age when it was sent, in milliseconds, rounded up.
+    /// Upper bound of the age at the time of sending, in milliseconds, rounded up.
     #[serde(rename = "a", skip_serializing_if = "is_default")]
     pub age_ms: u64,
     /// Changes of the job's table.
@@ -113,7 +115,7 @@
     /// Incarnation of the owner's process.
     #[serde(rename = "s")]
     pub incarnation: u64,
-    /// Grows with each submission; the receipt repeats it.
+    /// Sequence number; grows with each submission. The receipt repeats it.
     #[serde(rename = "n")]
     pub sequence: u64,
     /// Name of the job.
@@ -122,16 +124,16 @@
     /// Fencing token of the owner.
     #[serde(rename = "t")]
     pub token: FencingToken,
-    /// The voter's clock as the owner received it last; 0 if it did not.
+    /// Latest time of the voter's clock that the owner has received; 0 if there is none.
     #[serde(rename = "k")]
     pub stamp: Micros,
-    /// How long ago that was, by the owner's clock.
+    /// How long ago the owner received that time, by its own clock, in microseconds.
     #[serde(rename = "e")]
     pub stamp_age: Micros,
-    /// Changes of the job's table, from a version that the voter has.
+    /// Changes of the job's table, starting from a version that the voter has acknowledged.
     #[serde(rename = "c", skip_serializing_if = "Option::is_none")]
     pub changes: Option<serde_bytes::ByteBuf>,
-    /// Allowance of migrations for this voter.
+    /// Allowance of migrations for the voter.
     #[serde(rename = "m", skip_serializing_if = "Option::is_none")]
     pub allowance: Option<Allowance>,
 }
@@ -140,10 +142,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Allowance {
-    /// The voter's process that it is for. No other may use it.
+    /// Incarnation of the voter's process that the allowance is for. Any other ignores it.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Number of migrations since that process started. It only grows.
+    /// Total number of migrations since that process started. It only grows.
     #[serde(rename = "u")]
     pub permitted: u64,
 }
@@ -164,10 +166,10 @@
     /// Version of the job's table that the voter has under this owner's token; 0 if it has none.
     #[serde(rename = "v", skip_serializing_if = "is_default")]
     pub version: Version,
-    /// The voter's clock.
+    /// Time of the voter's clock.
     #[serde(rename = "k")]
     pub stamp: Micros,
-    /// For the owner of migrations: what the relays that follow this voter report.
+    /// For the owner of migrations: summary of the relays that follow the voter.
     #[serde(rename = "m", skip_serializing_if = "Option::is_none")]
     pub migrations: Option<MigrationSummary>,
 }
@@ -176,7 +178,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MigrationSummary {
-    /// The voter's process.
+    /// Incarnation of the voter's process.
     #[serde(rename = "i")]
     pub incarnation: u64,
     /// Highest allowance that the voter received.
--- a/crates/control/src/broadcast/mod.rs
+++ b/crates/control/src/broadcast/mod.rs
@@ -1,5 +1,5 @@
-//! Broadcast: reports of relays to the owners of jobs, and updates of owners to all relays, by way of the voters.
-//! `docs/design/broadcast.md` has the design and the argument for it.
+//! Broadcast: reports of relays to the owners of jobs, and updates of owners to all relays. The
+//! voters forward both. `docs/design/broadcast.md` describes the design and its reasons.
 
 pub mod allowance;
 pub mod broadcaster;
--- a/crates/control/src/broadcast/quantise/tests.rs
+++ b/crates/control/src/broadcast/quantise/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The thresholds of the decisions, in loads.
+/// Thresholds of the decisions, as loads.
 const THRESHOLDS: [f32; 8] = [0.3, 0.4, 0.6, 0.7, 0.75, 0.9, 1.0, 1.5];
 
 #[test]
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn quantised_counts_are_within_a_few_hundredths_and_keep_their_level() {
+fn quantised_counts_are_within_three_hundredths_and_keep_their_level() {
     for n in 2..100_000u32 {
         let quantised = load(level(n as f32).unwrap());
         assert!(
@@ -39,7 +39,7 @@
     }
     assert!(
         level(100.0).unwrap() < 128,
-        "one byte for a hundred connections"
+        "the level of a hundred connections takes one byte"
     );
 }
 
--- a/crates/control/src/broadcast/stream.rs
+++ b/crates/control/src/broadcast/stream.rs
@@ -1,11 +1,14 @@
-//! Streams of deliveries: which versions a voter sent to one relay, and which of them the relay has acknowledged.
+//! Stream of deliveries: which versions a voter has sent to one relay, and which of them the relay
+//! has acknowledged.
 //!
-//! The deliveries of a stream have sequence numbers, and each poll of the relay acknowledges those that arrived. The
-//! voter writes changes from the version that it sent last, or from the acknowledged one if that was lost. A relay that
-//! lacks the version that changes start from rejects them and subscribes again.
+//! The deliveries of a stream have sequence numbers, and each poll of the relay acknowledges those
+//! that arrived. The voter sends changes relative to the version that it sent last, or relative to
+//! the acknowledged one if the last was lost. A relay that lacks the version from which changes
+//! start rejects them and subscribes again.
 //!
-//! Guards against: a slow relay (only the newest version of each job is ever sent, and nothing is queued), lost
-//! deliveries (they are sent again), and acknowledgements of an earlier stream.
+//! Guards against: a slow relay (only the newest version of each job is sent, and nothing is
+//! queued), lost deliveries (their updates are sent again), and acknowledgements of an earlier
+//! stream (ignored).
 
 use crate::jobs::assignment::FencingToken;
 use crate::Micros;
@@ -14,14 +17,17 @@
 #[cfg(test)]
 mod tests;
 
-/// Sequence numbers below the highest that an acknowledgement covers: the bits of its bitmap.
+/// Number of sequence numbers below the highest that an acknowledgement covers: one per bit of its
+/// bitmap.
 const BITMAP_BITS: u64 = u32::BITS as u64;
-/// Maximum number of unacknowledged deliveries: those that one acknowledgement can cover.
+/// Maximum number of unacknowledged deliveries, which is the number that one acknowledgement
+/// covers.
 const MAX_IN_FLIGHT: usize = 33;
-/// A delivery that is not acknowledged after this time is lost.
+/// A delivery that is not acknowledged after this time counts as lost.
 const ACKNOWLEDGEMENT_TIMEOUT: Micros = 1_000_000;
 
-/// Which update of a job someone has. Ordered by token, then by version: both only grow.
+/// Version of a job's update that a process has. Ordered by token, then by version, both of which
+/// only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeldVersion {
     /// Fencing token of the owner that published it; 0 if there is none.
@@ -31,13 +37,13 @@
 }
 
 impl HeldVersion {
-    /// The version with this number under this token.
+    /// Creates the version with this number under this token.
     pub fn new(token: FencingToken, version: u64) -> HeldVersion {
         HeldVersion { token, version }
     }
 }
 
-/// The relay's acknowledgement: which deliveries of a stream it has received.
+/// Acknowledgement of a relay: the sequence numbers of a stream that it has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedSequences {
     /// Sequence number of the subscription that started the stream.
@@ -49,7 +55,8 @@
 }
 
 impl ReceivedSequences {
-    /// Records a received delivery. One of another stream, or without a sequence number (0), changes nothing.
+    /// Records a received delivery. A delivery of another stream, or without a sequence number (0),
+    /// changes nothing.
     pub fn add(&mut self, stream: u64, sequence: u64) {
         if stream != self.stream || sequence == 0 {
             return;
@@ -64,7 +71,8 @@
         }
     }
 
-    /// Makes a sequence number the highest. Bit 0 of the bitmap stands for the one right below the highest.
+    /// Makes a sequence number the highest. Bit 0 of the bitmap represents the one right below the
+    /// highest.
     fn advance(&mut self, sequence: u64) {
         let distance = sequence - self.highest;
         let shifted = if distance < BITMAP_BITS {
@@ -91,8 +99,9 @@
     }
 }
 
+/// Versions of one job in a stream.
 #[derive(Clone, Copy, Debug, Default)]
-struct JobState {
+struct JobVersions {
     /// Newest version that the relay has acknowledged.
     acknowledged: HeldVersion,
     /// Newest version that was sent and is not known to be lost.
@@ -100,26 +109,28 @@
     sent_at: Micros,
 }
 
+/// A delivery that was sent and is not acknowledged yet.
 struct SentDelivery {
     sequence: u64,
     sent_at: Micros,
     versions: Vec<(String, HeldVersion)>,
 }
 
-/// The voter's state of a stream.
+/// State of a stream at the voter.
 pub struct Stream {
-    /// Sequence number of the subscription that started the stream; identifies it.
+    /// Sequence number of the subscription that started the stream, which identifies it.
     pub id: u64,
     last_sequence: u64,
-    jobs: BTreeMap<String, JobState>,
+    jobs: BTreeMap<String, JobVersions>,
     in_flight: VecDeque<SentDelivery>,
 }
 
 impl Stream {
-    /// A stream for a relay that subscribed with this sequence number and has these versions.
+    /// Creates the stream of a subscription with this sequence number, for a relay that has these
+    /// versions.
     pub fn new(id: u64, held: impl IntoIterator<Item = (String, HeldVersion)>) -> Stream {
         let job_state = |(job, version)| {
-            let state = JobState {
+            let state = JobVersions {
                 acknowledged: version,
                 sent: version,
                 sent_at: 0,
@@ -134,8 +145,8 @@
         }
     }
 
-    /// Handles an acknowledgement. A delivery is lost if a later one arrived without it, or after a timeout; one that
-    /// arrives late after all still counts until the timeout.
+    /// Handles an acknowledgement. A delivery counts as lost if a later one arrived before it, or
+    /// after a timeout. If it still arrives before the timeout, it counts as received.
     pub fn acknowledged(&mut self, now: Micros, received: ReceivedSequences) {
         if received.stream != self.id {
             return;
@@ -178,7 +189,7 @@
         self.sent(job) < newest
     }
 
-    /// The version of a job that was sent last and is not known to be lost.
+    /// Version of a job that was sent last and is not known to be lost.
     pub fn sent(&self, job: &str) -> HeldVersion {
         self.jobs
             .get(job)
@@ -190,8 +201,8 @@
         self.jobs.get(job).map_or(0, |state| state.sent_at)
     }
 
-    /// Records a delivery with these versions and returns its sequence number. If too many deliveries are in flight, the
-    /// oldest counts as lost.
+    /// Records a delivery with these versions and returns its sequence number. If too many
+    /// deliveries are in flight, the oldest one counts as lost.
     pub fn send(&mut self, now: Micros, versions: Vec<(String, HeldVersion)>) -> u64 {
         self.last_sequence += 1;
         for (job, version) in &versions {
--- a/crates/control/src/broadcast/stream/tests.rs
+++ b/crates/control/src/broadcast/stream/tests.rs
@@ -16,20 +16,24 @@
 }
 
 #[test]
-fn the_window_records_sequences_in_any_order() {
-    let window = received(&[1, 2, 5, 4, 40, 38, 2]);
-    let has: Vec<u64> = (1..=41).filter(|sequence| window.has(*sequence)).collect();
+fn an_acknowledgement_records_sequence_numbers_in_any_order() {
+    let acknowledgement = received(&[1, 2, 5, 4, 40, 38, 2]);
+    let has: Vec<u64> = (1..=41)
+        .filter(|sequence| acknowledgement.has(*sequence))
+        .collect();
     assert_eq!(
         has,
         [38, 40],
-        "more than 32 below the highest counts as lost"
+        "numbers more than 32 below the highest count as lost"
     );
-    let window = received(&[2, 4, 3, 34]);
-    let has: Vec<u64> = (1..=41).filter(|sequence| window.has(*sequence)).collect();
+    let acknowledgement = received(&[2, 4, 3, 34]);
+    let has: Vec<u64> = (1..=41)
+        .filter(|sequence| acknowledgement.has(*sequence))
+        .collect();
     assert_eq!(has, [2, 3, 4, 34]);
-    let mut other = window;
+    let mut other = acknowledgement;
     other.add(2, 99);
-    assert_eq!(other, window, "another stream");
+    assert_eq!(other, acknowledgement, "another stream changes nothing");
 }
 
 #[test]
@@ -43,10 +47,18 @@
     assert_eq!((send(&mut stream, 0, 5), send(&mut stream, 10, 6)), (1, 2));
     assert!(!stream.lacks("a", HeldVersion::new(1, 6)));
     stream.acknowledged(20, received(&[1]));
-    assert_eq!(stream.sent("a"), HeldVersion::new(1, 6), "it is in flight");
+    assert_eq!(
+        stream.sent("a"),
+        HeldVersion::new(1, 6),
+        "the delivery is in flight"
+    );
     stream.acknowledged(ACKNOWLEDGEMENT_TIMEOUT + 10, received(&[1]));
-    assert_eq!(stream.sent("a"), HeldVersion::new(1, 5), "it is lost");
-    // A delivery that was overtaken is lost as well; if it arrives later, it counts.
+    assert_eq!(
+        stream.sent("a"),
+        HeldVersion::new(1, 5),
+        "the delivery is lost"
+    );
+    // A delivery that a later one has overtaken also counts as lost, until it arrives.
     send(&mut stream, ACKNOWLEDGEMENT_TIMEOUT + 20, 7);
     send(&mut stream, ACKNOWLEDGEMENT_TIMEOUT + 20, 7);
     stream.acknowledged(ACKNOWLEDGEMENT_TIMEOUT + 30, received(&[1, 4]));
--- a/crates/control/src/broadcast/subscriber/mod.rs
+++ b/crates/control/src/broadcast/subscriber/mod.rs
@@ -1,16 +1,19 @@
-//! Subscriber: the relay's end of the broadcast of reports and updates.
+//! Subscriber: the relay's side of the broadcast.
 //!
-//! It follows one voter, reports to it, and receives the updates of job owners from it. As the owner of a job it sends
-//! its own updates to every voter. A voter that has shown that it supports deliveries gets polls, which acknowledge what
-//! was received, and submissions; any other voter gets the messages of older builds.
+//! A relay follows one voter: it sends reports to it, and receives the updates of job owners from
+//! it. As the owner of a job it sends its own updates to every voter. A voter that supports
+//! deliveries gets polls, which acknowledge received updates, and submissions. Any other voter gets
+//! the messages of older builds.
 //!
-//! Input: the time, the voters, received messages, and this relay's reports. Output: messages to voters, and updates to
-//! execute, each with a lower bound of the time at which it was valid.
+//! Input: the time, the voters, received messages, and this relay's reports. Output: messages to
+//! voters, and updates to execute, each with the earliest time at which it was valid.
 //!
-//! Guards against: an update that was delayed in transit (its age counts from this relay's own request), one of a former
-//! owner (`jobs/fence.rs`), duplicates and reordering (sequence numbers and versions only grow under a token), changes
-//! of a table with a gap before them (the relay subscribes again and says which version it has), a voter that is silent
-//! (the next one is followed) or has lost the subscription, and a response to this relay's previous process.
+//! Guards against: an update that was delayed in transit (its age counts from this relay's own
+//! request), an update of a former owner (see `jobs/fence.rs`), duplicates and reordering (sequence
+//! numbers and versions only grow under a token), changes of a table with a gap before them (the
+//! relay subscribes again and reports its version), a silent voter (the next one is followed), a
+//! voter that has lost the subscription (the relay subscribes again), and a response to this
+//! relay's previous process (ignored).
 
 mod publishing;
 mod requests;
@@ -35,7 +38,8 @@
 use voter::VoterState;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Interval between two polls of the followed voter. The voter sends new updates without waiting for a poll.
+/// Interval between two polls of the followed voter. The voter sends new updates without waiting
+/// for a poll.
 pub const POLL_INTERVAL: Micros = 500_000;
 
 /// State of a relay's subscription, and of its publications as an owner.
@@ -51,30 +55,31 @@
     /// When the followed voter last responded, or was selected; 0 before the first.
     last_contact: Micros,
     voters: BTreeMap<u64, VoterState>,
-    /// The voter that has a stream of deliveries for this relay.
+    /// Voter that has a stream of deliveries for this relay.
     stream_voter: Option<u64>,
-    /// Acknowledgement of that stream.
+    /// Deliveries of that stream that were received.
     received: ReceivedSequences,
     reports: Vec<Report>,
     /// Grows with each change of `reports`.
     reports_version: u64,
-    /// The version that the followed voter has acknowledged.
+    /// Version of the reports that the followed voter has acknowledged.
     acknowledged_reports: u64,
-    /// The version that was sent with the latest subscription.
+    /// Version of the reports that was sent with the latest subscription.
     subscribed_reports: u64,
     fence: Fence,
     checks: Checks,
-    /// Newest update of each job that was accepted.
+    /// Newest accepted update of each job.
     accepted: BTreeMap<String, HeldVersion>,
     tables: BTreeMap<String, Table>,
     /// Last sequence number that this relay used as an owner.
     last_sequence: u64,
-    /// Whether to behave as builds before deliveries did.
+    /// Whether to behave like builds that do not support deliveries.
     is_older_build: bool,
 }
 
 impl Subscriber {
-    /// The subscriber of a process that has just started. It accepts no update before it knows the fleet's last token.
+    /// Creates the subscriber of a process that has just started. It accepts no updates until it
+    /// knows the fleet's latest token.
     pub fn new(relay: RelayId) -> Subscriber {
         Subscriber {
             voter_index: xxh3_64(relay.name.as_bytes()) as usize,
@@ -99,7 +104,8 @@
         }
     }
 
-    /// Receives and publishes only full updates, as builds before deliveries did. Default: off.
+    /// Receives and publishes only full updates, like builds that do not support deliveries.
+    /// Default: off.
     pub fn with_full_updates(self) -> Subscriber {
         Subscriber {
             is_older_build: true,
@@ -107,7 +113,8 @@
         }
     }
 
-    /// Sets the zone of this relay: voters deliver updates of that zone's jobs first. Default: none.
+    /// Sets the zone of this relay: voters deliver updates of that zone's jobs first. Default:
+    /// none.
     pub fn in_zone(self, zone: &str) -> Subscriber {
         Subscriber {
             zone: zone.into(),
@@ -115,7 +122,7 @@
         }
     }
 
-    /// Injects a fault, for tests of the checkers.
+    /// Injects a bug, for tests of the checkers.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(mut self, injected: InjectedBugs) -> Subscriber {
         use crate::InjectedBug::{ApplyOlderVersion, ApplyWithGap};
@@ -127,7 +134,7 @@
         self
     }
 
-    /// The voter that this relay follows; none if there are no voters.
+    /// The voter that this relay follows; `None` if there are no voters.
     fn followed_voter(&self, voters: &[u64]) -> Option<u64> {
         let index = self.voter_index % voters.len().max(1);
         voters.get(index).copied()
@@ -143,12 +150,12 @@
         self.tables.get(job)
     }
 
-    /// When [`Subscriber::tick`] has something to do next.
+    /// When [`Subscriber::tick`] must be called next.
     pub fn next_tick(&self) -> Micros {
         self.next_poll
     }
 
-    /// Names of the jobs of which an update was accepted.
+    /// Names of the jobs of which updates were accepted.
     pub fn accepted_jobs(&self) -> BTreeSet<&str> {
         self.accepted.keys().map(String::as_str).collect()
     }
--- a/crates/control/src/broadcast/subscriber/publishing.rs
+++ b/crates/control/src/broadcast/subscriber/publishing.rs
@@ -1,4 +1,5 @@
-//! Updates that a relay publishes as the owner of a job: submissions to voters that support them, full updates to others.
+//! Publication of updates by a relay that owns a job: submissions to voters that support them, full
+//! updates to others.
 
 use super::voter::VoterState;
 use super::Subscriber;
@@ -19,7 +20,8 @@
 }
 
 impl Subscriber {
-    /// Handles a voter's receipt, which carries the voter's clock. Returns whether it is for this process.
+    /// Handles a voter's receipt, which has the time of the voter's clock. Returns whether it is
+    /// for this process.
     pub fn handle_receipt(&mut self, now: Micros, voter: u64, receipt: &Receipt) -> bool {
         if receipt.incarnation != self.relay.incarnation {
             return false;
@@ -48,8 +50,9 @@
         self.last_sequence
     }
 
-    /// A submission to each voter that supports them, with the content that `fill` sets for that voter. Changes of a table
-    /// have an age, so they are left out where the voter's clock is not known; the receipt brings it.
+    /// A submission to each voter that supports them, with the content that `fill` sets for that
+    /// voter. Without a recent time of the voter's clock, changes of a table would have no age and
+    /// are left out; the receipt then returns the time.
     pub fn submit(
         &self,
         now: Micros,
@@ -81,14 +84,14 @@
         messages
     }
 
-    /// Whether a voter is known to be of a build that does not support submissions.
+    /// Whether there is a voter that has responded and does not support submissions.
     pub fn has_older_voters(&self, now: Micros) -> bool {
         self.voters
             .values()
             .any(|state| state.clock().is_some() && !state.supports_deliveries(now))
     }
 
-    /// A full update, valid now, to each voter of an older build whose clock is known.
+    /// A full update, valid now, to each voter of an older build of whose clock a time is known.
     pub fn publish(&self, now: Micros, id: UpdateId<'_>, payload: &[u8]) -> Vec<(u64, Message)> {
         let update = Update {
             job: id.job.into(),
--- a/crates/control/src/broadcast/subscriber/requests.rs
+++ b/crates/control/src/broadcast/subscriber/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of a subscriber: subscriptions and polls, and the choice of the voter that it follows.
+//! Requests of a subscriber: subscriptions and polls, and selection of the voter that it follows.
 
 use super::{Subscriber, POLL_INTERVAL};
 use crate::broadcast::message::{Poll, Reports, VERSION};
@@ -7,13 +7,14 @@
 use crate::wire::message::{Message, Report, Subscribe};
 use crate::Micros;
 
-/// The next voter is followed after the followed one has not responded for this time, that is to three requests.
+/// The next voter is followed if the followed one has not responded for this time, which is that of
+/// three requests.
 const VOTER_TIMEOUT: Micros = 3 * POLL_INTERVAL;
 
 impl Subscriber {
-    /// Returns the requests to send at this time, by voter. `owns_jobs` says whether this relay owns a job with updates:
-    /// it then also asks the other voters for their clocks, until their receipts carry them. `reports` are this relay's
-    /// current reports to job owners.
+    /// Returns the requests to send now, by voter. `owns_jobs` says whether this relay owns a job
+    /// with updates. If so, it also requests the time from the clocks of the other voters, until
+    /// their receipts contain it. `reports` returns this relay's current reports to job owners.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -55,7 +56,8 @@
         messages
     }
 
-    /// Follows the next voter if the followed one is silent. The first one is chosen by this relay's name.
+    /// Follows the next voter if the followed one is silent. The first one depends on this relay's
+    /// name.
     fn select_voter(&mut self, now: Micros) {
         if now < self.last_contact + VOTER_TIMEOUT {
             return;
@@ -75,7 +77,8 @@
         }
     }
 
-    /// A poll if the voter has a stream for this relay, else a subscription, which starts one.
+    /// The request to the followed voter: a poll if it has a stream for this relay, else a
+    /// subscription, which starts one.
     fn request_to_followed(&mut self, voter: u64, supports_deliveries: bool) -> Message {
         if self.stream_voter == Some(voter) && supports_deliveries {
             return Message::Poll(self.poll());
--- a/crates/control/src/broadcast/subscriber/tests.rs
+++ b/crates/control/src/broadcast/subscriber/tests.rs
@@ -16,8 +16,9 @@
     }
 }
 
-fn requests(subscriber: &mut Subscriber, now: Micros, owns: bool) -> Vec<(u64, u64)> {
-    let messages = subscriber.tick(now, &[1, 2, 3], owns, Vec::new);
+/// The subscriptions that are sent at this time: voter and sequence number.
+fn requests(subscriber: &mut Subscriber, now: Micros, owns_jobs: bool) -> Vec<(u64, u64)> {
+    let messages = subscriber.tick(now, &[1, 2, 3], owns_jobs, Vec::new);
     let sequence_of = |message: &Message| match message {
         Message::Subscribe(subscribe) => subscribe.sequence,
         other => panic!("{other:?}"),
@@ -54,7 +55,8 @@
     let receive = |subscriber: &mut Subscriber, now, updates| {
         subscriber.handle_updates(now, voter, &[1, 2, 3], Some(3), updates)
     };
-    // Sent 200 ms after the request arrived, valid 100 ms before that, and received much later.
+    // The update was sent 200 ms after the request arrived, was 100 ms old by then, and arrives
+    // much later.
     let received = receive(
         &mut subscriber,
         9_000_000,
@@ -75,10 +77,10 @@
     assert_eq!(
         (received.commands.len(), received.rejected),
         (1, 1),
-        "no duplicates, and none of a former owner"
+        "duplicates and updates of a former owner are not accepted"
     );
     assert!(!received.commands[0].is_first);
-    // Sequence numbers start again with each owner. A response to the previous process is ignored.
+    // Sequence numbers start over with each owner. A response to the previous process is ignored.
     assert_eq!(
         receive(
             &mut subscriber,
@@ -100,12 +102,12 @@
     assert_eq!(
         receive(&mut subscriber, 9_200_000, updates(99, 0, &[(7, 1, 0)])),
         ReceivedUpdates::default(),
-        "there was no such request"
+        "there was no request with this sequence number"
     );
 }
 
 #[test]
-fn a_relay_that_just_started_asks_for_unknown_tokens_first() {
+fn a_relay_that_just_started_requests_unknown_tokens_first() {
     let mut subscriber = subscriber();
     let (voter, sequence) = requests(&mut subscriber, 0, false)[0];
     let response = updates(sequence, 0, &[(3, 1, 0)]);
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn a_relay_fails_over_from_a_silent_voter_and_as_an_owner_contacts_all() {
+fn a_relay_fails_over_from_a_silent_voter_and_an_owner_contacts_all_voters() {
     let mut subscriber = subscriber();
     let first = requests(&mut subscriber, 1, false)[0].0;
     assert_eq!(
@@ -140,7 +142,7 @@
     assert_eq!(followed.iter().collect::<BTreeSet<_>>().len(), 3);
     assert_eq!(followed[..2], [first, first]);
     assert_eq!(requests(&mut subscriber, 20 * POLL_INTERVAL, true).len(), 3);
-    // Without the voter's clock an update would have no age.
+    // Without a time of the voter's clock an update would have no age.
     assert!(subscriber
         .publish(20 * POLL_INTERVAL, update_id(1), &[])
         .is_empty());
--- a/crates/control/src/broadcast/subscriber/updates.rs
+++ b/crates/control/src/broadcast/subscriber/updates.rs
@@ -1,4 +1,4 @@
-//! Updates that a subscriber receives: fencing, deduplication, tables and acknowledgement.
+//! Handling of received updates: fencing, deduplication, tables and acknowledgement.
 
 use super::Subscriber;
 use crate::broadcast::message::{DeliveredUpdate, Delivery, VERSION};
@@ -12,15 +12,15 @@
 /// An accepted update, to be executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerCommand {
-    /// The job that it belongs to.
+    /// Name of the job.
     pub job: String,
-    /// The token of the job's owner.
+    /// Fencing token of the job's owner.
     pub token: FencingToken,
-    /// Earliest time, by the local clock, at which it was valid.
+    /// Earliest time, by the local clock, at which the update was valid.
     pub valid_since: Micros,
-    /// Its content.
+    /// Content of the update.
     pub payload: CommandBody,
-    /// Whether it is the first one accepted under this token.
+    /// Whether the update is the first one that was accepted under this token.
     pub is_first: bool,
 }
 
@@ -29,7 +29,7 @@
 pub enum CommandBody {
     /// A full update, which only this kind of job interprets.
     Full(Vec<u8>),
-    /// The job's table has changed: see [`Subscriber::table`].
+    /// The job's table has changed; see [`Subscriber::table`].
     Table,
     /// Number of migrations that this relay is permitted, counted since its start.
     PermittedMigrations(u64),
@@ -46,40 +46,42 @@
     pub reports: Vec<Report>,
 }
 
-/// What a received message contained.
+/// Content of a received message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedUpdates {
     /// Updates to execute, in this order.
     pub commands: Vec<OwnerCommand>,
-    /// Reports of relays to the kinds of jobs that this relay owns.
+    /// Reports of relays for the kinds of jobs that this relay owns.
     pub reports: Vec<RelayReports>,
     /// Number of updates that were rejected because a former owner sent them.
     pub rejected: usize,
-    /// Jobs whose current token must be requested before their updates are accepted; the answer goes to
-    /// [`Subscriber::learn_token`].
+    /// Jobs whose current token must be requested before their updates are accepted. The caller
+    /// passes the answer to [`Subscriber::learn_token`].
     pub unknown_tokens: Vec<String>,
 }
 
-/// Which request a response answers.
+/// Identifies the request that a response answers.
 struct ResponseId {
     incarnation: u64,
     sequence: u64,
 }
 
-/// How far the updates of a delivery were accepted, from best to worst.
+/// Which updates of a delivery were accepted, ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Acceptance {
-    /// All of them, or they are not needed.
+    /// All updates that are needed.
     Complete,
-    /// The token of a job is not known yet.
+    /// An update was not accepted because the current token of its job is not known yet.
     UnknownToken,
-    /// Changes of a table do not fit the version that this relay has.
+    /// Changes of a table were not accepted because they do not fit the version that this relay
+    /// has.
     MissingVersion,
 }
 
 impl Subscriber {
-    /// Handles a voter's response in the format of older builds, which also starts a stream of deliveries. `last_token`
-    /// is the last token that the fleet has issued, if this process knows it.
+    /// Handles a voter's response to a subscription, which starts a stream of deliveries if the
+    /// voter supports them, or full updates of an older build. `last_token` is the latest token
+    /// that the fleet has issued, if this process knows it.
     pub fn handle_updates(
         &mut self,
         now: Micros,
@@ -113,7 +115,7 @@
                     received.commands.extend(self.accept_full(sent_at, update));
                 }
                 FenceDecision::Stale(_) => received.rejected += 1,
-                // The voter repeats it with the response to the next request.
+                // The voter repeats the update in its response to the next request.
                 FenceDecision::Unknown => received.unknown_tokens.push(update.job),
             }
         }
@@ -129,8 +131,8 @@
         received
     }
 
-    /// Handles a delivery of a voter. `last_token` is the last token that the fleet has issued, if this process knows
-    /// it.
+    /// Handles a delivery of a voter. `last_token` is the latest token that the fleet has issued,
+    /// if this process knows it.
     pub fn handle_delivery(
         &mut self,
         now: Micros,
@@ -165,7 +167,8 @@
         self.set_token_floor(last_token);
         let acceptance = self.accept_all(sent_at, delivery.updates, &mut received);
         if acceptance == Acceptance::MissingVersion && is_current_stream {
-            // The voter overestimates what this relay has: subscribe again and list it.
+            // The voter assumes a newer version than this relay has. The next subscription reports
+            // the versions that it has.
             self.stream_voter = None;
         }
         // An incomplete delivery is not acknowledged, so that the voter repeats it.
@@ -175,9 +178,9 @@
         received
     }
 
-    /// Matches a voter's response to the request with this sequence number, which it received `request_age` before it
-    /// responded. Returns the earliest time, by the local clock, at which the response was sent; none if it does not
-    /// answer an open request of this process.
+    /// Matches a voter's response to its request, which the voter received `request_age` before it
+    /// responded. Returns the earliest time, by the local clock, at which the response was sent;
+    /// `None` if it does not answer an open request of this process.
     fn match_response(
         &mut self,
         now: Micros,
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Accepts the updates of a delivery, as far as their tokens and versions allow.
+    /// Accepts those updates of a delivery whose tokens and versions allow it.
     fn accept_all(
         &mut self,
         sent_at: Micros,
@@ -232,7 +235,8 @@
         acceptance
     }
 
-    /// Accepts an update of a delivery. None if it is a duplicate, or of a kind that only later builds know.
+    /// Accepts an update of a delivery. Returns `None` if it is a duplicate, or of a kind that this
+    /// build does not know.
     fn accept_delivered(
         &mut self,
         sent_at: Micros,
@@ -281,7 +285,8 @@
         }))
     }
 
-    /// Applies changes to the job's table under this token. A new token starts a new table, once its changes fit.
+    /// Applies changes to the job's table under this token. The first changes under a new token
+    /// start a new table, if they fit.
     fn apply_changes(
         &mut self,
         sent_at: Micros,
@@ -299,7 +304,7 @@
         Ok(())
     }
 
-    /// Accepts a full update, unless it or a newer one under its token was accepted before.
+    /// Accepts a full update, unless it or a newer one under the same token was accepted before.
     fn accept_full(&mut self, sent_at: Micros, update: Update) -> Option<OwnerCommand> {
         let previous = self.accepted.get(&update.job).copied();
         let is_under_same_token = previous.is_some_and(|accepted| accepted.token == update.token);
--- a/crates/control/src/broadcast/subscriber/voter.rs
+++ b/crates/control/src/broadcast/subscriber/voter.rs
@@ -1,12 +1,13 @@
-//! What a subscriber knows of one voter: open requests, its clock, and which messages it supports.
+//! State of one voter at a subscriber: open requests, its clock, and the messages that it supports.
 
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// A voter that has not shown for this time that it supports deliveries may have been replaced by an older build.
+/// A voter whose last sign of supporting deliveries is older than this may have been downgraded to
+/// an older build.
 const DELIVERY_SUPPORT_TIMEOUT: Micros = 3_000_000;
-/// Maximum age of a clock sample for submissions. An older one would overstate the age of what is submitted, because
-/// clocks drift.
+/// Maximum age of a clock sample for submissions. With an older one, the allowance for clock drift
+/// would overstate the age of the submission too much.
 const MAX_CLOCK_SAMPLE_AGE: Micros = 10_000_000;
 /// Maximum number of requests per voter whose responses are still accepted.
 const MAX_OPEN_REQUESTS: usize = 16;
@@ -17,14 +18,14 @@
     sent_at: Micros,
 }
 
-/// The voter's clock, and when this relay received it.
+/// Time of the voter's clock, and when this relay received it.
 #[derive(Clone, Copy)]
 pub(super) struct ClockSample {
     pub voter_time: Micros,
     pub received_at: Micros,
 }
 
-/// State of one voter. Default: nothing is known of it.
+/// State of one voter. By default nothing is known of it.
 #[derive(Default)]
 pub(super) struct VoterState {
     open_requests: VecDeque<OpenRequest>,
--- a/crates/control/src/broadcast/subscription.rs
+++ b/crates/control/src/broadcast/subscription.rs
@@ -1,6 +1,7 @@
 //! Subscription: a voter's state of one relay that follows it.
 //!
-//! Guards against: a relay that is gone (it counts as silent after a timeout), and reports that are too many or too long.
+//! Guards against: a relay that no longer sends requests (it counts as silent after a timeout), and
+//! reports that are too many or too long (they are dropped).
 
 use super::allowance::RelayMigrations;
 use super::message::VERSION;
@@ -12,7 +13,7 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// A relay that has not sent a request for this time follows no longer.
+/// A relay that has not sent a request for this time is silent: it no longer follows the voter.
 const SUBSCRIPTION_TIMEOUT: Micros = 3_000_000;
 /// Maximum size of a report, in bytes. Longer ones are dropped.
 const MAX_REPORT_BYTES: usize = 1024;
@@ -32,7 +33,7 @@
     pub reports_version: u64,
     /// Migrations of the relay, if it reports any.
     pub migrations: Option<RelayMigrations>,
-    /// None if the relay's build does not support deliveries.
+    /// State of the deliveries; `None` if the relay's build does not support them.
     pub deliveries: Option<DeliveryState>,
 }
 
@@ -40,13 +41,13 @@
 pub(super) struct DeliveryState {
     pub stream: Stream,
     pub token_bucket: TokenBucket,
-    /// Zone of the relay: updates of its jobs are urgent.
+    /// Zone of the relay. Updates of this zone's jobs have priority.
     pub zone: String,
 }
 
 impl Subscription {
-    /// The subscription that a relay requests. Its permits and its token bucket are taken from the previous one, if that
-    /// is of the same process.
+    /// Creates the subscription that a relay requests. Permits and token bucket are taken from the
+    /// previous subscription if it is of the same process.
     pub(super) fn new(
         now: Micros,
         request: Subscribe,
@@ -74,12 +75,12 @@
         subscription
     }
 
-    /// Whether the relay follows no longer.
+    /// Whether the relay has not sent a request for [`SUBSCRIPTION_TIMEOUT`].
     pub(super) fn is_silent(&self, now: Micros) -> bool {
         now >= self.last_request_at + SUBSCRIPTION_TIMEOUT
     }
 
-    /// Replaces the relay's reports.
+    /// Replaces the relay's reports. Reports that are too long or too many are dropped.
     pub(super) fn set_reports(&mut self, reports: Vec<Report>) {
         self.reports = reports;
         self.reports
--- a/crates/control/src/broadcast/table/apply.rs
+++ b/crates/control/src/broadcast/table/apply.rs
@@ -1,4 +1,4 @@
-//! Applies received changes to a table, after checking that they fit it.
+//! Application of received changes to a table, after checks that they fit it.
 
 use super::changes::{decode_seen_at, has_bit, Changes};
 use super::{Row, Table, MAX_COLUMNS, MAX_ROWS};
@@ -7,15 +7,16 @@
 /// Why changes could not be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TableError {
-    /// The receiver has that version or a newer one.
+    /// The receiver already has the version that the changes lead to, or a newer one.
     Old,
-    /// The receiver lacks the version that the changes start from, and must request the whole table.
+    /// The receiver lacks the version that the changes start from. It must report its version to be
+    /// sent other changes.
     Gap,
     /// The changes cannot be decoded or do not fit the table.
     Damaged,
 }
 
-/// Which versions are checked before changes are applied. Only tests of the checkers leave a check out.
+/// Checks of versions before changes are applied. Only injected bugs leave a check out.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::broadcast) struct Checks {
     /// Reject changes that lead to no newer version.
@@ -33,13 +34,13 @@
 }
 
 impl Table {
-    /// Applies changes that were sent at `sent_at` at the earliest, by the local clock. After an error the table is the
-    /// same as before.
+    /// Applies changes. `sent_at` is the earliest time, by the local clock, at which they were
+    /// sent. After an error the table is unchanged.
     pub fn apply(&mut self, sent_at: Micros, bytes: &[u8]) -> Result<(), TableError> {
         self.apply_checked(sent_at, bytes, Checks::ALL)
     }
 
-    /// [`Table::apply`] with only some checks.
+    /// Like [`Table::apply`], with only some of the checks.
     pub(in crate::broadcast) fn apply_checked(
         &mut self,
         sent_at: Micros,
@@ -74,7 +75,7 @@
         Ok(())
     }
 
-    /// Whether the changes can be changes of this table.
+    /// Whether the changes are consistent with this table.
     fn fits(&self, changes: &Changes, changed_indexes: &[usize]) -> bool {
         let (row_count, column_count) = if changes.is_whole() {
             (0, changes.columns.len())
@@ -103,7 +104,8 @@
         has_same_endpoints && has_all_levels && new_rows_have_levels && is_in_range
     }
 
-    /// Updates the rows that the new version saw: their time if they did not change, and whether a report was new.
+    /// Updates the rows that the new version confirms: the time of unchanged rows, and whether the
+    /// endpoint made a new report.
     fn apply_confirmations(&mut self, changes: &Changes, changed_indexes: &[usize]) {
         let unchanged_seen_at = decode_seen_at(self.updated_at, changes.unchanged_age);
         let mut changed = changed_indexes.iter().copied().peekable();
--- a/crates/control/src/broadcast/table/changes.rs
+++ b/crates/control/src/broadcast/table/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of a table from one version to another, in the form in which they are sent (postcard).
+//! Changes of a table from one version to another, as encoded on the wire (postcard).
 
 use super::Version;
 use crate::broadcast::quantise::Level;
@@ -7,10 +7,11 @@
 
 /// Unit of the ages in changes; ages are rounded up.
 const AGE_UNIT: Micros = 5_000;
-/// The encoded age that stands for an age beyond the range.
+/// Encoded age that represents an age beyond the range.
 const UNKNOWN_AGE: u16 = u16::MAX;
 
-/// Changes from one version to another. The encoding has no names: the order of the fields is part of the format.
+/// Changes from one version to another. The encoding has no names: the order of the fields is part
+/// of the format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Changes {
     /// Version that the changes start from; 0 for a whole table.
@@ -23,22 +24,23 @@
     pub first_added: u32,
     /// Endpoints of the added rows.
     pub added: Vec<u64>,
-    /// For each changed row: by how much its index exceeds the lowest index that it could have.
+    /// For each changed row: its index minus the lowest possible one, which is 0 for the first row
+    /// and otherwise the index after the previous changed row.
     pub index_gaps: Vec<u16>,
     /// For each changed row: its encoded age.
     pub ages: Vec<u16>,
-    /// The levels of the changed rows, row by row.
+    /// Levels of the changed rows, row by row.
     pub levels: Vec<Level>,
-    /// Encoded age of the unchanged rows, those that were missed excepted: the age of the oldest of them.
+    /// Encoded age of the oldest unchanged row, not counting missed rows.
     pub unchanged_age: u16,
-    /// Bitmap of the rows that this version did not see.
+    /// Bitmap of the missed rows: those whose endpoints did not answer in this version.
     pub missed: Vec<u8>,
-    /// Bitmap of the rows whose endpoint made a new report of unchanged levels.
+    /// Bitmap of the rows whose endpoints made a new report with unchanged levels.
     pub renewed: Vec<u8>,
 }
 
 impl Changes {
-    /// Whether these are a whole table.
+    /// Whether the changes contain the whole table.
     pub(super) fn is_whole(&self) -> bool {
         self.from == 0
     }
@@ -55,19 +57,21 @@
     }
 }
 
-/// Reads only the versions that changes lead from and to; none if the bytes are damaged.
+/// Decodes only the versions from and to which changes lead. Returns `None` if the bytes are
+/// damaged.
 pub fn versions(bytes: &[u8]) -> Option<(Version, Version)> {
     let (versions, _) = postcard::take_from_bytes(bytes).ok()?;
     Some(versions)
 }
 
-/// Encodes the age at `now` of something seen at `seen_at`.
+/// Encodes the age at `now` of a report that was seen at `seen_at`.
 pub(super) fn encode_age(now: Micros, seen_at: Micros) -> u16 {
     let units = now.saturating_sub(seen_at).div_ceil(AGE_UNIT);
     u16::try_from(units).unwrap_or(UNKNOWN_AGE)
 }
 
-/// Earliest time at which something of this encoded age was seen; 0 if its age is unknown. The age is a span of another clock.
+/// Earliest time at which a report with this encoded age was seen; 0 if its age is unknown. The age
+/// was measured with another clock.
 pub(super) fn decode_seen_at(now: Micros, age: u16) -> Micros {
     if age == UNKNOWN_AGE {
         return 0;
--- a/crates/control/src/broadcast/table/encode.rs
+++ b/crates/control/src/broadcast/table/encode.rs
@@ -1,4 +1,4 @@
-//! Writes the changes of a table that a receiver lacks.
+//! Encoding of the changes of a table that a receiver lacks.
 
 use super::changes::{encode_age, set_bit, Changes};
 use super::{Table, Version};
@@ -7,15 +7,17 @@
 pub(super) const MAX_CACHED_CHANGES: usize = 16;
 
 impl Table {
-    /// Changes from the version that a receiver has to the current one; the whole table if that version is 0 or too old.
-    /// The bytes are the same for all receivers: their ages count back from [`Table::updated_at`], which is sent beside them.
+    /// Encoded changes from a receiver's version to the current one; the whole table if the
+    /// receiver's version is 0 or too old. The bytes are the same for all receivers: ages in them
+    /// count back from [`Table::updated_at`], whose age is sent with them.
     pub fn changes(&mut self, from: Version) -> &[u8] {
         let is_available = from >= self.base.max(1) && from <= self.version;
         let wanted = if is_available { from } else { 0 };
         let start = if self.encoded.len() < MAX_CACHED_CHANGES {
             wanted
         } else {
-            // The cache is full: send more than the receiver lacks instead of encoding again.
+            // The cache is full. Changes from an older version contain more than the receiver
+            // lacks, but need not be encoded again.
             self.encoded
                 .range(..=wanted)
                 .next_back()
--- a/crates/control/src/broadcast/table/mod.rs
+++ b/crates/control/src/broadcast/table/mod.rs
@@ -1,17 +1,19 @@
-//! Load table: the loads of a zone's endpoints, as the owner of a load watch publishes them, with a version.
+//! Load table: the loads of a zone's endpoints, as the owner of a load watch publishes them, with a
+//! version.
 //!
-//! Input at the owner: the load reports of each round ([`Table::update`]). Between processes: changes from one version to
-//! another ([`Table::changes`], [`Table::apply`]). Each row knows the version in which it changed last, so changes can be
-//! written from any version that a receiver has, and no old table is stored. Rows are never moved or removed within a
-//! table, so a row is identified by its index. A table with too many rows of lost endpoints is rebuilt, and receivers of
-//! an older version get the whole table.
+//! The owner updates the table with the load reports of each round ([`Table::update`]). Processes
+//! exchange changes from one version to another ([`Table::changes`], [`Table::apply`]). Each row
+//! records the version in which it last changed, so changes can be computed from any version that a
+//! receiver has, without storing old tables. Rows are never moved or removed within a table, so a
+//! row is identified by its index. A table with too many rows of lost endpoints is rebuilt, and
+//! receivers with an older version get the whole table.
 //!
-//! Unchanged rows are not sent again: one age confirms all rows that this version saw unchanged, and a bitmap names the
-//! rows that it did not see.
+//! Unchanged rows are not sent again: one age applies to all rows whose endpoints reported
+//! unchanged levels, and a bitmap has the rows whose endpoints did not answer.
 //!
-//! Guards against: changes that are applied with a gap before them, an older version after a newer one, changes that do
-//! not fit the table, and ages that are understated (spans of another clock are lengthened, offsets are rounded up, and
-//! an age beyond their range is unknown).
+//! Guards against: changes with a gap before them, changes that lead to an older version, changes
+//! that do not fit the table, and understated ages (durations of another clock are lengthened by
+//! the maximum drift, encoded ages are rounded up, and an age beyond their range is unknown).
 
 mod apply;
 mod changes;
@@ -31,7 +33,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Version of a table; grows with each round under one token. 0 means that nothing is known.
+/// Version of a table, which grows with each round under one token. 0 means that there is no table.
 pub type Version = u64;
 
 /// Maximum number of rows of a table.
@@ -39,13 +41,13 @@
 /// Maximum number of columns of a table.
 const MAX_COLUMNS: usize = 16;
 
-/// Load of one endpoint as the owner saw it. Serialized as the tuple (endpoint, age, values).
+/// Load of one endpoint as the owner received it. Serialized as the tuple (endpoint, age, values).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, Micros, Vec<f32>)", into = "(u64, Micros, Vec<f32>)")]
 pub struct LoadReport {
     /// The endpoint's number.
     pub endpoint: u64,
-    /// How long ago the endpoint reported.
+    /// How long ago the endpoint reported, in microseconds.
     pub age: Micros,
     /// One value per column.
     pub values: Vec<f32>,
@@ -72,19 +74,20 @@
 pub struct Row {
     /// The endpoint's number.
     pub endpoint: u64,
-    /// Its quantised load, column by column.
+    /// Quantised values of the endpoint's load, one per column.
     pub levels: Vec<Level>,
     /// Earliest time, by the local clock, at which the load was reported.
     pub seen_at: Micros,
     /// Version in which the row was added.
     added_in: Version,
-    /// Version in which its levels changed last.
+    /// Version in which the levels last changed.
     changed_in: Version,
-    /// Latest version that saw the endpoint.
+    /// Latest version for which the endpoint answered.
     confirmed_in: Version,
-    /// Version in which the endpoint made a new report last, whether its levels changed or not.
+    /// Version in which the endpoint last made a new report, whether the levels changed or not.
     renewed_in: Version,
-    /// Toggles with each new report of unchanged levels; see [`Row::loads`].
+    /// Whether [`Row::loads`] adds a small offset. Toggles with each new report of unchanged
+    /// levels.
     is_offset: bool,
 }
 
@@ -102,8 +105,8 @@
         }
     }
 
-    /// The loads that the levels stand for. The decisions recognise a new report by a different load, so a new report of
-    /// the same levels differs by a millionth.
+    /// Loads that the levels represent. The decisions detect a new report by a different load, so
+    /// every second report of the same levels is larger by a factor of one millionth.
     pub fn loads(&self) -> impl Iterator<Item = f32> + '_ {
         let factor = if self.is_offset { 1.0 + 1e-6 } else { 1.0 };
         self.levels.iter().map(move |level| load(*level) * factor)
@@ -115,22 +118,23 @@
 pub struct Table {
     token: FencingToken,
     version: Version,
-    /// Oldest version that changes can be written from.
+    /// Oldest version from which changes can be computed.
     base: Version,
     columns: Vec<String>,
     rows: Vec<Row>,
-    /// Index of each endpoint's row. Only the owner has it.
+    /// Index of each endpoint's row. Only maintained at the owner.
     row_indexes: BTreeMap<u64, usize>,
-    /// Latest values that each endpoint reported, not quantised. Only the owner has them.
+    /// Latest values that each endpoint reported, not quantised. Only maintained at the owner.
     raw_reports: BTreeMap<u64, Vec<f32>>,
-    /// When this version was made or received, by the local clock. Ages count back from it.
+    /// When this version was created, or earliest time at which it was sent, by the local clock.
+    /// Encoded ages count back from it.
     updated_at: Micros,
-    /// Encoded changes to this version, by the version that they start from.
+    /// Cache of encoded changes to the current version, by the version that they start from.
     encoded: BTreeMap<Version, Vec<u8>>,
 }
 
 impl Table {
-    /// An empty table of an owner with this token.
+    /// Creates an empty table of an owner with this token.
     pub fn new(token: FencingToken) -> Table {
         Table {
             token,
@@ -138,8 +142,8 @@
         }
     }
 
-    /// An empty table of an owner that may have published others under this token, up to this version: it had the job
-    /// before and lost it when its lease expired.
+    /// Creates an empty table of an owner that may have published tables under this token before,
+    /// up to this version, because it stopped when its lease expired and has resumed the job.
     pub fn continuing_after(token: FencingToken, version: Version) -> Table {
         Table {
             token,
@@ -154,7 +158,7 @@
         self.token
     }
 
-    /// Current version; 0 if nothing is known.
+    /// Current version; 0 if there is no content yet.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -169,19 +173,20 @@
         &self.rows
     }
 
-    /// Rows that the current version saw.
+    /// Rows whose endpoints answered for the current version.
     pub fn confirmed_rows(&self) -> impl Iterator<Item = &Row> {
         self.rows
             .iter()
             .filter(|row| row.confirmed_in == self.version)
     }
 
-    /// When the current version was made or received, by the local clock.
+    /// When the current version was created, or earliest time at which it was sent, by the local
+    /// clock.
     pub fn updated_at(&self) -> Micros {
         self.updated_at
     }
 
-    /// Hash of the content without its times, for the checkers.
+    /// Hash of the content without times, for the checkers.
     pub fn digest(&self) -> u64 {
         let content: Vec<(u64, &[Level])> = self
             .rows
--- a/crates/control/src/broadcast/table/tests.rs
+++ b/crates/control/src/broadcast/table/tests.rs
@@ -50,7 +50,7 @@
             .collect::<Vec<_>>(),
         [9_000_000, 8_989_900]
     );
-    // One row changes, one is unchanged, and a third is added.
+    // One row changes, one is unchanged, and one is added.
     round(
         &mut owner,
         1_500_000,
@@ -65,7 +65,7 @@
     receiver.apply(9_500_000, &changes).unwrap();
     assert_eq!(receiver.digest(), owner.digest());
     assert_eq!(receiver.rows()[1].seen_at, 9_500_000 - 30_300);
-    // No row changes, and one endpoint does not answer: its time stays.
+    // No row changes, and one endpoint does not answer: the time of its row stays.
     round(
         &mut owner,
         2_000_000,
@@ -87,7 +87,8 @@
     assert_eq!(receiver.apply(0, &late), Err(TableError::Gap));
     receiver.apply(0, owner.changes(0)).unwrap();
     assert_eq!(receiver.apply(0, &late), Err(TableError::Old));
-    // Changes from an older version than the receiver has contain more than it lacks, and apply.
+    // Changes from an older version than the receiver has contain more than it lacks, and can be
+    // applied.
     round(&mut owner, 3_000_000, &[report(70, 0, 0.8)]);
     assert_eq!(receiver.apply(0, owner.changes(2)), Ok(()));
     assert_eq!(receiver.digest(), owner.digest());
@@ -134,7 +135,7 @@
     assert_eq!(
         loads(&receiver),
         [(80, Some(225.0))],
-        "the whole table, though the receiver has a version"
+        "the receiver gets the whole table, although it has a version"
     );
     round(
         &mut owner,
@@ -209,7 +210,7 @@
     }
     receiver.apply(0, &whole).unwrap();
     let before = receiver.digest();
-    // Changes of another table: they name another endpoint at an index that is taken.
+    // Changes of another table have another endpoint at an index that is in use.
     let mut other = Table::new(5);
     round(&mut other, 0, &[report(70, 0, 0.5)]);
     round(&mut other, 0, &[report(99, 0, 0.5)]);
--- a/crates/control/src/broadcast/table/update.rs
+++ b/crates/control/src/broadcast/table/update.rs
@@ -1,15 +1,17 @@
-//! The owner's side of a table: takes the load reports of a round, and drops lost endpoints.
+//! Update of a table by its owner: adds the load reports of a round, and removes lost endpoints.
 
 use super::{LoadReport, Row, Table, MAX_COLUMNS, MAX_ROWS};
 use crate::broadcast::quantise::{level, Level};
 use crate::Micros;
 
-/// An endpoint that has not reported for this time is lost. Its row is dropped when the table is rebuilt.
+/// An endpoint that has not reported for this time counts as lost. Its row is removed when the
+/// table is rebuilt.
 pub(super) const LOST_ENDPOINT_TIMEOUT: Micros = 30_000_000;
 
 impl Table {
-    /// Starts the next version with the reports of a round that has ended. Other columns than before start a new table.
-    /// Reports with an invalid load or a wrong number of values are ignored.
+    /// Creates the next version from the reports of a round that has ended. If the columns differ
+    /// from the previous ones, all rows are removed first. Reports with an invalid load or a wrong
+    /// number of values are ignored.
     pub fn update(&mut self, now: Micros, columns: &[String], reports: &[LoadReport]) {
         self.version += 1;
         self.updated_at = now;
@@ -56,7 +58,8 @@
         row.confirmed_in = version;
     }
 
-    /// Whether a quarter of the rows are of lost endpoints, or any while the table is full.
+    /// Whether at least a quarter of the rows, or any rows of a full table, belong to lost
+    /// endpoints.
     fn has_many_lost_rows(&self, now: Micros) -> bool {
         let is_lost = |row: &&Row| now >= row.seen_at + LOST_ENDPOINT_TIMEOUT;
         let lost_count = self.rows.iter().filter(is_lost).count();
@@ -64,8 +67,8 @@
         lost_count > 0 && (lost_count * 4 >= self.rows.len() || is_full)
     }
 
-    /// Drops the rows of lost endpoints, and all rows if the columns differ. Receivers of older versions get the whole
-    /// table.
+    /// Removes the rows of lost endpoints, and all rows if the columns differ. Receivers with older
+    /// versions get the whole table.
     fn rebuild(&mut self, now: Micros, columns: &[String]) {
         self.base = self.version;
         if self.columns != columns {
--- a/crates/control/src/broadcast/token_bucket.rs
+++ b/crates/control/src/broadcast/token_bucket.rs
@@ -1,17 +1,18 @@
 //! Token bucket that limits the bytes per second that a voter sends to one relay.
 //!
-//! Input: the time, the rate, and the bytes sent. Output: whether the relay may be sent more. Urgent messages are sent
-//! regardless and may leave the bucket in debt.
+//! Input: the time, the rate, and the bytes sent. Output: whether the relay may be sent more.
+//! Urgent messages are sent regardless and may leave the bucket in debt.
 //!
-//! Guards against: bursts after a pause, and a debt that would block a relay for long (both are at most one second of
-//! the rate).
+//! Guards against: bursts after a pause, and a debt that would block a relay for a long time. Both
+//! are limited to one second of the rate.
 
 use crate::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// Maximum level and maximum debt of a bucket, as the time in which the rate fills it, in milliseconds.
+/// Maximum level and maximum debt of a bucket, as the time in which the rate fills it, in
+/// milliseconds.
 const MAX_BURST_MS: u64 = 1_000;
 
 /// A bucket of bytes that fills at a constant rate.
@@ -32,7 +33,8 @@
         }
     }
 
-    /// Adds the bytes for the time since the last call, in whole milliseconds. Returns whether bytes are available.
+    /// Adds the bytes for the time since the last call, in whole milliseconds. Returns whether
+    /// bytes are available.
     pub(super) fn fill(&mut self, now: Micros, bytes_per_second: u64) -> bool {
         let elapsed_ms = now.saturating_sub(self.filled_at) / 1_000;
         if elapsed_ms > 0 {
--- a/crates/control/src/broadcast/token_bucket/tests.rs
+++ b/crates/control/src/broadcast/token_bucket/tests.rs
@@ -7,7 +7,7 @@
     bucket.take(5_000, 1_000);
     assert!(
         !bucket.fill(1_000_000, 1_000),
-        "a debt of one second is paid back"
+        "one second of the rate only pays back the debt"
     );
     assert!(bucket.fill(1_001_000, 1_000));
     assert!(bucket.fill(900_000_000, 1_000));
