--- a/crates/control/tests/founding.rs
+++ b/crates/control/tests/founding.rs
@@ -1,4 +1,5 @@
-//! Founders introduce themselves until each knows all others, and no longer.
+//! Founders introduce themselves until each knows all others. Voters that have completed the
+//! founding answer introductions, but must not answer each other's answers endlessly.
 
 use jaspermoor_control::log::storage::{PersistedLog, RaftLog};
 use jaspermoor_control::log::voter::Voter;
@@ -6,7 +7,7 @@
 use jaspermoor_control::FleetTiming;
 
 const FOUNDERS: [u64; 2] = [1, 2];
-/// The delay of a message, in microseconds.
+/// Delay of a message, in microseconds.
 const DELAY: u64 = 1_000;
 
 fn founder(number: u64) -> Voter {
@@ -19,7 +20,7 @@
     Voter::new(number, 10 * number, &stored, FleetTiming::default(), 0).unwrap()
 }
 
-/// The voters that a founder introduces itself to at that time.
+/// Voters to which a founder introduces itself at this time.
 fn introductions(voter: &mut Voter, now: u64) -> Vec<u64> {
     voter.tick(now);
     let target =
@@ -32,7 +33,7 @@
         .collect()
 }
 
-/// Whether a voter answers another's introduction.
+/// Whether a voter answers the introduction of another.
 fn answers(voter: &mut Voter, now: u64, from: u64) -> bool {
     voter.handle_founding(now, from, from, 10 * from);
     let replies = voter.ready(now).replies;
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn two_voters_past_the_founding_stop_answering_each_other() {
+fn two_voters_that_completed_the_founding_stop_answering_each_other() {
     let [mut one, mut two] = FOUNDERS.map(founder);
     assert_eq!(
         (introductions(&mut one, 0), introductions(&mut two, 0)),
@@ -50,7 +51,7 @@
     );
     assert!(
         !answers(&mut two, DELAY, 1) && !answers(&mut one, DELAY, 2),
-        "both know the other now"
+        "both have just completed the founding"
     );
     // A repeated introduction is still in flight.
     let mut now = 2 * DELAY;
@@ -59,12 +60,12 @@
     while answers(receiver, now, sender.id()) {
         now += DELAY;
         answered += 1;
-        assert!(answered < 10, "they answer each other without end");
+        assert!(answered < 10, "they answer each other endlessly");
         std::mem::swap(&mut receiver, &mut sender);
     }
     assert!(
         answered >= 1,
-        "a founder that is not past the founding needs an answer"
+        "a founder that has not completed the founding needs an answer"
     );
 }
 
@@ -73,7 +74,7 @@
     let [mut one, mut two] = FOUNDERS.map(founder);
     introductions(&mut one, 0);
     answers(&mut two, DELAY, 1);
-    // It introduces itself again, until it knows the other.
+    // The founder repeats its introduction until it knows the other one.
     let mut now = DELAY;
     for _ in 0..3 {
         let introduced_at = (1..100)
--- a/crates/control/tests/model.rs
+++ b/crates/control/tests/model.rs
@@ -1,9 +1,11 @@
-//! A model of the lease protocol (prepare, seal, commit) and an exhaustive search of its states: three relays, two proposals,
-//! any order of requests, responses, losses, restarts and changes of leader. Time goes in steps; a lease lasts `LEASE` of
-//! them, and the leader waits `WAIT`, one more, for the drift of clocks.
+//! Model of the lease protocol (prepare, seal, commit), and an exhaustive search of its states:
+//! three relays, two proposals, and any order of requests, responses, losses, restarts and changes
+//! of the leader. Time advances in steps. A lease lasts `LEASE` steps, and the leader waits for
+//! `WAIT` steps, one more, to account for clock drift.
 //!
-//! The consensus log is assumed to be correct. Each safeguard that the proof in `docs/design/control.md` names is left out
-//! once, and the search must then find two policies at once.
+//! The replicated log is assumed to be correct. Each safeguard that the proof in
+//! `docs/design/control.md` names is left out once, and the search must then find that clients are
+//! admitted under two policies at once.
 
 use stateright::{Checker, Model, Property};
 
@@ -22,14 +24,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
     None,
-    /// Its age in steps, and the epoch of the relay, and whether that has prepared, and stopped for, the proposal.
     Request {
+        /// Age in steps.
         age: u8,
+        /// Epoch of the relay.
         epoch: u8,
+        /// Whether the relay has prepared the proposal.
         prepared: bool,
+        /// Whether the relay has stopped admitting clients for the proposal.
         has_stopped: bool,
     },
     Response {
+        /// Age of the request in steps.
         age: u8,
         grant: bool,
         epoch: u8,
@@ -41,14 +47,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Relay {
     epoch: u8,
-    /// Steps for which it may still admit.
+    /// Number of steps for which the relay may still admit clients.
     lease: u8,
     prepared: bool,
     has_stopped: bool,
     message: Message,
-    /// What the leader knows: steps for which the relay may still hold a lease, and whether it has prepared and stopped.
+    /// Number of steps for which the relay may still hold a lease, as the leader knows it.
     granted: u8,
-    has_prepared: bool,
+    /// Whether the relay has reported to the leader that it prepared the proposal.
+    reported_prepared: bool,
+    /// Whether the relay has reported to the leader that it stopped admitting clients.
     reported_stop: bool,
 }
 
@@ -57,12 +65,13 @@
     epoch: u8,
     phase: Phase,
     proposals: u8,
-    /// Steps for which leases of an earlier leader may still run, and how many changes of leader there were.
+    /// Number of steps for which leases of an earlier leader may still be valid.
     predecessor_lease: u8,
+    /// Number of changes of the leader so far.
     leader_changes: u8,
-    /// Steps since the proposal was sealed, up to `WAIT`.
+    /// Number of steps since the proposal was sealed, up to `WAIT`.
     sealed_for: u8,
-    /// The newest epoch that any client was admitted under.
+    /// Newest epoch under which any client was admitted.
     admitted_epoch: u8,
     relays: [Relay; RELAYS],
 }
@@ -72,29 +81,29 @@
     Propose,
     Seal,
     Commit,
-    NewLeader,
-    Time,
-    Send(usize),
-    Answer(usize),
-    Receive(usize),
-    Lose(usize),
-    Restart(usize),
+    ChangeLeader,
+    AdvanceTime,
+    SendRequest(usize),
+    Respond(usize),
+    ReceiveResponse(usize),
+    LoseMessage(usize),
+    RestartRelay(usize),
 }
 
-/// A safeguard that is left out.
+/// The safeguard that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Without {
     Nothing,
-    /// The commit waits for no lease.
+    /// The leader commits without waiting for leases.
     LeaseWait,
-    /// A new leader does not wait for leases of its predecessor.
+    /// A new leader does not wait for leases of its predecessor to expire.
     PredecessorWait,
-    /// A lease runs from its grant, not from the request.
+    /// A lease starts with its grant instead of with the request.
     LeaseFromRequest,
     /// A relay that reports that it stopped keeps its lease.
-    Stop,
+    EndLeaseOnStop,
     /// A restarted relay keeps its lease.
-    FreshStart,
+    NoLeaseAfterRestart,
     /// Leases are granted on the old policy after the proposal is sealed.
     NoGrantWhenSealed,
 }
@@ -123,7 +132,7 @@
             has_stopped: false,
             message: Message::None,
             granted: 0,
-            has_prepared: false,
+            reported_prepared: false,
             reported_stop: false,
         };
         let relays = [relay; RELAYS];
@@ -143,7 +152,7 @@
     fn actions(&self, fleet: &Fleet, steps: &mut Vec<Step>) {
         match fleet.phase {
             Phase::Idle if fleet.proposals < 2 => steps.push(Step::Propose),
-            Phase::Preparing if !Self::may_hold_lease(fleet, |relay| relay.has_prepared) => {
+            Phase::Preparing if !Self::may_hold_lease(fleet, |relay| relay.reported_prepared) => {
                 steps.push(Step::Seal)
             }
             Phase::Sealed
@@ -156,17 +165,19 @@
             _ => {}
         }
         if fleet.leader_changes < 1 {
-            steps.push(Step::NewLeader);
+            steps.push(Step::ChangeLeader);
         }
-        steps.push(Step::Time);
+        steps.push(Step::AdvanceTime);
         for (n, relay) in fleet.relays.iter().enumerate() {
             match relay.message {
-                Message::None => steps.push(Step::Send(n)),
-                Message::Request { .. } => steps.extend([Step::Answer(n), Step::Lose(n)]),
-                Message::Response { .. } => steps.extend([Step::Receive(n), Step::Lose(n)]),
+                Message::None => steps.push(Step::SendRequest(n)),
+                Message::Request { .. } => steps.extend([Step::Respond(n), Step::LoseMessage(n)]),
+                Message::Response { .. } => {
+                    steps.extend([Step::ReceiveResponse(n), Step::LoseMessage(n)])
+                }
             }
             if relay.lease > 0 || relay.prepared {
-                steps.push(Step::Restart(n));
+                steps.push(Step::RestartRelay(n));
             }
         }
     }
@@ -179,23 +190,24 @@
             Step::Commit => {
                 (next.phase, next.epoch) = (Phase::Idle, fleet.epoch + 1);
                 for relay in &mut next.relays {
-                    (relay.has_prepared, relay.reported_stop) = (false, false);
+                    (relay.reported_prepared, relay.reported_stop) = (false, false);
                 }
             }
-            Step::NewLeader => {
+            Step::ChangeLeader => {
                 next.leader_changes += 1;
                 next.predecessor_lease = if self.0 == Without::PredecessorWait {
                     0
                 } else {
                     WAIT
                 };
-                // It counts the time since the seal only from its own election on.
+                // The new leader counts the time since the seal only from its own election.
                 next.sealed_for = 0;
                 for relay in &mut next.relays {
-                    (relay.granted, relay.has_prepared, relay.reported_stop) = (0, false, false);
+                    (relay.granted, relay.reported_prepared, relay.reported_stop) =
+                        (0, false, false);
                 }
             }
-            Step::Time => {
+            Step::AdvanceTime => {
                 next.predecessor_lease = fleet.predecessor_lease.saturating_sub(1);
                 if fleet.phase == Phase::Sealed {
                     next.sealed_for = (fleet.sealed_for + 1).min(WAIT);
@@ -211,7 +223,7 @@
                     }
                 }
             }
-            Step::Send(n) => {
+            Step::SendRequest(n) => {
                 let Relay {
                     epoch,
                     prepared,
@@ -225,7 +237,7 @@
                     has_stopped,
                 };
             }
-            Step::Answer(n) => {
+            Step::Respond(n) => {
                 let Message::Request {
                     age,
                     epoch,
@@ -240,8 +252,8 @@
                 let prepare = fleet.phase == Phase::Preparing && current;
                 let grant = current && !sealed;
                 let relay = &mut next.relays[n];
-                // A report on an earlier proposal counts for none that comes later.
-                relay.has_prepared = prepared && current;
+                // A report about an earlier proposal does not count for a later one.
+                relay.reported_prepared = prepared && current;
                 relay.reported_stop = has_stopped && current;
                 if grant {
                     relay.granted = WAIT;
@@ -254,7 +266,7 @@
                     sealed,
                 };
             }
-            Step::Receive(n) => {
+            Step::ReceiveResponse(n) => {
                 let Message::Response {
                     age,
                     grant,
@@ -287,15 +299,15 @@
                 }
                 if sealed && epoch == relay.epoch {
                     relay.has_stopped = true;
-                    if self.0 != Without::Stop {
+                    if self.0 != Without::EndLeaseOnStop {
                         relay.lease = 0;
                     }
                 }
             }
-            Step::Lose(n) => next.relays[n].message = Message::None,
-            Step::Restart(n) => {
+            Step::LoseMessage(n) => next.relays[n].message = Message::None,
+            Step::RestartRelay(n) => {
                 let relay = &mut next.relays[n];
-                if self.0 != Without::FreshStart {
+                if self.0 != Without::NoLeaseAfterRestart {
                     relay.lease = 0;
                 } else {
                     relay.lease = LEASE;
@@ -303,7 +315,7 @@
                 (relay.prepared, relay.has_stopped, relay.message) = (false, false, Message::None);
             }
         }
-        // Relays are interchangeable: states that differ in their order only are equal.
+        // Relays are interchangeable, so states that differ only in their order are equal.
         next.relays.sort();
         Some(next)
     }
@@ -336,31 +348,31 @@
 }
 
 #[test]
-fn no_order_of_events_lets_two_policies_be_served_at_once() {
+fn no_order_of_events_lets_relays_admit_clients_under_two_policies_at_once() {
     let (states, broken, completes) = search(Without::Nothing);
     println!("{states} states");
     assert!(
         !broken && completes,
         "{states} states: broken {broken}, completes {completes}"
     );
-    // A model with few states would prove nothing.
+    // With few states the search would not be meaningful.
     assert!(states > 10_000, "{states} states");
 }
 
 #[test]
-fn without_any_one_safeguard_two_policies_are_found() {
+fn leaving_out_any_safeguard_lets_relays_admit_clients_under_two_policies() {
     let safeguards = [
         Without::LeaseWait,
         Without::PredecessorWait,
         Without::LeaseFromRequest,
-        Without::Stop,
-        Without::FreshStart,
+        Without::EndLeaseOnStop,
+        Without::NoLeaseAfterRestart,
         Without::NoGrantWhenSealed,
     ];
     for without in safeguards {
         assert!(
             search(without).1,
-            "{without:?} is not needed, or the model does not see what it is for"
+            "{without:?} is not needed, or the model lacks the situations in which it is"
         );
     }
 }
--- a/crates/control/tests/older_build/data.rs
+++ b/crates/control/tests/older_build/data.rs
@@ -1,14 +1,15 @@
-//! The file of bytes that an older build wrote.
+//! Reads the file of bytes that an older build wrote.
 
 use std::collections::BTreeMap;
 
 const FILE: &str = include_str!("../data/older_build.txt");
 
-/// Bytes by name, of the names that begin with a prefix; the prefix is left out.
-pub fn of_group(prefix: &str) -> BTreeMap<String, Vec<u8>> {
+/// Bytes of a group by name. The group is the part of a name before the first `/`, and is left out
+/// in the result.
+pub fn of_group(group: &str) -> BTreeMap<String, Vec<u8>> {
     let line = |line: &'static str| {
         let (name, hexadecimal) = line.split_once(' ')?;
-        let name = name.strip_prefix(prefix)?.strip_prefix('/')?;
+        let name = name.strip_prefix(group)?.strip_prefix('/')?;
         Some((name.to_string(), bytes(hexadecimal)))
     };
     FILE.lines().filter_map(line).collect()
--- a/crates/control/tests/older_build/main.rs
+++ b/crates/control/tests/older_build/main.rs
@@ -1,5 +1,6 @@
-//! This build reads what an older one wrote to the wire and to its log, and writes the same bytes. The bytes are in
-//! `tests/data/older_build.txt`, the values that they stand for in `samples.rs`.
+//! This build must read what an older build wrote to the wire and to its log, and must write the
+//! same bytes. The bytes are in `tests/data/older_build.txt`, the values that they encode in
+//! `samples.rs`.
 
 mod data;
 mod samples;
@@ -15,7 +16,7 @@
 use serde::Serialize;
 use std::fmt::Debug;
 
-/// Each value is decoded from the older build's bytes, and encoded to them again.
+/// Asserts that each value is decoded from the older build's bytes, and encoded to the same bytes.
 fn assert_same_on_the_wire<T>(group: &str, values: Vec<(String, T)>)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -24,7 +25,7 @@
     let sampled: Vec<&String> = values.iter().map(|(name, _)| name).collect();
     assert!(
         written.keys().all(|name| sampled.contains(&name)),
-        "a value of {group} is never read"
+        "a value of {group} has no sample"
     );
     for (name, value) in &values {
         let bytes = &written[name];
@@ -105,16 +106,16 @@
     assert_eq!(second.changes(0), written["whole"]);
     assert_eq!(second.changes(1), written["changes"]);
 
-    let mut followed = Table::new(second.token());
-    followed.apply(1_000_000, &written["first"]).unwrap();
-    assert_eq!(levels(&followed), levels(&first));
-    followed.apply(2_000_000, &written["changes"]).unwrap();
-    assert_eq!(levels(&followed), levels(&second));
+    let mut updated = Table::new(second.token());
+    updated.apply(1_000_000, &written["first"]).unwrap();
+    assert_eq!(levels(&updated), levels(&first));
+    updated.apply(2_000_000, &written["changes"]).unwrap();
+    assert_eq!(levels(&updated), levels(&second));
 
     let mut received = Table::new(second.token());
     received.apply(2_000_000, &written["whole"]).unwrap();
     assert_eq!(levels(&received), levels(&second));
-    for table in [&followed, &received] {
+    for table in [&updated, &received] {
         assert_eq!(table.version(), 2);
         assert_eq!(table.columns(), second.columns());
         assert_eq!(table.digest(), second.digest());
@@ -137,22 +138,22 @@
     };
     let written = data::of_group("frame");
     let mut dialler = FrameSession::new(true, keys(), FLEET, [0x11; 16]);
-    let mut answerer = FrameSession::new(false, keys(), FLEET, [0x22; 16]);
+    let mut acceptor = FrameSession::new(false, keys(), FLEET, [0x22; 16]);
 
     assert_eq!(std::mem::take(dialler.outgoing()), written["dialler-hello"]);
-    assert!(answerer.feed(&written["dialler-hello"]).unwrap().is_empty());
+    assert!(acceptor.feed(&written["dialler-hello"]).unwrap().is_empty());
     assert_eq!(
-        std::mem::take(answerer.outgoing()),
+        std::mem::take(acceptor.outgoing()),
         written["answerer-hello"]
     );
     assert!(dialler.feed(&written["answerer-hello"]).unwrap().is_empty());
 
     assert!(dialler.send(b"first message") && dialler.send(b"second message"));
-    assert!(answerer.send(b"reply"));
+    assert!(acceptor.send(b"reply"));
     assert_eq!(*dialler.outgoing(), written["dialler-messages"]);
-    assert_eq!(*answerer.outgoing(), written["answerer-messages"]);
+    assert_eq!(*acceptor.outgoing(), written["answerer-messages"]);
     assert_eq!(
-        answerer.feed(&written["dialler-messages"]).unwrap(),
+        acceptor.feed(&written["dialler-messages"]).unwrap(),
         [&b"first message"[..], b"second message"]
     );
     assert_eq!(
@@ -161,7 +162,7 @@
     );
 }
 
-/// A field at its default would be read as the same value even under another name.
+/// A field with its default value would be decoded as the same value even if its name had changed.
 #[test]
 fn no_field_in_the_data_is_at_its_default() {
     let groups = ["message", "command", "state", "job"];
@@ -183,7 +184,7 @@
         Value::Map(fields) => {
             for (key, value) in fields {
                 let path = format!("{path}/{key:?}");
-                // `Ok(())` has nothing but its name to say.
+                // The value of `Ok(())` is empty.
                 let accepted = *key == Value::Text("Ok".into());
                 assert!(accepted || !is_default(value), "{path} is at its default");
                 assert_no_default_field(&path, value);
@@ -207,7 +208,7 @@
     }
 }
 
-/// The metrics page has them as labels.
+/// The names of message types are labels of metrics.
 #[test]
 fn kinds_of_messages_are_named_as_in_an_older_build() {
     let kinds = [
--- a/crates/control/tests/older_build/samples.rs
+++ b/crates/control/tests/older_build/samples.rs
@@ -1,5 +1,6 @@
-//! The values whose encoding by an older build stands in `tests/data/older_build.txt`. Every field has a value that is
-//! not its default, and every variant occurs, so that a name that differs from the older build's is found.
+//! Values whose encoding by an older build is in `tests/data/older_build.txt`. Every field has a
+//! value other than its default, and every variant occurs, so that a name that differs from the
+//! older build's is detected.
 
 use jaspermoor_control::broadcast::message::{
     Allowance, DeliveredUpdate, Delivery, MigrationSummary, Poll, Receipt, Reports, Submission,
@@ -467,7 +468,8 @@
     table
 }
 
-/// The same after its second: a row that is not renewed, one that changed, one that was not seen, and a new one.
+/// The owner's table after its second update, with a row that has no new report, one that changed,
+/// one whose endpoint did not answer, and a new one.
 pub fn second_table() -> Table {
     let mut table = first_table();
     let reports = [
--- a/crates/control/tests/unreachable_relay.rs
+++ b/crates/control/tests/unreachable_relay.rs
@@ -1,4 +1,6 @@
-//! A relay whose requests arrive while no response reaches it holds no lease and no jobs.
+//! A relay whose requests reach the leader, but which receives no responses, must lose its lease
+//! and its jobs. If each of its requests renewed them, it would keep its jobs and delay policy
+//! changes.
 
 use jaspermoor_control::log::storage::{PersistedLog, RaftLog};
 use jaspermoor_control::log::voter::Voter;
@@ -7,10 +9,11 @@
 };
 use jaspermoor_control::FleetTiming;
 
-/// Where the relay's responses go.
+/// Address to which responses to the relay are sent.
 const RELAY_ADDRESS: u64 = 5;
 
-/// The only voter of a fleet, as its leader, and a time at which the leases of any predecessor have run out.
+/// The only voter of a fleet after its election, and a time at which leases of any predecessor have
+/// expired.
 fn leader(timing: FleetTiming) -> (Voter, u64) {
     let batch = RaftLog::for_new_fleet(&[1]).persist_all();
     let stored = PersistedLog {
@@ -22,14 +25,15 @@
     let mut now = 0;
     while voter.leader_term().is_none() {
         now += timing.tick;
-        assert!(now < 60_000_000, "it was never elected");
+        assert!(now < 60_000_000, "the voter was never elected");
         voter.tick(now);
         voter.ready(now);
     }
     (voter, now + 2 * timing.lease_duration)
 }
 
-/// The response to a renewal with this sequence, of a relay that has seen responses up to `last_seen`.
+/// Response to a renewal with this sequence number, from a relay that has received responses up to
+/// `last_seen`.
 fn renew(voter: &mut Voter, now: u64, sequence: u64, last_seen: u64) -> RenewResponse {
     let relay = RelayId {
         name: "n1".into(),
@@ -89,7 +93,8 @@
     }
     assert!(owner(&voter).is_some(), "the relay owns the job");
     let (_, last) = step(&mut voter, None);
-    // From here on no response reaches it. At first it may only be delayed.
+    // From now on no response reaches the relay. The first one may only be delayed, so leases are
+    // still granted.
     assert_eq!(step(&mut voter, Some(last)).0.grant, Some(0));
     let mut granted = Vec::new();
     for _ in 0..12 {
@@ -100,10 +105,10 @@
         granted[..2].iter().all(|granted| *granted) && !granted[6..].contains(&true),
         "{granted:?}"
     );
-    assert_eq!(owner(&voter), None, "its job is released");
+    assert_eq!(owner(&voter), None, "the relay's job is released");
     assert_eq!(
         step(&mut voter, None).0.grant,
         Some(0),
-        "a response has reached it again"
+        "a response has reached the relay again"
     );
 }
--- a/crates/control/tests/wire_names.rs
+++ b/crates/control/tests/wire_names.rs
@@ -1,5 +1,6 @@
-//! Names on the wire and in stored files that differ from the code's: builds of before the names changed have to understand
-//! them, and the ledgers that they wrote have to stay readable.
+//! Names on the wire and in stored files that differ from the names in the code. Builds from before
+//! the renaming must still understand messages, and the ledgers that they wrote must remain
+//! readable.
 
 use ciborium::Value;
 use jaspermoor_control::jobs::assignment::{Job, JobChange, Jobs};
@@ -11,7 +12,7 @@
 };
 use serde::Serialize;
 
-/// All keys of maps and all texts in an encoded value.
+/// All keys of maps and all texts in a serialized value.
 fn names(value: &impl Serialize) -> Vec<String> {
     fn collect(value: &Value, names: &mut Vec<String>) {
         match value {
@@ -31,7 +32,7 @@
 
 #[test]
 fn serialized_names_stay_as_builds_before_the_renaming_wrote_them() {
-    // Fields with their default may be left out, so these have another value.
+    // Fields with their default value may be left out, so these have other values.
     let renew = RenewRequest {
         stopped_for: Some(1),
         membership_version: 1,
