--- a/crates/control/src/jobs/assignment.rs
+++ b/crates/control/src/jobs/assignment.rs
@@ -49,9 +49,9 @@
     /// [`Jobs`] or a later one.
     #[serde(rename = "yields")]
     pub revoked_at: Option<u64>,
-    /// Whether operators have paused the job. A paused job is not assigned.
+    /// Whether operators hold the job. A held job is not assigned.
     #[serde(rename = "held")]
-    pub paused: bool,
+    pub is_held: bool,
     /// Name of the relay that the job was last revoked from, and the reason. This includes jobs
     /// that the owner relinquished. Other relays are preferred for the next assignment.
     #[serde(rename = "gave_up")]
@@ -97,7 +97,7 @@
     Release(Vec<(String, FencingToken)>),
     /// Stores a checkpoint of the owner: name of the job, token, step and content.
     Checkpoint(String, FencingToken, u64, Vec<u8>),
-    /// Pauses (true) or resumes (false) the assignment of a job.
+    /// Holds a job (true), so that it is not assigned, or ends that (false).
     Hold(String, bool),
 }
 
@@ -130,9 +130,9 @@
             JobChange::Checkpoint(name, token, step, content) => {
                 self.store_checkpoint(&name, token, step, content);
             }
-            JobChange::Hold(name, paused) => {
+            JobChange::Hold(name, is_held) => {
                 if let Some(job) = self.by_name.get_mut(&name) {
-                    job.paused = paused;
+                    job.is_held = is_held;
                 }
             }
         }
@@ -304,7 +304,7 @@
 
 impl Job {
     fn is_assignable(&self) -> bool {
-        self.owner.is_none() && !self.paused
+        self.owner.is_none() && !self.is_held
     }
 
     /// The worker that should own this job, among those that support it and have capacity.
--- a/crates/control/src/log/voter/job_assignment.rs
+++ b/crates/control/src/log/voter/job_assignment.rs
@@ -136,7 +136,7 @@
         plan
     }
 
-    /// Jobs to revoke because their owner cannot act on them or operators paused them, and revoked
+    /// Jobs to revoke because their owner cannot act on them or operators hold them, and revoked
     /// jobs to release.
     ///
     /// Revocation and release are always separate entries. Once the revocation is in the log, an
@@ -155,7 +155,7 @@
                 if cannot_act || leadership.has_stopped(owner, job) {
                     plan.release.push((name.clone(), job.token));
                 }
-            } else if cannot_act || job.paused {
+            } else if cannot_act || job.is_held {
                 let reason = if cannot_act {
                     "the lease of its relay has expired"
                 } else {
@@ -229,7 +229,7 @@
         job: &Job,
         workers: &[(RelayId, JobCapabilities)],
     ) -> String {
-        if job.paused {
+        if job.is_held {
             return "operators hold it: 'fleet release' allows its assignment".into();
         }
         if !self.previous_leases_expired(leadership) {
@@ -263,8 +263,8 @@
         let is_done = match &change {
             JobChange::Open(names) => names.iter().all(|name| jobs.contains_key(name)),
             JobChange::Close(name) => !jobs.contains_key(name),
-            JobChange::Hold(name, paused) => match jobs.get(name) {
-                Some(job) => job.paused == *paused,
+            JobChange::Hold(name, is_held) => match jobs.get(name) {
+                Some(job) => job.is_held == *is_held,
                 None => return OperatorResponse::Job(Err(format!("there is no job '{name}'"))),
             },
             JobChange::Revoke(revoked) => revoked
--- a/crates/control/tests/older_build/samples.rs
+++ b/crates/control/tests/older_build/samples.rs
@@ -67,7 +67,7 @@
         token: 31,
         owner: Some(relay(2)),
         revoked_at: Some(17),
-        paused: true,
+        is_held: true,
         last_revocation: Some(("relay-1".into(), "it reached no endpoint".into())),
         checkpoint_step: 6,
         checkpoint: vec![0, 0, 0, 0, 0, 0, 4, 210],
--- a/src/cli/fleet/jobs.rs
+++ b/src/cli/fleet/jobs.rs
@@ -83,7 +83,7 @@
         let status = client.status()?;
         let job = find_job(&status, &self.name)?;
         let old_token = job.token;
-        if job.paused {
+        if job.is_held {
             let name = &self.name;
             return Err(format!("{name} is held: 'fleet release {name}' first").into());
         }
@@ -103,7 +103,7 @@
         find_job(&client.status()?, &self.name)?;
         assign(client, JobChange::Hold(self.name.clone(), true))?;
         await_job(client, &self.name, format, |job| {
-            job.paused && job.owner.is_none()
+            job.is_held && job.owner.is_none()
         })
     }
 }
@@ -114,7 +114,7 @@
         find_job(&client.status()?, &self.name)?;
         assign(client, JobChange::Hold(self.name.clone(), false))?;
         await_job(client, &self.name, format, |job| {
-            !job.paused && job.owner.is_some()
+            !job.is_held && job.owner.is_some()
         })
     }
 }
@@ -152,7 +152,7 @@
             ("owner", owner.unwrap_or_default().to_string()),
             ("token", job.token.to_string()),
             ("step", job.checkpoint_step.to_string()),
-            ("held", job.paused.to_string()),
+            ("held", job.is_held.to_string()),
             ("why", reason),
         ];
         println!("{}", json_object(&fields));
