--- a/crates/control/src/broadcast/allowance.rs
+++ b/crates/control/src/broadcast/allowance.rs
@@ -67,7 +67,7 @@
     incarnation: u64,
     /// Highest allowance received from the owner.
     allowed: u64,
-    /// Part of it that was distributed or has expired.
+    /// Part of the allowance that was distributed or has expired.
     used: u64,
 }
 
--- a/crates/control/src/broadcast/broadcaster/mod.rs
+++ b/crates/control/src/broadcast/broadcaster/mod.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Ends the subscription of a link that was closed.
+    /// Ends the subscription of a connection that was closed.
     pub fn disconnected(&mut self, from: ReplyAddress) {
         self.subscriptions.remove(&from);
     }
--- a/crates/control/src/broadcast/broadcaster/publications.rs
+++ b/crates/control/src/broadcast/broadcaster/publications.rs
@@ -13,7 +13,7 @@
 /// Maximum size of an update, in bytes. Longer ones are dropped.
 const MAX_UPDATE_BYTES: usize = 64 * 1024;
 
-/// Why an owner's update is rejected.
+/// Reason for rejecting an owner's update.
 enum Rejection {
     /// The job does not exist.
     UnknownJob,
--- a/crates/control/src/broadcast/broadcaster/subscriptions.rs
+++ b/crates/control/src/broadcast/broadcaster/subscriptions.rs
@@ -133,7 +133,7 @@
             highest: poll.highest,
             bitmap: poll.received_bitmap,
         };
-        deliveries.stream.acknowledged(now, received);
+        deliveries.stream.handle_acknowledgement(now, received);
         // A poll that a later one has overtaken does not show that the relay is still alive.
         if poll.sequence >= subscription.sequence {
             subscription.sequence = poll.sequence;
--- a/crates/control/src/broadcast/broadcaster/tests/deliveries.rs
+++ b/crates/control/src/broadcast/broadcaster/tests/deliveries.rs
@@ -83,7 +83,7 @@
             .handle_poll(10, 8, poll(5, 4, 0), &jobs)
             .unwrap()
             .must_resubscribe,
-        "no subscription from this link"
+        "no subscription from this connection"
     );
     assert!(
         broadcaster
--- a/crates/control/src/broadcast/broadcaster/tests/older_builds.rs
+++ b/crates/control/src/broadcast/broadcaster/tests/older_builds.rs
@@ -26,7 +26,7 @@
     let [(7, Message::Updates(sent))] = &messages[..] else {
         panic!("{messages:?}")
     };
-    // Each span is lengthened by one hundredth, the maximum clock drift.
+    // Each duration is lengthened by one hundredth, the maximum clock drift.
     assert_eq!(
         (sent.sequence, sent.request_age, sent.updates[0].age),
         (1, 1_100_000, 1_051_500)
--- a/crates/control/src/broadcast/channel.rs
+++ b/crates/control/src/broadcast/channel.rs
@@ -43,11 +43,11 @@
 impl Channel {
     /// Fencing token of the owner that published the update; 0 if there is none.
     pub fn token(&self) -> FencingToken {
-        self.held().token
+        self.held_version().token
     }
 
     /// Token and version of the update; the default if there is none.
-    pub fn held(&self) -> HeldVersion {
+    pub fn held_version(&self) -> HeldVersion {
         match &self.content {
             Content::Empty => HeldVersion::default(),
             Content::Full(update) => HeldVersion::new(update.token, update.sequence),
@@ -77,7 +77,7 @@
         update: Update,
         injected_no_fence: bool,
     ) -> bool {
-        let is_newer = HeldVersion::new(update.token, update.sequence) > self.held();
+        let is_newer = HeldVersion::new(update.token, update.sequence) > self.held_version();
         let is_stored = is_newer || injected_no_fence;
         if is_stored {
             self.content = Content::Full(update);
@@ -121,9 +121,9 @@
         &mut self,
         now: Micros,
         job: &str,
-        has: HeldVersion,
+        receiver_has: HeldVersion,
     ) -> (DeliveredUpdate, usize) {
-        let held = self.held();
+        let held = self.held_version();
         let mut delivered = DeliveredUpdate {
             job: job.into(),
             token: held.token,
@@ -141,8 +141,8 @@
                 update.payload.len()
             }
             Content::Table { table, .. } => {
-                let from = if has.token == held.token {
-                    has.version
+                let from = if receiver_has.token == held.token {
+                    receiver_has.version
                 } else {
                     0
                 };
@@ -157,7 +157,7 @@
 
     /// The update for a relay of an older build.
     pub fn full_update(&mut self, now: Micros, job: &str) -> Update {
-        let held = self.held();
+        let held = self.held_version();
         let payload = match &mut self.content {
             Content::Empty => Vec::new(),
             Content::Full(update) => update.payload.clone(),
--- a/crates/control/src/broadcast/feed.rs
+++ b/crates/control/src/broadcast/feed.rs
@@ -38,7 +38,7 @@
     pub migrations: HeldVersion,
 }
 
-/// Why a delivery is sent.
+/// Event that causes a delivery.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Trigger {
     /// The relay sent a request. It gets a response even if there are no updates.
@@ -180,7 +180,7 @@
                 .by_name
                 .get(name)
                 .is_some_and(|job| is_owned_by(job, subscription));
-            if is_own || channel.is_old(now) || !stream.lacks(name, channel.held()) {
+            if is_own || channel.is_old(now) || !stream.lacks(name, channel.held_version()) {
                 continue;
             }
             let is_of_zone = name
@@ -223,7 +223,7 @@
                 .token_bucket
                 .take(bytes + UPDATE_OVERHEAD_BYTES, rate);
             batch.updates.push(delivered);
-            batch.versions.push((job, channel.held()));
+            batch.versions.push((job, channel.held_version()));
         }
         batch
     }
@@ -246,7 +246,7 @@
         };
         let mut updates = Vec::new();
         for (name, channel) in &mut self.channels {
-            if lacks(name, channel.held()) && !channel.is_old(now) {
+            if lacks(name, channel.held_version()) && !channel.is_old(now) {
                 updates.push(channel.full_update(now, name));
             }
         }
--- a/crates/control/src/broadcast/message.rs
+++ b/crates/control/src/broadcast/message.rs
@@ -138,7 +138,7 @@
     pub allowance: Option<Allowance>,
 }
 
-/// How many migrations a voter may permit to the relays that follow it.
+/// Number of migrations that a voter may permit to the relays that follow it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Allowance {
--- a/crates/control/src/broadcast/stream.rs
+++ b/crates/control/src/broadcast/stream.rs
@@ -147,7 +147,7 @@
 
     /// Handles an acknowledgement. A delivery counts as lost if a later one arrived before it, or
     /// after a timeout. If it still arrives before the timeout, it counts as received.
-    pub fn acknowledged(&mut self, now: Micros, received: ReceivedSequences) {
+    pub fn handle_acknowledgement(&mut self, now: Micros, received: ReceivedSequences) {
         if received.stream != self.id {
             return;
         }
--- a/crates/control/src/broadcast/stream/tests.rs
+++ b/crates/control/src/broadcast/stream/tests.rs
@@ -46,13 +46,13 @@
     );
     assert_eq!((send(&mut stream, 0, 5), send(&mut stream, 10, 6)), (1, 2));
     assert!(!stream.lacks("a", HeldVersion::new(1, 6)));
-    stream.acknowledged(20, received(&[1]));
+    stream.handle_acknowledgement(20, received(&[1]));
     assert_eq!(
         stream.sent("a"),
         HeldVersion::new(1, 6),
         "the delivery is in flight"
     );
-    stream.acknowledged(ACKNOWLEDGEMENT_TIMEOUT + 10, received(&[1]));
+    stream.handle_acknowledgement(ACKNOWLEDGEMENT_TIMEOUT + 10, received(&[1]));
     assert_eq!(
         stream.sent("a"),
         HeldVersion::new(1, 5),
@@ -61,11 +61,11 @@
     // A delivery that a later one has overtaken also counts as lost, until it arrives.
     send(&mut stream, ACKNOWLEDGEMENT_TIMEOUT + 20, 7);
     send(&mut stream, ACKNOWLEDGEMENT_TIMEOUT + 20, 7);
-    stream.acknowledged(ACKNOWLEDGEMENT_TIMEOUT + 30, received(&[1, 4]));
+    stream.handle_acknowledgement(ACKNOWLEDGEMENT_TIMEOUT + 30, received(&[1, 4]));
     assert_eq!(stream.sent("a"), HeldVersion::new(1, 7));
     // An acknowledgement of another stream is ignored.
     send(&mut stream, ACKNOWLEDGEMENT_TIMEOUT + 40, 8);
-    stream.acknowledged(
+    stream.handle_acknowledgement(
         ACKNOWLEDGEMENT_TIMEOUT + 50,
         ReceivedSequences {
             stream: 2,
@@ -73,7 +73,7 @@
             bitmap: u32::MAX,
         },
     );
-    stream.acknowledged(2 * ACKNOWLEDGEMENT_TIMEOUT + 50, received(&[]));
+    stream.handle_acknowledgement(2 * ACKNOWLEDGEMENT_TIMEOUT + 50, received(&[]));
     assert_eq!(stream.sent("a"), HeldVersion::new(1, 7));
 }
 
--- a/crates/control/src/broadcast/subscriber/voter.rs
+++ b/crates/control/src/broadcast/subscriber/voter.rs
@@ -74,7 +74,7 @@
         });
     }
 
-    /// When the request with this sequence number was sent; none if it is not open.
+    /// When the request with this sequence number was sent; `None` if it is not open.
     pub(super) fn requested_at(&self, sequence: u64) -> Option<Micros> {
         self.open_requests
             .iter()
--- a/crates/control/src/broadcast/table/apply.rs
+++ b/crates/control/src/broadcast/table/apply.rs
@@ -4,7 +4,7 @@
 use super::{Row, Table, MAX_COLUMNS, MAX_ROWS};
 use crate::Micros;
 
-/// Why changes could not be applied.
+/// Error when changes cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TableError {
     /// The receiver already has the version that the changes lead to, or a newer one.
--- a/crates/control/src/jobs/assignment.rs
+++ b/crates/control/src/jobs/assignment.rs
@@ -2,7 +2,7 @@
 //!
 //! Input: [`JobChange`] entries of the log, in order. Output: the state [`Jobs`], the same on every
 //! voter, and the proposals of the leader for the next entries ([`Jobs::assignments`],
-//! [`Jobs::excess`]).
+//! [`Jobs::excess_jobs`]).
 //!
 //! Each job has at most one owner. Every assignment takes a fencing token from one counter that
 //! only grows; the owner's commands carry the token, and receivers reject tokens older than the
@@ -56,7 +56,7 @@
     /// that the owner relinquished. Other relays are preferred for the next assignment.
     #[serde(rename = "gave_up")]
     pub last_revocation: Option<(String, String)>,
-    /// Sequence number of the latest checkpoint; 0 before the first.
+    /// Step of the latest checkpoint, which grows by one with each; 0 before the first.
     #[serde(rename = "step")]
     pub checkpoint_step: u64,
     /// Content of the latest checkpoint, which only this kind of job interprets.
@@ -71,7 +71,7 @@
     /// The latest fencing token that was issued.
     #[serde(rename = "last")]
     pub last_token: FencingToken,
-    /// Grows with each change of an owner.
+    /// Version of the job list; grows with each change of an owner.
     pub version: u64,
     /// The jobs by name.
     #[serde(rename = "of")]
--- a/crates/control/src/jobs/fence.rs
+++ b/crates/control/src/jobs/fence.rs
@@ -16,7 +16,7 @@
 #[cfg(test)]
 mod tests;
 
-/// What a receiver must do with a command.
+/// Decision of a receiver about a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceDecision {
     /// Execute it.
--- a/crates/control/src/jobs/load_watch.rs
+++ b/crates/control/src/jobs/load_watch.rs
@@ -117,7 +117,7 @@
     answered: BTreeMap<u64, HealthCheckResult>,
     /// Whether this round has been published.
     is_published: bool,
-    /// Since when all health checks have failed.
+    /// When the first health check after the latest successful one failed.
     failing_since: Option<Micros>,
 }
 
@@ -174,8 +174,8 @@
         if self.is_published || !(is_complete || is_timed_out) {
             return None;
         }
-        // Also if there is nothing to publish, since the round is over and nothing is due before
-        // the next one.
+        // Set even if there is nothing to publish, since the round is over and nothing is due
+        // before the next one.
         self.is_published = true;
         if self.answered.is_empty() {
             return None;
--- a/crates/control/src/jobs/worker/mod.rs
+++ b/crates/control/src/jobs/worker/mod.rs
@@ -48,7 +48,7 @@
     LoadReports(Vec<EndpointLoad>),
     /// Permit this total number of migrations, counted since the relay's start.
     PermitMigrations(u64),
-    /// Write a line to the log.
+    /// Write a line to the relay's log output.
     Log(String),
 }
 
--- a/crates/control/src/jobs/zones/mod.rs
+++ b/crates/control/src/jobs/zones/mod.rs
@@ -113,7 +113,7 @@
     pub reason: String,
 }
 
-/// Why a manual share could not be set or cleared.
+/// Error when a manual share cannot be set or cleared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ManualShareError {
     /// There is no zone of this name.
--- a/crates/control/src/log/error.rs
+++ b/crates/control/src/log/error.rs
@@ -2,8 +2,8 @@
 
 use thiserror::Error;
 
-/// Why a voter must not use its log. No retry helps: an operator must replace the voter, its disk
-/// or its build.
+/// Error because of which a voter must not use its log. No retry helps: an operator must replace
+/// the voter, its disk or its build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LogError {
     /// The stored snapshot is damaged.
--- a/crates/control/src/log/membership.rs
+++ b/crates/control/src/log/membership.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Membership {
-    /// Grows by one with each change.
+    /// Version of the membership; grows by one with each change.
     pub version: u64,
     /// Highest number that was ever given to a member.
     #[serde(rename = "highest")]
@@ -73,7 +73,7 @@
     Rejected(MembershipError),
 }
 
-/// Why a change of the membership is rejected.
+/// Reason for rejecting a change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MembershipError {
     /// An operator requested a promotion, which only the leader makes.
@@ -84,7 +84,7 @@
     /// The number belongs to a member with another disk.
     #[error("voter {0} is a member with another disk; to replace a lost disk, add a voter with a new number")]
     OtherDisk(VoterId),
-    /// The number was given before.
+    /// The number was used before.
     #[error("the number {number} was used before; the next is {next}")]
     NumberTaken {
         /// Number that was requested.
--- a/crates/control/src/log/state.rs
+++ b/crates/control/src/log/state.rs
@@ -31,10 +31,10 @@
     pub epoch: u64,
     /// Text of the policy file.
     pub text: String,
-    /// Who proposed it.
+    /// Name of the person or team that proposed it.
     #[serde(rename = "who")]
     pub author: String,
-    /// Why it was proposed.
+    /// Reason that the author gave for it.
     #[serde(rename = "why")]
     pub reason: String,
     /// Proposal that introduced it; 0 for the empty policy of a new fleet.
@@ -90,8 +90,8 @@
     TimedOut(Vec<String>),
 }
 
-/// Why the state machine rejects a proposal. Each voter computes the text itself and stores it with
-/// the outcome, so it must not differ between builds.
+/// Reason for which the state machine rejects a proposal. Each voter computes the text itself and
+/// stores it with the outcome, so it must not differ between builds.
 #[derive(Debug, Error)]
 enum ProposalError {
     #[error("another change is under way, by {author}: ask for its outcome and propose again")]
--- a/crates/control/src/log/voter/job_assignment.rs
+++ b/crates/control/src/log/voter/job_assignment.rs
@@ -19,8 +19,8 @@
 /// Interval between two runs of the assignment while the jobs do not change, in microseconds.
 /// Limits how late an expired lease is noticed.
 const ASSIGNMENT_INTERVAL: Micros = 200_000;
-/// Minimum interval between two rebalancings, in microseconds, so that a restart of a relay does
-/// not move jobs.
+/// Minimum time from any revocation to the next one for balance, in microseconds, so that a restart
+/// of a relay does not move jobs.
 const REBALANCE_INTERVAL: Micros = 10_000_000;
 
 impl Leadership {
@@ -112,7 +112,7 @@
                 at: now,
             });
             if revokes {
-                leadership.rebalanced_at = now;
+                leadership.last_revocation_at = now;
             }
         }
     }
@@ -129,7 +129,7 @@
             return plan;
         }
         let workers = leadership.workers(may_act);
-        if plan.revoke.is_empty() && now >= leadership.rebalanced_at + REBALANCE_INTERVAL {
+        if plan.revoke.is_empty() && now >= leadership.last_revocation_at + REBALANCE_INTERVAL {
             plan.revoke = jobs.excess_jobs(workers.len());
         }
         plan.assign = jobs.assignments(&workers, |name| leadership.is_backing_off(name, now));
@@ -202,7 +202,7 @@
         .collect()
     }
 
-    /// Why the owner of a job may not act on it; `None` if it may.
+    /// Reason why the owner of a job may not act on it; `None` if it may.
     fn owned_idle_reason(
         &self,
         leadership: &Leadership,
@@ -221,7 +221,7 @@
             .then(|| format!("{owner_name} does not renew its lease, which may still be valid"))
     }
 
-    /// Why a job has no owner.
+    /// Reason why a job has no owner.
     fn unowned_reason(
         &self,
         leadership: &Leadership,
--- a/crates/control/src/log/voter/leadership.rs
+++ b/crates/control/src/log/voter/leadership.rs
@@ -89,7 +89,7 @@
 /// Step of the pending proposal, as seen by this leader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProposalStep {
-    /// The proposal.
+    /// Identifies the proposal.
     pub id: ProposalId,
     /// Whether the proposal is sealed. If not, it is being prepared.
     pub is_sealed: bool,
@@ -108,10 +108,10 @@
     pub at: Micros,
 }
 
-/// One term of this voter as leader.
+/// Leadership of this voter during one term.
 #[derive(Debug, Default)]
 pub(super) struct Leadership {
-    /// The term.
+    /// Term of the leadership.
     pub term: u64,
     /// When this voter noticed that it leads. This is after its election, so waits that count from
     /// it are longer than necessary, which is safe.
@@ -124,8 +124,8 @@
     pub membership_proposed_at: Option<Micros>,
     /// Latest run of the job assignment.
     pub last_assignment: Option<AssignmentRun>,
-    /// When jobs were last revoked for balance.
-    pub rebalanced_at: Micros,
+    /// When jobs were last revoked.
+    pub last_revocation_at: Micros,
     /// Jobs that their owners have relinquished because they could not do them.
     pub relinquished: BTreeMap<String, RelinquishBackoff>,
 }
--- a/crates/control/src/wire/frame.rs
+++ b/crates/control/src/wire/frame.rs
@@ -39,8 +39,8 @@
 
 type Hash = Hmac<Sha256>;
 
-/// Why the connection must be closed. The text continues a sentence that starts with the peer's
-/// address.
+/// Error because of which a connection must be closed. The text continues a sentence that starts
+/// with the peer's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// The peer uses another protocol.
