--- a/crates/control/src/jobs/zones/state_machine.rs
+++ b/crates/control/src/jobs/zones/state_machine.rs
@@ -222,7 +222,9 @@
         match RETURN_SHARES.get(self.step) {
             Some(100) | None => self.enter(now, ZoneState::Healthy, 100, "it has returned".into()),
             Some(share) => {
-                let reason = format!("it fails no more often than the other zones at {completed_share}% of its traffic");
+                let reason = format!(
+                    "it fails no more than the other zones at {completed_share}% of its traffic"
+                );
                 self.enter(now, ZoneState::Returning, *share, reason);
             }
         }
