--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: one line an event on standard error, as words with `key=value` behind them, or as JSON.
+//! Logging to standard error, one line per event: text with `key=value` fields, or JSON.
 
 use std::fmt::{self, Write};
 use std::io;
@@ -9,28 +9,30 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Words with `key=value` behind them.
+    /// The message, followed by the fields as `key=value`.
     #[default]
     Text,
-    /// JSON, with the time.
+    /// JSON, with a timestamp.
     Json,
 }
 
-/// Words first, then the fields as they are, without quotes: what staff search for.
-struct Plain;
+/// Formats events as text. Values are not quoted, so that operators can search for `key=value`.
+struct TextFormat;
 
-struct Line<'a>(&'a mut dyn Write, String);
+/// Collects an event's fields: the message is written to the first field, the others are appended
+/// to the second.
+struct FieldCollector<'a>(&'a mut dyn Write, String);
 
-impl Visit for Line<'_> {
+impl Visit for FieldCollector<'_> {
     fn record_str(&mut self, field: &Field, value: &str) {
         self.record_debug(field, &format_args!("{value}"));
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        // Writing to a text cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = match field.name() {
             "message" => write!(self.0, "{value:?}"),
             name => write!(self.1, " {name}={value:?}"),
@@ -38,7 +40,7 @@
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Plain
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -49,30 +51,33 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let mut line = Line(&mut writer, String::new());
-        event.record(&mut line);
-        let fields = line.1;
+        let mut collector = FieldCollector(&mut writer, String::new());
+        event.record(&mut collector);
+        let fields = collector.1;
         writeln!(writer, "{fields}")
     }
 }
 
-/// Starts the log; once a process. A log that cannot be written must not end the relay.
+/// Initializes logging for the process. Write errors are ignored: an unwritable log must not stop
+/// the relay. A second call has no effect.
 pub fn init(format: Format, level: LevelFilter) {
-    let log = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(io::stderr)
         .with_ansi(false)
         .log_internal_errors(false);
-    // An error says that a log was started before: it goes on.
+    // Fails only if logging was initialized before; the first subscriber stays.
     let _ = match format {
-        Format::Text => tracing::subscriber::set_global_default(log.event_format(Plain).finish()),
+        Format::Text => {
+            tracing::subscriber::set_global_default(subscriber.event_format(TextFormat).finish())
+        }
         Format::Json => {
-            tracing::subscriber::set_global_default(log.json().flatten_event(true).finish())
+            tracing::subscriber::set_global_default(subscriber.json().flatten_event(true).finish())
         }
     };
 }
 
-/// Writes one line to the log.
+/// Logs a line at level `info`.
 pub fn log(line: &str) {
     tracing::info!("{line}");
 }
--- a/src/sys.rs
+++ b/src/sys.rs
@@ -1,4 +1,4 @@
-//! Small helpers round the standard library's threads and sockets.
+//! Helpers for threads, sockets, locks and the monotonic clock.
 
 use crate::log::log;
 use std::io;
@@ -6,44 +6,46 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Stack of the threads that do one small thing.
+/// Stack size of threads that do little.
 pub const SMALL_STACK_BYTES: usize = 128 * 1024;
-/// How long a missing thread is asked for again at the start. The platform sends clients when all relays are
-/// ready, or after 30 s: many relays that start at once on one machine wait for each other's threads.
-const START: Duration = Duration::from_secs(10);
-/// Wait before a thread is asked for again.
-const AGAIN: Duration = Duration::from_millis(50);
+/// How long thread creation is retried during startup. The platform sends clients when all relays
+/// are ready, or after 30 s; many relays that start at once on one machine compete for threads.
+const THREAD_RETRY_LIMIT: Duration = Duration::from_secs(10);
+/// Pause between two attempts to create a thread.
+const THREAD_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Something to be called when another thread has work for the one that waits.
+/// A callback that wakes the thread that waits for work.
 pub type Wake = Arc<dyn Fn() + Send + Sync>;
 
-/// What a thread does.
+/// The function that a thread runs.
 type Work = Box<dyn FnOnce() + Send>;
 
-/// Starts a thread with a small stack. Only at the start of the process: nothing that comes later may hang on a
-/// thread that is not there.
+/// Starts a thread; retries for a limited time if the system has none to give.
+///
+/// Call it during startup only: nothing that happens later may depend on a thread that the system
+/// may refuse.
 pub fn spawn(name: &str, stack: usize, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    let os = |work: Work| {
+    let spawn_thread = |work: Work| {
         thread::Builder::new()
             .name(name.into())
             .stack_size(stack)
             .spawn(work)
             .map(drop)
     };
-    spawn_by(os, START, name, Box::new(work))
+    spawn_with_retry(spawn_thread, THREAD_RETRY_LIMIT, name, Box::new(work))
 }
 
-/// Starts a thread by that call, which may say that there is none just now: it is asked again for so long.
-fn spawn_by(
-    os: impl Fn(Work) -> io::Result<()>,
+/// Calls `spawn_thread` until it succeeds or `limit` has passed.
+fn spawn_with_retry(
+    spawn_thread: impl Fn(Work) -> io::Result<()>,
     limit: Duration,
     name: &str,
     work: Work,
 ) -> io::Result<()> {
-    // A call that fails drops what it was given: the work itself stays here until one has succeeded.
+    // A failed call drops its argument, so the work itself stays here until a thread takes it.
     let work = Arc::new(Mutex::new(Some(work)));
-    let end = Instant::now() + limit;
-    let mut said = false;
+    let deadline = Instant::now() + limit;
+    let mut logged = false;
     loop {
         let shared = work.clone();
         let run = move || {
@@ -52,28 +54,28 @@
                 work();
             }
         };
-        let Err(e) = os(Box::new(run)) else {
+        let Err(e) = spawn_thread(Box::new(run)) else {
             return Ok(());
         };
-        if Instant::now() >= end {
-            let what = format!(
+        if Instant::now() >= deadline {
+            let message = format!(
                 "no thread for '{name}' within {} s: {e}; the machine or this user has too many threads \
                  (pid_max, ulimit -u)",
                 limit.as_secs()
             );
-            return Err(io::Error::new(e.kind(), what));
+            return Err(io::Error::new(e.kind(), message));
         }
-        if !std::mem::replace(&mut said, true) {
+        if !std::mem::replace(&mut logged, true) {
             log(&format!(
                 "start: no thread for '{name}': {e}; trying again for {} s",
                 limit.as_secs()
             ));
         }
-        thread::sleep(AGAIN.min(limit));
+        thread::sleep(THREAD_RETRY_INTERVAL.min(limit));
     }
 }
 
-/// Whether a read or write only ran into its time limit.
+/// Whether a read or write failed only because of its timeout, or would have blocked.
 pub fn timed_out(e: &io::Error) -> bool {
     matches!(
         e.kind(),
@@ -81,14 +83,15 @@
     )
 }
 
-/// Microseconds since the machine started, those that it slept counted: what a lease is measured by. No change of the
-/// wall clock moves it, and a process that was stopped finds that it has gone on.
+/// Microseconds since boot, including time asleep (`CLOCK_BOOTTIME`). Leases are measured with it:
+/// a change of the wall clock does not affect it, and it goes on while the process is stopped.
 pub fn boottime() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1_000
 }
 
-/// Takes a lock, also one that a thread which failed has left behind: what it guards is changed in one step.
+/// Locks a mutex and ignores poisoning. For values that are changed in a single step, so that a
+/// panicking thread leaves them consistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -99,36 +102,41 @@
     use std::cell::Cell;
     use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
-    fn none() -> io::Error {
+    fn resource_unavailable() -> io::Error {
         io::Error::from_raw_os_error(11)
     }
 
-    /// A relay that found no thread at its start ended with 1, and its clients with it.
+    /// Without the retry a relay that found no thread at startup exited with status 1, and its
+    /// clients were lost.
     #[test]
-    fn a_thread_that_is_missing_at_the_start_is_asked_for_again_and_its_work_is_done_once() {
-        let (asked, done) = (Cell::new(0), Arc::new(AtomicUsize::new(0)));
-        let os = |work: Work| {
-            asked.set(asked.get() + 1);
-            if asked.get() < 4 {
-                return Err(none());
+    fn thread_creation_is_retried_at_startup_and_the_work_runs_once() {
+        let (calls, runs) = (Cell::new(0), Arc::new(AtomicUsize::new(0)));
+        let spawn_thread = |work: Work| {
+            calls.set(calls.get() + 1);
+            if calls.get() < 4 {
+                return Err(resource_unavailable());
             }
             work();
             Ok(())
         };
-        let count = done.clone();
+        let count = runs.clone();
         let work = Box::new(move || _ = count.fetch_add(1, SeqCst));
-        spawn_by(os, Duration::from_secs(3600), "serve", work).unwrap();
-        assert_eq!((asked.get(), done.load(SeqCst)), (4, 1));
+        spawn_with_retry(spawn_thread, Duration::from_secs(3600), "serve", work).unwrap();
+        assert_eq!((calls.get(), runs.load(SeqCst)), (4, 1));
     }
 
     #[test]
-    fn a_thread_that_stays_missing_is_named_with_the_remedy() {
-        let error =
-            spawn_by(|_| Err(none()), Duration::ZERO, "serve", Box::new(|| {})).unwrap_err();
-        let said = error.to_string();
+    fn a_failed_thread_creation_names_the_thread_and_the_remedy() {
+        let result = spawn_with_retry(
+            |_| Err(resource_unavailable()),
+            Duration::ZERO,
+            "serve",
+            Box::new(|| {}),
+        );
+        let message = result.unwrap_err().to_string();
         assert!(
-            said.contains("'serve'") && said.contains("ulimit -u"),
-            "{said}"
+            message.contains("'serve'") && message.contains("ulimit -u"),
+            "{message}"
         );
     }
 }
