--- a/src/platform/ledger/error.rs
+++ b/src/platform/ledger/error.rs
@@ -1,33 +1,35 @@
-//! Why a ledger cannot be created, opened, read or written.
+//! Errors of a ledger that cannot be created, opened, read or written.
 
 use redb::DatabaseError;
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Any error of a transaction. Boxed: redb has a type for each operation, and its common type is large.
+/// Any error of a transaction. Boxed: redb has a type for each operation, and its common type is
+/// large.
 pub(super) type StoreError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A ledger that cannot be used. Its text begins with the path of the file and tells operators what to do.
+/// The error of a ledger that cannot be used. Its text begins with the path of the file and tells
+/// operators what to do.
 #[derive(Debug)]
 pub struct LedgerError {
     file: PathBuf,
     cause: LedgerErrorCause,
 }
 
-/// What is wrong with a ledger.
+/// The reason of a [`LedgerError`].
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum LedgerErrorCause {
-    /// The ledger of this voter does not exist. It is never created implicitly: a voter that forgot its vote could vote
-    /// twice in one term.
+    /// The ledger of this voter does not exist. It is never created implicitly: a voter without the
+    /// record of its vote could vote twice in one term.
     MissingVoterLedger {
         /// The voter's number.
         voter: u64,
     },
     /// The ledger belongs to another fleet or voter.
     OwnerMismatch,
-    /// A voter's ledger exists where a new one was to be created.
+    /// A voter's ledger exists already where a new one was to be created.
     AlreadyExists,
     /// The directory of the ledger cannot be created.
     CreateDirectory(io::Error),
@@ -65,7 +67,7 @@
         }
     }
 
-    /// What is wrong.
+    /// The reason of the error.
     pub fn cause(&self) -> &LedgerErrorCause {
         &self.cause
     }
--- a/src/platform/ledger/mod.rs
+++ b/src/platform/ledger/mod.rs
@@ -1,18 +1,22 @@
-//! The durable state of a relay in a fleet: the policy in force, a prepared proposal, the latest membership and, for a
-//! voter, its replicated log and vote. One file; each method that writes is one transaction, synced before it returns.
+//! The durable state of a relay in a fleet: the policy in force, a prepared proposal, the latest
+//! membership and, for a voter, its replicated log and vote. One file; each method that writes is
+//! one transaction, synced before it returns.
 //!
-//! What must be durable before what:
+//! Order of the writes:
 //!
-//! - [`Ledger::persist_log`] before any message of the voter that follows from the batch is sent (Raft's rule: a vote
-//!   or an acknowledgement that a crash could undo must not leave the process).
+//! - [`Ledger::persist_log`] before any message of the voter that follows from the batch is sent
+//!   (Raft's rule: a vote or an acknowledgement that a crash could undo must not be sent).
 //! - [`Ledger::save_prepared`] before the relay answers that it is prepared for the proposal.
-//! - [`Ledger::save_policy`] before clients are admitted under the policy. A relay that cannot save it goes on: after a
-//!   restart it needs a lease, and with it the fleet's policy, unless it is set to serve without a leader.
-//! - [`Ledger::save_membership`] whenever the membership changes: after a restart the operator file may name no voter.
+//! - [`Ledger::save_policy`] before clients are admitted under the policy. A relay that cannot save
+//!   it continues nevertheless: after a restart it needs a lease, and with it gets the fleet's
+//!   policy, unless it is configured to serve without a leader.
+//! - [`Ledger::save_membership`] whenever the membership changes: after a restart the operator file
+//!   may name no voter that is still a member.
 //!
-//! Guards against: a voter whose disk was lost and that returns under its old number without its vote (its ledger must
-//! be created explicitly, by `fleet init` or `fleet join`), a ledger of another fleet or relay, and a file that is
-//! damaged or of another format (refused with a remedy; nothing is overwritten).
+//! Guards against: a voter that lost its disk and returns under its old number without its vote
+//! (its ledger must be created explicitly, by `fleet init` or `fleet join`); a ledger of another
+//! fleet or relay; and a file that is damaged or of another format (it is refused with a remedy,
+//! and nothing is overwritten).
 
 #![warn(unreachable_pub, rust_2018_idioms)]
 #![warn(clippy::too_many_lines, clippy::many_single_char_names)]
@@ -66,12 +70,13 @@
 }
 
 impl Ledger {
-    /// Opens the ledger in a directory. It is created for a relay without a vote; a voter's must exist.
+    /// Opens the ledger in a directory. It is created for a relay without a vote; a voter's must
+    /// exist.
     ///
     /// # Errors
     ///
-    /// A voter's ledger that is missing; one that another process has open; one of another owner or format; a damaged
-    /// file; a failed read or write.
+    /// If a voter's ledger is missing, if another process has the ledger open, if it has another
+    /// owner or format, if the file is damaged, and if a read or write fails.
     pub fn open(directory: &Path, owner: &Owner) -> Result<Ledger, LedgerError> {
         let file = directory.join(FILE_NAME);
         if owner.voter != NO_VOTER && !file.exists() {
@@ -91,12 +96,12 @@
 
     /// Creates the ledger of a voter of a new fleet.
     ///
-    /// `voters` are the numbers of all founding voters. `incarnation` is a random number that identifies this disk for
-    /// as long as it exists; it is not 0.
+    /// `voters` are the numbers of all founding voters. `incarnation` is a random number that
+    /// identifies this disk for as long as it exists; it is not 0.
     ///
     /// # Errors
     ///
-    /// Those of [`Ledger::open`]; and a ledger of a voter that exists already, which is left unchanged.
+    /// Those of [`Ledger::open`]; also if a voter's ledger exists already, which is left unchanged.
     pub fn create_for_new_fleet(
         directory: &Path,
         owner: &Owner,
@@ -118,8 +123,8 @@
         Ledger::create(directory, owner, &log, incarnation)
     }
 
-    /// One transaction, so that a crash leaves no voter without a log. A ledger of the same relay without a vote becomes
-    /// the voter's, and its policy stays.
+    /// Creates the ledger in one transaction, so that a crash leaves no voter without a log. If the
+    /// same relay has a ledger without a vote, that becomes the voter's and keeps its policy.
     fn create(
         directory: &Path,
         owner: &Owner,
@@ -144,7 +149,7 @@
         Ok(bytes.try_into().map_or(0, u64::from_be_bytes))
     }
 
-    /// The replicated log as it was persisted last.
+    /// Loads the replicated log as persisted last.
     pub fn load_log(&self) -> Result<PersistedLog, LedgerError> {
         Ok(PersistedLog {
             entries: self.store.log_entries()?,
@@ -153,14 +158,15 @@
         })
     }
 
-    /// Persists a batch of the replicated log. Must succeed before a message that follows from the batch is sent.
+    /// Persists a batch of the replicated log. Must succeed before a message that follows from the
+    /// batch is sent.
     pub fn persist_log(&self, batch: &PersistBatch) -> Result<(), LedgerError> {
         self.store.write(WriteStep::Log, |values, log_entries| {
             schema::write_log_batch(values, log_entries, batch)
         })
     }
 
-    /// The policy that was in force last; the default one, of epoch 0, where none was saved.
+    /// Loads the policy that was in force last; the default one, of epoch 0, if none was saved.
     pub fn load_policy(&self) -> Result<Policy, LedgerError> {
         match self.store.get(key::POLICY)? {
             None => Ok(Policy::default()),
@@ -169,8 +175,8 @@
         }
     }
 
-    /// Saves the policy to start with after a restart, and removes the prepared proposal. Before the relay serves under
-    /// the policy.
+    /// Saves the policy to start with after a restart, and removes the prepared proposal. Call it
+    /// before the relay serves under the policy.
     pub fn save_policy(&self, policy: &Policy) -> Result<(), LedgerError> {
         self.store.write(WriteStep::Policy, |values, _| {
             values.insert(key::POLICY, wire::encode(policy).as_slice())?;
@@ -179,13 +185,14 @@
         })
     }
 
-    /// Saves a proposal that this relay has checked. Before the relay answers that it is prepared for it.
+    /// Saves a proposal that this relay has checked. Call it before the relay answers that it is
+    /// prepared for it.
     pub fn save_prepared(&self, proposal: &Proposal) -> Result<(), LedgerError> {
         let bytes = wire::encode(proposal);
         self.store.put(WriteStep::Prepared, key::PREPARED, &bytes)
     }
 
-    /// The latest known membership; none while that of the operator file holds.
+    /// Loads the latest known membership; none while that of the operator file is valid.
     pub fn load_membership(&self) -> Result<Option<Membership>, LedgerError> {
         let decode = |bytes: Vec<u8>| {
             wire::decode(&bytes)
--- a/src/platform/ledger/schema.rs
+++ b/src/platform/ledger/schema.rs
@@ -1,7 +1,8 @@
 //! The stored form of a ledger: file name, format number, tables and keys.
 //!
-//! Every name here is on the disks of relays that run: older builds wrote it and later builds read it. Change none; a
-//! new meaning needs a new key, and an incompatible one a new [`FORMAT`].
+//! Every name here is on the disks of running relays: older builds wrote it and later builds read
+//! it. Do not change any; a new meaning needs a new key, and an incompatible change a new
+//! [`FORMAT`].
 
 use super::error::StoreError;
 use jaspermoor_control::log::storage::PersistBatch;
@@ -36,13 +37,13 @@
     pub(crate) const SNAPSHOT: &str = "snapshot";
     /// The policy in force.
     pub(crate) const POLICY: &str = "policy";
-    /// The proposal that this relay has promised to be able to serve under.
+    /// The proposal for which this relay has answered that it is prepared.
     pub(crate) const PREPARED: &str = "prepared";
     /// The latest known membership.
     pub(crate) const MEMBERSHIP: &str = "seats";
 }
 
-/// Writes what Raft wants persisted, as part of one transaction.
+/// Writes a batch of Raft's log and state, as part of one transaction.
 pub(super) fn write_log_batch(
     values: &mut Values<'_>,
     log_entries: &mut LogEntries<'_>,
@@ -57,7 +58,8 @@
         let compact_to = batch.compact_to.unwrap_or(u64::MAX);
         log_entries.retain(|index, _| index > compact_to)?;
     }
-    // A new leader overwrites the log from its first entry on: the tail behind it is void.
+    // A new leader overwrites the log from its first entry on: older entries from there on are
+    // void.
     if let Some((first_index, _)) = batch.entries.first() {
         log_entries.retain_in(*first_index.., |_, _| false)?;
     }
--- a/src/platform/ledger/store.rs
+++ b/src/platform/ledger/store.rs
@@ -1,7 +1,7 @@
 //! The file of a ledger: opening it, reads, and synced transactions.
 //!
-//! Guards against: a damaged file that makes the store panic, a file of another format, and a partial write (a
-//! transaction is on the disk whole, or not at all).
+//! Guards against: a damaged file that makes the store panic, a file of another format, and a
+//! partial write (a transaction is on the disk whole, or not at all).
 
 use super::error::{LedgerError, LedgerErrorCause, StoreError};
 use super::schema::{self, key, LogEntries, Values, FORMAT, LOG_ENTRIES, VALUES};
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
 
-/// A transaction, named for the fail points before and after it.
+/// The purpose of a transaction; it names the fail points before and after it.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum WriteStep {
     /// The format number of a new file.
@@ -18,7 +18,7 @@
     Owner,
     /// The whole ledger of a new voter.
     CreateVoter,
-    /// What Raft wants persisted.
+    /// A batch of Raft's log and state.
     Log,
     /// The policy in force.
     Policy,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Aborts the process at a fail point, and logs which: tests check that it was reached.
+/// Aborts the process at a fail point. Logs its name, by which tests check that it was reached.
 #[cfg(feature = "injected-bugs")]
 fn abort_at(fail_point: &str) -> ! {
     crate::log::log(&format!("fleet: ends at the fail point {fail_point}"));
@@ -93,7 +93,7 @@
         LedgerError::new(&self.file, cause)
     }
 
-    /// The value under a key; none where it was never written.
+    /// Reads the value of a key; none if it was never written.
     pub(super) fn get(&self, key: &str) -> Result<Option<Vec<u8>>, LedgerError> {
         let read = || -> Result<_, StoreError> {
             let transaction = self.database.begin_read()?;
@@ -106,7 +106,7 @@
         read().map_err(|e| self.error(LedgerErrorCause::Store(e)))
     }
 
-    /// All log entries, in the order of their indexes.
+    /// Reads all log entries, in the order of their indexes.
     pub(super) fn log_entries(&self) -> Result<Vec<Vec<u8>>, LedgerError> {
         let read = || -> Result<_, StoreError> {
             let table = self.database.begin_read()?.open_table(LOG_ENTRIES)?;
@@ -123,7 +123,8 @@
         })
     }
 
-    /// Runs one transaction. Once this returns `Ok`, all of it is synced to the disk; otherwise none of it was written.
+    /// Runs one transaction. When this returns `Ok`, all of it is synced to the disk; otherwise
+    /// none of it was written.
     pub(super) fn write(
         &self,
         step: WriteStep,
@@ -183,10 +184,12 @@
     }
 }
 
-/// Opens the database. The store asserts some of what it reads, so a truncated file makes it panic; the panic's own
-/// message is suppressed, because the log line of the caller says what operators need.
+/// Opens the database and catches panics. The store uses assertions on what it reads, so a
+/// truncated file makes it panic; the panic's own message is suppressed, because the caller logs
+/// what operators need.
 fn open_catching_panics(file: &Path) -> std::thread::Result<Result<Database, DatabaseError>> {
-    // The panic hook is process-wide: two threads that swap it at once would lose the original.
+    // The panic hook is process-wide: two threads that swap it at the same time would lose the
+    // original.
     static HOOK_SWAP: Mutex<()> = Mutex::new(());
     let _guard = HOOK_SWAP.lock().unwrap_or_else(PoisonError::into_inner);
     let original_hook = std::panic::take_hook();
--- a/src/platform/ledger/tests.rs
+++ b/src/platform/ledger/tests.rs
@@ -1,4 +1,4 @@
-//! Ledgers in temporary directories: what survives a restart, and which files are refused.
+//! Ledgers in temporary directories: which state survives a restart, and which files are refused.
 
 use super::schema::FORMAT;
 use super::*;
@@ -131,7 +131,8 @@
     assert_eq!(std::fs::read(&file).unwrap().len(), 54);
 }
 
-/// Names and values as released builds have them on their disks, spelled out here once more.
+/// The names and values that released builds have on disk, written out so that a change of a
+/// constant fails here.
 #[test]
 fn the_stored_names_are_those_of_released_builds() {
     let dir = dir();
