--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -1,4 +1,4 @@
-//! Where the backends are, and which of them may be sent something new: looked up before each attempt.
+//! The listed backends: their addresses, zones and states. Looked up before each attempt.
 
 use crate::config::endpoint_list::BackendAddress;
 use crate::decisions::api::{EndpointId, EndpointState, ListedEndpoint};
@@ -7,93 +7,98 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 
-/// Where the backends are, and which of them may be sent something new.
+/// A listed backend: its address, its state, and the index of its zone in the settings.
+type Entry = (BackendAddress, EndpointState, u16);
+
+/// The listed backends, and which of them accept new requests.
 #[derive(Default)]
 pub struct Directory {
-    servers: Mutex<BTreeMap<EndpointId, (BackendAddress, EndpointState, u16)>>,
-    /// Those that staff have taken out, listed or not.
-    by_hand: Mutex<BTreeSet<EndpointId>>,
-    /// How often the list has changed.
+    backends: Mutex<BTreeMap<EndpointId, Entry>>,
+    /// Backends that an operator has ejected, listed or not.
+    manually_ejected: Mutex<BTreeSet<EndpointId>>,
+    /// The number of list updates so far.
     version: AtomicU64,
-    wake: OnceLock<Wake>,
+    on_change: OnceLock<Wake>,
 }
 
 impl Directory {
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<EndpointId, (BackendAddress, EndpointState, u16)>> {
-        self.servers.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_backends(&self) -> MutexGuard<'_, BTreeMap<EndpointId, Entry>> {
+        self.backends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn bans(&self) -> MutexGuard<'_, BTreeSet<EndpointId>> {
-        self.by_hand.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_manually_ejected(&self) -> MutexGuard<'_, BTreeSet<EndpointId>> {
+        self.manually_ejected
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Staff have taken a backend out, or called it back.
-    pub fn set_manual_ejection(&self, server: EndpointId, out_of_use: bool) {
-        if out_of_use {
-            self.bans().insert(server);
+    /// Ejects a backend on an operator's order, or ends that ejection.
+    pub fn set_manual_ejection(&self, endpoint: EndpointId, ejected: bool) {
+        if ejected {
+            self.lock_manually_ejected().insert(endpoint);
         } else {
-            self.bans().remove(&server);
+            self.lock_manually_ejected().remove(&endpoint);
         }
     }
 
-    /// Takes over a list. What is gone is forgotten: machines that are replaced have new ids.
-    pub fn update(&self, full: bool, servers: &[(BackendAddress, ListedEndpoint)]) {
-        let mut known = self.lock();
+    /// Applies a list update. Removed backends are forgotten: a replaced machine has a new id.
+    pub fn update(&self, full: bool, entries: &[(BackendAddress, ListedEndpoint)]) {
+        let mut backends = self.lock_backends();
         if full {
-            known.clear();
+            backends.clear();
         }
-        for (endpoint, member) in servers {
-            match member.state {
-                EndpointState::Removed => drop(known.remove(&member.id)),
-                state => drop(known.insert(member.id, (endpoint.clone(), state, member.zone))),
+        for (address, listed) in entries {
+            match listed.state {
+                EndpointState::Removed => drop(backends.remove(&listed.id)),
+                state => drop(backends.insert(listed.id, (address.clone(), state, listed.zone))),
             }
         }
-        drop(known);
+        drop(backends);
         self.version.fetch_add(1, Relaxed);
-        self.wake.get().iter().for_each(|wake| wake());
+        self.on_change.get().iter().for_each(|wake| wake());
     }
 
-    /// A backend's name and address.
-    pub fn backend_address(&self, server: EndpointId) -> Option<BackendAddress> {
-        self.lock()
-            .get(&server)
-            .map(|(endpoint, ..)| endpoint.clone())
+    /// The name and address of a listed backend.
+    pub fn backend_address(&self, endpoint: EndpointId) -> Option<BackendAddress> {
+        self.lock_backends()
+            .get(&endpoint)
+            .map(|(address, ..)| address.clone())
     }
 
-    /// How many backends the list has.
+    /// The number of listed backends.
     pub fn backend_count(&self) -> usize {
-        self.lock().len()
+        self.lock_backends().len()
     }
 
-    /// Whether something new may go there.
-    pub fn is_available(&self, server: EndpointId) -> bool {
+    /// Whether the backend accepts new requests: listed as ready, and not manually ejected.
+    pub fn is_available(&self, endpoint: EndpointId) -> bool {
         let ready = self
-            .lock()
-            .get(&server)
+            .lock_backends()
+            .get(&endpoint)
             .is_some_and(|&(_, state, _)| state == EndpointState::Ready);
-        ready && !self.bans().contains(&server)
+        ready && !self.lock_manually_ejected().contains(&endpoint)
     }
 
-    /// The backends of a zone, by its place in the settings, to which something new may go.
+    /// The available backends of a zone, given by its index in the settings.
     pub fn available_in_zone(&self, zone: u16) -> Vec<EndpointId> {
-        let bans = self.bans().clone();
-        let ready = |(_, state, of): &(BackendAddress, EndpointState, u16)| {
-            *state == EndpointState::Ready && *of == zone
+        let ejected = self.lock_manually_ejected().clone();
+        let is_ready_in_zone = |(_, state, backend_zone): &Entry| {
+            *state == EndpointState::Ready && *backend_zone == zone
         };
-        let known = self.lock();
-        let of = known
+        let backends = self.lock_backends();
+        let available = backends
             .iter()
-            .filter(|(server, entry)| ready(entry) && !bans.contains(server));
-        of.map(|(server, _)| *server).collect()
+            .filter(|(endpoint, entry)| is_ready_in_zone(entry) && !ejected.contains(endpoint));
+        available.map(|(endpoint, _)| *endpoint).collect()
     }
 
-    /// From now on this is called after each change of the list. Once.
+    /// Sets the callback that is called after each list update. Only the first call has an effect.
     pub fn on_change(&self, wake: Wake) {
-        let _ = self.wake.set(wake);
+        let _ = self.on_change.set(wake);
     }
 
-    /// How often the list has changed: the one that a relay starts with may be stale, and what it does not name
-    /// yet is waited for.
+    /// The number of list updates so far. The list that a relay starts with may be stale, so a
+    /// client whose backend is not listed yet waits until this number changes.
     pub fn version(&self) -> u64 {
         self.version.load(Relaxed)
     }
--- a/src/platform/discovery.rs
+++ b/src/platform/discovery.rs
@@ -1,8 +1,10 @@
-//! Discovery: the list of backends as it is written to this relay, and the watch that brings it.
+//! Client of the discovery service: one long-lived HTTP request (a watch) that delivers updates of
+//! the endpoint list.
 //!
-//! Guards against: a watch that falls silent or dribbles, an order or a move that comes while the thread is busy
-//! elsewhere (the wanted state is one value, not a queue of edges), and calls that together take longer than the time
-//! after which a change counts as told.
+//! Guards against: a watch that goes silent or sends single bytes for ever; a request or a
+//! relocation that arrives while the watch thread is busy (the desired state is kept as one value,
+//! not as a queue of events); and calls that together take longer than the time within which the
+//! relay must know a change.
 
 use crate::config::endpoint_list::{check_nesting, parse_list_update, BackendAddress};
 use crate::config::Names;
@@ -10,151 +12,156 @@
 use crate::decisions::api::{EndpointListKind, ListedEndpoint};
 use crate::log::log;
 use crate::platform::directory::Directory;
-use crate::platform::discovery_response::{Answer, Piece};
+use crate::platform::discovery_response::{ResponseItem, ResponseParser};
 use crate::sys::{lock, timed_out};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after discovery had it and could be reached, whatever call has failed meanwhile
-/// (the platform's term). What follows, with the pauses of the decisions (`ask_most`, `ask_soon`), adds up to less: a
-/// test holds the sums.
-pub const TOLD: Duration = Duration::from_millis(6_000);
+/// The platform's rule: the relay must know a change this long after discovery had it and was
+/// reachable, whichever calls failed meanwhile. The timeouts below and the backoff of the decisions
+/// (`discovery_max_backoff_us`, `discovery_max_backoff_after_timeout_us`) add up to less; a test
+/// checks the sums.
+pub const MAX_UPDATE_DELAY: Duration = Duration::from_millis(6_000);
 /// The longest wait for a connection to discovery.
-pub const DIAL: Duration = Duration::from_millis(1_000);
-/// The longest wait, from the dial on, for the first whole object or beat: a crowded service has calls wait in line
-/// for up to 3 s, and then says that they have failed.
-pub const CALL: Duration = Duration::from_millis(3_200);
-/// The liveness timeout: a watch that brings no whole object or beat for so long is dead, whatever bytes it brings. A
-/// beat is due every 2 s.
-pub const SILENT: Duration = Duration::from_millis(3_200);
-/// What is left of the time for the call that succeeds.
-pub const ANSWER: Duration = Duration::from_millis(1_800);
-/// Pauses before a watch that the platform pushes on is opened anew, the first at once: what its agent has counts as
-/// told, so they stay under the least time after which a drain must be kept. The agent is this machine's own.
-const AGAIN: Duration = Duration::from_millis(25);
-const AGAIN_MOST: Duration = Duration::from_millis(100);
-/// Entries of a change that the log names.
-const NAMED: usize = 16;
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The longest wait for the first whole object or heartbeat, from the start of the connection
+/// attempt. An overloaded service queues calls for up to 3 s and then answers that they failed.
+pub const FIRST_ITEM_TIMEOUT: Duration = Duration::from_millis(3_200);
+/// The liveness timeout: a watch without a whole object or heartbeat for this long is dead, even if
+/// single bytes arrive. A heartbeat is due every 2 s.
+pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(3_200);
+/// The time that remains for the call that succeeds.
+pub const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(1_800);
+/// Growth of the pause before a continuous watch is reopened, per failure in a row. A watch that
+/// has delivered anything is reopened at once.
+const REOPEN_PAUSE_STEP: Duration = Duration::from_millis(25);
+/// The longest pause before a continuous watch is reopened. The platform takes what its agent has
+/// as known to the relay, so this is less than the shortest time after which a drain must be
+/// observed. The agent runs on the same machine.
+const MAX_REOPEN_PAUSE: Duration = Duration::from_millis(100);
+/// How many entries of an update are logged by name.
+const MAX_LOGGED_ENTRIES: usize = 16;
 
-/// Who says when discovery is called.
+/// When discovery is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMode {
-    /// The decisions, each time anew: all relays share one service.
+    /// Each call is requested by the decisions: all relays share one service.
     OnRequest,
-    /// Nobody: the platform pushes its lists, and the watch is to stand at all times.
+    /// The platform pushes its lists: a watch is kept open at all times.
     Continuous,
 }
 
-/// Where discovery is, and what is wanted of it. Whoever changes either does it here; the thread of the watch looks
-/// here before each call, and sleeps here between two.
+/// The address of discovery, and whether a watch is wanted. Other threads change them here; the
+/// watch thread reads them before each call, and waits here between calls.
 pub struct WatchControl {
     mode: WatchMode,
-    wanted: Mutex<Wanted>,
+    state: Mutex<WatchState>,
     changed: Condvar,
 }
 
-struct Wanted {
+struct WatchState {
     addr: SocketAddr,
-    /// How often the place has moved.
-    moves: u64,
-    /// Whether a watch is wanted, and how many calls have been asked for.
-    on: bool,
-    orders: u64,
-    /// The calls among them that were begun, or stood for by a watch that was open.
-    begun: u64,
-    /// The watch that is open at that place.
-    open: Option<Arc<TcpStream>>,
+    /// How often `addr` has changed.
+    relocations: u64,
+    wanted: bool,
+    /// How many calls have been requested.
+    requests: u64,
+    /// How many of them have been started, or were satisfied by a watch that was open.
+    satisfied_requests: u64,
+    /// The open watch at `addr`.
+    stream: Option<Arc<TcpStream>>,
 }
 
-/// A call that is to be made.
+/// A call to discovery.
 struct Call {
     addr: SocketAddr,
-    moves: u64,
+    /// [`WatchState::relocations`] when the call was started.
+    relocations: u64,
 }
 
-/// How a watch has ended.
+/// Why a watch has ended.
 #[derive(Debug, PartialEq, Eq)]
-enum End {
+enum WatchEnd {
     Failed,
-    Moved,
+    Relocated,
     Unwanted,
 }
 
 impl WatchControl {
-    /// Discovery at this address.
+    /// For discovery at this address.
     pub fn new(addr: SocketAddr, mode: WatchMode) -> Arc<WatchControl> {
-        let on = mode == WatchMode::Continuous;
-        let wanted = Wanted {
+        let state = WatchState {
             addr,
-            moves: 0,
-            on,
-            orders: 0,
-            begun: 0,
-            open: None,
+            relocations: 0,
+            wanted: mode == WatchMode::Continuous,
+            requests: 0,
+            satisfied_requests: 0,
+            stream: None,
         };
         Arc::new(WatchControl {
             mode,
-            wanted: Mutex::new(wanted),
+            state: Mutex::new(state),
             changed: Condvar::new(),
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Wanted> {
-        lock(&self.wanted)
+    fn lock(&self) -> MutexGuard<'_, WatchState> {
+        lock(&self.state)
     }
 
-    /// Calls discovery once more, or ends the watch. A watch that is open stands for a call.
-    pub fn request_watch(&self, on: bool) {
-        let mut wanted = self.lock();
-        wanted.on = on;
-        if on {
-            wanted.orders += 1;
+    /// Requests a call to discovery, or ends the watch. An open watch satisfies a request.
+    pub fn request_watch(&self, wanted: bool) {
+        let mut state = self.lock();
+        state.wanted = wanted;
+        if wanted {
+            state.requests += 1;
         } else {
-            wanted.end_watch();
+            state.close_stream();
         }
         self.changed.notify_all();
     }
 
-    /// From now on discovery is at this address: a watch elsewhere is ended. False if it is there already.
+    /// Changes the address of discovery and ends a watch at the old one. Returns false if the
+    /// address is the same.
     pub fn relocate(&self, addr: SocketAddr) -> bool {
-        let mut wanted = self.lock();
-        if wanted.addr == addr {
+        let mut state = self.lock();
+        if state.addr == addr {
             return false;
         }
-        (wanted.addr, wanted.moves) = (addr, wanted.moves + 1);
-        wanted.end_watch();
+        (state.addr, state.relocations) = (addr, state.relocations + 1);
+        state.close_stream();
         self.changed.notify_all();
         true
     }
 
-    /// Waits for the next call that is to be made. Where the watch stands by itself, that is after `pause` at the
-    /// latest, and at once where discovery has moved since `moves`.
-    fn call(&self, pause: Duration, moves: u64) -> Call {
-        let mut wanted = self.lock();
-        let by = Instant::now() + pause;
+    /// Waits until a call is due. In [`WatchMode::Continuous`] that is after `pause` at the latest,
+    /// and at once if discovery has been relocated since `relocations`.
+    fn next_call(&self, pause: Duration, relocations: u64) -> Call {
+        let mut state = self.lock();
+        let deadline = Instant::now() + pause;
         loop {
-            let left = by.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             let due = match self.mode {
-                WatchMode::OnRequest => wanted.on && wanted.orders != wanted.begun,
-                WatchMode::Continuous => wanted.moves != moves || left.is_zero(),
+                WatchMode::OnRequest => state.wanted && state.requests != state.satisfied_requests,
+                WatchMode::Continuous => state.relocations != relocations || left.is_zero(),
             };
             if due {
-                wanted.begun = wanted.orders;
+                state.satisfied_requests = state.requests;
                 return Call {
-                    addr: wanted.addr,
-                    moves: wanted.moves,
+                    addr: state.addr,
+                    relocations: state.relocations,
                 };
             }
-            wanted = match self.mode {
+            state = match self.mode {
                 WatchMode::OnRequest => self
                     .changed
-                    .wait(wanted)
+                    .wait(state)
                     .unwrap_or_else(PoisonError::into_inner),
                 WatchMode::Continuous => {
                     self.changed
-                        .wait_timeout(wanted, left)
+                        .wait_timeout(state, left)
                         .unwrap_or_else(PoisonError::into_inner)
                         .0
                 }
@@ -162,79 +169,85 @@
         }
     }
 
-    /// Takes the socket of a call; false if it is not wanted any more.
-    fn hold(&self, stream: &Arc<TcpStream>, call: &Call) -> bool {
-        let mut wanted = self.lock();
-        let holds = wanted.on && wanted.moves == call.moves;
-        if holds {
-            wanted.open = Some(stream.clone());
+    /// Registers the socket of a call, so that other threads can close it. Returns false if the
+    /// call is no longer wanted.
+    fn register_stream(&self, stream: &Arc<TcpStream>, call: &Call) -> bool {
+        let mut state = self.lock();
+        let still_wanted = state.wanted && state.relocations == call.relocations;
+        if still_wanted {
+            state.stream = Some(stream.clone());
         }
-        holds
+        still_wanted
     }
 
-    /// A call or its watch is over: why, and in one step with that the orders for which it stood are done.
-    fn over(&self, call: &Call) -> End {
-        let mut wanted = self.lock();
-        wanted.open = None;
-        if wanted.moves != call.moves {
-            return End::Moved;
+    /// Ends a call or its watch, and returns why it ended. In the same step the requests that it
+    /// stood for count as satisfied.
+    fn finish_call(&self, call: &Call) -> WatchEnd {
+        let mut state = self.lock();
+        state.stream = None;
+        if state.relocations != call.relocations {
+            return WatchEnd::Relocated;
         }
-        wanted.begun = wanted.orders;
-        if wanted.on {
-            End::Failed
+        state.satisfied_requests = state.requests;
+        if state.wanted {
+            WatchEnd::Failed
         } else {
-            End::Unwanted
+            WatchEnd::Unwanted
         }
     }
 }
 
-impl Wanted {
-    /// Wakes the thread that reads there.
-    fn end_watch(&mut self) {
-        if let Some(open) = self.open.take() {
-            let _ = open.shutdown(Shutdown::Both);
+impl WatchState {
+    /// Shuts the open watch down, which wakes the thread that reads from it.
+    fn close_stream(&mut self) {
+        if let Some(stream) = self.stream.take() {
+            let _ = stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// What the thread of the watch works with.
+/// The watch thread's state.
 pub struct Watcher<'a> {
-    /// Where discovery is.
+    /// The address of discovery and whether a watch is wanted.
     pub control: &'a WatchControl,
     /// Names of the zones.
     pub names: &'a Names,
-    /// What is told to the network.
+    /// The backends as the network code sees them; updated by each list update.
     pub directory: &'a Directory,
-    /// What is told to the decisions.
+    /// Gets each list update after `directory`.
     pub decisions: &'a DecisionService,
-    /// The version of the list that is held; 0 where none is.
+    /// The version of the current list; 0 if there is none.
     pub version: u64,
 }
 
-/// Why a call or its watch has ended, and whether that took a timeout to see.
-struct Fault {
-    why: String,
-    silent: bool,
+/// The failure of a call or of its watch.
+struct WatchError {
+    message: String,
+    /// Whether it was noticed only by a timeout.
+    by_timeout: bool,
 }
 
-impl From<String> for Fault {
-    fn from(why: String) -> Fault {
-        Fault { why, silent: false }
+impl From<String> for WatchError {
+    fn from(message: String) -> WatchError {
+        WatchError {
+            message,
+            by_timeout: false,
+        }
     }
 }
 
-impl From<&str> for Fault {
-    fn from(why: &str) -> Fault {
-        why.to_string().into()
+impl From<&str> for WatchError {
+    fn from(message: &str) -> WatchError {
+        message.to_string().into()
     }
 }
 
-impl From<std::io::Error> for Fault {
-    fn from(e: std::io::Error) -> Fault {
+impl From<std::io::Error> for WatchError {
+    fn from(e: std::io::Error) -> WatchError {
         match timed_out(&e) {
-            true => Fault {
-                why: "silent".into(),
-                silent: true,
+            true => WatchError {
+                message: "timed out".into(),
+                by_timeout: true,
             },
             false => e.to_string().into(),
         }
@@ -242,31 +255,34 @@
 }
 
 impl Watcher<'_> {
-    /// Watches whenever that is wanted. A watch that fails is told to the decisions: when to try again, and with what
-    /// jitter, is theirs to say, but where the watch stands by itself.
+    /// Runs the watch thread. In [`WatchMode::OnRequest`] a failed watch is reported to the
+    /// decisions, which choose when to retry, and with what jitter.
     pub fn run(mut self) {
-        let (mut known, mut failures) = (0, 0);
+        let (mut relocations, mut failures) = (0, 0);
         loop {
-            let pause =
-                AGAIN * failures.min(AGAIN_MOST.as_millis() as u32 / AGAIN.as_millis() as u32);
-            let call = self.control.call(pause, known);
-            if call.moves != known {
-                // Versions of one place say nothing at another: its whole list is asked for.
-                (known, self.version) = (call.moves, 0);
+            let max_steps =
+                MAX_REOPEN_PAUSE.as_millis() as u32 / REOPEN_PAUSE_STEP.as_millis() as u32;
+            let pause = REOPEN_PAUSE_STEP * failures.min(max_steps);
+            let call = self.control.next_call(pause, relocations);
+            if call.relocations != relocations {
+                // Versions of one address mean nothing at another: request the whole list there.
+                (relocations, self.version) = (call.relocations, 0);
             }
-            let mut heard = false;
-            let Err(fault) = self.watch(&call, &mut heard);
-            failures = if heard { 0 } else { failures + 1 };
-            match self.control.over(&call) {
-                End::Moved => log(&format!("discovery: moved from {}", call.addr)),
-                End::Unwanted => log("discovery: the watch was ended as asked"),
-                End::Failed => {
-                    // One that stands is tried again many times a second: the first failure says it all.
-                    if heard || failures == 1 || self.control.mode == WatchMode::OnRequest {
-                        log(&format!("discovery: the watch failed: {}", fault.why));
+            let mut received = false;
+            let Err(error) = self.watch(&call, &mut received);
+            failures = if received { 0 } else { failures + 1 };
+            match self.control.finish_call(&call) {
+                WatchEnd::Relocated => log(&format!("discovery: moved from {}", call.addr)),
+                WatchEnd::Unwanted => log("discovery: the watch was ended as asked"),
+                WatchEnd::Failed => {
+                    let on_request = self.control.mode == WatchMode::OnRequest;
+                    // A continuous watch is retried many times a second: log the first failure
+                    // only.
+                    if received || failures == 1 || on_request {
+                        log(&format!("discovery: the watch failed: {}", error.message));
                     }
-                    if self.control.mode == WatchMode::OnRequest {
-                        let kind = if fault.silent {
+                    if on_request {
+                        let kind = if error.by_timeout {
                             EndpointListKind::WatchTimedOut
                         } else {
                             EndpointListKind::WatchFailed
@@ -278,15 +294,21 @@
         }
     }
 
-    fn watch(&mut self, call: &Call, heard: &mut bool) -> Result<std::convert::Infallible, Fault> {
-        let mut by = Instant::now() + CALL;
-        let shared = Arc::new(TcpStream::connect_timeout(&call.addr, DIAL)?);
-        if !self.control.hold(&shared, call) {
-            return Err("it moved".into());
+    /// Calls discovery and applies its updates until the watch ends. Sets `received` once a whole
+    /// object or heartbeat has come.
+    fn watch(
+        &mut self,
+        call: &Call,
+        received: &mut bool,
+    ) -> Result<std::convert::Infallible, WatchError> {
+        let mut deadline = Instant::now() + FIRST_ITEM_TIMEOUT;
+        let shared = Arc::new(TcpStream::connect_timeout(&call.addr, CONNECT_TIMEOUT)?);
+        if !self.control.register_stream(&shared, call) {
+            return Err("no longer wanted at this address".into());
         }
         let mut stream = &*shared;
         stream.set_nodelay(true)?;
-        stream.set_write_timeout(Some(DIAL))?;
+        stream.set_write_timeout(Some(CONNECT_TIMEOUT))?;
         let after = if self.version > 0 {
             format!("&after={}", self.version)
         } else {
@@ -297,78 +319,87 @@
             call.addr
         );
         stream.write_all(request.as_bytes())?;
-        let mut answer = Answer::default();
-        let mut piece = [0; 4096];
+        let mut response = ResponseParser::default();
+        let mut buffer = [0; 4096];
         loop {
-            // What has come is read before it is judged: a process that was stopped finds its time up, and a whole
-            // list waiting for it.
-            let left = by.saturating_duration_since(Instant::now());
+            // Read before judging the deadline: a process that was stopped may find its deadline
+            // past and a whole list in the socket's buffer.
+            let left = deadline.saturating_duration_since(Instant::now());
             stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))?;
-            let n = match stream.read(&mut piece) {
+            let n = match stream.read(&mut buffer) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 read => read?,
             };
             if n == 0 {
-                return Err("it ended".into());
+                return Err("discovery closed the connection".into());
             }
-            answer.take(&piece[..n])?;
-            let mut whole = false;
-            while let Some(piece) = answer.piece()? {
-                whole = true;
-                if let Piece::Object(mut object) = piece {
-                    self.object(&mut object)?;
+            response.feed(&buffer[..n])?;
+            let mut item_received = false;
+            while let Some(item) = response.next_item()? {
+                item_received = true;
+                if let ResponseItem::Object(mut object) = item {
+                    self.apply_object(&mut object)?;
                 }
             }
-            if whole {
-                (*heard, by) = (true, Instant::now() + SILENT);
+            if item_received {
+                (*received, deadline) = (true, Instant::now() + LIVENESS_TIMEOUT);
             } else if left.is_zero() {
-                // Bytes alone are no life: half a head, half a chunk or half an object may dribble for ever.
-                return Err(Fault {
-                    why: "nothing whole in time".into(),
-                    silent: true,
+                // Bytes alone prove no liveness: part of a header, a chunk or an object may trickle
+                // in for ever.
+                return Err(WatchError {
+                    message: "no whole object or heartbeat in time".into(),
+                    by_timeout: true,
                 });
             }
-            if answer.ended() {
-                return Err("it ended".into());
+            if response.is_complete() {
+                return Err("discovery ended the response".into());
             }
         }
     }
 
-    fn object(&mut self, object: &mut [u8]) -> Result<(), String> {
-        let read = check_nesting(object).and_then(|()| {
+    /// Applies one JSON object of the response.
+    fn apply_object(&mut self, object: &mut [u8]) -> Result<(), String> {
+        let parsed = check_nesting(object).and_then(|()| {
             let value = simd_json::to_owned_value(object).map_err(|e| format!("not JSON: {e}"))?;
             parse_list_update(&value, &self.names.zones)
         });
-        let listing = read.inspect_err(|_| {
-            // What this object would have changed is not known: the next watch begins with the whole list.
+        let update = parsed.inspect_err(|_| {
+            // What this object would have changed is unknown: the next watch requests the whole
+            // list.
             self.version = 0;
         })?;
-        for problem in &listing.problems {
+        for problem in &update.problems {
             log(&format!("discovery: an entry was left out: {problem}"));
         }
-        let (version, entries) = (listing.version, listing.servers.len());
-        let said = |(endpoint, member): &(BackendAddress, ListedEndpoint)| {
-            format!("{} {:?}", endpoint.name, member.state)
+        let (version, entries) = (update.version, update.servers.len());
+        let describe = |(address, listed): &(BackendAddress, ListedEndpoint)| {
+            format!("{} {:?}", address.name, listed.state)
         };
-        let named: Vec<String> = listing.servers.iter().take(NAMED).map(said).collect();
+        let described: Vec<String> = update
+            .servers
+            .iter()
+            .take(MAX_LOGGED_ENTRIES)
+            .map(describe)
+            .collect();
         log(&format!(
             "discovery: version {version}, {entries} entries: {}",
-            named.join(", ")
+            described.join(", ")
         ));
-        self.version = listing.version;
-        // The network first: it checks against this list once more, right before a first byte goes out.
-        self.directory.update(listing.full, &listing.servers);
-        let kind = if listing.full {
+        self.version = update.version;
+        // The directory first: the network code checks it again right before it sends the first
+        // byte to a backend.
+        self.directory.update(update.full, &update.servers);
+        let kind = if update.full {
             EndpointListKind::Full
         } else {
             EndpointListKind::Delta
         };
         self.decisions.update_endpoints(
             kind,
-            listing
+            update
                 .servers
                 .into_iter()
-                .map(|(_, member)| member)
+                .map(|(_, listed)| listed)
                 .collect(),
         );
         Ok(())
--- a/src/platform/discovery_response.rs
+++ b/src/platform/discovery_response.rs
@@ -1,122 +1,127 @@
-//! Discovery's answer as a state machine: bytes of HTTP go in, whole JSON objects and the beats between them come out.
-//! No I/O and no clock.
+//! Incremental parser of discovery's HTTP response: takes bytes, returns whole JSON objects and the
+//! heartbeats between them. It does no I/O and reads no clock.
 //!
-//! Guards against: objects that are written over several lines, an answer that has a length and stays open, and one
-//! that never ends a head, a chunk or an object (all are bounded here; how long each may take is the driver's).
+//! Guards against: objects that span several lines; a response with a `Content-Length` on a
+//! connection that stays open; and a header, chunk or object that never ends. Sizes are bounded
+//! here; the caller bounds the time.
 
-/// The longest head of an answer.
-const MAX_HEAD: usize = 16 * 1024;
-/// The longest object of a watch: a list of ten thousand backends has about 2 MB.
-const MAX_OBJECT: usize = 4 << 20;
+/// The longest status line and header fields, and the longest chunk header.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The longest JSON object. A list of ten thousand backends takes about 2 MB.
+const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// What an answer is made of.
+/// An item of the response body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum ResponseItem {
     /// A whole JSON object.
     Object(Vec<u8>),
-    /// An empty line: nothing has changed, and discovery is there.
-    Beat,
+    /// An empty line: discovery is alive and nothing has changed.
+    Heartbeat,
 }
 
-/// An HTTP answer as it comes in: head, chunks, objects.
+/// Parser of one HTTP response.
 #[derive(Default)]
-pub struct Answer {
+pub struct ResponseParser {
+    /// Received bytes that are not parsed yet.
     raw: Vec<u8>,
+    /// Decoded body that is not returned yet.
     body: Vec<u8>,
-    part: Part,
-    scan: Scan,
+    state: ParserState,
+    scan: BodyScan,
 }
 
+/// The part of the response that comes next.
 #[derive(Clone, Copy, Default, PartialEq)]
-enum Part {
+enum ParserState {
     #[default]
     Head,
-    Size,
-    Data(usize),
-    DataEnd,
-    /// No chunks: so many bytes are still to come; none where only the connection's end tells.
-    Plain(Option<usize>),
+    ChunkSize,
+    /// The number of bytes that the current chunk still has.
+    ChunkData(usize),
+    ChunkEnd,
+    /// A body without chunks: the number of bytes left, or none if it ends with the connection.
+    PlainBody(Option<usize>),
     Ended,
 }
 
-/// How far the body has been looked at, and where in an object that is.
+/// How far the body is scanned, and the position in the JSON structure there.
 #[derive(Default)]
-struct Scan {
-    at: usize,
+struct BodyScan {
+    position: usize,
     depth: usize,
     quoted: bool,
     escaped: bool,
-    /// Whether anything of this line was an object's.
-    line: bool,
+    /// Whether the current line has contained an object.
+    line_has_object: bool,
 }
 
-impl Answer {
-    /// Takes bytes off the wire.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<(), String> {
+impl ResponseParser {
+    /// Parses bytes received from discovery.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<(), String> {
         self.raw.extend_from_slice(bytes);
         loop {
-            let used = match self.part {
-                Part::Head => self.head()?,
-                Part::Size => match httparse::parse_chunk_size(&self.raw) {
-                    Ok(httparse::Status::Complete((used, size))) => {
+            let consumed = match self.state {
+                ParserState::Head => self.parse_head()?,
+                ParserState::ChunkSize => match httparse::parse_chunk_size(&self.raw) {
+                    Ok(httparse::Status::Complete((consumed, size))) => {
                         let size = usize::try_from(size).map_err(|_| "a chunk is too long")?;
-                        self.part = if size == 0 {
-                            Part::Ended
+                        self.state = if size == 0 {
+                            ParserState::Ended
                         } else {
-                            Part::Data(size)
+                            ParserState::ChunkData(size)
                         };
-                        used
+                        consumed
                     }
-                    Ok(httparse::Status::Partial) if self.raw.len() < MAX_HEAD => 0,
+                    Ok(httparse::Status::Partial) if self.raw.len() < MAX_HEAD_BYTES => 0,
                     _ => return Err("malformed chunk".into()),
                 },
-                Part::Data(left) => {
-                    let n = self.pass(left);
-                    self.part = if n == left {
-                        Part::DataEnd
+                ParserState::ChunkData(left) => {
+                    let n = self.move_to_body(left);
+                    self.state = if n == left {
+                        ParserState::ChunkEnd
                     } else {
-                        Part::Data(left - n)
+                        ParserState::ChunkData(left - n)
                     };
                     n
                 }
-                Part::DataEnd if self.raw.len() < 2 => 0,
-                Part::DataEnd if self.raw.starts_with(b"\r\n") => {
-                    self.part = Part::Size;
+                ParserState::ChunkEnd if self.raw.len() < 2 => 0,
+                ParserState::ChunkEnd if self.raw.starts_with(b"\r\n") => {
+                    self.state = ParserState::ChunkSize;
                     2
                 }
-                Part::DataEnd => return Err("malformed end of a chunk".into()),
-                Part::Plain(None) => self.pass(usize::MAX),
-                Part::Plain(Some(left)) => {
-                    let n = self.pass(left);
-                    self.part = if n == left {
-                        Part::Ended
+                ParserState::ChunkEnd => return Err("malformed end of a chunk".into()),
+                ParserState::PlainBody(None) => self.move_to_body(usize::MAX),
+                ParserState::PlainBody(Some(left)) => {
+                    let n = self.move_to_body(left);
+                    self.state = if n == left {
+                        ParserState::Ended
                     } else {
-                        Part::Plain(Some(left - n))
+                        ParserState::PlainBody(Some(left - n))
                     };
                     n
                 }
-                Part::Ended => return Ok(()),
+                ParserState::Ended => return Ok(()),
             };
-            self.raw.drain(..used);
-            if used == 0 {
+            self.raw.drain(..consumed);
+            if consumed == 0 {
                 return Ok(());
             }
         }
     }
 
-    /// Gives the body at most so many bytes.
-    fn pass(&mut self, most: usize) -> usize {
-        let n = most.min(self.raw.len());
+    /// Appends at most `limit` received bytes to the body; returns how many.
+    fn move_to_body(&mut self, limit: usize) -> usize {
+        let n = limit.min(self.raw.len());
         self.body.extend_from_slice(&self.raw[..n]);
         n
     }
 
-    fn head(&mut self) -> Result<usize, String> {
+    fn parse_head(&mut self) -> Result<usize, String> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut response = httparse::Response::new(&mut headers);
-        let used = match response.parse(&self.raw) {
-            Ok(httparse::Status::Complete(used)) => used,
-            Ok(httparse::Status::Partial) if self.raw.len() < MAX_HEAD => return Ok(0),
+        let consumed = match response.parse(&self.raw) {
+            Ok(httparse::Status::Complete(consumed)) => consumed,
+            Ok(httparse::Status::Partial) if self.raw.len() < MAX_HEAD_BYTES => return Ok(0),
             Ok(httparse::Status::Partial) => return Err("the head is too long".into()),
             Err(e) => return Err(format!("malformed head: {e}")),
         };
@@ -142,19 +147,20 @@
                 .map(Some),
             None => Some(None),
         };
-        self.part = match (chunked, length.ok_or("malformed Content-Length")?) {
-            (true, _) => Part::Size,
-            (false, Some(0)) => Part::Ended,
-            (false, length) => Part::Plain(length),
+        self.state = match (chunked, length.ok_or("malformed Content-Length")?) {
+            (true, _) => ParserState::ChunkSize,
+            (false, Some(0)) => ParserState::Ended,
+            (false, length) => ParserState::PlainBody(length),
         };
-        Ok(used)
+        Ok(consumed)
     }
 
-    /// The next whole piece of the body. An object ends where its last brace does, however many lines it has.
-    pub fn piece(&mut self) -> Result<Option<Piece>, String> {
-        while let Some(&b) = self.body.get(self.scan.at) {
+    /// Returns the next item of the body once it is complete. An object ends at its closing brace,
+    /// whatever line breaks it contains.
+    pub fn next_item(&mut self) -> Result<Option<ResponseItem>, String> {
+        while let Some(&b) = self.body.get(self.scan.position) {
             let scan = &mut self.scan;
-            scan.at += 1;
+            scan.position += 1;
             match b {
                 _ if scan.escaped => scan.escaped = false,
                 b'\\' if scan.quoted => scan.escaped = true,
@@ -164,17 +170,17 @@
                 b'[' if scan.depth > 0 => scan.depth += 1,
                 b'}' | b']' if scan.depth > 1 => scan.depth -= 1,
                 b'}' if scan.depth == 1 => {
-                    let end = scan.at;
-                    *scan = Scan {
-                        line: true,
-                        ..Scan::default()
+                    let end = scan.position;
+                    *scan = BodyScan {
+                        line_has_object: true,
+                        ..BodyScan::default()
                     };
-                    return Ok(Some(Piece::Object(self.body.drain(..end).collect())));
+                    return Ok(Some(ResponseItem::Object(self.body.drain(..end).collect())));
                 }
                 _ if scan.depth > 0 => {}
                 b'\n' => {
-                    let beat = !std::mem::take(&mut scan.line);
-                    scan.at = 0;
+                    let is_heartbeat = !std::mem::take(&mut scan.line_has_object);
+                    scan.position = 0;
                     self.body.drain(
                         ..self
                             .body
@@ -182,22 +188,22 @@
                             .position(|&b| b == b'\n')
                             .map_or(0, |at| at + 1),
                     );
-                    if beat {
-                        return Ok(Some(Piece::Beat));
+                    if is_heartbeat {
+                        return Ok(Some(ResponseItem::Heartbeat));
                     }
                 }
                 b if b.is_ascii_whitespace() => {}
-                _ => return Err("something that is no JSON object".into()),
+                _ => return Err("the response body has something that is no JSON object".into()),
             }
-            if self.scan.at > MAX_OBJECT {
+            if self.scan.position > MAX_OBJECT_BYTES {
                 return Err("an object is too long".into());
             }
         }
         Ok(None)
     }
 
-    /// Whether it is over: nothing more will come on this connection.
-    pub fn ended(&self) -> bool {
-        self.part == Part::Ended
+    /// Whether the response is complete: nothing more will come on this connection.
+    pub fn is_complete(&self) -> bool {
+        self.state == ParserState::Ended
     }
 }
--- a/src/platform/health_check.rs
+++ b/src/platform/health_check.rs
@@ -1,4 +1,4 @@
-//! Probes: `STATS` on a connection of its own, when the decisions ask for one, as a machine that never waits.
+//! Health checks of backends: `STATS` on a connection of its own, as a non-blocking state machine.
 
 use crate::config::Names;
 use crate::decisions::api::{EndpointId, Micros, Outcome};
@@ -8,79 +8,83 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-/// The longest wait for each step of a probe, in microseconds: a server that needs longer is told nothing of in time.
+/// The time limit of each step of a health check, in microseconds. A load report that takes longer
+/// comes too late to be of use.
 pub const STEP_TIMEOUT_US: Micros = 250_000;
 
-/// Probes that may be out at a time: the descriptors set aside for them. A zone that is lost and says nothing holds
-/// each of them for [`STEP_TIMEOUT_US`]; eight are 32 a second, more than a relay of a fleet may ask for.
+/// The most health checks at a time; file descriptors are reserved for them. When a zone is lost
+/// and its backends do not answer, each check lasts [`STEP_TIMEOUT_US`]; eight at a time are 32
+/// each second, more than a relay of a fleet may request.
 pub const MAX_HEALTH_CHECKS: usize = 8;
 
-/// How a probe has ended, and the report.
+/// The outcome of a health check, and the load report.
 pub type HealthCheckResult = (Outcome, Vec<f32>);
 
 fn failed(outcome: Outcome) -> Option<HealthCheckResult> {
     Some((outcome, Vec::new()))
 }
 
-/// A probe that is out.
+/// A health check in progress.
 pub struct HealthCheck {
-    /// The server that it asks.
+    /// The endpoint that is checked.
     pub endpoint: EndpointId,
     /// Whether it is made for the fleet's load watch, not for this relay's decisions.
     pub for_load_watch: bool,
-    /// Its socket; the dial was begun when the probe was.
+    /// The socket; its connection attempt started before the health check was created.
     pub stream: TcpStream,
-    /// When the step that it is at has taken too long.
+    /// When the current step times out.
     pub step_deadline: Micros,
-    asked: bool,
+    request_sent: bool,
     buffer: Buffer,
-    limit: Micros,
+    step_timeout: Micros,
 }
 
 impl HealthCheck {
-    /// A probe whose dial has begun.
+    /// A health check on a socket whose connection attempt has started.
     pub fn new(
         endpoint: EndpointId,
         for_load_watch: bool,
         stream: TcpStream,
         now: Micros,
-        limit: Micros,
+        step_timeout: Micros,
     ) -> HealthCheck {
         HealthCheck {
             endpoint,
             for_load_watch,
             stream,
-            step_deadline: now + limit,
-            asked: false,
+            step_deadline: now + step_timeout,
+            request_sent: false,
             buffer: Buffer::default(),
-            limit,
+            step_timeout,
         }
     }
 
-    /// Whether it waits for its dial.
+    /// Whether the connection is not established yet.
     pub fn is_connecting(&self) -> bool {
-        !self.asked
+        !self.request_sent
     }
 
-    /// Goes on as far as is possible now; `ready` says that its socket is. None while it is out.
+    /// Makes what progress is possible without blocking; `ready` tells whether the socket is ready.
+    /// Returns none while the check is in progress.
     pub fn advance(
         &mut self,
         now: Micros,
         ready: bool,
         names: &Names,
     ) -> Option<HealthCheckResult> {
-        if !self.asked {
+        if !self.request_sent {
             match (ready, self.stream.take_error()) {
                 (true, Ok(None)) => {}
                 (true, _) => return failed(Outcome::ConnectFailed),
                 (false, _) if now >= self.step_deadline => return failed(Outcome::ConnectFailed),
                 (false, _) => return None,
             }
-            // A new connection takes so few bytes at once or is none.
+            // The send buffer of a new connection has room for this; a failure means that the
+            // connection is broken.
             if self.stream.write_all(b"STATS\r\n").is_err() {
                 return failed(Outcome::ConnectFailed);
             }
-            (self.asked, self.step_deadline) = (true, now + self.limit);
+            (self.request_sent, self.step_deadline) = (true, now + self.step_timeout);
         }
         loop {
             match self.buffer.fill(&mut self.stream) {
@@ -94,15 +98,17 @@
             }
             match self.buffer.line() {
                 Ok(None) => {}
-                Ok(Some(line)) => return Some(answer(trim(self.buffer.at(line)), names)),
+                Ok(Some(line)) => {
+                    return Some(parse_response(trim(self.buffer.at(line)), names));
+                }
                 Err(_) => return failed(Outcome::Error),
             }
         }
     }
 }
 
-/// Reads a backend's answer to `STATS`.
-pub fn answer(line: &[u8], names: &Names) -> (Outcome, Vec<f32>) {
+/// Parses a backend's response to `STATS`.
+pub fn parse_response(line: &[u8], names: &Names) -> HealthCheckResult {
     let text = String::from_utf8_lossy(line);
     let (word, rest) = text.split_once(' ').unwrap_or((&text, ""));
     let outcome = if word == "PONG" {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! What the platform tells and holds: the list of backends, probes of their load, and the process that takes
-//! over.
+//! Interfaces to the platform: discovery and the backends it lists, health checks of backends, the
+//! ledger on disk, and the takeover of connections between processes of this relay.
 
 pub mod directory;
 pub mod discovery;
--- a/src/platform/takeover.rs
+++ b/src/platform/takeover.rs
@@ -1,6 +1,8 @@
-//! Standing connections pass from a process that stops to the one that takes over: both sockets and one
-//! packet with what is known of them. The process that has started last listens at one place in the
-//! directory that all processes of a relay share; one that stops looks there for its successor.
+//! Takeover of established connections by the next process of this relay.
+//!
+//! A process that stops sends its successor, for each connection, both sockets and one packet with
+//! the connection's state. All processes of a relay share a directory; the one that started last
+//! listens on a Unix socket there, where a process that stops looks for its successor.
 
 use crate::log::log;
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
@@ -16,19 +18,20 @@
 use std::net::TcpStream;
 use std::path::Path;
 
-/// The name of the socket. Its number is the form of the packets: a release with another form listens at
-/// another name, so neither finds the other, and what stands is moved.
-const NAME: &str = "jaspermoor-takeover-1";
+/// The file name of the socket. Its number is the version of the packet format: a release with
+/// another format uses another name, so the two do not find each other, and established connections
+/// are migrated instead.
+const SOCKET_NAME: &str = "jaspermoor-takeover-1";
 /// The longest packet.
-const MAX_PACKET: usize = 64 * 1024;
-/// The most bytes on their way that a connection may have to be sent; one with more has a client that takes
-/// nothing, and is moved in the end.
-pub const MAX_BUFFERED_BYTES: usize = MAX_PACKET - 8 * 1024;
+const MAX_PACKET_BYTES: usize = 64 * 1024;
+/// The most buffered bytes with which a connection can be handed over. One with more has a client
+/// that reads nothing; it is migrated at the end of the drain.
+pub const MAX_BUFFERED_BYTES: usize = MAX_PACKET_BYTES - 8 * 1024;
 
-/// A standing connection as another process needs it.
+/// The state of an established connection, as the successor needs it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Handover {
-    /// The connection's own id.
+    /// The id that its client chose.
     pub name: String,
     /// The name of its class.
     pub class: String,
@@ -38,47 +41,49 @@
     pub key: u64,
     /// The key of its group.
     pub group: u64,
-    /// Attempts made for it.
+    /// How many attempts it took.
     pub attempts: u16,
-    /// How long ago it began.
+    /// Its age in milliseconds.
     pub age_ms: u64,
-    /// How long ago its oldest unanswered line was passed on.
+    /// How long ago its oldest unanswered line was forwarded, in milliseconds.
     pub asked_ms: Option<u64>,
-    /// How much of `down` has been read for its meaning.
+    /// How many bytes of `down` have been parsed.
     pub seen: usize,
-    /// What has come from the client and not gone on yet.
+    /// Bytes from the client that have not been forwarded yet.
     pub up: Vec<u8>,
-    /// What has come from the backend and not gone on yet.
+    /// Bytes from the backend that have not been forwarded yet.
     pub down: Vec<u8>,
 }
 
 impl Handover {
-    /// The packet: a line of JSON, then the bytes of both ways.
+    /// Encodes the packet: a line of JSON, then the bytes of both directions.
     pub fn encode(&self) -> Vec<u8> {
-        let head = simd_json::json!({
+        let header = simd_json::json!({
             "name": self.name.clone(), "class": self.class.clone(), "backend": self.backend.clone(),
             "key": self.key, "group": self.group,
             "attempts": self.attempts, "age_ms": self.age_ms, "asked_ms": self.asked_ms,
             "seen": self.seen as u64, "up": self.up.len() as u64
         });
-        [head.encode().as_bytes(), b"\n", &self.up, &self.down].concat()
+        [header.encode().as_bytes(), b"\n", &self.up, &self.down].concat()
     }
 
-    /// Reads a packet; what is wrong with it is one sentence.
+    /// Decodes a packet; the error tells what is wrong with it.
     pub fn decode(packet: &[u8]) -> Result<Handover, String> {
         let end = packet
             .iter()
             .position(|&b| b == b'\n')
-            .ok_or("a packet without a head")?;
-        let head =
+            .ok_or("a packet without a header line")?;
+        let header =
             simd_json::to_owned_value(&mut packet[..end].to_vec()).map_err(|e| e.to_string())?;
         let number = |key: &str| {
-            head.get(key)
+            header
+                .get(key)
                 .and_then(|v| v.as_u64())
                 .ok_or(format!("no {key}"))
         };
-        let word = |key: &str| {
-            head.get(key)
+        let text = |key: &str| {
+            header
+                .get(key)
                 .and_then(|v| v.as_str())
                 .map(String::from)
                 .ok_or(format!("no {key}"))
@@ -86,12 +91,12 @@
         let bytes = &packet[end + 1..];
         let (up, seen) = (number("up")? as usize, number("seen")? as usize);
         if up > bytes.len() || seen > bytes.len() - up {
-            return Err("a packet that is shorter than it says".into());
+            return Err("a packet that is shorter than its header says".into());
         }
         Ok(Handover {
-            name: word("name")?,
-            class: word("class")?,
-            backend: word("backend")?,
+            name: text("name")?,
+            class: text("class")?,
+            backend: text("backend")?,
             key: number("key")?,
             group: number("group")?,
             attempts: number("attempts")? as u16,
@@ -104,7 +109,8 @@
     }
 }
 
-fn socket(flags: SocketFlags) -> io::Result<OwnedFd> {
+/// A Unix socket that keeps packet boundaries.
+fn seqpacket_socket(flags: SocketFlags) -> io::Result<OwnedFd> {
     Ok(socket_with(
         AddressFamily::UNIX,
         SocketType::SEQPACKET,
@@ -113,19 +119,19 @@
     )?)
 }
 
-/// The link to the process that takes over.
+/// The link to the process that takes over this one's connections.
 pub struct Successor(OwnedFd);
 
 impl Successor {
-    /// The process that has started last, if it is another one and there.
+    /// Connects to the process that started last, unless it is gone or is this one.
     pub fn find(dir: &Path) -> Option<Successor> {
-        let link = socket(SocketFlags::NONBLOCK).ok()?;
-        connect_unix(&link, &SocketAddrUnix::new(dir.join(NAME)).ok()?).ok()?;
+        let link = seqpacket_socket(SocketFlags::NONBLOCK).ok()?;
+        connect_unix(&link, &SocketAddrUnix::new(dir.join(SOCKET_NAME)).ok()?).ok()?;
         let pid = get_socket_peercred(&link).ok()?.pid.as_raw_nonzero().get();
         (pid as u32 != std::process::id()).then_some(Successor(link))
     }
 
-    /// Sends a connection whole, or not at all.
+    /// Sends a connection: all of it, or nothing.
     pub fn send(
         &self,
         handover: &Handover,
@@ -147,29 +153,29 @@
     }
 }
 
-/// A connection that is passed on: what is known of it, the client's socket, the backend's.
+/// A connection that is handed over: its state, the client's socket and the backend's socket.
 pub type HandedOver = (Handover, TcpStream, TcpStream);
 
-/// The place where older processes of this relay find this one.
+/// The listening socket at which older processes of this relay find this one.
 pub struct HandoverListener(OwnedFd);
 
 impl HandoverListener {
-    /// Listens in this directory, in place of whichever process did before.
+    /// Listens in this directory, in place of the process that did so before.
     pub fn open(dir: &Path) -> io::Result<HandoverListener> {
-        let own = dir.join(format!("{NAME}-{}", std::process::id()));
-        let _ = fs::remove_file(&own);
-        let listener = socket(SocketFlags::NONBLOCK)?;
-        bind_unix(&listener, &SocketAddrUnix::new(&own)?)?;
+        let own_path = dir.join(format!("{SOCKET_NAME}-{}", std::process::id()));
+        let _ = fs::remove_file(&own_path);
+        let listener = seqpacket_socket(SocketFlags::NONBLOCK)?;
+        bind_unix(&listener, &SocketAddrUnix::new(&own_path)?)?;
         listen(&listener, 4)?;
-        fs::rename(&own, dir.join(NAME))?;
+        fs::rename(&own_path, dir.join(SOCKET_NAME))?;
         Ok(HandoverListener(listener))
     }
 
-    /// An older process that has come; none where none waits.
+    /// Accepts the link of an older process; the error is `WouldBlock` if none waits.
     pub fn accept(&self) -> io::Result<Predecessor> {
         Ok(Predecessor {
             link: accept_with(&self.0, SocketFlags::CLOEXEC | SocketFlags::NONBLOCK)?,
-            count: 0,
+            received: 0,
         })
     }
 }
@@ -180,10 +186,11 @@
     }
 }
 
-/// The link from an older process.
+/// The link from an older process that hands its connections over.
 pub struct Predecessor {
     link: OwnedFd,
-    count: usize,
+    /// How many connections it has handed over.
+    received: usize,
 }
 
 impl AsFd for Predecessor {
@@ -192,20 +199,20 @@
     }
 }
 
-/// What is to be expected of an older process.
+/// Whether more may come from an older process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// More may come later.
+    /// More may come.
     Open,
-    /// It is done.
+    /// Nothing more will come.
     Closed,
 }
 
 impl Predecessor {
-    /// Receives connections as far as they have come, at most so many.
-    pub fn receive(&mut self, most: usize, take: &mut dyn FnMut(HandedOver)) -> LinkState {
-        let mut packet = vec![0; MAX_PACKET];
-        for _ in 0..most {
+    /// Receives the connections that have arrived, at most `limit` of them.
+    pub fn receive(&mut self, limit: usize, adopt: &mut dyn FnMut(HandedOver)) -> LinkState {
+        let mut packet = vec![0; MAX_PACKET_BYTES];
+        for _ in 0..limit {
             let mut space = [0; rustix::cmsg_space!(ScmRights(2))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let mut parts = [IoSliceMut::new(&mut packet)];
@@ -224,9 +231,13 @@
                 }
             };
             if n == 0 {
-                // A process that stops also looks here, and finds itself, where it has no successor.
-                if self.count > 0 {
-                    log(&format!("takeover: {} connections taken over", self.count));
+                // A process without a successor finds its own socket when it stops, and connects to
+                // itself: that is not worth a log line.
+                if self.received > 0 {
+                    log(&format!(
+                        "takeover: {} connections taken over",
+                        self.received
+                    ));
                 }
                 return LinkState::Closed;
             }
@@ -238,11 +249,11 @@
             }
             match (Handover::decode(&packet[..n]), fds.pop(), fds.pop()) {
                 (Ok(handover), Some(backend), Some(client)) => {
-                    self.count += 1;
-                    take((handover, client, backend));
+                    self.received += 1;
+                    adopt((handover, client, backend));
                 }
                 (Ok(_), ..) => {
-                    log("takeover: a packet without its sockets: no descriptors are left")
+                    log("takeover: a packet without its sockets: no file descriptors are left")
                 }
                 (Err(e), ..) => log(&format!("takeover: {e}")),
             }
@@ -256,55 +267,56 @@
     use super::*;
     use rustix::net::socketpair;
 
-    /// Both sockets arrive with their packet, and a successor that takes nothing is not waited for.
+    /// Both sockets arrive with their packet. A successor that reads nothing must not block the
+    /// sender: a full queue is an error.
     #[test]
-    fn connections_pass_whole_and_a_full_queue_is_said() {
+    fn connections_arrive_with_their_sockets_and_a_full_queue_is_an_error() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let end = || TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let (client, backend) = (end(), end());
+        let connect = || TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let (client, backend) = (connect(), connect());
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        let (to, link) =
+        let (sender, link) =
             socketpair(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None).unwrap();
-        let (to, handover) = (
-            Successor(to),
+        let (successor, handover) = (
+            Successor(sender),
             Handover {
                 name: "9b".into(),
                 ..Handover::default()
             },
         );
         let mut sent = 0;
-        let refused = loop {
-            match to.send(&handover, &client, &backend) {
+        let error = loop {
+            match successor.send(&handover, &client, &backend) {
                 Ok(()) => sent += 1,
                 Err(e) => break e,
             }
         };
-        assert!(
-            sent > 0 && crate::sys::timed_out(&refused),
-            "{sent}: {refused}"
-        );
-        drop(to);
-        let (mut received, mut older) = (0, Predecessor { link, count: 0 });
-        let mut take = |(got, its_client, its_backend): HandedOver| {
-            assert_eq!(got, handover);
+        assert!(sent > 0 && crate::sys::timed_out(&error), "{sent}: {error}");
+        drop(successor);
+        let (mut adopted, mut predecessor) = (0, Predecessor { link, received: 0 });
+        let mut adopt = |(received, received_client, received_backend): HandedOver| {
+            assert_eq!(received, handover);
             assert_eq!(
-                its_client.local_addr().unwrap(),
+                received_client.local_addr().unwrap(),
                 client.local_addr().unwrap()
             );
             assert_eq!(
-                its_backend.local_addr().unwrap(),
+                received_backend.local_addr().unwrap(),
                 backend.local_addr().unwrap()
             );
-            received += 1;
+            adopted += 1;
         };
-        // A turn takes some; the others wait for the next.
-        assert_eq!(older.receive(1, &mut take), LinkState::Open);
-        assert_eq!(older.receive(usize::MAX, &mut take), LinkState::Closed);
-        assert_eq!(received, sent);
+        // The first call takes one connection; the others wait for the second.
+        assert_eq!(predecessor.receive(1, &mut adopt), LinkState::Open);
+        assert_eq!(
+            predecessor.receive(usize::MAX, &mut adopt),
+            LinkState::Closed
+        );
+        assert_eq!(adopted, sent);
     }
 
     #[test]
-    fn a_parcel_is_read_as_it_was_written_or_refused() {
+    fn a_packet_is_decoded_as_it_was_encoded_and_a_malformed_one_is_refused() {
         let handover = Handover {
             name: "9b".into(),
             class: "a \"class\"\n".into(),
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery on real sockets: whatever call fails, the list is had again in the time after which it counts as told.
+//! The discovery client on real sockets: whichever call fails, the relay gets the list again within
+//! the time that the platform allows.
 
 #[allow(dead_code)]
 mod peers;
@@ -10,62 +11,67 @@
 use jaspermoor::decisions::Parameters;
 use jaspermoor::platform::directory::Directory;
 use jaspermoor::platform::discovery::{
-    WatchControl, WatchMode, Watcher, ANSWER, CALL, DIAL, SILENT, TOLD,
+    WatchControl, WatchMode, Watcher, CONNECT_TIMEOUT, FIRST_ITEM_TIMEOUT, LIVENESS_TIMEOUT,
+    MAX_UPDATE_DELAY, RESPONSE_ALLOWANCE,
 };
 use peers::*;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 #[test]
-fn what_a_failed_call_can_take_adds_up_to_less_than_the_time_after_which_a_change_counts_as_told() {
-    let pause = |micros| Duration::from_micros(micros);
-    let t = Parameters::default();
-    // A watch that falls silent, and a call that is accepted or dialled and gets no answer.
-    for seen in [SILENT, CALL, DIAL] {
-        assert!(seen + pause(t.discovery_max_backoff_after_timeout_us) + ANSWER < TOLD);
+fn a_failed_call_and_its_retry_take_less_than_the_longest_allowed_delay_of_an_update() {
+    let backoff = |micros| Duration::from_micros(micros);
+    let parameters = Parameters::default();
+    // A watch that goes silent, a call that is accepted and gets no response, and a connection
+    // attempt that gets no answer.
+    for timeout in [LIVENESS_TIMEOUT, FIRST_ITEM_TIMEOUT, CONNECT_TIMEOUT] {
+        let backoff = backoff(parameters.discovery_max_backoff_after_timeout_us);
+        assert!(timeout + backoff + RESPONSE_ALLOWANCE < MAX_UPDATE_DELAY);
     }
-    // What is refused, reset or answered with an error is seen at once; so is a move.
-    assert!(pause(t.discovery_max_backoff_us) + ANSWER < TOLD);
+    // A refused connection, a reset, an error response and a relocation are noticed at once.
+    let backoff = backoff(parameters.discovery_max_backoff_us);
+    assert!(backoff + RESPONSE_ALLOWANCE < MAX_UPDATE_DELAY);
 }
 
-/// What discovery does to a call that has come, or to a watch that stands.
+/// A fault of discovery, at a call that has arrived or at an open watch.
 enum Fault {
     Call(fn(&mut Peer)),
     Watch(fn(&mut Watch)),
 }
 
-/// Each of these once kept a relay from its list for longer than the platform allows, or for good.
+/// Each of these faults used to keep a relay from its list for longer than the platform allows, or
+/// for ever.
 #[test]
-fn whatever_a_call_meets_the_next_one_comes_in_time() {
+fn after_any_fault_of_a_call_the_next_one_comes_in_time() {
     use Fault::{Call, Watch};
     let cases: [(&str, Fault); 10] = [
-        ("accepted and mute", Call(|_| {})),
+        ("accepted without a response", Call(|_| {})),
         ("reset", Call(Peer::cut)),
         (
             "503",
             Call(|peer| peer.write(b"HTTP/1.1 503 Service Unavailable\r\n\r\n")),
         ),
         (
-            "half a head",
+            "part of a header",
             Call(|peer| peer.write(b"HTTP/1.1 200 OK\r\nTransfer-")),
         ),
         (
-            "a head that dribbles",
-            Call(|peer| dribble(peer, b"HTTP/1.1 200 OK\r\nX: ", b"y")),
+            "a header that trickles in",
+            Call(|peer| trickle(peer, b"HTTP/1.1 200 OK\r\nX: ", b"y")),
         ),
         (
-            "a length that has come",
+            "a body complete by its length",
             Call(|peer| peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n\n")),
         ),
-        ("a watch that falls silent", Watch(|_| {})),
+        ("a watch that goes silent", Watch(|_| {})),
         ("a watch that is reset", Watch(|watch| watch.peer.cut())),
         (
-            "an object that dribbles",
-            Watch(|watch| dribble(&mut watch.peer, b"fff0\r\n{\"version\":\"", b"2")),
+            "an object that trickles in",
+            Watch(|watch| trickle(&mut watch.peer, b"fff0\r\n{\"version\":\"", b"2")),
         ),
         (
-            "a chunk's size that dribbles",
-            Watch(|watch| dribble(&mut watch.peer, b"1;", b"x")),
+            "a chunk size that trickles in",
+            Watch(|watch| trickle(&mut watch.peer, b"1;", b"x")),
         ),
     ];
     std::thread::scope(|scope| {
@@ -74,7 +80,7 @@
                 let fleet = Fleet::new(&["s-1", "s-2"]);
                 let relay = fleet.relay();
                 let mut peer = fleet.discovery.called().0;
-                let broken = match fault {
+                let failed_at = match fault {
                     Call(fault) => {
                         fault(&mut peer);
                         Instant::now()
@@ -85,16 +91,16 @@
                         watch.say("");
                         let since = Instant::now();
                         fault(&mut watch);
-                        // Held open: the relay is to give it up by itself.
+                        // Left open: the relay must give it up by itself.
                         std::mem::forget(watch);
                         since
                     }
                 };
                 let mut watch = fleet.watched();
-                let took = broken.elapsed();
+                let delay = failed_at.elapsed();
                 assert!(
-                    took + ANSWER < TOLD,
-                    "{name}: the next call came after {took:?}"
+                    delay + RESPONSE_ALLOWANCE < MAX_UPDATE_DELAY,
+                    "{name}: the next call came after {delay:?}"
                 );
                 watch.tell(
                     2,
@@ -107,8 +113,8 @@
     });
 }
 
-/// Goes on with single bytes, a few each second, for as long as anybody reads them.
-fn dribble(peer: &mut Peer, begin: &[u8], byte: &'static [u8]) {
+/// Writes `begin`, then a few single bytes each second until the connection ends.
+fn trickle(peer: &mut Peer, begin: &[u8], byte: &'static [u8]) {
     peer.write(begin);
     let mut stream = peer.stream.try_clone().unwrap();
     std::thread::spawn(move || {
@@ -118,9 +124,9 @@
     });
 }
 
-/// Refused for long enough that the pauses have grown to their most; then it can be reached.
+/// Discovery refuses connections until the backoff has reached its maximum; then it is reachable.
 #[test]
-fn discovery_that_has_refused_is_called_in_time_once_it_can_be_reached() {
+fn discovery_that_was_unreachable_for_long_is_called_in_time_once_it_is_reachable() {
     let (fleet, down) = (Fleet::new(&["s-1"]), Refusing::new());
     let relay = Relay::start(&fleet.config(down.addr()), None);
     until("six refusals", || {
@@ -131,26 +137,36 @@
     discovery
         .watched("GET")
         .tell(2, true, &[fleet.entry("s-1", "active")]);
-    assert!(since.elapsed() + ANSWER < TOLD, "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() + RESPONSE_ALLOWANCE < MAX_UPDATE_DELAY,
+        "{:?}",
+        since.elapsed()
+    );
     relay.wait_for_log("discovery: version 2");
 }
 
-/// A reload that moves discovery while a call to the old place waits for its answer: that call is not waited for.
+/// A reload changes discovery's address while a call to the old address waits for its response: the
+/// relay must not wait for that response.
 #[test]
-fn a_reload_in_the_midst_of_a_call_is_followed_at_once() {
+fn a_reload_during_a_call_takes_effect_at_once() {
     let (fleet, new) = (Fleet::new(&["s-1"]), Discovery::new());
     let relay = fleet.relay();
-    let (mut mute, _) = fleet.discovery.called();
+    let (mut old_call, _) = fleet.discovery.called();
     let since = Instant::now();
     relay.reload(&fleet.config(new.addr()));
     new.watched("GET /v1/endpoints?watch=1 HTTP");
-    assert!(since.elapsed() < CALL, "{:?}", since.elapsed());
-    assert!(mute.ended());
+    assert!(
+        since.elapsed() < FIRST_ITEM_TIMEOUT,
+        "{:?}",
+        since.elapsed()
+    );
+    assert!(old_call.ended());
 }
 
-/// A process that was stopped finds its time up and a whole list waiting: the watch stands.
+/// A process that was stopped (SIGSTOP) finds the watch's deadline past and a whole list in the
+/// socket's buffer: the watch is alive.
 #[test]
-fn a_relay_that_was_stopped_for_long_reads_what_has_come_before_it_judges_the_watch() {
+fn a_relay_that_was_stopped_reads_what_has_arrived_before_it_checks_the_deadline() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
     let mut watch = fleet.watched();
@@ -162,7 +178,7 @@
     relay.wait_for_log("discovery: version 2");
     relay.signal("STOP");
     watch.tell(3, false, &[fleet.entry("s-1", "leaving")]);
-    std::thread::sleep(SILENT + Duration::from_millis(300));
+    std::thread::sleep(LIVENESS_TIMEOUT + Duration::from_millis(300));
     relay.signal("CONT");
     relay.wait_for_log("discovery: version 3");
     watch.tell(4, false, &[fleet.entry("s-2", "leaving")]);
@@ -170,10 +186,10 @@
     assert!(!relay.logged("the watch failed"));
 }
 
-/// The platform pushes lists: the relay once never opened the watch that brings them, and sent clients to backends
-/// that had left for as long as it ran.
+/// With pushed lists a relay used not to open the watch at all, and sent clients to backends that
+/// had left.
 #[test]
-fn where_lists_are_pushed_the_watch_stands_from_the_start_and_is_opened_anew_at_once() {
+fn with_pushed_lists_the_watch_is_open_from_the_start_and_is_reopened_at_once() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let pushed = |discovery| {
         fleet
@@ -189,7 +205,7 @@
         &[fleet.entry("s-1", "leaving"), fleet.entry("s-2", "leaving")],
     );
     assert_eq!(client.line(), "MOVE");
-    // What the agent has counts as told, watch or no watch.
+    // The platform takes what its agent has as known to the relay, whether a watch is open or not.
     let since = Instant::now();
     watch.peer.cut();
     drop(watch);
@@ -201,7 +217,7 @@
         "{:?}",
         since.elapsed()
     );
-    // A new configuration moves the watch.
+    // A new configuration changes the address of discovery.
     let second = Discovery::new();
     relay.reload(&pushed(second.addr()));
     assert!(watch.peer.ended());
@@ -211,9 +227,9 @@
     fleet.pair(&relay, "02");
 }
 
-/// A list that is written over several lines was cut at the first, and the watch given up each time it came.
+/// A list that spans several lines used to be cut after the first one, so that each watch failed.
 #[test]
-fn a_list_may_come_indented_and_an_entry_that_is_none_is_left_out_and_named() {
+fn a_list_may_be_indented_and_a_malformed_entry_is_left_out_and_named() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
     let mut watch = fleet.watched();
@@ -233,53 +249,54 @@
     assert!(!relay.logged("the watch failed"));
 }
 
-/// A reload once ended watching for good: the order for the new place came while the thread was busy with a list of
-/// the old one, and was taken for an order to stop.
+/// A reload used to end watching for ever: the request for the new address came while the thread
+/// was applying a list from the old one, and was taken for a request to stop.
 #[test]
-fn an_order_and_a_move_that_come_in_the_middle_of_a_list_are_both_kept() {
+fn a_request_and_a_relocation_during_a_list_update_are_both_kept() {
     let (old, new, fleet) = (Discovery::new(), Discovery::new(), Fleet::new(&["s-1"]));
-    let source = WatchControl::new(old.addr(), WatchMode::OnRequest);
-    let (orders, settings) = (
-        source.clone(),
+    let watch_control = WatchControl::new(old.addr(), WatchMode::OnRequest);
+    let (watch_requests, settings) = (
+        watch_control.clone(),
         Settings {
             polls_endpoint_list: true,
             ..Settings::default()
         },
     );
-    let orders = Hooks {
-        watch_endpoint_list: Box::new(move |on| orders.request_watch(on)),
+    let hooks = Hooks {
+        watch_endpoint_list: Box::new(move |on| watch_requests.request_watch(on)),
         check_health: bounded(1).0,
     };
-    let decisions = DecisionService::new(settings, 1, Vec::new(), orders);
+    let decisions = DecisionService::new(settings, 1, Vec::new(), hooks);
     let directory = Arc::new(Directory::default());
-    // The thread of the watch is held in the middle of the first list, until all has come.
-    let ((arrived, list), (go, held)) = (bounded(1), bounded::<()>(0));
+    // The watch thread is blocked while it applies the first list, until the relocation is done.
+    let ((list_sender, list_applied), (resume, blocked)) = (bounded(1), bounded::<()>(0));
     directory.on_change(Arc::new(move || {
-        let _ = arrived.send(());
-        let _ = held.recv();
+        let _ = list_sender.send(());
+        let _ = blocked.recv();
     }));
-    let (at, told, known) = (source.clone(), decisions.clone(), directory.clone());
+    let watcher_parts = (watch_control.clone(), decisions.clone(), directory.clone());
     std::thread::spawn(move || {
+        let (control, decisions, directory) = watcher_parts;
         let names = Names {
             zones: vec!["x".into()],
             columns: Vec::new(),
         };
         Watcher {
-            control: &at,
+            control: &control,
             names: &names,
-            directory: &known,
-            decisions: &told,
+            directory: &directory,
+            decisions: &decisions,
             version: 0,
         }
         .run();
     });
-    source.request_watch(true);
+    watch_control.request_watch(true);
     old.watched("GET")
         .tell(1, true, &[fleet.entry("s-1", "active")]);
-    list.recv().unwrap();
-    assert!(source.relocate(new.addr()));
+    list_applied.recv().unwrap();
+    assert!(watch_control.relocate(new.addr()));
     decisions.update_endpoints(EndpointListKind::Relocated, Vec::new());
-    source.request_watch(true);
-    drop(go);
+    watch_control.request_watch(true);
+    drop(resume);
     new.watched("GET /v1/endpoints?watch=1 HTTP");
 }
--- a/tests/discovery_response.rs
+++ b/tests/discovery_response.rs
@@ -1,34 +1,36 @@
-//! Discovery's answer: whole objects and beats, wherever the bytes are cut.
+//! The parser of discovery's response: whole objects and heartbeats, however the bytes are split.
 
-use jaspermoor::platform::discovery_response::{Answer, Piece};
+use jaspermoor::platform::discovery_response::{ResponseItem, ResponseParser};
 
-/// All pieces of an answer that comes in steps of so many bytes.
-fn pieces(wire: &[u8], step: usize) -> Result<(Vec<Piece>, bool), String> {
-    let (mut answer, mut pieces) = (Answer::default(), Vec::new());
+/// Parses a response that arrives in steps of `step` bytes. Returns its items, and whether it is
+/// complete.
+fn parse(wire: &[u8], step: usize) -> Result<(Vec<ResponseItem>, bool), String> {
+    let (mut parser, mut items) = (ResponseParser::default(), Vec::new());
     for part in wire.chunks(step) {
-        answer.take(part)?;
-        while let Some(piece) = answer.piece()? {
-            pieces.push(piece);
+        parser.feed(part)?;
+        while let Some(item) = parser.next_item()? {
+            items.push(item);
         }
     }
-    Ok((pieces, answer.ended()))
+    Ok((items, parser.is_complete()))
 }
 
 #[test]
-fn objects_and_beats_come_out_whole_wherever_the_bytes_are_cut() {
-    let object = |text: &str| Piece::Object(text.into());
+fn objects_and_heartbeats_are_parsed_however_the_bytes_are_split() {
+    let object = |text: &str| ResponseItem::Object(text.into());
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    // (what comes, the pieces, whether the answer is over)
+    // (body, items, whether the response is complete)
     let cases = [
         (
             "4\r\n{\"a\"\r\n5;x=y\r\n:1}\n\n\r\n0\r\n\r\n",
-            vec![object("{\"a\":1}"), Piece::Beat],
+            vec![object("{\"a\":1}"), ResponseItem::Heartbeat],
             true,
         ),
-        // Indented, as lists may come, with braces in a text; two on one line; one without a line's end.
+        // An indented object, as a list may be, with braces in a string; then two objects on one
+        // line, without a line feed.
         (
             "14\r\n{\n  \"a\": \"}\\\"{\"\n}\n\n\r\n",
-            vec![object("{\n  \"a\": \"}\\\"{\"\n}"), Piece::Beat],
+            vec![object("{\n  \"a\": \"}\\\"{\"\n}"), ResponseItem::Heartbeat],
             false,
         ),
         (
@@ -36,33 +38,34 @@
             vec![object("{}"), object(" {\"b\":[]}")],
             false,
         ),
-        ("2\r\n\r\n\r\n", vec![Piece::Beat], false),
+        ("2\r\n\r\n\r\n", vec![ResponseItem::Heartbeat], false),
     ];
-    for (body, expected, over) in cases {
+    for (body, expected, complete) in cases {
         let wire = [chunked, body].concat();
         for step in 1..wire.len() {
             assert_eq!(
-                pieces(wire.as_bytes(), step),
-                Ok((expected.clone(), over)),
-                "{body:?} by {step}"
+                parse(wire.as_bytes(), step),
+                Ok((expected.clone(), complete)),
+                "{body:?} in steps of {step}"
             );
         }
     }
-    // An answer with a length was once waited for to its connection's end, which never came.
+    // A response with a Content-Length is complete without the end of its connection, which may
+    // never come.
     let plain = b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"a\":1}\nmore";
-    assert_eq!(pieces(plain, 5), Ok((vec![object("{\"a\":1}")], true)));
+    assert_eq!(parse(plain, 5), Ok((vec![object("{\"a\":1}")], true)));
     assert_eq!(
-        pieces(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 9),
+        parse(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 9),
         Ok((vec![], true))
     );
     assert_eq!(
-        pieces(b"HTTP/1.1 200 OK\r\n\r\n{}", 9),
+        parse(b"HTTP/1.1 200 OK\r\n\r\n{}", 9),
         Ok((vec![object("{}")], false))
     );
 }
 
 #[test]
-fn answers_that_are_none_are_refused_and_named() {
+fn malformed_responses_are_refused_with_the_reason() {
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let long = format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(17_000));
     let endless = format!("{chunked}500000\r\n{{\"a\":\"{}", "y".repeat(4_300_000));
@@ -79,11 +82,11 @@
         (&format!("{chunked}3\r\n[1]\r\n"), "no JSON object"),
         (&endless, "an object is too long"),
     ];
-    for (wire, what) in cases {
-        let said = pieces(wire.as_bytes(), 65_536).unwrap_err();
+    for (wire, expected) in cases {
+        let error = parse(wire.as_bytes(), 65_536).unwrap_err();
         assert!(
-            said.contains(what),
-            "{said} for {}",
+            error.contains(expected),
+            "{error} for {}",
             &wire[..wire.len().min(60)]
         );
     }
