--- a/src/ops/manual_ejections.rs
+++ b/src/ops/manual_ejections.rs
@@ -1,6 +1,8 @@
-//! Which backends staff have taken out, kept where every process of this relay finds it: an empty file for
-//! each, in a directory of its own. The file system makes and removes a file whole, so that two processes
-//! which are called at once can neither lose a ban nor read half of one.
+//! Manual ejections: the backends that operators have taken out of use, shared by all processes of
+//! this relay as empty files, one per backend, in a directory of their own.
+//!
+//! The file system creates and removes a file atomically, so that two processes that get orders at
+//! the same time can neither lose an ejection nor read a partial one.
 
 use crate::log::log;
 use percent_encoding::{percent_decode_str, utf8_percent_encode, NON_ALPHANUMERIC};
@@ -9,46 +11,50 @@
 use std::io::{self, ErrorKind};
 use std::path::PathBuf;
 
-/// The name of the directory.
-const NAME: &str = "jaspermoor-offline";
+/// The name of the directory below the shared directory.
+const DIRECTORY_NAME: &str = "jaspermoor-offline";
 
-/// The bans that this process knows of; it has one owner.
+/// The manual ejections that this process knows of.
 pub struct ManualEjections {
     dir: Option<PathBuf>,
-    held: BTreeSet<String>,
-    /// Those of them that could not be noted for others.
-    unnoted: BTreeSet<String>,
-    /// What was wrong at the last look, so that it is logged once.
+    ejected: BTreeSet<String>,
+    /// Those of them that could not be stored for other processes.
+    unshared: BTreeSet<String>,
+    /// The problem of the last read, so that it is logged once; empty if there was none.
     problem: String,
 }
 
 impl ManualEjections {
-    /// ManualEjections that are shared in this directory; without one they are this process's own.
-    pub fn new(shared: Option<PathBuf>) -> ManualEjections {
-        let dir = shared.map(|dir| dir.join(NAME));
+    /// Shares ejections in this directory; without one they are known to this process alone.
+    pub fn new(shared_directory: Option<PathBuf>) -> ManualEjections {
+        let dir = shared_directory.map(|dir| dir.join(DIRECTORY_NAME));
         ManualEjections {
             dir,
-            held: BTreeSet::new(),
-            unnoted: BTreeSet::new(),
+            ejected: BTreeSet::new(),
+            unshared: BTreeSet::new(),
             problem: String::new(),
         }
     }
 
-    /// Whether a backend is out.
+    /// Whether a backend is ejected.
     pub fn contains(&self, id: &str) -> bool {
-        self.held.contains(id)
+        self.ejected.contains(id)
     }
 
-    /// Notes that a backend is out, or back. After an error a ban holds here alone, and a call back has
-    /// not been made.
-    pub fn set(&mut self, id: &str, out_of_use: bool) -> io::Result<()> {
-        if out_of_use {
-            self.held.insert(id.to_string());
-            self.unnoted.insert(id.to_string());
+    /// Ejects a backend, or ends its ejection, in all processes.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be written, the ejection applies to this process alone; if it cannot be
+    /// removed, the ejection stays.
+    pub fn set(&mut self, id: &str, ejected: bool) -> io::Result<()> {
+        if ejected {
+            self.ejected.insert(id.to_string());
+            self.unshared.insert(id.to_string());
         }
         if let Some(dir) = &self.dir {
             let file = dir.join(utf8_percent_encode(id, NON_ALPHANUMERIC).to_string());
-            if out_of_use {
+            if ejected {
                 fs::create_dir_all(dir)?;
                 fs::write(file, b"")?;
             } else {
@@ -61,40 +67,41 @@
                 })?;
             }
         }
-        self.unnoted.remove(id);
-        if !out_of_use {
-            self.held.remove(id);
+        self.unshared.remove(id);
+        if !ejected {
+            self.ejected.remove(id);
         }
         Ok(())
     }
 
-    /// What other processes have noted since the last look: each backend that is out now, or back.
+    /// Returns what other processes have changed since the last call: each backend with whether it
+    /// is ejected now.
     pub fn take_changes(&mut self) -> Vec<(String, bool)> {
         let now = match self.read() {
-            Ok(noted) => &noted | &self.unnoted,
+            Ok(shared) => &shared | &self.unshared,
             Err(problem) => {
-                self.complain(problem);
+                self.log_problem(problem);
                 return Vec::new();
             }
         };
-        let gone = self.held.difference(&now).map(|id| (id.clone(), false));
-        let new = now.difference(&self.held).map(|id| (id.clone(), true));
-        let news = gone.chain(new).collect();
-        self.held = now;
-        news
+        let removed = self.ejected.difference(&now).map(|id| (id.clone(), false));
+        let added = now.difference(&self.ejected).map(|id| (id.clone(), true));
+        let changes = removed.chain(added).collect();
+        self.ejected = now;
+        changes
     }
 
-    /// The backends that are out, as the files say.
+    /// Reads the ejected backends from the files.
     fn read(&mut self) -> Result<BTreeSet<String>, String> {
         let Some(dir) = &self.dir else {
-            return Ok(self.held.clone());
+            return Ok(self.ejected.clone());
         };
         let files = match fs::read_dir(dir) {
             Ok(files) => files,
             Err(e) if e.kind() == ErrorKind::NotFound => return Ok(BTreeSet::new()),
             Err(e) => return Err(format!("{} cannot be read: {e}", dir.display())),
         };
-        let (mut out, mut problem) = (BTreeSet::new(), String::new());
+        let (mut ejected, mut problem) = (BTreeSet::new(), String::new());
         for file in files {
             let name = file
                 .map_err(|e| format!("a file cannot be read: {e}"))?
@@ -103,17 +110,18 @@
                 .to_str()
                 .and_then(|name| percent_decode_str(name).decode_utf8().ok());
             match id.filter(|id| !id.is_empty()) {
-                Some(id) => drop(out.insert(id.into_owned())),
+                Some(id) => drop(ejected.insert(id.into_owned())),
                 None => problem = format!("the file {name:?} names no backend"),
             }
         }
-        self.complain(problem);
-        Ok(out)
+        self.log_problem(problem);
+        Ok(ejected)
     }
 
-    fn complain(&mut self, problem: String) {
+    /// Logs a problem unless it is the same as at the last read; an empty text is none.
+    fn log_problem(&mut self, problem: String) {
         if !problem.is_empty() && problem != self.problem {
-            log(&format!("bans: {problem}"));
+            log(&format!("manual ejections: {problem}"));
         }
         self.problem = problem;
     }
@@ -125,8 +133,9 @@
     use std::os::unix::ffi::OsStrExt;
 
     #[test]
-    fn a_ban_binds_every_process_until_the_call_back_to_any() {
-        let shared = std::env::temp_dir().join(format!("jaspermoor-bans-{}", std::process::id()));
+    fn an_ejection_applies_to_every_process_until_any_of_them_ends_it() {
+        let shared =
+            std::env::temp_dir().join(format!("jaspermoor-ejections-{}", std::process::id()));
         let _ = fs::remove_dir_all(&shared);
         fs::create_dir(&shared).unwrap();
         let (mut old, mut new) = (
@@ -138,15 +147,15 @@
         new.set("../s/2", true).unwrap();
         assert_eq!(new.take_changes(), [("s-1".to_string(), true)]);
         assert_eq!(old.take_changes(), [("../s/2".to_string(), true)]);
-        // A file that names no backend harms none of the others.
+        // A file whose name is no backend id is ignored; the others are read.
         let broken = std::ffi::OsStr::from_bytes(b"\xff");
-        fs::write(shared.join(NAME).join(broken), b"x").unwrap();
+        fs::write(shared.join(DIRECTORY_NAME).join(broken), b"x").unwrap();
         assert_eq!(old.take_changes(), []);
-        // Called back at the other process, and once more.
+        // Ended at the other process, twice.
         (0..2).for_each(|_| new.set("s-1", false).unwrap());
         assert!(!new.contains("s-1"));
         assert_eq!(old.take_changes(), [("s-1".to_string(), false)]);
-        // A process that starts later knows what is in force.
+        // A process that starts later reads the ejections in force.
         assert_eq!(
             ManualEjections::new(Some(shared.clone())).take_changes(),
             [("../s/2".to_string(), true)]
@@ -155,12 +164,12 @@
     }
 
     #[test]
-    fn a_ban_that_cannot_be_shared_holds_here_and_is_said() {
-        let mut bans = ManualEjections::new(Some("/proc/none".into()));
-        assert!(bans.set("s-1", true).is_err());
-        assert!(bans.take_changes().is_empty() && bans.contains("s-1"));
-        let mut bans = ManualEjections::new(None);
-        bans.set("s-1", true).unwrap();
-        assert!(bans.take_changes().is_empty() && bans.contains("s-1"));
+    fn an_ejection_that_cannot_be_shared_applies_to_this_process_and_is_an_error() {
+        let mut ejections = ManualEjections::new(Some("/proc/none".into()));
+        assert!(ejections.set("s-1", true).is_err());
+        assert!(ejections.take_changes().is_empty() && ejections.contains("s-1"));
+        let mut ejections = ManualEjections::new(None);
+        ejections.set("s-1", true).unwrap();
+        assert!(ejections.take_changes().is_empty() && ejections.contains("s-1"));
     }
 }
--- a/src/ops/metrics.rs
+++ b/src/ops/metrics.rs
@@ -1,7 +1,7 @@
 //! The figures of this process. They are counted where things happen, outside the decisions' lock, and
 //! rendered in one place, in the text form that scrapers read.
 
-use super::traffic::{Count, Direction, Traffic};
+use super::traffic::{Direction, MessageCount, Traffic};
 use crate::decision_service::CellMetrics;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -260,7 +260,7 @@
 
 /// Messages and bytes of the control's links, by direction and type of message.
 fn by_message_type(text: &mut String, traffic: &Traffic) {
-    type Figure = fn(&Count) -> u64;
+    type Figure = fn(&MessageCount) -> u64;
     let figures: [(&str, Direction, Figure); 4] = [
         ("fleet_messages_sent_total", Direction::Sent, |count| {
             count.messages
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! What staff see and say: the figures, backends out by hand, the second address.
+//! Operations: the admin address, manual ejections of backends, and metrics.
 
 pub mod admin;
 pub mod manual_ejections;
--- a/src/ops/traffic.rs
+++ b/src/ops/traffic.rs
@@ -1,65 +1,68 @@
-//! Messages and bytes of the links of the control, by direction and type of message.
+//! Counters of the messages and bytes on the links between the relays of a fleet, by direction and
+//! message type.
 //!
-//! One thread counts; others read. Types are few and known when the program is built, so there is no bound to keep to.
+//! One thread counts; others read. The message types are few and known at compile time, so the
+//! number of counters needs no limit.
 
 use crate::sys::lock;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// Which way a message went.
+/// The direction of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Direction {
-    /// To another process.
+    /// Sent to another process.
     Sent,
-    /// From another process.
+    /// Received from another process.
     Received,
 }
 
-/// Messages of one type in one direction.
+/// The messages of one type in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Count {
-    /// Which way they went.
+pub struct MessageCount {
+    /// Their direction.
     pub direction: Direction,
     /// Their type.
     pub kind: &'static str,
-    /// How many there were.
+    /// Their number.
     pub messages: u64,
-    /// Their bytes, with what frames and seals them.
+    /// Their size in bytes, including framing and authentication.
     pub bytes: u64,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Sum {
+struct Totals {
     messages: u64,
     bytes: u64,
 }
 
-type ByKind = BTreeMap<(Direction, &'static str), Sum>;
+type TotalsByKind = BTreeMap<(Direction, &'static str), Totals>;
 
-/// See the module's text.
+/// Message counters since the start of the process.
 #[derive(Default)]
 pub struct Traffic {
-    counts: Mutex<ByKind>,
+    totals: Mutex<TotalsByKind>,
 }
 
 impl Traffic {
-    /// A message has gone that way.
+    /// Counts a message.
     pub fn count(&self, direction: Direction, kind: &'static str, bytes: usize) {
-        let mut counts = lock(&self.counts);
-        let sum = counts.entry((direction, kind)).or_default();
-        sum.messages += 1;
-        sum.bytes += bytes as u64;
+        let mut totals = lock(&self.totals);
+        let total = totals.entry((direction, kind)).or_default();
+        total.messages += 1;
+        total.bytes += bytes as u64;
     }
 
-    /// All that went, since the start of the process.
-    pub fn counts(&self) -> Vec<Count> {
-        let count = |((direction, kind), sum): (&(Direction, &'static str), &Sum)| Count {
-            direction: *direction,
-            kind,
-            messages: sum.messages,
-            bytes: sum.bytes,
-        };
-        lock(&self.counts).iter().map(count).collect()
+    /// The counts by direction and type.
+    pub fn counts(&self) -> Vec<MessageCount> {
+        let count =
+            |((direction, kind), total): (&(Direction, &'static str), &Totals)| MessageCount {
+                direction: *direction,
+                kind,
+                messages: total.messages,
+                bytes: total.bytes,
+            };
+        lock(&self.totals).iter().map(count).collect()
     }
 }
 
@@ -73,7 +76,7 @@
         traffic.count(Direction::Sent, "renew", 100);
         traffic.count(Direction::Sent, "renew", 20);
         traffic.count(Direction::Received, "reply", 7);
-        let count = |direction, kind, messages, bytes| Count {
+        let count = |direction, kind, messages, bytes| MessageCount {
             direction,
             kind,
             messages,
