--- a/src/ops/admin.rs
+++ b/src/ops/admin.rs
@@ -1,7 +1,8 @@
-//! The second address, at which staff and scrapers ask this process: HTTP/1.1, one call a connection.
+//! The admin address, where operators and scrapers reach this process: HTTP/1.1, one request per
+//! connection.
 //!
-//! One thread waits for all callers. A caller that hangs costs it a place and no time: places are few, and
-//! when all are taken the caller that has had one for longest gives it up.
+//! One thread serves all callers without blocking. A caller that hangs occupies a place and costs
+//! no time; places are few, and when all are taken the oldest connection is closed to make room.
 
 use crate::config::endpoint_list::endpoint_id;
 use crate::decision_service::DecisionService;
@@ -18,79 +19,82 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The most callers at a time; their descriptors are set aside in [`crate::net::admit`].
+/// The most callers at a time; their file descriptors are reserved in [`crate::net::admit`].
 pub const MAX_CALLERS: usize = 12;
-/// A caller's whole time, up to its leave.
-const LIMIT: Duration = Duration::from_secs(5);
-/// How long one that has its answer may stay: to close with input unread could destroy the answer.
+/// The longest time that a caller's connection stays open.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a connection is kept open after its response: a close with unread input would reset it,
+/// and the response could be lost.
 const LINGER: Duration = Duration::from_secs(1);
-/// The longest head of a call.
-const MAX_HEAD: usize = 8 * 1024;
-/// The longest wait for callers.
-const LOOK: Duration = Duration::from_millis(50);
+/// The longest request line and header fields.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// How often the ejections of other processes are read.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a caller asks for.
+/// A request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Whether this process takes clients.
+pub enum AdminRequest {
+    /// Whether this process accepts clients.
     Ready,
-    /// The figures.
-    Counters,
-    /// To take the backend of that id out of use (true), or to call it back.
-    Backend(String, bool),
+    /// The metrics.
+    Metrics,
+    /// To eject the backend with this id.
+    EjectBackend(String),
+    /// To end the manual ejection of the backend with this id.
+    RestoreBackend(String),
 }
 
-/// An answer: its status, and what it says.
-type Answer = (u16, String);
+/// A response: its status and its body.
+type Response = (u16, String);
 
-fn answer(status: u16, text: &str) -> Answer {
+fn response(status: u16, text: &str) -> Response {
     (status, format!("{text}\n"))
 }
 
-/// Reads the head of a call; none where it is not whole yet.
-pub fn call(head: &[u8]) -> Option<Result<Call, Answer>> {
+/// Parses the head of a request; none while it is incomplete.
+pub fn parse_request(head: &[u8]) -> Option<Result<AdminRequest, Response>> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(head) {
         Ok(httparse::Status::Complete(_)) => {}
-        Ok(httparse::Status::Partial) if head.len() < MAX_HEAD => return None,
+        Ok(httparse::Status::Partial) if head.len() < MAX_HEAD_BYTES => return None,
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-            return Some(Err(answer(431, "the head is too long")))
+            return Some(Err(response(431, "the head is too long")))
         }
-        Err(e) => return Some(Err(answer(400, &format!("not a call: {e}")))),
+        Err(e) => return Some(Err(response(400, &format!("not an HTTP request: {e}")))),
     }
     let target = request.path.unwrap_or_default();
     let path = target.split_once('?').map_or(target, |(path, _)| path);
-    let (method, call) = match path {
-        "/control/ready" => ("GET", Call::Ready),
-        "/control/counters" => ("GET", Call::Counters),
-        _ => match by_hand(path) {
-            Some(call) => ("POST", call),
-            None => return Some(Err(answer(404, "no such call"))),
+    let (method, admin_request) = match path {
+        "/control/ready" => ("GET", AdminRequest::Ready),
+        "/control/counters" => ("GET", AdminRequest::Metrics),
+        _ => match ejection_request(path) {
+            Some(ejection) => ("POST", ejection),
+            None => return Some(Err(response(404, "no such path"))),
         },
     };
     Some(match request.method {
-        Some(m) if m == method => Ok(call),
-        _ => Err(answer(405, &format!("this is asked by {method}"))),
+        Some(m) if m == method => Ok(admin_request),
+        _ => Err(response(405, &format!("this path requires {method}"))),
     })
 }
 
-/// What a path asks about a backend.
-fn by_hand(path: &str) -> Option<Call> {
+/// The request of a path below `/control/backends/`.
+fn ejection_request(path: &str) -> Option<AdminRequest> {
     let (id, verb) = path.strip_prefix("/control/backends/")?.split_once('/')?;
     let id = percent_decode_str(id)
         .decode_utf8()
         .ok()
         .filter(|id| !id.is_empty())?;
     match verb {
-        "offline" => Some(Call::Backend(id.into_owned(), true)),
-        "online" => Some(Call::Backend(id.into_owned(), false)),
+        "offline" => Some(AdminRequest::EjectBackend(id.into_owned())),
+        "online" => Some(AdminRequest::RestoreBackend(id.into_owned())),
         _ => None,
     }
 }
 
-/// The whole answer as it goes out.
-fn written((status, text): &Answer) -> Vec<u8> {
+/// The bytes of a response.
+fn encode((status, body): &Response) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -100,39 +104,40 @@
         503 => "Service Unavailable",
         _ => "Internal Server Error",
     };
-    let length = text.len();
+    let length = body.len();
     format!(
         "HTTP/1.1 {status} {reason}\r\nContent-Type: text/plain; version=0.0.4; charset=utf-8\r\n\
-         Content-Length: {length}\r\nConnection: close\r\n\r\n{text}"
+         Content-Length: {length}\r\nConnection: close\r\n\r\n{body}"
     )
     .into_bytes()
 }
 
 struct Caller {
     stream: TcpStream,
-    since: Instant,
+    connected_at: Instant,
     head: Vec<u8>,
-    /// What is still to be sent; none while the call is not whole.
-    rest: Option<Vec<u8>>,
-    /// When all was sent.
-    answered: Option<Instant>,
+    /// The part of the response that is not sent yet; none while the request is incomplete.
+    unsent: Option<Vec<u8>>,
+    /// When the whole response was sent.
+    answered_at: Option<Instant>,
 }
 
 impl Caller {
-    /// Goes on as far as the socket allows; false once it can be let go of.
-    fn go_on(&mut self, serve: &mut dyn FnMut(Call) -> Answer) -> bool {
-        let mut piece = [0; 2048];
+    /// Makes what progress the socket allows; returns false if the connection can be closed.
+    fn advance(&mut self, serve: &mut dyn FnMut(AdminRequest) -> Response) -> bool {
+        let mut buffer = [0; 2048];
         loop {
-            match self.stream.read(&mut piece) {
-                // One that only ends its sending is owed its answer; one that has it is gone.
-                Ok(0) => return self.rest.as_ref().is_some_and(|rest| !rest.is_empty()),
-                Ok(_) if self.rest.is_some() => break,
+            match self.stream.read(&mut buffer) {
+                // End of input. The caller still gets the rest of its response, if there is one.
+                Ok(0) => return self.has_unsent_bytes(),
+                Ok(_) if self.unsent.is_some() => break,
                 Ok(n) => {
-                    self.head.extend_from_slice(&piece[..n]);
-                    let Some(call) = call(&self.head) else {
+                    self.head.extend_from_slice(&buffer[..n]);
+                    let Some(request) = parse_request(&self.head) else {
                         continue;
                     };
-                    self.rest = Some(written(&call.map_or_else(|refused| refused, &mut *serve)));
+                    let response = request.map_or_else(|refusal| refusal, &mut *serve);
+                    self.unsent = Some(encode(&response));
                     return self.send();
                 }
                 Err(e) if timed_out(&e) => break,
@@ -143,50 +148,58 @@
         self.send()
     }
 
+    fn has_unsent_bytes(&self) -> bool {
+        self.unsent
+            .as_ref()
+            .is_some_and(|unsent| !unsent.is_empty())
+    }
+
+    /// Sends what the socket accepts of the response; returns false if the connection is broken.
     fn send(&mut self) -> bool {
-        let Some(rest) = &mut self.rest else {
+        let Some(unsent) = &mut self.unsent else {
             return true;
         };
-        while !rest.is_empty() {
-            match self.stream.write(rest) {
-                Ok(n) => drop(rest.drain(..n)),
+        while !unsent.is_empty() {
+            match self.stream.write(unsent) {
+                Ok(n) => drop(unsent.drain(..n)),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return timed_out(&e),
             }
         }
-        if self.answered.is_none() {
-            self.answered = Some(Instant::now());
+        if self.answered_at.is_none() {
+            self.answered_at = Some(Instant::now());
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         true
     }
 
-    fn over(&self) -> bool {
-        self.since.elapsed() > LIMIT || self.answered.is_some_and(|at| at.elapsed() > LINGER)
+    fn has_timed_out(&self) -> bool {
+        self.connected_at.elapsed() > CALLER_TIMEOUT
+            || self.answered_at.is_some_and(|at| at.elapsed() > LINGER)
     }
 }
 
-/// The second address of a relay.
+/// The admin address of a relay.
 pub struct Admin {
     listener: TcpListener,
     context: AdminContext,
     ejections: ManualEjections,
 }
 
-/// What staff ask about and act on.
+/// The parts of the relay that the admin address reads and controls.
 pub struct AdminContext {
     /// The decisions.
     pub decisions: Arc<DecisionService>,
-    /// The backends' addresses.
+    /// The listed backends.
     pub directory: Arc<Directory>,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
-    /// Whether this process takes clients.
+    /// Whether this process accepts clients.
     pub open: Arc<AtomicBool>,
 }
 
 impl Admin {
-    /// Listens at this address, with the ejections that are in force already.
+    /// Listens at this address, and applies the ejections that are in force already.
     pub fn open(
         addr: SocketAddr,
         context: AdminContext,
@@ -199,33 +212,35 @@
             context,
             ejections,
         };
-        admin.follow();
+        admin.apply_shared_changes();
         Ok(admin)
     }
 
-    /// Takes over what another process of this relay was told.
-    fn follow(&mut self) {
-        for (id, out_of_use) in self.ejections.take_changes() {
-            self.apply(&id, out_of_use);
+    /// Applies the ejections that other processes of this relay have made or ended.
+    fn apply_shared_changes(&mut self) {
+        for (id, ejected) in self.ejections.take_changes() {
+            self.apply(&id, ejected);
         }
     }
 
-    /// Tells the network first: it checks right before a first byte goes out.
-    fn apply(&self, id: &str, out_of_use: bool) {
-        log(&format!(
-            "admin: backend {id} is {} by hand",
-            if out_of_use { "out" } else { "back" }
-        ));
+    /// Applies an ejection or its end. The directory first: the network code checks it again right
+    /// before it sends the first byte to a backend.
+    fn apply(&self, id: &str, ejected: bool) {
+        log(&if ejected {
+            format!("admin: backend {id} is ejected manually")
+        } else {
+            format!("admin: backend {id} is no longer ejected manually")
+        });
         self.context
             .directory
-            .set_manual_ejection(endpoint_id(id), out_of_use);
+            .set_manual_ejection(endpoint_id(id), ejected);
         self.context
             .decisions
-            .set_manual_ejection(endpoint_id(id), out_of_use);
+            .set_manual_ejection(endpoint_id(id), ejected);
     }
 
-    /// Takes a backend out, or calls it back. Two calls for the same are one.
-    fn by_hand(&mut self, id: &str, out_of_use: bool) -> Answer {
+    /// Ejects a backend, or ends its manual ejection. Repeated requests have no further effect.
+    fn set_ejection(&mut self, id: &str, ejected: bool) -> Response {
         if !self.ejections.contains(id)
             && self
                 .context
@@ -233,87 +248,89 @@
                 .backend_address(endpoint_id(id))
                 .is_none()
         {
-            return answer(404, "no backend has this id");
+            return response(404, "no backend has this id");
         }
-        if self.ejections.contains(id) != out_of_use {
-            // A ban binds this process even if the others cannot be told of it.
-            if out_of_use {
+        if self.ejections.contains(id) != ejected {
+            // An ejection applies to this process even if it cannot be stored for the others.
+            if ejected {
                 self.apply(id, true);
             }
-            if let Err(e) = self.ejections.set(id, out_of_use) {
+            if let Err(e) = self.ejections.set(id, ejected) {
                 log(&format!(
-                    "admin: backend {id}: cannot be noted for other processes: {e}"
+                    "admin: backend {id}: the change cannot be stored for other processes: {e}"
                 ));
-                return answer(500, "cannot be noted for other processes of this relay");
+                return response(
+                    500,
+                    "the change cannot be stored for other processes of this relay",
+                );
             }
-            if !out_of_use {
+            if !ejected {
                 self.apply(id, false);
             }
         }
-        answer(200, if out_of_use { "out" } else { "back" })
+        response(200, if ejected { "out" } else { "back" })
     }
 
-    /// Where it listens.
+    /// The address that it listens at.
     pub fn addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Answers callers for good.
+    /// Serves callers until the process ends.
     pub fn run(mut self) -> ! {
         let mut callers: Vec<Caller> = Vec::new();
-        let mut looked = Instant::now();
+        let mut last_poll = Instant::now();
         loop {
-            if looked.elapsed() >= LOOK {
-                looked = Instant::now();
-                self.follow();
+            if last_poll.elapsed() >= POLL_INTERVAL {
+                last_poll = Instant::now();
+                self.apply_shared_changes();
             }
             let mut fds = vec![PollFd::new(&self.listener, PollFlags::IN)];
             fds.extend(callers.iter().map(|caller| {
-                let blocked = caller.rest.as_ref().is_some_and(|rest| !rest.is_empty());
                 PollFd::new(
                     &caller.stream,
-                    if blocked {
+                    if caller.has_unsent_bytes() {
                         PollFlags::OUT
                     } else {
                         PollFlags::IN
                     },
                 )
             }));
-            if let Err(e) = poll(&mut fds, LOOK.as_millis() as i32) {
+            if let Err(e) = poll(&mut fds, POLL_INTERVAL.as_millis() as i32) {
                 if e != rustix::io::Errno::INTR {
                     log(&format!("admin: {e}"));
-                    std::thread::sleep(LOOK);
+                    std::thread::sleep(POLL_INTERVAL);
                 }
                 continue;
             }
             let ready: Vec<bool> = fds.iter().map(|fd| !fd.revents().is_empty()).collect();
-            let mut turn = ready[1..].iter();
+            let mut caller_ready = ready[1..].iter();
             callers.retain_mut(|caller| {
-                let moves = turn.next() == Some(&true);
-                (!moves || caller.go_on(&mut |call| self.serve(&call))) && !caller.over()
+                let is_ready = caller_ready.next() == Some(&true);
+                (!is_ready || caller.advance(&mut |request| self.serve(&request)))
+                    && !caller.has_timed_out()
             });
             if ready[0] {
-                self.take_in(&mut callers);
+                self.accept(&mut callers);
             }
         }
     }
 
-    /// Takes in the callers that wait, at most as many as there are places, so that each of them is heard
-    /// once before it has to make room.
-    fn take_in(&self, callers: &mut Vec<Caller>) {
+    /// Accepts waiting callers, at most half as many as there are places: each new connection is
+    /// then read at least once before it may be closed to make room.
+    fn accept(&self, callers: &mut Vec<Caller>) {
         for _ in 0..MAX_CALLERS / 2 {
             match self.listener.accept() {
                 Ok((stream, _)) if stream.set_nonblocking(true).is_ok() => {
                     if callers.len() >= MAX_CALLERS {
                         callers.remove(0);
                     }
-                    let (since, head) = (Instant::now(), Vec::new());
                     callers.push(Caller {
                         stream,
-                        since,
-                        head,
-                        rest: None,
-                        answered: None,
+                        connected_at: Instant::now(),
+                        head: Vec::new(),
+                        unsent: None,
+                        answered_at: None,
                     });
                 }
                 Ok(_) => {}
@@ -326,27 +343,25 @@
         }
     }
 
-    fn serve(&mut self, call: &Call) -> Answer {
-        match call {
-            // Whoever may admit nobody is not ready: a front must not send its clients there.
-            Call::Ready
+    fn serve(&mut self, request: &AdminRequest) -> Response {
+        match request {
+            // A relay that may not admit clients is not ready: a load balancer in front of it must
+            // not send it any.
+            AdminRequest::Ready
                 if self.context.open.load(Relaxed) && self.context.decisions.may_admit() =>
             {
-                answer(200, "ready")
+                response(200, "ready")
             }
-            Call::Ready => answer(503, "takes no clients"),
-            Call::Backend(id, out_of_use) => self.by_hand(id, *out_of_use),
-            Call::Counters => {
-                let (cells, moves) = self.context.decisions.cell_metrics();
-                let (known, skipped) = (
-                    self.context.directory.backend_count(),
-                    self.context.decisions.unavailable_endpoints(),
-                );
+            AdminRequest::Ready => response(503, "takes no clients"),
+            AdminRequest::EjectBackend(id) => self.set_ejection(id, true),
+            AdminRequest::RestoreBackend(id) => self.set_ejection(id, false),
+            AdminRequest::Metrics => {
+                let (cells, waiting_migrations) = self.context.decisions.cell_metrics();
                 let gauges = Gauges {
-                    known,
-                    skipped,
+                    listed_backends: self.context.directory.backend_count(),
+                    unavailable_backends: self.context.decisions.unavailable_endpoints(),
                     cells,
-                    moves,
+                    waiting_migrations,
                 };
                 (200, self.context.metrics.render(&gauges))
             }
@@ -359,26 +374,26 @@
     use super::*;
 
     #[test]
-    fn a_call_is_read_once_its_head_is_whole() {
+    fn a_request_is_parsed_once_its_head_is_complete() {
         let many = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(65));
-        let long = format!("GET / HTTP/1.1\r\na: {}", "b".repeat(MAX_HEAD));
-        // (the head, the call or the status of the refusal)
-        let cases: &[(&str, Result<Call, u16>)] = &[
+        let long = format!("GET / HTTP/1.1\r\na: {}", "b".repeat(MAX_HEAD_BYTES));
+        // (head, request or status of the refusal)
+        let cases: &[(&str, Result<AdminRequest, u16>)] = &[
             (
                 "GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n",
-                Ok(Call::Ready),
+                Ok(AdminRequest::Ready),
             ),
             (
                 "GET /control/counters?all=1 HTTP/1.1\r\n\r\n",
-                Ok(Call::Counters),
+                Ok(AdminRequest::Metrics),
             ),
             (
                 "POST /control/backends/s-1/offline HTTP/1.1\r\n\r\n",
-                Ok(Call::Backend("s-1".into(), true)),
+                Ok(AdminRequest::EjectBackend("s-1".into())),
             ),
             (
                 "POST /control/backends/s%2F1/online HTTP/1.1\r\n\r\n",
-                Ok(Call::Backend("s/1".into(), false)),
+                Ok(AdminRequest::RestoreBackend("s/1".into())),
             ),
             (
                 "GET /control/backends/s-1/offline HTTP/1.1\r\n\r\n",
@@ -399,8 +414,10 @@
             (&long, Err(431)),
         ];
         for (head, expected) in cases {
-            let read = call(head.as_bytes()).unwrap().map_err(|(status, _)| status);
-            assert_eq!(&read, expected, "{head}");
+            let parsed = parse_request(head.as_bytes())
+                .unwrap()
+                .map_err(|(status, _)| status);
+            assert_eq!(&parsed, expected, "{head}");
         }
         for part in [
             "",
@@ -408,7 +425,7 @@
             "GET /control/ready HTTP/1.1\r\n",
             "GET /control/ready HTTP/1.1\r\nHost: x\r\n",
         ] {
-            assert_eq!(call(part.as_bytes()), None, "{part}");
+            assert_eq!(parse_request(part.as_bytes()), None, "{part}");
         }
     }
 }
--- a/src/ops/metrics.rs
+++ b/src/ops/metrics.rs
@@ -1,5 +1,5 @@
-//! The figures of this process. They are counted where things happen, outside the decisions' lock, and
-//! rendered in one place, in the text form that scrapers read.
+//! Metrics of this process. Each is counted where its event happens, outside the lock of the
+//! decisions; all are rendered here, in the Prometheus text format.
 
 use super::traffic::{Direction, MessageCount, Traffic};
 use crate::decision_service::CellMetrics;
@@ -7,138 +7,143 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How the connections of one class were answered.
+/// The requests of one class, by their final answer.
 #[derive(Default)]
-struct Class {
+struct ClassMetrics {
     name: String,
-    passed: AtomicU64,
-    dropped: AtomicU64,
-    bad_gateway: AtomicU64,
+    connected: AtomicU64,
+    rejected: AtomicU64,
+    failed: AtomicU64,
 }
 
-/// All figures that are counted. They start at 0 with the process.
+/// The counted metrics. They start at 0 with the process.
 #[derive(Default)]
 pub struct Metrics {
-    classes: Mutex<Vec<Arc<Class>>>,
+    classes: Mutex<Vec<Arc<ClassMetrics>>>,
     in_progress: AtomicU64,
-    /// Attempts written whole to backends.
+    /// Attempts whose request was written to a backend completely.
     pub attempts: AtomicU64,
-    /// Configurations taken at SIGHUP.
+    /// Configurations applied at SIGHUP.
     pub reloads: AtomicU64,
-    /// Configurations turned down at SIGHUP.
+    /// Configurations refused at SIGHUP.
     pub reload_errors: AtomicU64,
-    /// Of the XMPP front.
+    /// Metrics of the XMPP front.
     pub xmpp: XmppMetrics,
-    /// Of this relay's part in its fleet.
+    /// Metrics of this relay as a member of its fleet.
     pub fleet: FleetMetrics,
 }
 
-/// Figures of a relay's part in its fleet; they are shown where it is in one.
+/// Metrics of a relay as a member of a fleet; rendered only if it is in one.
 #[derive(Default)]
 pub struct FleetMetrics {
-    /// Whether it is in one.
+    /// Whether the relay is in a fleet.
     pub enabled: AtomicBool,
-    /// The epoch of the policy that it serves under.
+    /// The epoch of the policy in force at this relay.
     pub epoch: AtomicU64,
     /// Whether clients may be admitted now.
     pub admitting: AtomicBool,
-    /// How often its lease has run out or was ended for a change.
+    /// How often the lease has expired, or was ended for a change of the policy.
     pub lease_losses: AtomicU64,
-    /// Whether it votes, and the term in which it leads; 0 while it does not.
+    /// Whether the relay votes.
     pub is_voting: AtomicBool,
-    /// See `votes`.
+    /// The term in which it is the leader; 0 while it is not.
     pub leader_term: AtomicU64,
-    /// Whether it takes jobs of the fleet.
+    /// Whether the relay takes jobs of the fleet.
     pub takes_jobs: AtomicBool,
-    /// The jobs that it acts on, with their tokens; as many as are told by name.
+    /// The jobs that it owns, with their fencing tokens.
     pub owned_jobs: Mutex<Vec<(String, u64)>>,
-    /// Words of owners that it has obeyed, and words of owners of before that it has refused.
+    /// Updates of job owners that were accepted.
     pub updates_accepted: AtomicU64,
-    /// See `obeyed`.
+    /// Updates of former job owners that were rejected.
     pub updates_rejected: AtomicU64,
-    /// Probes for which a report of the load watch stood, and those that were made for want of one.
+    /// Health checks avoided because a report of the load watch was recent enough.
     pub checks_avoided: AtomicU64,
-    /// See `spared`.
+    /// Health checks made for lack of a recent report.
     pub checks_sent: AtomicU64,
-    /// Messages and bytes of its links.
+    /// Messages and bytes on the links to other relays.
     pub traffic: Traffic,
 }
 
-/// Jobs that are told by name: a relay that has more tells how many.
-const NAMED_JOBS: usize = 32;
+/// The most jobs that are rendered by name. The number of all jobs is a metric of its own.
+const MAX_NAMED_JOBS: usize = 32;
 
-/// Figures of the XMPP front; they are shown where there is one.
+/// Metrics of the XMPP front; rendered only if there is one.
 #[derive(Default)]
 pub struct XmppMetrics {
-    /// Whether there is one.
+    /// Whether there is an XMPP front.
     pub enabled: AtomicBool,
-    /// Sessions that their servers have taken and that have not ended.
+    /// Sessions that an XMPP server has accepted and that have not ended.
     pub sessions: AtomicU64,
-    /// Sessions whose server said no to their credentials.
+    /// Sessions whose XMPP server refused their credentials.
     pub sasl_failures: AtomicU64,
-    /// Handshakes that came to nothing.
+    /// Failed TLS handshakes.
     pub tls_failures: AtomicU64,
-    /// Stanzas that were half received when their session was moved, and were lost.
+    /// Stanzas that were lost because their session was migrated before they were complete.
     pub truncated_stanzas: AtomicU64,
-    /// Sessions that were moved.
+    /// Migrated sessions.
     pub migrated: AtomicU64,
 }
 
-/// What is not counted but looked up when the figures are asked for.
+/// Metrics that are not counted but read when a scraper asks.
 pub struct Gauges {
-    /// Backends on the list.
-    pub known: usize,
-    /// Those of them that the relay avoids now, by hand or by choice.
-    pub skipped: usize,
-    /// Each cell; one alone is not shown.
+    /// The number of listed backends.
+    pub listed_backends: usize,
+    /// How many of them get no new requests now: ejected manually or by the decisions.
+    pub unavailable_backends: usize,
+    /// The metrics of each cell; not rendered if there is only one.
     pub cells: Vec<CellMetrics>,
-    /// Connections that wait to be moved to their site's cell.
-    pub moves: usize,
+    /// Connections that wait for their migration to the cell of their group.
+    pub waiting_migrations: usize,
 }
 
 impl Metrics {
-    fn lock(&self) -> MutexGuard<'_, Vec<Arc<Class>>> {
+    fn lock_classes(&self) -> MutexGuard<'_, Vec<Arc<ClassMetrics>>> {
         self.classes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Shows these classes from now on. One that has vanished from the settings keeps its figures.
+    /// Adds the metrics of these classes. A class that is removed from the settings keeps its
+    /// metrics.
     pub fn add_classes(&self, names: &[String]) {
-        let mut classes = self.lock();
+        let mut classes = self.lock_classes();
         for name in names {
             if !classes.iter().any(|c| c.name == *name) {
-                classes.push(Arc::new(Class {
+                classes.push(Arc::new(ClassMetrics {
                     name: name.clone(),
-                    ..Class::default()
+                    ..ClassMetrics::default()
                 }));
             }
         }
     }
 
-    /// Counts a connection of this class as in progress until its tally is dropped.
+    /// Counts a request of this class as in progress until the counter is dropped.
     pub fn begin_request(self: &Arc<Self>, class: &str) -> RequestCounter {
         self.in_progress.fetch_add(1, Relaxed);
-        let class = self.lock().iter().find(|c| c.name == class).cloned();
+        let class = self
+            .lock_classes()
+            .iter()
+            .find(|c| c.name == class)
+            .cloned();
         RequestCounter {
             metrics: self.clone(),
             class: class.unwrap_or_default(),
         }
     }
 
-    /// The figures as text.
-    pub fn render(&self, fleet: &Gauges) -> String {
+    /// Renders all metrics as text.
+    pub fn render(&self, gauges: &Gauges) -> String {
         let mut text = String::new();
-        let classes = self.lock().clone();
-        type Figure = fn(&Class) -> &AtomicU64;
-        let by_class: [(&str, Figure); 3] = [
-            ("passed_total", |c| &c.passed),
-            ("dropped_total", |c| &c.dropped),
-            ("bad_gateway_total", |c| &c.bad_gateway),
+        let classes = self.lock_classes().clone();
+        type ClassCounter = fn(&ClassMetrics) -> &AtomicU64;
+        let by_class: [(&str, ClassCounter); 3] = [
+            ("passed_total", |c| &c.connected),
+            ("dropped_total", |c| &c.rejected),
+            ("bad_gateway_total", |c| &c.failed),
         ];
-        // Writing to a text cannot fail.
-        for (name, figure) in by_class {
+        // Writing to a `String` cannot fail.
+        for (name, counter) in by_class {
             let _ = writeln!(text, "# TYPE edge_balancer_{name} counter");
             for class in &classes {
-                let (label, n) = (escaped(&class.name), figure(class).load(Relaxed));
+                let (label, n) = (escape_label(&class.name), counter(class).load(Relaxed));
                 let _ = writeln!(text, "edge_balancer_{name}{{category=\"{label}\"}} {n}");
             }
         }
@@ -155,8 +160,12 @@
                 self.reload_errors.load(Relaxed),
             ),
             ("in_progress", "gauge", self.in_progress.load(Relaxed)),
-            ("known_backends", "gauge", fleet.known as u64),
-            ("skipped_backends", "gauge", fleet.skipped as u64),
+            ("known_backends", "gauge", gauges.listed_backends as u64),
+            (
+                "skipped_backends",
+                "gauge",
+                gauges.unavailable_backends as u64,
+            ),
         ];
         let xmpp = [
             ("xmpp_sessions", "gauge", &self.xmpp.sessions),
@@ -205,9 +214,9 @@
         let control = control
             .into_iter()
             .filter(|_| self.fleet.enabled.load(Relaxed));
-        let own = crate::sys::lock(&self.fleet.owned_jobs).clone();
+        let owned_jobs = crate::sys::lock(&self.fleet.owned_jobs).clone();
         let jobs = [
-            ("fleet_jobs", "gauge", own.len() as u64),
+            ("fleet_jobs", "gauge", owned_jobs.len() as u64),
             (
                 "fleet_words_obeyed_total",
                 "counter",
@@ -232,14 +241,14 @@
         let jobs = jobs
             .into_iter()
             .filter(|_| self.fleet.takes_jobs.load(Relaxed));
-        if !own.is_empty() {
+        if !owned_jobs.is_empty() {
             text.push_str("# TYPE edge_balancer_fleet_job_token gauge\n");
         }
-        for (name, token) in own.iter().take(NAMED_JOBS) {
+        for (name, token) in owned_jobs.iter().take(MAX_NAMED_JOBS) {
             let _ = writeln!(
                 text,
                 "edge_balancer_fleet_job_token{{job=\"{}\"}} {token}",
-                escaped(name)
+                escape_label(name)
             );
         }
         for (name, kind, n) in single.into_iter().chain(xmpp).chain(control).chain(jobs) {
@@ -249,19 +258,19 @@
             );
         }
         if self.fleet.enabled.load(Relaxed) {
-            by_message_type(&mut text, &self.fleet.traffic);
+            render_traffic(&mut text, &self.fleet.traffic);
         }
-        if fleet.cells.len() > 1 {
-            by_cell(&mut text, fleet);
+        if gauges.cells.len() > 1 {
+            render_cells(&mut text, gauges);
         }
         text
     }
 }
 
-/// Messages and bytes of the control's links, by direction and type of message.
-fn by_message_type(text: &mut String, traffic: &Traffic) {
-    type Figure = fn(&MessageCount) -> u64;
-    let figures: [(&str, Direction, Figure); 4] = [
+/// Renders the messages and bytes on the links between relays, by direction and message type.
+fn render_traffic(text: &mut String, traffic: &Traffic) {
+    type Counter = fn(&MessageCount) -> u64;
+    let counters: [(&str, Direction, Counter); 4] = [
         ("fleet_messages_sent_total", Direction::Sent, |count| {
             count.messages
         }),
@@ -278,24 +287,24 @@
         }),
     ];
     let counts = traffic.counts();
-    // Writing to a text cannot fail.
-    for (name, direction, figure) in figures {
+    // Writing to a `String` cannot fail.
+    for (name, direction, counter) in counters {
         let _ = writeln!(text, "# TYPE edge_balancer_{name} counter");
         for count in counts.iter().filter(|count| count.direction == direction) {
             let _ = writeln!(
                 text,
                 "edge_balancer_{name}{{type=\"{}\"}} {}",
                 count.kind,
-                figure(count)
+                counter(count)
             );
         }
     }
 }
 
-/// The figures of cells. Their number is bounded by that of cells.
-fn by_cell(text: &mut String, fleet: &Gauges) {
-    type Figure = fn(&CellMetrics) -> u64;
-    let figures: [(&str, &str, Figure); 7] = [
+/// Renders the metrics of the cells. The number of cells limits the number of lines.
+fn render_cells(text: &mut String, gauges: &Gauges) {
+    type CellValue = fn(&CellMetrics) -> u64;
+    let values: [(&str, &str, CellValue); 7] = [
         ("cell_servers", "gauge", |c| c.endpoints as u64),
         ("cell_usable", "gauge", |c| c.usable.into()),
         ("cell_in_progress", "gauge", |c| c.in_flight.into()),
@@ -304,50 +313,54 @@
         ("cell_refused_total", "counter", |c| c.rejected),
         ("cell_failed_total", "counter", |c| c.failed),
     ];
-    // Writing to a text cannot fail.
-    for (name, kind, figure) in figures {
+    // Writing to a `String` cannot fail.
+    for (name, kind, value) in values {
         let _ = writeln!(text, "# TYPE edge_balancer_{name} {kind}");
-        for cell in &fleet.cells {
+        for cell in &gauges.cells {
             let _ = writeln!(
                 text,
                 "edge_balancer_{name}{{cell=\"{}\"}} {}",
-                escaped(&cell.name),
-                figure(cell)
+                escape_label(&cell.name),
+                value(cell)
             );
         }
     }
     let _ = writeln!(text, "# TYPE edge_balancer_cell_moves_waiting gauge");
-    let _ = writeln!(text, "edge_balancer_cell_moves_waiting {}", fleet.moves);
+    let _ = writeln!(
+        text,
+        "edge_balancer_cell_moves_waiting {}",
+        gauges.waiting_migrations
+    );
 }
 
-/// A label's value, as the text form wants it.
-fn escaped(label: &str) -> String {
+/// Escapes the value of a label.
+fn escape_label(label: &str) -> String {
     label
         .replace('\\', "\\\\")
         .replace('"', "\\\"")
         .replace('\n', "\\n")
 }
 
-/// One connection's part in the figures; it is in progress until this is dropped.
+/// Counts the outcome of one request, which is in progress until this is dropped.
 pub struct RequestCounter {
     metrics: Arc<Metrics>,
-    class: Arc<Class>,
+    class: Arc<ClassMetrics>,
 }
 
 impl RequestCounter {
-    /// Its backend has taken it.
+    /// Counts the request as connected: its backend has accepted it.
     pub fn connected(&self) {
-        self.class.passed.fetch_add(1, Relaxed);
+        self.class.connected.fetch_add(1, Relaxed);
     }
 
-    /// It was refused.
+    /// Counts the request as rejected.
     pub fn rejected(&self) {
-        self.class.dropped.fetch_add(1, Relaxed);
+        self.class.rejected.fetch_add(1, Relaxed);
     }
 
-    /// It has failed.
+    /// Counts the request as failed.
     pub fn failed(&self) {
-        self.class.bad_gateway.fetch_add(1, Relaxed);
+        self.class.failed.fetch_add(1, Relaxed);
     }
 }
 
@@ -366,14 +379,14 @@
     }
 
     #[test]
-    fn figures_start_at_zero_and_outlive_their_class() {
+    fn metrics_start_at_zero_and_outlive_their_class() {
         let metrics = Arc::new(Metrics::default());
         metrics.add_classes(&names(&["chat", "a\"b\\c"]));
         let gauges = Gauges {
-            known: 9,
-            skipped: 2,
+            listed_backends: 9,
+            unavailable_backends: 2,
             cells: Vec::new(),
-            moves: 0,
+            waiting_migrations: 0,
         };
         let text = metrics.render(&gauges);
         for line in [
@@ -389,7 +402,7 @@
         }
         assert!(
             !text.contains("fleet_"),
-            "shown by a relay that is in no fleet"
+            "rendered by a relay that is in no fleet"
         );
         metrics.fleet.enabled.store(true, Relaxed);
         metrics.fleet.epoch.store(7, Relaxed);
