--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -1,36 +1,36 @@
-//! The list of backends as discovery and the configuration write it.
+//! Parser of the endpoint list, as discovery and the configuration file write it.
 
 use crate::decisions::api::{EndpointId, EndpointState, ListedEndpoint, Micros};
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use std::net::SocketAddr;
 
-/// The deepest nesting of JSON that is read: a deeper one could overflow a thread's stack.
+/// The deepest nesting of JSON that is parsed. Deeper nesting could overflow a thread's stack.
 const MAX_DEPTH: usize = 32;
 
-/// A backend as the network knows it.
+/// The name and address of a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendAddress {
-    /// Its id in words.
+    /// Its id, as text.
     pub name: String,
-    /// Where this relay reaches it.
+    /// The address at which this relay reaches it.
     pub addr: SocketAddr,
 }
 
-/// One object of discovery.
+/// One update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// The version of the list with these entries.
+    /// The version of the list after this update.
     pub version: u64,
-    /// Whether it names all backends, or the changed ones only.
+    /// Whether it has all backends; otherwise it has the changed ones only.
     pub full: bool,
-    /// The entries that could be read.
+    /// The valid entries.
     pub servers: Vec<(BackendAddress, ListedEndpoint)>,
-    /// What is wrong with the others.
+    /// The problems of the invalid entries, which are left out.
     pub problems: Vec<String>,
 }
 
-/// The number of a backend: the same at every relay, for the same id (FNV-1a).
+/// The numeric id of an endpoint: a hash (FNV-1a) of its name, so that all relays use the same one.
 pub fn endpoint_id(name: &str) -> EndpointId {
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
@@ -38,7 +38,7 @@
     EndpointId(hash)
 }
 
-/// Refuses JSON that is nested too deeply.
+/// Returns an error if the JSON text is nested more than [`MAX_DEPTH`] deep.
 pub fn check_nesting(text: &[u8]) -> Result<(), String> {
     let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
     for &b in text {
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// Reads one object of discovery. An entry that cannot be read is left out and named.
+/// Parses one update. An invalid entry is left out, and its problem is reported.
 pub fn parse_list_update(value: &Value, zones: &[String]) -> Result<ListUpdate, String> {
     let version = value
         .get("version")
@@ -71,39 +71,43 @@
         .get("servers")
         .and_then(|v| v.as_array())
         .ok_or("servers: is not a list")?;
-    let mut listing = ListUpdate {
+    let mut update = ListUpdate {
         version,
         full,
         servers: Vec::new(),
         problems: Vec::new(),
     };
     for (i, value) in list.iter().enumerate() {
-        match entry(value, zones) {
-            Ok(entry) => listing.servers.push(entry),
-            Err(e) => listing.problems.push(format!("servers[{i}].{e}")),
+        match parse_entry(value, zones) {
+            Ok(entry) => update.servers.push(entry),
+            Err(e) => update.problems.push(format!("servers[{i}].{e}")),
         }
     }
-    Ok(listing)
+    Ok(update)
 }
 
-fn entry(value: &Value, zones: &[String]) -> Result<(BackendAddress, ListedEndpoint), String> {
-    let word = |key: &str| {
+/// Parses one entry of the list; the error begins with the entry's key.
+fn parse_entry(
+    value: &Value,
+    zones: &[String],
+) -> Result<(BackendAddress, ListedEndpoint), String> {
+    let text = |key: &str| {
         value
             .get(key)
             .and_then(|v| v.as_str())
             .ok_or(format!("{key}: is not a text"))
     };
-    let name = word("id")?.to_string();
-    let state = match word("state")? {
+    let name = text("id")?.to_string();
+    let state = match text("state")? {
         "active" => EndpointState::Ready,
         "leaving" => EndpointState::Draining,
         "left" => EndpointState::Removed,
         other => return Err(format!("state: '{other}' is not known")),
     };
-    let addr = word("addr")?
+    let addr = text("addr")?
         .parse()
         .map_err(|_| "addr: is not an address and a port".to_string())?;
-    let zone = word("zone")?;
+    let zone = text("zone")?;
     let zone = zones
         .iter()
         .position(|z| z == zone)
@@ -113,7 +117,7 @@
         .and_then(|v| v.cast_f64())
         .unwrap_or(0.0);
     let started: Micros = crate::wire::micros(started).ok_or("started_ms: is not a time")?;
-    let member = ListedEndpoint {
+    let listed = ListedEndpoint {
         id: endpoint_id(&name),
         zone: zone as u16,
         cell: value.get("cell").and_then(|v| v.as_u64()).unwrap_or(0) as u16,
@@ -124,22 +128,22 @@
             .unwrap_or(1.0) as f32,
         started_at: (started > 0).then_some(started),
     };
-    Ok((BackendAddress { name, addr }, member))
+    Ok((BackendAddress { name, addr }, listed))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn read(text: &str) -> Result<ListUpdate, String> {
+    fn parse(text: &str) -> Result<ListUpdate, String> {
         let value =
             simd_json::to_owned_value(&mut text.as_bytes().to_vec()).map_err(|e| e.to_string())?;
         parse_list_update(&value, &["a".to_string(), "b".to_string()])
     }
 
     #[test]
-    fn entries_that_cannot_be_read_are_left_out_and_named() {
-        let sound = r#"{"id":"s-1","addr":"10.1.0.18:8080","zone":"b","kind":"m2","cell":3,"state":"active","weight":1.5,"started_ms":7}"#;
+    fn invalid_entries_are_left_out_and_reported() {
+        let valid = r#"{"id":"s-1","addr":"10.1.0.18:8080","zone":"b","kind":"m2","cell":3,"state":"active","weight":1.5,"started_ms":7}"#;
         let cases = [
             (
                 "\"active\"",
@@ -157,22 +161,22 @@
         ];
         for (from, to, problem) in cases {
             let text = format!(
-                r#"{{"version":4,"full":true,"servers":[{sound},{}]}}"#,
-                sound.replace(from, to)
+                r#"{{"version":4,"full":true,"servers":[{valid},{}]}}"#,
+                valid.replace(from, to)
             );
-            let listing = read(&text).unwrap();
-            assert_eq!(listing.problems, [problem]);
-            let (endpoint, member) = &listing.servers[0];
-            assert_eq!((listing.servers.len(), endpoint.name.as_str()), (1, "s-1"));
+            let update = parse(&text).unwrap();
+            assert_eq!(update.problems, [problem]);
+            let (address, listed) = &update.servers[0];
+            assert_eq!((update.servers.len(), address.name.as_str()), (1, "s-1"));
             assert_eq!(
-                (member.zone, member.cell, member.started_at),
+                (listed.zone, listed.cell, listed.started_at),
                 (1, 3, Some(7_000))
             );
         }
     }
 
     #[test]
-    fn what_is_no_listing_is_refused() {
+    fn malformed_updates_are_refused() {
         for text in [
             "{}",
             "[]",
@@ -181,7 +185,7 @@
             r#"{"version":-1}"#,
             "{",
         ] {
-            assert!(read(text).is_err(), "{text}");
+            assert!(parse(text).is_err(), "{text}");
         }
         assert!(check_nesting("[".repeat(MAX_DEPTH + 1).as_bytes()).is_err());
         assert!(
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The one place where the environment and the configuration file are read, checked and given
-//! defaults. What is wrong is said with the full path of its key.
+//! Configuration: reads and checks the environment and the configuration file, and fills in
+//! defaults. An error names the full path of its key.
 
 pub mod endpoint_list;
 pub mod operator;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A configuration that cannot be used: one sentence that names the key.
+/// The error of an unusable configuration; its text begins with the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError(pub String);
 
@@ -26,78 +26,78 @@
 
 impl std::error::Error for ConfigError {}
 
-fn bad<T>(key: &str, what: impl fmt::Display) -> Result<T, ConfigError> {
-    Err(ConfigError(format!("{key}: {what}")))
+fn error<T>(key: &str, message: impl fmt::Display) -> Result<T, ConfigError> {
+    Err(ConfigError(format!("{key}: {message}")))
 }
 
-/// What the platform allows the process.
+/// Resource limits that the platform sets for the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Cores.
+    /// CPU cores.
     pub cores: f64,
-    /// Memory, beyond which it is killed.
+    /// Memory; the process is killed if it uses more.
     pub memory_mb: u64,
     /// File descriptors.
     pub sockets: u64,
 }
 
-/// The names that the protocol uses for what the decisions know by index, fixed while a process runs.
+/// Names in the protocol of what the decisions know by index. They are fixed while a process runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Zones.
+    /// The zones, by their index.
     pub zones: Vec<String>,
-    /// Columns of a load report.
+    /// The columns of a load report, by their index.
     pub columns: Vec<String>,
 }
 
-/// A class of requests as clients know it.
+/// A class of requests: its name in the protocol, and its deadline.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct ClassName {
+struct NamedClass {
     name: String,
     deadline: Micros,
-    /// Whether the settings in force have it.
-    open: bool,
+    /// Whether the current settings have it.
+    available: bool,
 }
 
-/// The classes of requests, by the index that the decisions know. A class keeps its index for good, also
-/// when it has vanished from the settings: connections under way have it.
+/// The classes of requests, by the index that the decisions use. A class keeps its index for ever,
+/// even when it is removed from the settings, because requests and connections refer to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Classes(Vec<ClassName>);
+pub struct Classes(Vec<NamedClass>);
 
 impl Classes {
     /// Classes with these names and deadlines, in order.
     pub fn new(list: impl IntoIterator<Item = (String, Micros)>) -> Classes {
         Classes(
             list.into_iter()
-                .map(|(name, deadline)| ClassName {
+                .map(|(name, deadline)| NamedClass {
                     name,
                     deadline,
-                    open: true,
+                    available: true,
                 })
                 .collect(),
         )
     }
 
-    /// The index of a class that clients may ask for.
+    /// The index of a class of the current settings.
     pub fn find(&self, name: &str) -> Option<usize> {
-        self.0.iter().position(|c| c.open && c.name == name)
+        self.0.iter().position(|c| c.available && c.name == name)
     }
 
-    /// The index of a class, also of one that has vanished.
+    /// The index of a class, even if it was removed from the settings.
     pub fn find_including_removed(&self, name: &str) -> Option<usize> {
         self.0.iter().position(|c| c.name == name)
     }
 
-    /// How long a client of a class waits that does not say.
+    /// The deadline of a class, for requests that give none.
     pub fn deadline(&self, class: usize) -> Micros {
         self.0.get(class).map_or(0, |c| c.deadline)
     }
 
-    /// The longest that any client waits.
+    /// The longest deadline of the current classes.
     pub fn longest_deadline(&self) -> Micros {
         self.0
             .iter()
-            .filter(|c| c.open)
+            .filter(|c| c.available)
             .map(|c| c.deadline)
             .max()
             .unwrap_or(0)
@@ -108,90 +108,93 @@
         self.0.get(class).map_or("", |c| &c.name)
     }
 
-    /// These classes with those of new settings, whose terms come in the same order: they are put into
-    /// `table`, which has the terms of these by index.
-    fn follow(&self, new: &Classes, terms: &[Class], table: &mut Vec<Class>) -> Classes {
-        let mut all = self.clone();
-        all.0.iter_mut().for_each(|c| c.open = false);
-        for (class, terms) in new.0.iter().zip(terms) {
-            let known = all.0.iter().position(|c| c.name == class.name);
-            match known {
-                Some(i) => (all.0[i], table[i]) = (class.clone(), *terms),
+    /// Merges the classes of new settings into these. `new_settings` has the settings of the `new`
+    /// classes, in the same order; they are merged into `settings`, which has those of these
+    /// classes by index.
+    fn merge(&self, new: &Classes, new_settings: &[Class], settings: &mut Vec<Class>) -> Classes {
+        let mut merged = self.clone();
+        merged.0.iter_mut().for_each(|c| c.available = false);
+        for (class, class_settings) in new.0.iter().zip(new_settings) {
+            let index = merged.0.iter().position(|c| c.name == class.name);
+            match index {
+                Some(i) => (merged.0[i], settings[i]) = (class.clone(), *class_settings),
                 None => {
-                    all.0.push(class.clone());
-                    table.push(*terms);
+                    merged.0.push(class.clone());
+                    settings.push(*class_settings);
                 }
             }
         }
-        all
+        merged
     }
 
-    /// The names that clients may ask for.
+    /// The names of the classes of the current settings.
     pub fn names(&self) -> Vec<String> {
         self.0
             .iter()
-            .filter(|c| c.open)
+            .filter(|c| c.available)
             .map(|c| c.name.clone())
             .collect()
     }
 }
 
-/// All that the relay is told at its start.
+/// The configuration of the relay at its start.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The relay's name, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// The listening socket of the clients that the platform holds: the descriptor that was inherited.
+    /// The file descriptor of an inherited listening socket, if the platform holds one for clients.
     pub accept_fd: Option<u16>,
-    /// The second address, for staff and scrapers; none on platforms that have none.
+    /// The admin address, for operators and scrapers; none on platforms without one.
     pub admin: Option<SocketAddr>,
     /// The directory for files that all processes of this relay share.
     pub shared_directory: Option<PathBuf>,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of its random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// What it may use.
+    /// The resource limits.
     pub limits: Limits,
-    /// The version of the list as it was last known.
+    /// The version of the last known endpoint list.
     pub known_version: u64,
-    /// The list as it was last known.
+    /// The last known endpoint list.
     pub known: Vec<(BackendAddress, ListedEndpoint)>,
-    /// What is wrong with entries of it that were left out: it was not written by hand.
+    /// The problems of its invalid entries. They are left out and do not make the file unusable,
+    /// since the list is not written by hand.
     pub known_problems: Vec<String>,
     /// The settings of the decisions.
     pub settings: Settings,
-    /// The names that go with them.
+    /// The names of the zones and columns in `settings`.
     pub names: Names,
-    /// The classes that go with them.
+    /// The names of the classes in `settings`.
     pub classes: Classes,
-    /// The file as it was read, without the list: a later one must have the same keys.
-    shape: Value,
+    /// The file without the endpoint list. A file that is read later must have the same keys.
+    template: Value,
 }
 
-/// The environment: the value of a variable, if it is set.
+/// Looks up an environment variable.
 pub type Env<'a> = &'a dyn Fn(&str) -> Option<String>;
 
 impl Config {
-    /// Reads the file that `BALANCER_CONFIG` names, and the other variables, which win over it.
+    /// Reads the file that `BALANCER_CONFIG` names. Other variables take precedence over its keys.
     pub fn load(env: Env<'_>) -> Result<Config, ConfigError> {
         let Some(path) = env("BALANCER_CONFIG") else {
-            return bad("BALANCER_CONFIG", "is not set");
+            return error("BALANCER_CONFIG", "is not set");
         };
         let text = match std::fs::read(&path) {
             Ok(text) => text,
-            Err(e) => return bad("BALANCER_CONFIG", format!("cannot read {path}: {e}")),
+            Err(e) => return error("BALANCER_CONFIG", format!("cannot read {path}: {e}")),
         };
         Config::parse(text, env)
     }
 
-    /// Reads the file once more, while the program runs. What the file now says of discovery has to win
-    /// over the variable, which is as old as the process. A file without a key that this one has is broken.
+    /// Reads the file again while the process runs. Its discovery address takes precedence over the
+    /// variable, which is as old as the process. A file that lacks a key of the current one is
+    /// refused: it may be incomplete.
     ///
-    /// What can change while the program runs is taken over: classes keep their indexes, and those that
-    /// have vanished are shut. The rest stays as it is; the second value names its keys.
+    /// Returns the new configuration and the keys whose change needs a restart; these keep their
+    /// old values. Classes keep their indexes, and removed ones become unavailable.
     pub fn reload(&self, env: Env<'_>) -> Result<(Config, Vec<&'static str>), ConfigError> {
         let mut new = Config::load(&|key| {
             if key == "BALANCER_DISCOVERY" {
@@ -200,11 +203,11 @@
                 env(key)
             }
         })?;
-        if let Some(key) = lacks(&self.shape, &new.shape, "") {
-            return bad(&key, "is missing");
+        if let Some(key) = missing_key(&self.template, &new.template, "") {
+            return error(&key, "is missing");
         }
-        let (old, now) = (&self.settings, &mut new.settings);
-        let same = [
+        let (old, current) = (&self.settings, &mut new.settings);
+        let unchanged = [
             ("name", self.name == new.name),
             ("listen", self.listen == new.listen),
             ("admin", self.admin == new.admin),
@@ -214,54 +217,54 @@
                 "settings.report.columns",
                 self.names.columns == new.names.columns,
             ),
-            ("settings.az", old.zone == now.zone),
+            ("settings.az", old.zone == current.zone),
             (
                 "settings.membership_mode",
-                old.polls_endpoint_list == now.polls_endpoint_list,
+                old.polls_endpoint_list == current.polls_endpoint_list,
             ),
             (
                 "settings.family_info.mode",
-                old.forwards_packets == now.forwards_packets,
+                old.forwards_packets == current.forwards_packets,
             ),
         ];
-        let fixed = same
+        let needs_restart = unchanged
             .iter()
-            .filter(|(_, same)| !same)
+            .filter(|(_, unchanged)| !unchanged)
             .map(|&(key, _)| key)
             .collect();
-        (now.zone, now.polls_endpoint_list) = (old.zone, old.polls_endpoint_list);
-        (now.forwards_packets, now.report_columns) =
+        (current.zone, current.polls_endpoint_list) = (old.zone, old.polls_endpoint_list);
+        (current.forwards_packets, current.report_columns) =
             (old.forwards_packets, old.report_columns.clone());
-        let classes = std::mem::replace(&mut now.classes, old.classes.clone());
+        let new_class_settings = std::mem::replace(&mut current.classes, old.classes.clone());
         new.classes = self
             .classes
-            .follow(&new.classes, &classes, &mut now.classes);
+            .merge(&new.classes, &new_class_settings, &mut current.classes);
         (new.name, new.listen, new.admin) = (self.name.clone(), self.listen, self.admin);
         (new.limits, new.names) = (self.limits, self.names.clone());
-        Ok((new, fixed))
+        Ok((new, needs_restart))
     }
 
-    /// Reads the text of a configuration.
+    /// Parses the text of a configuration file.
     pub fn parse(mut text: Vec<u8>, env: Env<'_>) -> Result<Config, ConfigError> {
         endpoint_list::check_nesting(&text)
             .map_err(|e| ConfigError(format!("BALANCER_CONFIG: {e}")))?;
         let mut top = match simd_json::to_owned_value(&mut text) {
             Ok(top) if top.is_object() => top,
-            Ok(_) => return bad("BALANCER_CONFIG", "is not a JSON object"),
-            Err(e) => return bad("BALANCER_CONFIG", format!("is not valid JSON: {e}")),
+            Ok(_) => return error("BALANCER_CONFIG", "is not a JSON object"),
+            Err(e) => return error("BALANCER_CONFIG", format!("is not valid JSON: {e}")),
         };
         let Some(settings_value) = top.get("settings") else {
-            return bad("settings", "is missing");
+            return error("settings", "is missing");
         };
         let settings = match wire::settings_of(settings_value) {
             Ok(settings) => settings,
-            Err(e) if e.key == "profile_data" => return bad("settings", e.what),
-            Err(e) => return bad(&format!("settings.{}", e.key), e.what),
+            Err(e) if e.key == "profile_data" => return error("settings", e.what),
+            Err(e) => return error(&format!("settings.{}", e.key), e.what),
         };
-        let class_names = words(settings_value, "settings.grades", Some("name"))?;
+        let class_names = texts(settings_value, "settings.grades", Some("name"))?;
         for (i, name) in class_names.iter().enumerate() {
             if class_names[..i].contains(name) {
-                return bad(
+                return error(
                     &format!("settings.grades[{i}].name"),
                     format!("'{name}' is there twice"),
                 );
@@ -273,25 +276,25 @@
                 .zip(settings.classes.iter().map(|c| c.deadline)),
         );
         let names = Names {
-            zones: words(settings_value, "settings.zones", None)?,
+            zones: texts(settings_value, "settings.zones", None)?,
             columns: match settings_value.get("report") {
-                Some(report) => words(report, "settings.report.columns", None)?,
+                Some(report) => texts(report, "settings.report.columns", None)?,
                 None => Vec::new(),
             },
         };
         let (known_version, known, known_problems) = match top.get("known") {
             None => (0, Vec::new(), Vec::new()),
             Some(known) => match endpoint_list::parse_list_update(known, &names.zones) {
-                Ok(listing) => (listing.version, listing.servers, listing.problems),
+                Ok(list) => (list.version, list.servers, list.problems),
                 Err(e) => return Err(ConfigError(format!("known.{e}"))),
             },
         };
         let name = text_of(&top, "name", env("BALANCER_NAME"))?.unwrap_or_else(|| "relay".into());
         let seed = match text_of(&top, "seed", None)? {
-            None => return bad("seed", "is missing"),
+            None => return error("seed", "is missing"),
             Some(seed) => match u64::from_str_radix(&seed, 16) {
                 Ok(seed) => seed,
-                Err(_) => return bad("seed", "is not a hexadecimal number of at most 16 digits"),
+                Err(_) => return error("seed", "is not a hexadecimal number of at most 16 digits"),
             },
         };
         let admin = match (env("BALANCER_ADMIN"), top.get("admin")) {
@@ -301,7 +304,9 @@
         let accept_fd = match env("BALANCER_ACCEPT_FD").map(|fd| fd.parse()) {
             None => None,
             Some(Ok(fd)) => Some(fd),
-            Some(Err(_)) => return bad("BALANCER_ACCEPT_FD", "is not the number of a descriptor"),
+            Some(Err(_)) => {
+                return error("BALANCER_ACCEPT_FD", "is not the number of a descriptor")
+            }
         };
         Ok(Config {
             name,
@@ -324,8 +329,8 @@
             settings,
             names,
             classes,
-            shape: {
-                // Backends come and go.
+            template: {
+                // The endpoint list may change between two reads.
                 top.insert("known", Value::null()).ok();
                 top
             },
@@ -333,11 +338,11 @@
     }
 }
 
-/// The path of the first key that an object has and a later one has not. Of lists, each object must have
-/// the keys that all the earlier ones have.
-fn lacks(old: &Value, new: &Value, path: &str) -> Option<String> {
+/// The path of the first key of `old` that `new` lacks. In a list, each new object must have the
+/// keys that all old objects of the list have.
+fn missing_key(old: &Value, new: &Value, path: &str) -> Option<String> {
     if let (Some(old), Some(new)) = (old.as_object(), new.as_object()) {
-        let mut keys: Vec<_> = old.iter().filter(|(key, _)| *key != OPTIONAL).collect();
+        let mut keys: Vec<_> = old.iter().filter(|(key, _)| *key != OPTIONAL_KEY).collect();
         keys.sort_by_key(|(key, _)| *key);
         return keys.into_iter().find_map(|(key, value)| {
             let path = if path.is_empty() {
@@ -346,14 +351,14 @@
                 format!("{path}.{key}")
             };
             match new.get(key) {
-                Some(now) => lacks(value, now, &path),
+                Some(new_value) => missing_key(value, new_value, &path),
                 None => Some(path),
             }
         });
     }
     let (old, new) = (old.as_array()?, new.as_array()?);
     let first = old.first()?.as_object()?;
-    let mut common: Vec<_> = first.keys().filter(|key| *key != OPTIONAL).collect();
+    let mut common: Vec<_> = first.keys().filter(|key| *key != OPTIONAL_KEY).collect();
     common.retain(|key| old.iter().all(|v| v.get(key.as_str()).is_some()));
     common.sort();
     new.iter().enumerate().find_map(|(i, value)| {
@@ -364,64 +369,66 @@
     })
 }
 
-/// A key of a class that may be absent.
-const OPTIONAL: &str = "aim_stretch";
+/// The key of a class that may be absent.
+const OPTIONAL_KEY: &str = "aim_stretch";
 
-/// The texts of a list that stands under the last part of a path; of its objects, the text under `inner`.
-fn words(from: &Value, path: &str, inner: Option<&str>) -> Result<Vec<String>, ConfigError> {
+/// The strings of a list, whose key in `from` is the last part of `path`. If the list has objects,
+/// the strings under their key `inner`.
+fn texts(from: &Value, path: &str, inner: Option<&str>) -> Result<Vec<String>, ConfigError> {
     let key = path.rsplit('.').next().unwrap_or(path);
     let Some(list) = from.get(key).and_then(|l| l.as_array()) else {
-        return bad(path, "is not a list");
+        return error(path, "is not a list");
     };
-    let word = |(i, v): (usize, &Value)| {
+    let text = |(i, v): (usize, &Value)| {
         let v = inner.map_or(Some(v), |inner| v.get(inner));
         let suffix = inner.map(|inner| format!(".{inner}")).unwrap_or_default();
         match v.and_then(|v| v.as_str()) {
-            Some(word) => Ok(word.to_string()),
-            None => bad(&format!("{path}[{i}]{suffix}"), "is not a text"),
+            Some(text) => Ok(text.to_string()),
+            None => error(&format!("{path}[{i}]{suffix}"), "is not a text"),
         }
     };
-    list.iter().enumerate().map(word).collect()
+    list.iter().enumerate().map(text).collect()
 }
 
+/// The string of a key; the value of its environment variable, if set, takes precedence.
 fn text_of(top: &Value, key: &str, env: Option<String>) -> Result<Option<String>, ConfigError> {
     match (env, top.get(key)) {
         (Some(text), _) => Ok(Some(text)),
         (None, None) => Ok(None),
         (None, Some(value)) => match value.as_str() {
             Some(text) => Ok(Some(text.to_string())),
-            None => bad(key, "is not a text"),
+            None => error(key, "is not a text"),
         },
     }
 }
 
 fn address(top: &Value, key: &str, env: Option<String>) -> Result<SocketAddr, ConfigError> {
-    let named = if env.is_some() {
+    let source = if env.is_some() {
         format!("BALANCER_{}", key.to_uppercase())
     } else {
         key.to_string()
     };
     let Some(text) = text_of(top, key, env)? else {
-        return bad(key, "is missing");
+        return error(key, "is missing");
     };
     match text.parse() {
         Ok(address) => Ok(address),
-        Err(_) => bad(&named, format!("'{text}' is not an address and a port")),
+        Err(_) => error(&source, format!("'{text}' is not an address and a port")),
     }
 }
 
-fn limit(top: &Value, key: &str, default: f64, least: f64, most: f64) -> Result<f64, ConfigError> {
+fn limit(top: &Value, key: &str, default: f64, min: f64, max: f64) -> Result<f64, ConfigError> {
     let path = format!("limits.{key}");
     let limits = top.get("limits");
     if limits.is_some_and(|l| !l.is_object()) {
-        return bad("limits", "is not an object");
+        return error("limits", "is not an object");
     }
     match limits.and_then(|l| l.get(key)) {
         None => Ok(default),
         Some(value) => match value.cast_f64() {
-            Some(n) if (least..=most).contains(&n) => Ok(n),
-            Some(n) => bad(&path, format!("is {n}, outside {least} to {most}")),
-            None => bad(&path, "is not a number"),
+            Some(n) if (min..=max).contains(&n) => Ok(n),
+            Some(n) => error(&path, format!("is {n}, outside {min} to {max}")),
+            None => error(&path, "is not a number"),
         },
     }
 }
@@ -430,7 +437,7 @@
 mod tests {
     use super::*;
 
-    const GRADE: &str = r#"{"deadline": 900.0, "goal_time": 80.0, "group": "all", "idempotency": "unsafe", "late_worth": 0.0, "name": "new", "streamed": true, "window": 5000.0, "worth": 5.0}"#;
+    const NEW_CLASS: &str = r#"{"deadline": 900.0, "goal_time": 80.0, "group": "all", "idempotency": "unsafe", "late_worth": 0.0, "name": "new", "streamed": true, "window": 5000.0, "worth": 5.0}"#;
 
     fn text() -> String {
         format!(
@@ -439,8 +446,8 @@
         )
     }
 
-    /// A configuration whose file is then replaced by that text.
-    fn reloaded(old: &Config, text: &str) -> Result<(Config, Vec<&'static str>), ConfigError> {
+    /// Reloads a configuration from a file with this text.
+    fn reload(old: &Config, text: &str) -> Result<(Config, Vec<&'static str>), ConfigError> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let path =
@@ -452,19 +459,19 @@
         result
     }
 
-    fn parsed(text: &str) -> Config {
+    fn parse(text: &str) -> Config {
         Config::parse(text.as_bytes().to_vec(), &|_| None).unwrap()
     }
 
     #[test]
-    fn a_broken_file_is_refused_whole() {
+    fn a_malformed_file_is_refused_as_a_whole() {
         let (text, mut cases) = (text(), vec![(String::new(), "BALANCER_CONFIG: ")]);
         cases.push((
             text[..text.len() / 2].to_string(),
             "BALANCER_CONFIG: is not valid JSON",
         ));
-        // (what is replaced, by what, what must be named)
-        for (from, to, named) in [
+        // (replaced text, replacement, start of the error)
+        for (from, to, expected) in [
             (
                 "\"deadline\": 1200.0",
                 "\"deadline\": 0",
@@ -518,29 +525,32 @@
             ),
         ] {
             assert!(text.contains(from), "{from}");
-            cases.push((text.replace(from, to), named));
+            cases.push((text.replace(from, to), expected));
         }
-        let old = parsed(&text);
-        for (text, named) in cases {
-            let said = reloaded(&old, &text).unwrap_err().0;
-            assert!(said.starts_with(named), "{said} in place of {named}");
+        let old = parse(&text);
+        for (text, expected) in cases {
+            let message = reload(&old, &text).unwrap_err().0;
+            assert!(
+                message.starts_with(expected),
+                "{message} in place of {expected}"
+            );
         }
-        assert!(reloaded(&old, &text).unwrap().1.is_empty());
+        assert!(reload(&old, &text).unwrap().1.is_empty());
     }
 
-    /// The file's list of classes shifts; what a class's index means does not.
+    /// The positions of classes in the file change; their indexes in the decisions must not.
     #[test]
-    fn classes_keep_their_index_when_the_list_shifts() {
+    fn classes_keep_their_index_when_their_order_changes() {
         let text = text();
-        let first = parsed(&text);
-        // "one" vanishes, and a new class comes first.
+        let first = parse(&text);
+        // "one" is removed, and a new class comes first.
         let (from, to) = (
             text.find("{\"deadline\": 1200.0").unwrap(),
             text.find("{\"deadline\": 3200.0").unwrap(),
         );
-        let shifted = format!("{}{GRADE},\n  {}", &text[..from], &text[to..]);
-        let shifted = shifted.replace("\"max_attempts\": 6", "\"max_attempts\": 2");
-        let (second, _) = reloaded(&first, &shifted).unwrap();
+        let reordered = format!("{}{NEW_CLASS},\n  {}", &text[..from], &text[to..]);
+        let reordered = reordered.replace("\"max_attempts\": 6", "\"max_attempts\": 2");
+        let (second, _) = reload(&first, &reordered).unwrap();
         let found = ["one", "two", "new"].map(|name| second.classes.find(name));
         assert_eq!(found, [None, Some(1), Some(2)]);
         assert_eq!(second.classes.name(0), "one");
@@ -548,8 +558,8 @@
         let deadlines: Vec<_> = second.settings.classes.iter().map(|c| c.deadline).collect();
         assert_eq!(deadlines, [1_200_000, 3_200_000, 900_000]);
         assert_eq!(second.classes.longest_deadline(), 3_200_000);
-        // Back to the first file: "one" has its old index, "new" is shut.
-        let (third, _) = reloaded(&second, &text).unwrap();
+        // Back to the first file: "one" has its old index, and "new" is unavailable.
+        let (third, _) = reload(&second, &text).unwrap();
         assert_eq!(
             ["one", "two", "new"].map(|name| third.classes.find(name)),
             [Some(0), Some(1), None]
@@ -557,14 +567,15 @@
     }
 
     #[test]
-    fn what_is_fixed_stays_as_it_was_and_is_named() {
-        let old = parsed(&text());
+    fn values_that_need_a_restart_are_kept_and_named() {
+        let old = parse(&text());
         let new = text().replace(
             "\"zones\": [\"x\", \"y\"]",
             "\"zones\": [\"y\", \"x\", \"z\"]",
         );
-        let (new, fixed) = reloaded(&old, &new.replace("\"cores\":1.0", "\"cores\":0.5")).unwrap();
-        assert_eq!(fixed, ["limits", "settings.zones"]);
+        let (new, needs_restart) =
+            reload(&old, &new.replace("\"cores\":1.0", "\"cores\":0.5")).unwrap();
+        assert_eq!(needs_restart, ["limits", "settings.zones"]);
         assert_eq!((new.names, new.limits), (old.names, old.limits));
     }
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,8 +1,10 @@
-//! The operator file: what an install sets beyond what the platform gives, as TOML. Nothing in it is needed: a
-//! relay without one opens nothing more and does as the platform's pages say.
+//! The operator file (TOML): settings of an installation beyond those of the platform. All of it is
+//! optional: a relay without an operator file behaves as the platform specifies, and opens no
+//! further sockets.
 //!
-//! Guards against: a key that is misspelt and so means nothing; a unit that is guessed (all times end in `_ms`,
-//! all sizes in `_bytes`); a file half of which is taken over. What is wrong is said with file, line and key.
+//! Guards against: a misspelt key that would be ignored (unknown keys are refused); a guessed unit
+//! (all times end in `_ms`, all sizes in `_bytes`); and a file that is applied in part. Errors name
+//! the file, the line and the key.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -10,17 +12,17 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// An operator file that cannot be used: where, and one sentence.
+/// The error of an unusable operator file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorError {
     /// The file.
     pub file: String,
-    /// The line, from 1; none where the whole file is meant.
+    /// The line, counted from 1; none if the error is about the whole file.
     pub line: Option<usize>,
-    /// The full path of the key; empty where no one key is meant.
+    /// The full path of the key; empty if the error is about no single key.
     pub key: String,
-    /// What is wrong.
-    pub what: String,
+    /// The description of the error.
+    pub message: String,
 }
 
 impl fmt::Display for OperatorError {
@@ -30,24 +32,24 @@
         if !self.key.is_empty() {
             write!(f, ": {}", self.key)?;
         }
-        write!(f, ": {}", self.what)
+        write!(f, ": {}", self.message)
     }
 }
 
 impl std::error::Error for OperatorError {}
 
-/// The whole file.
+/// The contents of the file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
-    /// The XMPP front; none where nothing is said of it.
+pub struct OperatorSettings {
+    /// The XMPP front, if there is one.
     pub xmpp: Option<Xmpp>,
-    /// Cells; one that has everything where nothing is said of them.
+    /// The cells; by default a single cell has all endpoints and groups.
     pub cells: Option<Cells>,
     /// Parameters of the decisions by name, in place of their defaults.
     #[serde(default)]
     pub parameters: BTreeMap<String, f64>,
-    /// The fleet whose policies this relay follows; none: it follows its own files alone.
+    /// The fleet whose policy this relay follows; without one it follows its own files alone.
     pub fleet: Option<Fleet>,
 }
 
@@ -55,23 +57,24 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Its name: relays of another fleet are not talked to.
+    /// The fleet's name. Relays of another fleet are refused.
     pub id: String,
-    /// Where this relay keeps its ledger.
+    /// The directory of this relay's ledger.
     pub directory: PathBuf,
-    /// The file of its keys, one a line; the first one seals, each opens.
+    /// The file of the fleet's keys, one per line. Messages are authenticated with the first key
+    /// and accepted with any of them.
     pub keys: PathBuf,
-    /// This relay's number among the voters; none has no vote.
+    /// This relay's voter number; a relay without one has no vote.
     pub voter: Option<u64>,
     /// `[[fleet.voters]]`
     pub voters: Vec<FleetVoter>,
-    /// What a relay does that hears from no leader.
+    /// What the relay does while it has no contact with a leader.
     #[serde(default)]
     pub alone: LeaderlessMode,
-    /// How long a relay may admit clients after it asked for its lease.
+    /// How long the relay may admit clients after it requested its lease.
     #[serde(default = "lease_ms")]
     pub lease_ms: u64,
-    /// How long a relay that serves may take to check and store a proposal.
+    /// How long a relay with a lease may take to check and store a proposal.
     #[serde(default = "patience_ms")]
     pub patience_ms: u64,
     /// `[fleet.jobs]`
@@ -79,23 +82,24 @@
     pub jobs: Jobs,
 }
 
-/// `[fleet.jobs]`: work that one relay does for all. Off where nothing is said.
+/// `[fleet.jobs]`: work that one relay does for the whole fleet. Off by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Jobs {
-    /// One relay probes a zone's backends and tells all others what they said.
+    /// One relay checks the load of a zone's backends and sends the reports to all others.
     #[serde(default)]
     pub load_watch: bool,
-    /// One relay paces the moves of standing connections to their sites' new cells, for all.
+    /// One relay paces the migrations of the whole fleet to the new cells of groups.
     #[serde(default)]
     pub paced_moves: bool,
-    /// Owners' updates go as changes of versioned tables, and reports as summaries, in place of each one whole.
+    /// Job owners send updates as changes of versioned tables, and reports as summaries, instead of
+    /// whole tables and reports.
     #[serde(default)]
     pub compact_updates: bool,
 }
 
 impl Jobs {
-    /// Whether there is any.
+    /// Whether any job is on.
     pub fn any(self) -> bool {
         self.load_watch || self.paced_moves
     }
@@ -113,22 +117,22 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetVoter {
-    /// Its number, for good.
+    /// Its voter number, which never changes.
     pub number: u64,
-    /// Where the others reach it; it listens at the same port of its own.
+    /// The address at which the others reach it. It listens there, too, unless `listen` is set.
     pub address: SocketAddr,
-    /// Where it listens itself, where that is another address.
+    /// The address at which it listens, if it is another one.
     pub listen: Option<SocketAddr>,
 }
 
-/// What a relay does that hears from no leader.
+/// What a relay does while it has no contact with a leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LeaderlessMode {
-    /// It refuses new clients.
+    /// It rejects new clients.
     #[default]
     Refuse,
-    /// It serves them under the policy that it has.
+    /// It admits clients under the last policy that it knows.
     Serve,
 }
 
@@ -139,25 +143,25 @@
     /// `[[cells.cell]]`
     #[serde(default)]
     pub cell: Vec<Cell>,
-    /// `[[cells.site]]`: sites that have a cell by name.
+    /// `[[cells.site]]`: groups that are pinned to a cell.
     #[serde(default)]
     pub site: Vec<SitePin>,
-    /// Cells with fewer servers are a fault.
+    /// The smallest number of endpoints of a cell; a smaller cell is reported as a fault.
     #[serde(default)]
     pub least_servers: usize,
-    /// Cells with more servers are a fault.
+    /// The largest number of endpoints of a cell; a larger cell is reported as a fault.
     #[serde(default = "any_number")]
     pub most_servers: usize,
-    /// What becomes of a site whose cell has no usable server.
+    /// What happens to clients of a group whose cell has no usable endpoint.
     #[serde(default)]
     pub no_server: NoServer,
-    /// The most sessions that a cell lends to others.
+    /// The most connections that a cell accepts for groups of other cells.
     #[serde(default = "borrow_most")]
     pub borrow_most: u32,
-    /// When a client that is refused for want of a cell may come again.
+    /// How long a client waits before it retries after a rejection for lack of a usable cell.
     #[serde(default = "retry_after_ms")]
     pub retry_after_ms: u64,
-    /// Standing connections that are moved a second once their site has another cell.
+    /// How many established connections are migrated each second when their group has a new cell.
     #[serde(default = "moves_per_second")]
     pub moves_per_second: u32,
 }
@@ -182,15 +186,15 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cell {
-    /// Its name; what lives there follows from it.
+    /// Its name. The groups and endpoints of the cell follow from a hash of it.
     pub name: String,
-    /// Its share of sites and servers against others.
+    /// Its share of groups and endpoints, relative to the other cells.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Servers that are its own by name.
+    /// Endpoints that are assigned to it by name.
     #[serde(default)]
     pub servers: Vec<String>,
-    /// Whether only sites that are pinned to it live there.
+    /// Whether it serves pinned groups only.
     #[serde(default)]
     pub quarantine: bool,
 }
@@ -209,14 +213,14 @@
     pub cell: String,
 }
 
-/// What becomes of a site whose cell has no usable server.
+/// What happens to clients of a group whose cell has no usable endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NoServer {
-    /// It is refused.
+    /// They are rejected.
     #[default]
     Refuse,
-    /// It borrows.
+    /// They use endpoints of another cell.
     Borrow,
 }
 
@@ -224,16 +228,17 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Xmpp {
-    /// Where clients come that begin in clear and use STARTTLS.
+    /// The address for clients that start in plain text and use STARTTLS.
     pub listen: Option<SocketAddr>,
-    /// Where clients come that begin with TLS (XEP-0368).
+    /// The address for clients that start with TLS (XEP-0368).
     pub listen_tls: Option<SocketAddr>,
     /// The SASL mechanisms offered, the preferred one first.
     pub mechanisms: Option<Vec<String>>,
-    /// What a session's group is: `domain`, `none`, `local-after:C` or `local-before:C`.
+    /// How a session's group is derived: `domain`, `none`, `local-after:C` or `local-before:C`.
     #[serde(default = "domain")]
     pub group: String,
-    /// Where clients that are moved are sent, in place of coming again by themselves.
+    /// The host to which clients are redirected when their session is migrated. Without it clients
+    /// choose by themselves where to reconnect.
     pub see_other_host: Option<String>,
     /// `[[xmpp.domain]]`
     #[serde(default)]
@@ -256,51 +261,51 @@
     "domain".into()
 }
 
-/// `[[xmpp.domain]]`: a domain that is served here.
+/// `[[xmpp.domain]]`: a domain that the relay serves.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Domain {
     /// Its name.
     pub name: String,
-    /// The certificate, its chain behind it, as PEM.
+    /// The certificate, followed by its chain, as PEM.
     pub certificate: PathBuf,
-    /// Its key, as PEM.
+    /// The private key, as PEM.
     pub key: PathBuf,
 }
 
-/// `[[xmpp.class]]`: the class of some sessions. The first rule that fits counts.
+/// `[[xmpp.class]]`: a rule that assigns a class to sessions. The first rule that matches applies.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassRule {
-    /// The class, as the platform's settings name it.
+    /// The name of the class in the platform's settings.
     pub class: String,
-    /// The domain; any where none is named.
+    /// The domain that it matches; any by default.
     pub domain: Option<String>,
-    /// A pattern of local parts.
+    /// The pattern of local parts that it matches.
     pub local: Option<String>,
-    /// A pattern of resources.
+    /// The pattern of resources that it matches.
     pub resource: Option<String>,
-    /// How long a client waits for its answer; the class's own deadline where none is said.
+    /// How long a client waits for its answer; by default the deadline of the class.
     pub deadline_ms: Option<u64>,
 }
 
-/// `[xmpp.servers]`: how XMPP servers are reached.
+/// `[xmpp.servers]`: connections to XMPP servers.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Servers {
     /// `plain`, `starttls` or `tls`.
     pub security: Security,
-    /// The certificates that servers' ones are checked against, as PEM.
+    /// The CA certificates by which the servers' certificates are verified, as PEM.
     pub ca: Option<PathBuf>,
-    /// The port, where it is not the one that discovery gives.
+    /// The port, if it is not the one that discovery gives.
     pub port: Option<u16>,
 }
 
-/// How a server is spoken to.
+/// The security of connections to XMPP servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Security {
-    /// In clear.
+    /// Plain text.
     #[default]
     Plain,
     /// STARTTLS.
@@ -309,7 +314,7 @@
     Tls,
 }
 
-/// `[xmpp.limits]`: bounds of what is read; the defaults are those of the front.
+/// `[xmpp.limits]`: limits on input; the defaults are those of the front.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
@@ -319,60 +324,61 @@
     pub stanza_bytes: Option<usize>,
     /// The longest name or attribute value.
     pub token_bytes: Option<usize>,
-    /// The deepest nesting.
+    /// The deepest nesting of elements.
     pub depth: Option<usize>,
     /// The most attributes of an element.
     pub attributes: Option<usize>,
 }
 
-/// `[xmpp.times]`: limits of time; the defaults are those of the front.
+/// `[xmpp.times]`: time limits; the defaults are those of the front.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Times {
-    /// One step of a negotiation.
+    /// The limit of one step of the negotiation.
     pub step_ms: Option<u64>,
-    /// All steps together.
+    /// The limit of all steps together.
     pub negotiation_ms: Option<u64>,
-    /// What a server may take to finish before its session is moved.
+    /// How long a server may take to finish a stanza before its session is migrated.
     pub finish_ms: Option<u64>,
-    /// After so long a server that does not acknowledge is lost.
+    /// How long a server may leave data unacknowledged before it counts as lost.
     pub silent_ms: Option<u64>,
 }
 
-/// A file as it was read, with what is needed to name a line in it.
+/// A parsed operator file, with its path and text, so that errors can name a line.
 #[derive(Clone, Debug)]
 pub struct OperatorFile {
-    /// What it says.
-    pub operator: Operator,
+    /// The parsed contents.
+    pub operator: OperatorSettings,
     path: PathBuf,
     text: String,
 }
 
-fn line_at(text: &str, at: usize) -> usize {
-    text[..at.min(text.len())].matches('\n').count() + 1
+/// The number of the line with this byte offset, counted from 1.
+fn line_at(text: &str, offset: usize) -> usize {
+    text[..offset.min(text.len())].matches('\n').count() + 1
 }
 
 impl OperatorFile {
-    /// Reads a file.
+    /// Reads and parses a file.
     pub fn load(path: &Path) -> Result<OperatorFile, OperatorError> {
         let text = std::fs::read_to_string(path).map_err(|e| OperatorError {
             file: path.display().to_string(),
             line: None,
             key: String::new(),
-            what: format!("cannot be read: {e}"),
+            message: format!("cannot be read: {e}"),
         })?;
         OperatorFile::parse(path, text)
     }
 
-    /// Reads a text as if it were the file's.
+    /// Parses a text; errors name `path`.
     pub fn parse(path: &Path, text: String) -> Result<OperatorFile, OperatorError> {
-        let error = |line, key: String, what: String| {
+        let error = |line, key: String, message: String| {
             let file = path.display().to_string();
             OperatorError {
                 file,
                 line,
                 key,
-                what,
+                message,
             }
         };
         let parsed = toml::Deserializer::parse(&text).map_err(|e| {
@@ -397,33 +403,32 @@
         }
     }
 
-    /// Where it is.
+    /// The path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// An error at this key, such as `xmpp.domain[0].key`, with its line where the file has it.
-    pub fn error(&self, key: &str, what: impl fmt::Display) -> OperatorError {
-        let (file, what) = (self.path.display().to_string(), what.to_string());
+    /// An error at this key, such as `xmpp.domain[0].key`, with its line if the file has the key.
+    pub fn error(&self, key: &str, message: impl fmt::Display) -> OperatorError {
         OperatorError {
-            file,
+            file: self.path.display().to_string(),
             line: self.line(key),
             key: key.to_string(),
-            what,
+            message: message.to_string(),
         }
     }
 
-    /// A path of the file's, which is relative to the file.
+    /// Resolves a path in the file, which is relative to the file's directory.
     pub fn resolve(&self, path: &Path) -> PathBuf {
         self.path
             .parent()
             .map_or(path.to_path_buf(), |dir| dir.join(path))
     }
 
-    /// The line of the innermost part of a key's path that the file has.
+    /// The line of the longest prefix of a key's path that the file has.
     fn line(&self, key: &str) -> Option<usize> {
         let table = toml::de::DeTable::parse(&self.text).ok()?;
-        let (mut found, mut value) = (None, None::<&toml::de::DeValue<'_>>);
+        let (mut offset, mut value) = (None, None::<&toml::de::DeValue<'_>>);
         for part in key.split('.') {
             let (name, index) = match part.split_once('[') {
                 Some((name, index)) => (
@@ -444,9 +449,9 @@
                 let Some(item) = list.get(index) else { break };
                 next = item;
             }
-            (found, value) = (Some(next.span().start), Some(next.get_ref()));
+            (offset, value) = (Some(next.span().start), Some(next.get_ref()));
         }
-        found.map(|at| line_at(&self.text, at))
+        offset.map(|offset| line_at(&self.text, offset))
     }
 }
 
@@ -454,7 +459,7 @@
 mod tests {
     use super::*;
 
-    fn read(text: &str) -> Result<OperatorFile, OperatorError> {
+    fn load(text: &str) -> Result<OperatorFile, OperatorError> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!(
@@ -468,9 +473,9 @@
     }
 
     #[test]
-    fn what_is_wrong_is_said_with_its_line_and_full_key() {
-        // (the file, the line, the key, a part of the sentence)
-        for (text, line, key, what) in [
+    fn errors_have_the_line_and_the_full_key() {
+        // (text of the file, line, key, part of the message)
+        for (text, line, key, message) in [
             (
                 "[xmpp]\nlisten = 5",
                 Some(2),
@@ -509,12 +514,12 @@
             ),
             ("a = \n", Some(1), "", "is not TOML"),
         ] {
-            let e = read(text).unwrap_err();
+            let e = load(text).unwrap_err();
             assert_eq!((e.line, e.key.as_str()), (line, key), "{e}");
-            assert!(e.to_string().contains(what), "{e}");
+            assert!(e.to_string().contains(message), "{e}");
         }
         let file =
-            read("[xmpp]\ngroup = 'x'\n[[xmpp.class]]\nclass = 'a'\n[[xmpp.class]]\nclass = 'b'\n")
+            load("[xmpp]\ngroup = 'x'\n[[xmpp.class]]\nclass = 'a'\n[[xmpp.class]]\nclass = 'b'\n")
                 .unwrap();
         assert_eq!(file.error("xmpp.class[1].class", "is wrong").line, Some(6));
         assert_eq!(
@@ -522,6 +527,6 @@
             Some(5)
         );
         assert_eq!(file.error("xmpp.group", "is wrong").line, Some(2));
-        assert_eq!(read("").unwrap().operator, Operator::default());
+        assert_eq!(load("").unwrap().operator, OperatorSettings::default());
     }
 }
--- a/src/config/policy.rs
+++ b/src/config/policy.rs
@@ -1,8 +1,9 @@
-//! A policy: what decides behaviour beyond the platform's settings, the same in all relays of a fleet. Its text is a
-//! part of an operator file: `[cells]` and `[parameters]`, and nothing else.
+//! A policy: the cells and parameters that all relays of a fleet share, beyond the platform's
+//! settings. Its text is the part `[cells]` and `[parameters]` of an operator file, and nothing
+//! else.
 //!
-//! Guards against: a policy of which this build understands a part (a key that it does not know refuses the whole), and
-//! a parameter that nobody reads.
+//! Guards against: a policy that this build understands in part only (an unknown key makes it
+//! refuse the whole policy), and a misspelt parameter that would be ignored.
 
 use crate::cells::Cells;
 use crate::config::operator::{OperatorError, OperatorFile};
@@ -10,7 +11,7 @@
 use std::path::Path;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What a policy says, checked.
+/// The checked contents of a policy.
 #[derive(Clone, Debug, Default)]
 pub struct PolicyRules {
     /// Cells and pins.
@@ -19,12 +20,12 @@
     pub parameters: Parameters,
 }
 
-/// Parameters of an operator file, or of a policy, checked.
+/// Checks and returns the parameters of an operator file or a policy.
 pub fn parameters(file: &OperatorFile) -> Result<Parameters, OperatorError> {
     let mut parameters = Parameters::default();
     for (name, value) in &file.operator.parameters {
         let key = format!("parameters.{name}");
-        if parameters.get(name).is_none() || of_a_later_build(name) {
+        if parameters.get(name).is_none() || is_unknown_to_older_build(name) {
             let known = Parameters::NAMES.join(", ");
             return Err(file.error(
                 &key,
@@ -38,26 +39,27 @@
     Ok(parameters)
 }
 
-/// Whether this process does as an older build, which does not know that parameter: for tests of fleets of two builds.
+/// Whether this process imitates an older build that does not know this parameter; for tests of
+/// fleets with two builds.
 #[cfg(feature = "injected-bugs")]
-fn of_a_later_build(name: &str) -> bool {
+fn is_unknown_to_older_build(name: &str) -> bool {
     ["lookup_parallelism", "look_both"].contains(&name)
         && std::env::var("JASPERMOOR_BUILD").is_ok_and(|build| build == "older")
 }
 
 #[cfg(not(feature = "injected-bugs"))]
-fn of_a_later_build(_: &str) -> bool {
+fn is_unknown_to_older_build(_: &str) -> bool {
     false
 }
 
-/// Reads a policy's text; `path` is what errors call it.
+/// Parses a policy; errors name `path`.
 pub fn parse(path: &Path, text: &str) -> Result<PolicyRules, OperatorError> {
     let file = OperatorFile::parse(path, text.to_string())?;
-    for (key, there) in [
+    for (key, present) in [
         ("xmpp", file.operator.xmpp.is_some()),
         ("fleet", file.operator.fleet.is_some()),
     ] {
-        if there {
+        if present {
             return Err(file.error(
                 key,
                 "is each relay's own: a policy has [cells] and [parameters] only",
@@ -70,30 +72,31 @@
     })
 }
 
-/// A short name of a text, to compare by eye.
+/// A short hash of a policy's text, for operators to compare.
 pub fn digest(text: &str) -> String {
     format!("{:016x}", xxh3_64(text.as_bytes()))
 }
 
-/// Which lines another text takes away and adds: those in front and behind that both have are left out.
+/// The removed and added lines between two texts. Common lines at the beginning and the end are
+/// left out; lines between two changes are shown as removed and added.
 pub fn diff(old: &str, new: &str) -> Vec<String> {
     let (old, new): (Vec<&str>, Vec<&str>) = (old.lines().collect(), new.lines().collect());
-    let same = old.iter().zip(&new).take_while(|(a, b)| a == b).count();
-    let most = old.len().min(new.len()) - same;
-    let tail = old
+    let common_start = old.iter().zip(&new).take_while(|(a, b)| a == b).count();
+    let limit = old.len().min(new.len()) - common_start;
+    let common_end = old
         .iter()
         .rev()
         .zip(new.iter().rev())
-        .take(most)
+        .take(limit)
         .take_while(|(a, b)| a == b)
         .count();
-    let gone = old[same..old.len() - tail]
+    let removed = old[common_start..old.len() - common_end]
         .iter()
         .map(|line| format!("- {line}"));
-    let come = new[same..new.len() - tail]
+    let added = new[common_start..new.len() - common_end]
         .iter()
         .map(|line| format!("+ {line}"));
-    gone.chain(come).collect()
+    removed.chain(added).collect()
 }
 
 #[cfg(test)]
@@ -101,9 +104,9 @@
     use super::*;
 
     #[test]
-    fn a_policy_is_understood_whole_or_refused_with_line_and_key() {
-        let read = |text: &str| parse(Path::new("p.toml"), text);
-        let rules = read("[parameters]\nepsilon = 1.5\n[[cells.cell]]\nname = 'a'\n").unwrap();
+    fn a_policy_is_accepted_as_a_whole_or_refused_with_line_and_key() {
+        let parse = |text: &str| parse(Path::new("p.toml"), text);
+        let rules = parse("[parameters]\nepsilon = 1.5\n[[cells.cell]]\nname = 'a'\n").unwrap();
         assert_eq!(
             (
                 rules.parameters.bounded_load_epsilon,
@@ -111,7 +114,7 @@
             ),
             (1.5, 1)
         );
-        for (text, says) in [
+        for (text, expected) in [
             (
                 "[parameters]\nepsilom = 1",
                 "p.toml:2: parameters.epsilom: no parameter",
@@ -126,8 +129,8 @@
             ),
             ("[of_a_later_build]", "unknown field `of_a_later_build`"),
         ] {
-            let e = read(text).unwrap_err().to_string();
-            assert!(e.contains(says), "{e}");
+            let e = parse(text).unwrap_err().to_string();
+            assert!(e.contains(expected), "{e}");
         }
     }
 
