--- a/tests/older_build/client_texts.rs
+++ b/tests/older_build/client_texts.rs
@@ -1,5 +1,5 @@
-//! What clients of the line protocol are told: the texts of an older build, word by word. Numbers are masked, since waits
-//! and loads are not the same in each run.
+//! The texts that clients of the line protocol receive: they are those of an older build, word for
+//! word. Digits are masked, since waits and loads differ from run to run.
 
 use super::process::{endpoint, free_address, read_to_end, RelayProcess};
 use std::fmt::Write as _;
@@ -7,10 +7,10 @@
 use std::net::{Shutdown, TcpListener};
 use std::thread;
 
-const TOLD: &str = include_str!("../data/older_build/client_texts.txt");
+const EXPECTED_TEXTS: &str = include_str!("../data/older_build/client_texts.txt");
 const OPEN: &str = "OPEN 9b 7f c=chat,d=2000";
 
-/// What clients say that no backend hears of.
+/// First lines that the relay answers without a backend.
 const FIRST_LINES: [&str; 27] = [
     "PING",
     "HELLO",
@@ -41,7 +41,7 @@
     " OPEN 9b 7f c=chat",
 ];
 
-/// What a backend does with the one connection that it is sent, after it has read the first line.
+/// Behaviour of a backend: a name, and what it sends after the first line of its connection.
 const BACKENDS: [(&str, &str); 9] = [
     ("busy", "BUSY active=1,x0=0.5\r\n"),
     ("error", "ERR active=1,x0=0.5\r\n"),
@@ -54,7 +54,7 @@
     ("load", "UP r\r\nLOAD 5.0\r\nM 1\r\nBYE\r\n"),
 ];
 
-/// Digits in a row as one `#`.
+/// Replaces each run of digits by one `#`.
 fn masked(text: &str) -> String {
     let mut masked = String::new();
     for letter in text.chars() {
@@ -67,7 +67,8 @@
     masked
 }
 
-/// A backend that answers each connection's first line with this and ends it.
+/// Starts a backend that answers the first line of each connection with `answer` and closes it.
+/// Returns its entry for the endpoint list.
 fn backend(answer: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -83,8 +84,8 @@
     endpoint("s-1", address)
 }
 
-fn record(record: &mut String, what: &str, told: &str) {
-    writeln!(record, "{what:?} -> {:?}", masked(told)).unwrap();
+fn record(texts: &mut String, case: &str, received: &str) {
+    writeln!(texts, "{case:?} -> {:?}", masked(received)).unwrap();
 }
 
 fn record_first_lines(texts: &mut String) {
@@ -99,33 +100,37 @@
     record(
         texts,
         "too long",
-        &relay.told_to_client(too_long.as_bytes()),
+        &relay.response_to_client(too_long.as_bytes()),
     );
     record(
         texts,
         "not utf8",
-        &relay.told_to_client(b"OPEN \xff 7f c=chat\r\n"),
+        &relay.response_to_client(b"OPEN \xff 7f c=chat\r\n"),
     );
     let sent_on = format!("{OPEN}\r\nmore\r\n");
-    record(texts, "sent on", &relay.told_to_client(sent_on.as_bytes()));
-    record(texts, "half a line", &relay.told_to_client(b"OPEN 9b"));
+    record(
+        texts,
+        "sent on",
+        &relay.response_to_client(sent_on.as_bytes()),
+    );
+    record(texts, "half a line", &relay.response_to_client(b"OPEN 9b"));
 }
 
 fn record_outcomes(texts: &mut String) {
     for (name, answer) in BACKENDS {
         let relay = RelayProcess::start(&[backend(answer)], "");
-        let told = relay.told_to_client(format!("{OPEN}\r\n").as_bytes());
-        record(texts, &format!("backend: {name}"), &told);
+        let received = relay.response_to_client(format!("{OPEN}\r\n").as_bytes());
+        record(texts, &format!("backend: {name}"), &received);
     }
     let relay = RelayProcess::start(&[endpoint("s-1", free_address())], "");
-    let told = relay.told_to_client(format!("{OPEN}\r\n").as_bytes());
-    record(texts, "backend: unreachable", &told);
+    let received = relay.response_to_client(format!("{OPEN}\r\n").as_bytes());
+    record(texts, "backend: unreachable", &received);
     let relay = RelayProcess::start(&[], "");
-    let told = relay.told_to_client(format!("{OPEN}\r\n").as_bytes());
-    record(texts, "no backend", &told);
+    let received = relay.response_to_client(format!("{OPEN}\r\n").as_bytes());
+    record(texts, "no backend", &received);
 }
 
-/// A connection that stands while its relay stops, and a second one under its id.
+/// An established connection while its relay stops, and a second request with its id.
 fn record_stop(texts: &mut String) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -135,21 +140,21 @@
     let (mut backend, _) = listener.accept().unwrap();
     backend.write_all(b"UP r\r\n").unwrap();
     let mut reader = BufReader::new(client);
-    let mut up = String::new();
-    reader.read_line(&mut up).unwrap();
-    let told = relay.told_to_client(format!("{OPEN}\r\n").as_bytes());
-    record(texts, "an id in use", &told);
+    let mut up_line = String::new();
+    reader.read_line(&mut up_line).unwrap();
+    let received = relay.response_to_client(format!("{OPEN}\r\n").as_bytes());
+    record(texts, "an id in use", &received);
     relay.terminate();
-    let mut last = String::new();
-    reader.read_line(&mut last).unwrap();
-    record(texts, "the relay stops", &last);
+    let mut last_line = String::new();
+    reader.read_line(&mut last_line).unwrap();
+    record(texts, "the relay stops", &last_line);
 }
 
 #[test]
-fn clients_are_told_the_texts_of_an_older_build() {
+fn clients_receive_the_texts_of_an_older_build() {
     let mut texts = String::new();
     record_first_lines(&mut texts);
     record_outcomes(&mut texts);
     record_stop(&mut texts);
-    assert_eq!(texts, TOLD);
+    assert_eq!(texts, EXPECTED_TEXTS);
 }
--- a/tests/older_build/data.rs
+++ b/tests/older_build/data.rs
@@ -1,12 +1,13 @@
-//! The form of the data files: a line each, words with a space between them, bytes in hexadecimal.
+//! Parser of the data files: one record per line, fields separated by a space, bytes in
+//! hexadecimal.
 
-/// The lines of a file, each as its words; comments are left out.
-pub fn lines(file: &'static str) -> impl Iterator<Item = Vec<&'static str>> {
-    let written = file.lines().filter(|line| !line.starts_with('#'));
-    written.map(|line| line.split(' ').collect())
+/// The records of a file, each as its fields; comments are left out.
+pub fn records(file: &'static str) -> impl Iterator<Item = Vec<&'static str>> {
+    let records = file.lines().filter(|line| !line.starts_with('#'));
+    records.map(|line| line.split(' ').collect())
 }
 
-/// Bytes as they were written in hexadecimal.
+/// Decodes hexadecimal.
 pub fn bytes(hexadecimal: &str) -> Vec<u8> {
     let byte = |digits: &[u8]| {
         let digits = std::str::from_utf8(digits).unwrap();
--- a/tests/older_build/ledgers.rs
+++ b/tests/older_build/ledgers.rs
@@ -1,4 +1,4 @@
-//! Ledgers: what an older build stored is read, and this build stores the same rows.
+//! Ledgers: this build reads what an older build stored, and stores the same rows.
 
 use super::data;
 use jaspermoor::platform::ledger::{Ledger, Owner};
@@ -12,12 +12,12 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-const WRITTEN: &str = include_str!("../data/older_build/ledgers.txt");
+const STORED_ROWS: &str = include_str!("../data/older_build/ledgers.txt");
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const INCARNATION: u64 = 77;
 
-/// All that a ledger's file holds.
+/// All rows of a ledger's file.
 #[derive(Debug, Default, PartialEq)]
 struct Rows {
     facts: BTreeMap<String, Vec<u8>>,
@@ -27,11 +27,11 @@
 impl Rows {
     fn of_older_build(ledger: &str) -> Rows {
         let mut rows = Rows::default();
-        for words in data::lines(WRITTEN).filter(|words| words[0] == ledger) {
-            let value = data::bytes(words[3]);
-            match words[1] {
-                "facts" => drop(rows.facts.insert(words[2].into(), value)),
-                "entries" => drop(rows.entries.insert(words[2].parse().unwrap(), value)),
+        for fields in data::records(STORED_ROWS).filter(|fields| fields[0] == ledger) {
+            let value = data::bytes(fields[3]);
+            match fields[1] {
+                "facts" => drop(rows.facts.insert(fields[2].into(), value)),
+                "entries" => drop(rows.entries.insert(fields[2].parse().unwrap(), value)),
                 table => panic!("table {table}"),
             }
         }
@@ -99,7 +99,7 @@
     }
 }
 
-fn told_membership() -> Membership {
+fn saved_membership() -> Membership {
     let member = Member {
         address: "relay-3.example:7400".into(),
         incarnation: 903,
@@ -113,17 +113,17 @@
 }
 
 #[test]
-fn a_voters_ledger_of_an_older_build_goes_on_where_it_stood() {
+fn a_voter_continues_with_the_ledger_of_an_older_build() {
     let dir = tempfile::tempdir().unwrap();
     Rows::of_older_build("voter").write(dir.path());
     let ledger = Ledger::open(dir.path(), &owner(1)).unwrap();
     assert_eq!(ledger.incarnation().unwrap(), INCARNATION);
     assert_eq!(ledger.load_policy().unwrap(), adopted_policy());
-    assert_eq!(ledger.load_membership().unwrap(), Some(told_membership()));
+    assert_eq!(ledger.load_membership().unwrap(), Some(saved_membership()));
 
-    let kept = ledger.load_log().unwrap();
-    let mut voter = Voter::new(1, INCARNATION, &kept, FleetTiming::default(), 0).unwrap();
-    // Without a term as leader it applies what was committed before it stopped.
+    let persisted = ledger.load_log().unwrap();
+    let mut voter = Voter::new(1, INCARNATION, &persisted, FleetTiming::default(), 0).unwrap();
+    // It applies the entries that were committed before it stopped, without becoming the leader.
     voter.ready(0);
     let state = voter.state();
     assert_eq!(state.policy, adopted_policy());
@@ -159,7 +159,7 @@
         compact_to: None,
     };
     ledger.persist_log(&stored).unwrap();
-    store_common_facts(&ledger);
+    save_common_state(&ledger);
     drop(ledger);
     assert_eq!(Rows::read(dir.path()), older);
 }
@@ -170,14 +170,14 @@
     Rows::of_older_build("relay").write(dir.path());
     let ledger = Ledger::open(dir.path(), &owner(0)).unwrap();
     assert_eq!(ledger.load_policy().unwrap(), adopted_policy());
-    assert_eq!(ledger.load_membership().unwrap(), Some(told_membership()));
+    assert_eq!(ledger.load_membership().unwrap(), Some(saved_membership()));
 }
 
 #[test]
 fn a_relays_ledger_has_the_rows_of_an_older_build() {
     let dir = tempfile::tempdir().unwrap();
     let ledger = Ledger::open(dir.path(), &owner(0)).unwrap();
-    store_common_facts(&ledger);
+    save_common_state(&ledger);
     drop(ledger);
     assert_eq!(Rows::read(dir.path()), Rows::of_older_build("relay"));
 }
@@ -194,8 +194,8 @@
     assert!(Ledger::open(dir.path(), &owner(2)).is_err());
 }
 
-fn store_common_facts(ledger: &Ledger) {
+fn save_common_state(ledger: &Ledger) {
     ledger.save_policy(&adopted_policy()).unwrap();
     ledger.save_prepared(&prepared_proposal()).unwrap();
-    ledger.save_membership(&told_membership()).unwrap();
+    ledger.save_membership(&saved_membership()).unwrap();
 }
--- a/tests/older_build/main.rs
+++ b/tests/older_build/main.rs
@@ -1,5 +1,6 @@
-//! This build does as an older one did: it reads what that one stored and handed over, takes its settings, and shows the
-//! same metrics and the same texts to clients. `tests/data/older_build` has what the older build wrote.
+//! Compatibility with an older build: this build reads what that one stored and handed over,
+//! accepts its settings, and has the same metrics and client texts. `tests/data/older_build` has
+//! data that the older build wrote.
 
 #[allow(dead_code)]
 #[path = "../peers/mod.rs"]
--- a/tests/older_build/metrics_page.rs
+++ b/tests/older_build/metrics_page.rs
@@ -1,4 +1,5 @@
-//! The metrics page: names, labels, types and help texts are those of an older build, in the same order.
+//! The metrics page: names, labels, types and help texts are those of an older build, in the same
+//! order.
 
 use super::process::{endpoint, free_address, RelayProcess};
 
@@ -12,7 +13,7 @@
     [[cells.site]]\nkey = \"5\"\ncell = \"a\"\n\
     [[cells.site]]\nkey = \"6\"\ncell = \"b\"\n";
 
-/// The page of a relay with this operator file, its values masked.
+/// The metrics page of a relay with this operator file; values are masked.
 fn page(operator: &str) -> String {
     let endpoints = ["s-1", "s-2", "s-3"].map(|name| endpoint(name, free_address()));
     let relay = RelayProcess::start(&endpoints, operator);
@@ -21,7 +22,7 @@
     page.lines().map(masked).collect()
 }
 
-/// A line without its value; comments stay as they are.
+/// Masks the value of a line; comments are left as they are.
 fn masked(line: &str) -> String {
     match line.rsplit_once(' ') {
         Some((name, _)) if !line.starts_with('#') => format!("{name} VALUE\n"),
@@ -29,7 +30,7 @@
     }
 }
 
-fn fleet_of_one() -> String {
+fn single_voter_fleet() -> String {
     format!(
         "[fleet]\nid = \"one\"\ndirectory = \"ledger\"\nkeys = \"fleet.key\"\nvoter = 1\n\
          [[fleet.voters]]\nnumber = 1\naddress = \"{}\"\n",
@@ -44,5 +45,5 @@
 
 #[test]
 fn a_relay_of_a_fleet_shows_the_metrics_of_an_older_build() {
-    assert_eq!(page(&fleet_of_one()), WITH_FLEET);
+    assert_eq!(page(&single_voter_fleet()), WITH_FLEET);
 }
--- a/tests/older_build/parameters.rs
+++ b/tests/older_build/parameters.rs
@@ -1,4 +1,5 @@
-//! `[parameters]` and `[cells]` of an operator file and a policy: names that an older build knew go on being accepted.
+//! `[parameters]` and `[cells]` of operator files and policies: all names that an older build knew
+//! are still accepted.
 
 use super::peers;
 use jaspermoor::config::policy;
@@ -13,10 +14,10 @@
     [[cells.cell]]\nname = \"b\"\nservers = [\"s-3\"]\n\
     [[cells.site]]\nkey = \"5\"\ncell = \"a\"\n";
 
-/// What `check` says of an operator file, and whether it succeeded.
+/// Runs `check` on an operator file. Returns its output, and whether it succeeded.
 fn check(operator: &str) -> (String, bool) {
-    let nowhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let config = peers::file(&peers::config(nowhere, &[]));
+    let unused: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    let config = peers::file(&peers::config(unused, &[]));
     let operator = peers::file(operator);
     let output = peers::program("check", &config)
         .arg("--operator")
@@ -25,19 +26,19 @@
         .unwrap();
     std::fs::remove_file(config).unwrap();
     std::fs::remove_file(operator).unwrap();
-    let said = [output.stdout, output.stderr].concat();
-    (String::from_utf8(said).unwrap(), output.status.success())
+    let text = [output.stdout, output.stderr].concat();
+    (String::from_utf8(text).unwrap(), output.status.success())
 }
 
 fn assert_policy_accepted(text: &str) {
-    let read = policy::parse(Path::new("policy.toml"), text);
-    assert!(read.is_ok(), "{:?}", read.err().map(|e| e.to_string()));
+    let parsed = policy::parse(Path::new("policy.toml"), text);
+    assert!(parsed.is_ok(), "{:?}", parsed.err().map(|e| e.to_string()));
 }
 
-/// All that a policy comes to, as text: to compare two of them.
+/// The parsed contents of a policy as text, to compare policies.
 fn rules(text: &str) -> String {
-    let read = policy::parse(Path::new("policy.toml"), text);
-    format!("{:?}", read.unwrap_or_else(|error| panic!("{error}")))
+    let parsed = policy::parse(Path::new("policy.toml"), text);
+    format!("{:?}", parsed.unwrap_or_else(|error| panic!("{error}")))
 }
 
 fn assignments() -> impl Iterator<Item = &'static str> {
@@ -46,9 +47,9 @@
 
 #[test]
 fn an_operator_file_with_all_parameters_and_cells_of_an_older_build_is_accepted() {
-    let (said, accepted) = check(&format!("{PARAMETERS}{CELLS}"));
-    assert!(accepted, "{said}");
-    assert!(said.contains("2 cells"), "{said}");
+    let (output, accepted) = check(&format!("{PARAMETERS}{CELLS}"));
+    assert!(accepted, "{output}");
+    assert!(output.contains("2 cells"), "{output}");
 }
 
 #[test]
@@ -64,12 +65,12 @@
     }
 }
 
-/// A default that was written out changes nothing: were it read in another unit, it would.
+/// A written default must change nothing. It would if this build read it in another unit.
 #[test]
 fn defaults_of_an_older_build_are_the_defaults() {
-    let written = rules(PARAMETERS);
+    let explicit = rules(PARAMETERS);
     let empty = rules("");
-    assert_eq!(written, empty);
+    assert_eq!(explicit, empty);
     for assignment in assignments() {
         let text = format!("[parameters]\n{assignment}\n");
         let one = rules(&text);
@@ -101,15 +102,15 @@
             policy::parse(Path::new("policy.toml"), text).is_err(),
             "{text}"
         );
-        let (said, accepted) = check(text);
-        assert!(!accepted, "{text}: {said}");
+        let (output, accepted) = check(text);
+        assert!(!accepted, "{text}: {output}");
     }
-    let (said, _) = check("[parameters]\nepsilom = 1\n");
+    let (output, _) = check("[parameters]\nepsilom = 1\n");
     assert!(
-        said.contains("parameters.epsilom: no parameter has this name"),
-        "{said}"
+        output.contains("parameters.epsilom: no parameter has this name"),
+        "{output}"
     );
 }
 
-/// Parameters of the older build.
+/// How many parameters the older build had.
 const PARAMETER_COUNT: usize = 46;
--- a/tests/older_build/process.rs
+++ b/tests/older_build/process.rs
@@ -1,4 +1,5 @@
-//! A relay process at ports that the test has chosen: its log lines are not read, since they may change.
+//! A relay process at ports that the test chooses, so that it need not read log lines, which may
+//! change.
 
 use super::peers;
 use std::fs;
@@ -8,7 +9,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// A port of this machine that nothing listens at.
+/// A local address at which nothing listens.
 pub fn free_address() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     listener.local_addr().unwrap()
@@ -30,7 +31,8 @@
 }
 
 impl RelayProcess {
-    /// Starts a relay that knows these endpoints, in a directory of its own, with an operator file unless it is empty.
+    /// Starts a relay with this endpoint list, in a new directory; with an operator file, unless
+    /// its text is empty.
     pub fn start(endpoints: &[String], operator: &str) -> RelayProcess {
         let directory = peers::file("").with_extension("directory");
         fs::create_dir_all(&directory).unwrap();
@@ -69,29 +71,29 @@
         TcpStream::connect(self.admin).is_ok() && self.get("/control/ready").0 == 200
     }
 
-    /// What the admin address answers.
+    /// Sends a GET request to the admin address.
     pub fn get(&self, path: &str) -> (u16, String) {
         let mut caller = TcpStream::connect(self.admin).unwrap();
         write!(caller, "GET {path} HTTP/1.1\r\nHost: relay\r\n\r\n").unwrap();
         peers::read_answer(caller)
     }
 
-    /// A client's connection.
+    /// Connects as a client.
     pub fn client(&self) -> TcpStream {
         let client = TcpStream::connect(self.clients).unwrap();
-        let patience = Some(Duration::from_secs(30));
-        client.set_read_timeout(patience).unwrap();
+        let timeout = Some(Duration::from_secs(30));
+        client.set_read_timeout(timeout).unwrap();
         client
     }
 
-    /// What a client that says this is told, up to the end of its connection.
-    pub fn told_to_client(&self, said: &[u8]) -> String {
+    /// Sends `request` as a client and returns all that it receives.
+    pub fn response_to_client(&self, request: &[u8]) -> String {
         let mut client = self.client();
-        client.write_all(said).unwrap();
+        client.write_all(request).unwrap();
         read_to_end(client)
     }
 
-    /// Asks the process to stop.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         let pid = self.child.id().to_string();
         let status = Command::new("kill").args(["-TERM", &pid]).status();
@@ -107,13 +109,14 @@
     }
 }
 
-/// All that comes on a connection; a reset ends it, too.
+/// Reads a connection up to its end or a reset.
 pub fn read_to_end(mut client: TcpStream) -> String {
-    let mut told = Vec::new();
-    let _ = client.read_to_end(&mut told);
-    String::from_utf8(told).unwrap()
+    let mut received = Vec::new();
+    let _ = client.read_to_end(&mut received);
+    String::from_utf8(received).unwrap()
 }
 
+/// Writes the key file and creates the voter's ledger if the operator file has a fleet.
 fn prepare_fleet(operator_file: &Path, operator: &str) {
     if !operator.contains("[fleet]") {
         return;
--- a/tests/older_build/takeover.rs
+++ b/tests/older_build/takeover.rs
@@ -1,4 +1,5 @@
-//! What passes between the processes of one relay: handover packets, and the files of manually ejected backends.
+//! Data that the processes of one relay exchange: handover packets, and the files of manually
+//! ejected backends.
 
 use super::data;
 use jaspermoor::ops::manual_ejections::ManualEjections;
@@ -24,31 +25,31 @@
 }
 
 #[test]
-fn handover_packets_of_an_older_build_are_read_and_written_alike() {
-    let mut read = 0;
-    for words in data::lines(HANDOVERS) {
-        let expected = match words[0] {
+fn handover_packets_of_an_older_build_are_decoded_and_encoded_alike() {
+    let mut checked = 0;
+    for fields in data::records(HANDOVERS) {
+        let expected = match fields[0] {
             "asked" => handover(Some(300)),
             "never-asked" => handover(None),
             name => panic!("packet {name}"),
         };
-        let packet = data::bytes(words[1]);
+        let packet = data::bytes(fields[1]);
         assert_eq!(
             Handover::decode(&packet).as_ref(),
             Ok(&expected),
-            "{words:?}"
+            "{fields:?}"
         );
-        assert_eq!(expected.encode(), packet, "{words:?}");
-        read += 1;
+        assert_eq!(expected.encode(), packet, "{fields:?}");
+        checked += 1;
     }
-    assert_eq!(read, 2);
+    assert_eq!(checked, 2);
 }
 
-/// The ids whose files the data names.
+/// The backend ids whose file names the data has.
 const IDS: [&str; 4] = ["../s/2", "b\u{e9}", "s-1", "zone a:3%"];
 
 fn files_of_older_build() -> Vec<&'static str> {
-    data::lines(EJECTED).map(|words| words[0]).collect()
+    data::records(EJECTED).map(|fields| fields[0]).collect()
 }
 
 #[test]
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,5 @@
-//! What staff do with a running relay: the second address and its figures, an upgrade.
+//! Operations on a running relay: the admin address, metrics, manual ejections, reloads and
+//! upgrades.
 
 #[allow(dead_code)]
 mod peers;
@@ -8,15 +9,15 @@
 use std::net::TcpListener;
 use std::path::PathBuf;
 
-/// The configuration of a relay with a second address.
+/// The configuration of a relay with an admin address.
 fn with_admin(fleet: &Fleet) -> String {
     fleet
         .config(fleet.discovery.addr())
         .replacen('{', "{\"admin\":\"127.0.0.1:0\",", 1)
 }
 
-/// A directory of its own for each test.
-fn shared(name: &str) -> PathBuf {
+/// Creates an empty shared directory for a test.
+fn shared_directory(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("shared-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
@@ -25,10 +26,10 @@
 }
 
 #[test]
-fn calls_are_answered_although_others_keep_every_place_without_a_whole_call() {
+fn requests_are_answered_while_incomplete_requests_occupy_every_place() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = Relay::start(&with_admin(&fleet), None);
-    let hanging: Vec<_> = (0..40)
+    let incomplete: Vec<_> = (0..40)
         .map(|n| {
             let mut caller = relay.caller();
             if n % 2 == 0 {
@@ -45,8 +46,8 @@
     ] {
         assert_eq!(relay.call(method, path).0, status, "{method} {path}");
     }
-    drop(hanging);
-    // One that comes a byte at a time is heard as well.
+    drop(incomplete);
+    // A request that arrives byte by byte is answered as well.
     let mut slow = relay.caller();
     slow.set_nodelay(true).unwrap();
     for byte in b"GET /control/ready HTTP/1.1\r\n\r\n" {
@@ -56,26 +57,26 @@
 }
 
 #[test]
-fn the_figures_follow_what_happens() {
+fn metrics_follow_requests_and_list_updates() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = Relay::start(&with_admin(&fleet), None);
-    for figure in ["passed_total", "dropped_total", "bad_gateway_total"] {
+    for metric in ["passed_total", "dropped_total", "bad_gateway_total"] {
         assert_eq!(
-            relay.figure(&format!("{figure}{{category=\"chat\"}}")),
+            relay.figure(&format!("{metric}{{category=\"chat\"}}")),
             Some(0)
         );
     }
     let (client, backend) = fleet.pair(&relay, "01");
     assert_eq!(relay.figure("in_progress"), Some(1));
-    let mut refused = relay.client();
-    refused.send("OPEN 02 7f c=chat,d=60000");
-    // Two attempts, and then a refusal.
+    let mut rejected = relay.client();
+    rejected.send("OPEN 02 7f c=chat,d=60000");
+    // Two attempts, then a rejection.
     (0..2).for_each(|_| fleet.accept_any().1.answer("BUSY"));
-    assert!(refused.line().starts_with("BUSY"));
+    assert!(rejected.line().starts_with("BUSY"));
     let mut failed = relay.client();
     failed.send("OPEN 01 7f c=chat,d=60000");
     assert_eq!(failed.line(), "ERR id-in-use");
-    for (figure, value) in [
+    for (metric, value) in [
         ("passed_total{category=\"chat\"}", 1),
         ("dropped_total{category=\"chat\"}", 1),
         ("bad_gateway_total{category=\"chat\"}", 1),
@@ -83,7 +84,7 @@
         ("known_backends", 2),
         ("skipped_backends", 0),
     ] {
-        relay.wait_for_figure(figure, value);
+        relay.wait_for_figure(metric, value);
     }
     drop((client, backend));
     relay.wait_for_figure("in_progress", 0);
@@ -98,61 +99,62 @@
     relay.wait_for_figure("known_backends", 1);
 }
 
-/// An upgrade: a second process takes clients at the same socket, then the first one is stopped. It takes
-/// no one after that, answers those it has, and gives away what stands, in the middle of a line if need be.
+/// An upgrade: a second process accepts clients at the same socket, then the first one is stopped.
+/// It accepts no more clients, answers those it has, and hands its established connections over,
+/// even in the middle of a line.
 #[test]
-fn a_second_process_takes_over_the_socket_that_the_platform_holds() {
-    let (fleet, shared) = (Fleet::new(&["s-1"]), shared("upgrade"));
+fn a_second_process_takes_over_connections_at_the_inherited_socket() {
+    let (fleet, shared) = (Fleet::new(&["s-1"]), shared_directory("upgrade"));
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = fleet.config(fleet.discovery.addr());
     let mut old = Relay::start_shared(&config, &held, &shared);
-    let (mut standing, mut backend) = fleet.pair(&old, "01");
-    standing.stream.write_all(b"M 1 a").unwrap();
+    let (mut established, mut backend) = fleet.pair(&old, "01");
+    established.stream.write_all(b"M 1 a").unwrap();
     backend.stream.write_all(b"M 2 \xff").unwrap();
-    // It has come in but not asked yet, at the time of the stop.
-    let mut early = old.client();
-    early.send("PING");
-    assert_eq!(early.line(), "PONG");
+    // A client that is connected, but has sent no request yet when the old process is stopped.
+    let mut pending = old.client();
+    pending.send("PING");
+    assert_eq!(pending.line(), "PONG");
     let new = Relay::start_shared(&config, &held, &shared);
     assert_eq!(new.call("GET", "/control/ready").0, 200);
     old.signal("TERM");
     until("the old process", || {
         (old.call("GET", "/control/ready").0 == 503).then_some(())
     });
-    early.send("OPEN 02 7f c=chat,d=60000");
-    let mut served = fleet.backend("s-1").accept();
-    served.line();
-    served.send("UP r");
-    assert_eq!(early.line(), "UP r");
+    pending.send("OPEN 02 7f c=chat,d=60000");
+    let mut pending_backend = fleet.backend("s-1").accept();
+    pending_backend.line();
+    pending_backend.send("UP r");
+    assert_eq!(pending.line(), "UP r");
     let pairs: Vec<_> = (3..9).map(|n| fleet.pair(&old, &format!("0{n}"))).collect();
     assert_eq!(new.figure("passed_total{category=\"chat\"}"), Some(6));
     assert!(old.exit().success());
     old.wait_for_log("id=01 class=chat backend=s-1 attempts=1");
     old.wait_for_log("reason=handed-over");
-    // What stood there goes on as if nothing had been.
-    standing.stream.write_all(b"bc\r\n").unwrap();
+    // The established connections continue, without loss.
+    established.stream.write_all(b"bc\r\n").unwrap();
     assert_eq!(backend.line(), "M 1 abc");
     backend.stream.write_all(b"\xfe\r\n").unwrap();
-    assert_eq!(standing.bytes(), b"M 2 \xff\xfe\r\n");
-    served.send("M 3");
-    assert_eq!(early.line(), "M 3");
+    assert_eq!(established.bytes(), b"M 2 \xff\xfe\r\n");
+    pending_backend.send("M 3");
+    assert_eq!(pending.line(), "M 3");
     assert_eq!(new.figure("in_progress"), Some(8));
-    // The socket still lets clients in, and the id of one that was taken over is in use.
+    // The socket still accepts clients, and the id of a connection that was taken over is in use.
     fleet.pair(&new, "10");
-    let mut again = new.client();
-    again.send("OPEN 01 7f c=chat,d=60000");
-    assert_eq!(again.line(), "ERR id-in-use");
+    let mut duplicate = new.client();
+    duplicate.send("OPEN 01 7f c=chat,d=60000");
+    assert_eq!(duplicate.line(), "ERR id-in-use");
     drop(backend);
-    assert!(standing.ended());
+    assert!(established.ended());
     new.wait_for_log("id=01 class=chat backend=s-1 attempts=1");
     drop(pairs);
     std::fs::remove_dir_all(shared).unwrap();
 }
 
-/// A call to either process of an upgrade binds both, and the ban lasts until the call back.
+/// A manual ejection outlasts an upgrade and list updates, until an operator ends it.
 #[test]
-fn a_backend_taken_out_by_hand_stays_out_across_an_upgrade() {
-    let (fleet, shared) = (Fleet::new(&["s-1", "s-2"]), shared("bans"));
+fn a_manually_ejected_backend_stays_ejected_across_an_upgrade() {
+    let (fleet, shared) = (Fleet::new(&["s-1", "s-2"]), shared_directory("ejections"));
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = fleet.config(fleet.discovery.addr());
     let mut old = Relay::start_shared(&config, &held, &shared);
@@ -163,7 +165,7 @@
         assert_eq!(old.call("POST", "/control/backends/s-1/offline").0, 200);
     }
     old.wait_for_figure("skipped_backends", 1);
-    // Whatever the list says.
+    // The ejection stays, whatever the list says.
     watch.tell(2, true, &[fleet.entry("s-2", "active")]);
     old.wait_for_figure("known_backends", 1);
     watch.tell(
@@ -186,7 +188,7 @@
         backend.send("UP r");
         assert_eq!(client.line(), "UP r");
     }
-    // The connection from before was moved off the backend that is out.
+    // The earlier connection was migrated away from the ejected backend.
     assert_eq!(client.line(), "MOVE");
     drop((client, backend));
     assert!(old.exit().success());
@@ -196,33 +198,33 @@
     std::fs::remove_dir_all(shared).unwrap();
 }
 
-/// While both processes run, what one of them is told binds the other.
+/// While both processes of an upgrade run, an ejection made or ended at one applies to the other.
 #[test]
-fn a_call_to_one_process_binds_the_other() {
-    let (fleet, shared) = (Fleet::new(&["s-1", "s-2"]), shared("both"));
+fn an_ejection_at_one_process_applies_to_the_other() {
+    let (fleet, shared) = (Fleet::new(&["s-1", "s-2"]), shared_directory("both"));
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = fleet.config(fleet.discovery.addr());
     let (old, new) = (
         Relay::start_shared(&config, &held, &shared),
         Relay::start_shared(&config, &held, &shared),
     );
-    for (told, other) in [(&old, &new), (&new, &old)] {
-        assert_eq!(told.call("POST", "/control/backends/s-2/offline").0, 200);
+    for (ordered, other) in [(&old, &new), (&new, &old)] {
+        assert_eq!(ordered.call("POST", "/control/backends/s-2/offline").0, 200);
         other.wait_for_figure("skipped_backends", 1);
         assert_eq!(other.call("POST", "/control/backends/s-2/online").0, 200);
-        told.wait_for_figure("skipped_backends", 0);
+        ordered.wait_for_figure("skipped_backends", 0);
     }
     std::fs::remove_dir_all(shared).unwrap();
 }
 
-/// New settings at SIGHUP: a class comes, another vanishes, fewer attempts are allowed; a connection under
-/// way keeps its class, and a broken file changes nothing.
+/// New settings at SIGHUP: a class is added, another one is removed, and fewer attempts are
+/// allowed. An established connection keeps its class, and a malformed file changes nothing.
 #[test]
-fn new_settings_hold_after_a_reload_and_broken_ones_change_nothing() {
+fn a_reload_applies_new_settings_and_malformed_ones_change_nothing() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let config = with_admin(&fleet);
     let relay = Relay::start(&config, None);
-    let standing = fleet.pair(&relay, "01");
+    let established = fleet.pair(&relay, "01");
     let open = |id: &str, class: &str| {
         let mut client = relay.client();
         client.send(&format!("OPEN {id} 7f c={class},d=60000"));
@@ -237,11 +239,11 @@
     assert_eq!(relay.figure("passed_total{category=\"next\"}"), Some(0));
     assert_eq!(relay.figure("passed_total{category=\"chat\"}"), Some(1));
     let mut client = open("03", "next");
-    // One attempt is all there is now.
+    // Only one attempt is allowed now.
     fleet.accept_any().1.answer("BUSY");
     assert!(client.line().starts_with("BUSY"));
     assert_eq!(open("04", "chat").line(), "ERR unknown-class");
-    for (n, broken) in [
+    for (n, malformed) in [
         "",
         &changed[..changed.len() - 9],
         &changed.replace("1200.0", "0.0"),
@@ -249,7 +251,7 @@
     .iter()
     .enumerate()
     {
-        relay.reload(broken);
+        relay.reload(malformed);
         relay.wait_for_figure("load_errors_total", n as u64 + 1);
     }
     assert_eq!(relay.figure("loads_total"), Some(1));
@@ -258,21 +260,21 @@
     backend.line();
     backend.send("UP r");
     relay.wait_for_figure("passed_total{category=\"next\"}", 1);
-    // The connection from before was never touched.
-    let (mut client, mut backend) = standing;
+    // The earlier connection was not affected.
+    let (mut client, mut backend) = established;
     client.send("M 1 abc");
     assert_eq!(backend.line(), "M 1 abc");
     client.end();
     relay.wait_for_log("id=01 class=chat");
 }
 
-/// Where nobody takes over, what stands is moved as at any stop.
+/// Without a successor the established connections are migrated, as at any stop.
 #[test]
-fn a_process_without_a_successor_moves_what_stands() {
-    let (fleet, shared) = (Fleet::new(&["s-1"]), shared("alone"));
+fn a_process_without_a_successor_migrates_its_connections() {
+    let (fleet, shared) = (Fleet::new(&["s-1"]), shared_directory("alone"));
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = fleet.config(fleet.discovery.addr());
-    // One that has died leaves its place behind.
+    // A process that was killed leaves its socket file behind.
     drop(Relay::start_shared(&config, &held, &shared));
     let mut relay = Relay::start_shared(&config, &held, &shared);
     let (mut client, mut backend) = fleet.pair(&relay, "01");
