--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -25,7 +25,7 @@
     /// Whether it has all backends; otherwise it has the changed ones only.
     pub full: bool,
     /// The valid entries.
-    pub servers: Vec<(BackendAddress, ListedEndpoint)>,
+    pub entries: Vec<(BackendAddress, ListedEndpoint)>,
     /// The problems of the invalid entries, which are left out.
     pub problems: Vec<String>,
 }
@@ -38,7 +38,7 @@
     EndpointId(hash)
 }
 
-/// Returns an error if the JSON text is nested more than [`MAX_DEPTH`] deep.
+/// Returns an error if the JSON text is nested more than `MAX_DEPTH` deep.
 pub fn check_nesting(text: &[u8]) -> Result<(), String> {
     let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
     for &b in text {
@@ -74,12 +74,12 @@
     let mut update = ListUpdate {
         version,
         full,
-        servers: Vec::new(),
+        entries: Vec::new(),
         problems: Vec::new(),
     };
     for (i, value) in list.iter().enumerate() {
         match parse_entry(value, zones) {
-            Ok(entry) => update.servers.push(entry),
+            Ok(entry) => update.entries.push(entry),
             Err(e) => update.problems.push(format!("servers[{i}].{e}")),
         }
     }
@@ -166,8 +166,8 @@
             );
             let update = parse(&text).unwrap();
             assert_eq!(update.problems, [problem]);
-            let (address, listed) = &update.servers[0];
-            assert_eq!((update.servers.len(), address.name.as_str()), (1, "s-1"));
+            let (address, listed) = &update.entries[0];
+            assert_eq!((update.entries.len(), address.name.as_str()), (1, "s-1"));
             assert_eq!(
                 (listed.zone, listed.cell, listed.started_at),
                 (1, 3, Some(7_000))
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// The configuration of the relay at its start.
+/// The checked configuration of the relay.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The relay's name, the same after a restart.
@@ -191,7 +191,7 @@
 
     /// Reads the file again while the process runs. Its discovery address takes precedence over the
     /// variable, which is as old as the process. A file that lacks a key of the current one is
-    /// refused: it may be incomplete.
+    /// refused as malformed.
     ///
     /// Returns the new configuration and the keys whose change needs a restart; these keep their
     /// old values. Classes keep their indexes, and removed ones become unavailable.
@@ -285,7 +285,7 @@
         let (known_version, known, known_problems) = match top.get("known") {
             None => (0, Vec::new(), Vec::new()),
             Some(known) => match endpoint_list::parse_list_update(known, &names.zones) {
-                Ok(list) => (list.version, list.servers, list.problems),
+                Ok(list) => (list.version, list.entries, list.problems),
                 Err(e) => return Err(ConfigError(format!("known.{e}"))),
             },
         };
--- a/src/ops/admin.rs
+++ b/src/ops/admin.rs
@@ -28,7 +28,7 @@
 const LINGER: Duration = Duration::from_secs(1);
 /// The longest request line and header fields.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// How often the ejections of other processes are read.
+/// How often the ejections of other processes are read, and the longest wait for callers.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A request of a caller.
--- a/src/ops/metrics.rs
+++ b/src/ops/metrics.rs
@@ -64,7 +64,7 @@
     pub traffic: Traffic,
 }
 
-/// The most jobs that are rendered by name. The number of all jobs is a metric of its own.
+/// The most owned jobs that are rendered by name. `fleet_jobs` has the number of all of them.
 const MAX_NAMED_JOBS: usize = 32;
 
 /// Metrics of the XMPP front; rendered only if there is one.
@@ -88,7 +88,8 @@
 pub struct Gauges {
     /// The number of listed backends.
     pub listed_backends: usize,
-    /// How many of them get no new requests now: ejected manually or by the decisions.
+    /// How many of them get no new requests now: not ready, ejected manually, or ejected by the
+    /// decisions.
     pub unavailable_backends: usize,
     /// The metrics of each cell; not rendered if there is only one.
     pub cells: Vec<CellMetrics>,
--- a/src/platform/discovery.rs
+++ b/src/platform/discovery.rs
@@ -19,10 +19,10 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The platform's rule: the relay must know a change this long after discovery had it and was
-/// reachable, whichever calls failed meanwhile. The timeouts below and the backoff of the decisions
-/// (`discovery_max_backoff_us`, `discovery_max_backoff_after_timeout_us`) add up to less; a test
-/// checks the sums.
+/// The platform's rule: the relay must know a change at the latest this long after discovery had it
+/// and was reachable, whichever calls failed meanwhile. The timeouts below and the backoff of the
+/// decisions (`discovery_max_backoff_us`, `discovery_max_backoff_after_timeout_us`) add up to less;
+/// a test checks the sums.
 pub const MAX_UPDATE_DELAY: Duration = Duration::from_millis(6_000);
 /// The longest wait for a connection to discovery.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -371,24 +371,24 @@
         for problem in &update.problems {
             log(&format!("discovery: an entry was left out: {problem}"));
         }
-        let (version, entries) = (update.version, update.servers.len());
+        let (version, count) = (update.version, update.entries.len());
         let describe = |(address, listed): &(BackendAddress, ListedEndpoint)| {
             format!("{} {:?}", address.name, listed.state)
         };
         let described: Vec<String> = update
-            .servers
+            .entries
             .iter()
             .take(MAX_LOGGED_ENTRIES)
             .map(describe)
             .collect();
         log(&format!(
-            "discovery: version {version}, {entries} entries: {}",
+            "discovery: version {version}, {count} entries: {}",
             described.join(", ")
         ));
         self.version = update.version;
         // The directory first: the network code checks it again right before it sends the first
         // byte to a backend.
-        self.directory.update(update.full, &update.servers);
+        self.directory.update(update.full, &update.entries);
         let kind = if update.full {
             EndpointListKind::Full
         } else {
@@ -397,7 +397,7 @@
         self.decisions.update_endpoints(
             kind,
             update
-                .servers
+                .entries
                 .into_iter()
                 .map(|(_, listed)| listed)
                 .collect(),
