--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -12,46 +12,46 @@
 
 /// Descriptors for all that is no client's: standard streams, listener, signals, discovery, the
 /// configuration while it is read, and the probes that may be out.
-const RESERVE: usize = 15 + PROBES;
+const RESERVED_DESCRIPTORS: usize = 15 + PROBES;
 /// Memory that a connection may need that is served: two stacks as far as they are used, two buffers.
-const PER_REQUEST: usize = 48 * 1024;
+const BYTES_PER_REQUEST: usize = 48 * 1024;
 /// The same for one that has not asked yet: one of each.
-const PER_IDLE: usize = 24 * 1024;
+const BYTES_PER_WAITING: usize = 24 * 1024;
 /// The fewest connections that may wait to be heard.
-const IDLE_LEAST: usize = 16;
+const MIN_WAITING: usize = 16;
 /// One that has just come is not sent away unheard: its first line may be under way.
-pub const GRACE: Duration = Duration::from_millis(100);
+pub const DISMISS_GRACE: Duration = Duration::from_millis(100);
 
 /// A connection whose first line has not come yet.
-struct Waiting {
+struct WaitingState {
     /// Whether it has ever asked something.
-    asked: bool,
+    active: bool,
     /// When it last did, or came.
     since: Instant,
-    sent_away: bool,
+    dismissed: bool,
 }
 
 #[derive(Default)]
 struct Inner {
-    waiting: BTreeMap<u64, Waiting>,
-    open: BTreeSet<String>,
+    waiting: BTreeMap<u64, WaitingState>,
+    request_ids: BTreeSet<String>,
 }
 
 /// The room there is, and who has it.
 pub struct Admission {
-    idle_most: usize,
-    requests_most: usize,
+    max_waiting: usize,
+    max_requests: usize,
     next: AtomicU64,
     inner: Mutex<Inner>,
 }
 
 /// Why a request is not let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum AdmissionError {
     /// Another open connection has its id.
     IdInUse,
     /// No descriptors or no memory are left for it.
-    Full,
+    NoCapacity,
 }
 
 impl Admission {
@@ -60,24 +60,24 @@
     ///
     /// Where the platform holds the listening socket, two processes share all of it during an upgrade. Of
     /// the clients with requests there are no more than before; the rest is halved for good.
-    pub fn new(limits: &Limits, admin: bool, held: bool) -> Arc<Admission> {
+    pub fn new(limits: &Limits, admin: bool, inherited: bool) -> Arc<Admission> {
         let (sockets, memory) = (
             limits.sockets as usize,
             limits.memory_mb as usize * 1024 * 1024,
         );
-        let processes = if held { 2 } else { 1 };
-        let reserve = RESERVE + if admin { CALLERS + 1 } else { 0 };
-        let left = sockets.saturating_sub(processes * (reserve + IDLE_LEAST));
-        let requests_most = sockets
+        let processes = if inherited { 2 } else { 1 };
+        let reserve = RESERVED_DESCRIPTORS + if admin { CALLERS + 1 } else { 0 };
+        let left = sockets.saturating_sub(processes * (reserve + MIN_WAITING));
+        let max_requests = sockets
             .div_ceil(3)
             .min(left / 2)
-            .min(memory / 2 / PER_REQUEST)
+            .min(memory / 2 / BYTES_PER_REQUEST)
             .max(1);
-        let idle = (sockets / processes).saturating_sub(reserve + 2 * requests_most / processes);
-        let idle = idle.min(memory / processes / 4 / PER_IDLE);
+        let idle = (sockets / processes).saturating_sub(reserve + 2 * max_requests / processes);
+        let idle = idle.min(memory / processes / 4 / BYTES_PER_WAITING);
         Arc::new(Admission {
-            idle_most: idle.max(IDLE_LEAST),
-            requests_most,
+            max_waiting: idle.max(MIN_WAITING),
+            max_requests,
             next: AtomicU64::new(0),
             inner: Mutex::default(),
         })
@@ -89,37 +89,37 @@
 
     /// Whether one more connection can be taken in. If not, these are to be sent away: those that have asked for
     /// nothing, the ones that have done so for longest first; it takes them a moment to go.
-    pub fn room(&self) -> Result<(), Vec<u64>> {
+    pub fn check_capacity(&self) -> Result<(), Vec<u64>> {
         let mut inner = self.lock();
-        if inner.waiting.len() < self.idle_most {
+        if inner.waiting.len() < self.max_waiting {
             return Ok(());
         }
         let now = Instant::now();
         let mut idle: Vec<_> = inner.waiting.iter_mut().collect();
-        if idle.iter().any(|(_, w)| w.sent_away) {
+        if idle.iter().any(|(_, w)| w.dismissed) {
             return Err(Vec::new());
         }
-        idle.retain(|(_, w)| now.duration_since(w.since) >= GRACE);
-        idle.sort_by_key(|(_, w)| (w.asked, w.since));
+        idle.retain(|(_, w)| now.duration_since(w.since) >= DISMISS_GRACE);
+        idle.sort_by_key(|(_, w)| (w.active, w.since));
         // Several at a time: a crowd must not hold up the clients that come with it.
-        let most = self.idle_most.div_ceil(8);
-        let leave = |(number, w): (&u64, &mut Waiting)| {
-            w.sent_away = true;
+        let most = self.max_waiting.div_ceil(8);
+        let leave = |(number, w): (&u64, &mut WaitingState)| {
+            w.dismissed = true;
             *number
         };
         Err(idle.into_iter().take(most).map(leave).collect())
     }
 
     /// Takes in a connection.
-    pub fn idle(self: &Arc<Self>, stream: TcpStream) -> Idle {
+    pub fn register(self: &Arc<Self>, stream: TcpStream) -> WaitingConnection {
         let (number, stream) = (self.next.fetch_add(1, Ordering::Relaxed), Arc::new(stream));
-        let waiting = Waiting {
-            asked: false,
+        let waiting = WaitingState {
+            active: false,
             since: Instant::now(),
-            sent_away: false,
+            dismissed: false,
         };
         self.lock().waiting.insert(number, waiting);
-        Idle {
+        WaitingConnection {
             admission: self.clone(),
             number,
             stream,
@@ -127,55 +127,55 @@
     }
 
     /// How many connections have not asked yet.
-    pub fn idle_count(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.lock().waiting.len()
     }
 
     /// How many requests and connections are under way.
-    pub fn requests(&self) -> usize {
-        self.lock().open.len()
+    pub fn request_count(&self) -> usize {
+        self.lock().request_ids.len()
     }
 
     /// The most requests and the most connections without one.
-    pub fn most(&self) -> (usize, usize) {
-        (self.requests_most, self.idle_most)
+    pub fn limits(&self) -> (usize, usize) {
+        (self.max_requests, self.max_waiting)
     }
 }
 
 /// A connection that has not asked for anything yet; leaves when it is dropped.
-pub struct Idle {
+pub struct WaitingConnection {
     admission: Arc<Admission>,
     number: u64,
     /// Its socket.
     pub stream: Arc<TcpStream>,
 }
 
-impl Idle {
+impl WaitingConnection {
     /// The connection's number.
     pub fn number(&self) -> u64 {
         self.number
     }
 
     /// It has asked something.
-    pub fn asked(&self) {
+    pub fn record_activity(&self) {
         if let Some(w) = self.admission.lock().waiting.get_mut(&self.number) {
-            (w.asked, w.since) = (true, Instant::now());
+            (w.active, w.since) = (true, Instant::now());
         }
     }
 
     /// Lets in its request, with the id that the client gave it.
-    pub fn request(&self, id: &str) -> Result<Place, Denied> {
+    pub fn admit_request(&self, id: &str) -> Result<RequestSlot, AdmissionError> {
         let mut inner = self.admission.lock();
         // Two of one id could not be told apart by a backend: the second is no request of its own.
-        if inner.open.contains(id) {
-            return Err(Denied::IdInUse);
+        if inner.request_ids.contains(id) {
+            return Err(AdmissionError::IdInUse);
         }
-        if inner.open.len() >= self.admission.requests_most {
-            return Err(Denied::Full);
+        if inner.request_ids.len() >= self.admission.max_requests {
+            return Err(AdmissionError::NoCapacity);
         }
-        inner.open.insert(id.to_string());
+        inner.request_ids.insert(id.to_string());
         inner.waiting.remove(&self.number);
-        Ok(Place {
+        Ok(RequestSlot {
             admission: self.admission.clone(),
             number: self.number,
             id: id.to_string(),
@@ -183,14 +183,14 @@
     }
 }
 
-impl Drop for Idle {
+impl Drop for WaitingConnection {
     fn drop(&mut self) {
         self.admission.lock().waiting.remove(&self.number);
     }
 }
 
 /// The room that a request has until this is dropped.
-pub struct Place {
+pub struct RequestSlot {
     admission: Arc<Admission>,
     /// The connection's number.
     pub number: u64,
@@ -198,9 +198,9 @@
     pub id: String,
 }
 
-impl Drop for Place {
+impl Drop for RequestSlot {
     fn drop(&mut self) {
-        self.admission.lock().open.remove(&self.id);
+        self.admission.lock().request_ids.remove(&self.id);
     }
 }
 
@@ -224,14 +224,17 @@
     #[test]
     fn the_room_follows_the_limits() {
         for (sockets, memory_mb) in [(128, 16), (256, 32), (384, 48), (756, 48), (1024, 192)] {
-            let (requests, idle) = admission(sockets, memory_mb).most();
+            let (requests, idle) = admission(sockets, memory_mb).limits();
             let case = format!("{sockets} sockets, {memory_mb} MB: {requests}, {idle}");
-            assert!(2 * requests + idle + RESERVE <= sockets as usize, "{case}");
             assert!(
-                requests >= (sockets / 3) as usize && idle >= IDLE_LEAST,
+                2 * requests + idle + RESERVED_DESCRIPTORS <= sockets as usize,
                 "{case}"
             );
-            let memory = requests * PER_REQUEST + idle * PER_IDLE;
+            assert!(
+                requests >= (sockets / 3) as usize && idle >= MIN_WAITING,
+                "{case}"
+            );
+            let memory = requests * BYTES_PER_REQUEST + idle * BYTES_PER_WAITING;
             assert!(memory <= memory_mb as usize * 1024 * 1024 * 3 / 4, "{case}");
         }
     }
@@ -245,14 +248,14 @@
                 memory_mb,
                 sockets,
             };
-            for (held, processes) in [(false, 1), (true, 2)] {
-                let (requests, idle) = Admission::new(&limits, true, held).most();
-                let all = 2 * requests + processes * (idle + RESERVE + CALLERS + 1);
+            for (inherited, processes) in [(false, 1), (true, 2)] {
+                let (requests, idle) = Admission::new(&limits, true, inherited).limits();
+                let all = 2 * requests + processes * (idle + RESERVED_DESCRIPTORS + CALLERS + 1);
                 assert!(
                     all <= sockets as usize,
-                    "{sockets} sockets, held {held}: {requests}, {idle}"
+                    "{sockets} sockets, inherited {inherited}: {requests}, {idle}"
                 );
-                let memory = requests * PER_REQUEST + processes * idle * PER_IDLE;
+                let memory = requests * BYTES_PER_REQUEST + processes * idle * BYTES_PER_WAITING;
                 assert!(memory <= memory_mb as usize * 1024 * 1024 * 3 / 4);
                 assert!(requests >= sockets as usize * 3 / 10);
             }
@@ -265,15 +268,15 @@
         let admission = admission(128, 16);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (mut far, mut idle) = (Vec::new(), Vec::new());
-        for _ in 0..admission.most().1 {
-            assert!(admission.room().is_ok());
+        for _ in 0..admission.limits().1 {
+            assert!(admission.check_capacity().is_ok());
             far.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
-            idle.push(admission.idle(listener.accept().unwrap().0));
+            idle.push(admission.register(listener.accept().unwrap().0));
         }
-        idle[0].asked();
-        std::thread::sleep(GRACE);
+        idle[0].record_activity();
+        std::thread::sleep(DISMISS_GRACE);
         // The second has to go, the first and the last stay.
-        let gone = admission.room().unwrap_err();
+        let gone = admission.check_capacity().unwrap_err();
         assert!(
             gone.contains(&idle[1].number()) && gone.len() < far.len() / 2,
             "{gone:?}"
@@ -282,13 +285,16 @@
             assert!(!gone.contains(&idle[n].number()));
         }
         // No more are sent away before those have gone.
-        assert_eq!(admission.room(), Err(Vec::new()));
+        assert_eq!(admission.check_capacity(), Err(Vec::new()));
         idle.remove(1);
-        assert!(admission.room().is_ok());
+        assert!(admission.check_capacity().is_ok());
         // A request takes no room from the others that wait.
-        let place = idle[0].request("01").unwrap();
-        assert_eq!(idle[1].request("01").err(), Some(Denied::IdInUse));
-        drop(place);
-        assert!(idle[1].request("01").is_ok());
+        let slot = idle[0].admit_request("01").unwrap();
+        assert_eq!(
+            idle[1].admit_request("01").err(),
+            Some(AdmissionError::IdInUse)
+        );
+        drop(slot);
+        assert!(idle[1].admit_request("01").is_ok());
     }
 }
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -8,7 +8,7 @@
 use crate::decisions::api::{EndpointId, Micros, Outcome, RequestId};
 use crate::log::log;
 use crate::net::link::Link;
-use crate::net::poll::{dial, is_local, Interest};
+use crate::net::poll::{dial, is_local_failure, Interest};
 use crate::net::session::Session;
 use crate::net::shared::SharedState;
 use crate::protocol::buffer::Buffer;
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy)]
 pub struct Ground<'a> {
     /// What all connections share.
-    pub core: &'a SharedState,
+    pub shared: &'a SharedState,
     /// The client's.
     pub session: &'a Session,
     /// What the client asked for.
@@ -121,7 +121,7 @@
     /// Its socket, and what is waited for there.
     pub fn waits(&self) -> Option<(&Arc<TcpStream>, Interest)> {
         let socket = &self.link.as_ref()?.socket;
-        let held = self.link.as_ref().is_some_and(Link::holds_back);
+        let held = self.link.as_ref().is_some_and(Link::has_unsent_tls);
         let interest = match self.at {
             At::Dialing(_) => Interest {
                 read: false,
@@ -164,7 +164,11 @@
     /// failed, its socket is closed before this returns.
     pub fn go(&mut self, g: Ground<'_>, ready: bool) -> Option<Result<Up, Failed>> {
         let result = self.step(g, ready)?;
-        let (id, server, now) = (g.session.name(), self.server.0, g.core.decisions.now());
+        let (id, server, now) = (
+            g.session.connection_id(),
+            self.server.0,
+            g.shared.decisions.now(),
+        );
         let ms = now.saturating_sub(self.began) / 1_000;
         self.at = At::Over;
         match &result {
@@ -172,14 +176,14 @@
             Err((outcome, _)) => {
                 tracing::debug!(%id, server, ms, ?outcome, "attempt failed");
                 self.link = None;
-                g.session.release();
+                g.session.detach_backend();
             }
         }
         Some(result)
     }
 
     fn step(&mut self, g: Ground<'_>, ready: bool) -> Option<Result<Up, Failed>> {
-        if g.session.called_off(self.number) {
+        if g.session.is_cancelled(self.number) {
             // Before the dial nothing has begun: the retry budget has its share back.
             return failed(if self.seeks() {
                 Outcome::NotAttempted
@@ -187,7 +191,7 @@
                 Outcome::Cancelled
             });
         }
-        let now = g.core.decisions.now();
+        let now = g.shared.decisions.now();
         match self.at {
             At::Over => None,
             At::Seeking => self.dial(g, now),
@@ -211,7 +215,7 @@
     /// Begins the dial, once the backend's address is known.
     fn dial(&mut self, g: Ground<'_>, now: Micros) -> Option<Result<Up, Failed>> {
         let adopted = g.order.at().is_some();
-        let Some(endpoint) = g.core.directory.endpoint(self.server) else {
+        let Some(endpoint) = g.shared.directory.endpoint(self.server) else {
             // The list that a relay starts with may be stale; one that was chosen now has left.
             return if adopted && now < self.until {
                 None
@@ -222,23 +226,23 @@
         let most = if adopted {
             ADOPT_DIAL
         } else {
-            g.core.terms().dial_timeout.as_micros() as Micros
+            g.shared.settings().dial_timeout.as_micros() as Micros
         };
         if now >= self.until || most == 0 {
             return failed(Outcome::NotAttempted);
         }
         let mut addr = endpoint.addr;
-        if let Some(port) = g.core.port(g.order.front()) {
+        if let Some(port) = g.shared.backend_port(g.order.front()) {
             addr.set_port(port);
         }
         self.endpoint = Some(endpoint);
         let stream = match dial(addr) {
             Ok(stream) => stream,
-            Err(e) if is_local(&e) => {
+            Err(e) if is_local_failure(&e) => {
                 log(&format!(
                     "attempt {} of {}: dial of {}: {e}",
                     self.number,
-                    g.session.name(),
+                    g.session.connection_id(),
                     self.name()
                 ));
                 return failed(Outcome::NotAttempted);
@@ -246,7 +250,7 @@
             Err(_) => return failed(Outcome::ConnectFailed),
         };
         let stream = Arc::new(stream);
-        if !g.session.hold(&stream, self.number) {
+        if !g.session.attach_backend(&stream, self.number) {
             return failed(Outcome::Cancelled);
         }
         self.link = Some(Link::plain(stream));
@@ -256,7 +260,7 @@
 
     /// How it ends where the link breaks: before the request's last byte nothing can have run.
     fn broke(&self, g: Ground<'_>) -> Option<Result<Up, Failed>> {
-        failed(match (self.asked, g.session.called_off(self.number)) {
+        failed(match (self.asked, g.session.is_cancelled(self.number)) {
             (_, true) => Outcome::Cancelled,
             (true, false) => Outcome::Reset,
             (false, false) => Outcome::ConnectFailed,
@@ -264,10 +268,10 @@
     }
 
     fn talk(&mut self, g: Ground<'_>) -> Option<Result<Up, Failed>> {
-        let Ground { core, order, .. } = g;
+        let Ground { shared, order, .. } = g;
         let adopted = order.at().is_some();
         loop {
-            let now = core.decisions.now();
+            let now = shared.decisions.now();
             if now >= self.until {
                 return failed(match (self.asked, self.said) {
                     (true, _) => Outcome::Timeout,
@@ -277,7 +281,7 @@
             }
             let link = self.link.as_mut()?;
             if self.at == At::Securing {
-                match link.shake() {
+                match link.continue_handshake() {
                     Ok(true) => self.at = At::Talking,
                     Ok(false) => return None,
                     Err(e) => {
@@ -288,7 +292,7 @@
                 continue;
             }
             if !self.out.is_empty() || self.blocked {
-                match link.write_some(&self.out) {
+                match link.write_available(&self.out) {
                     Ok((n, blocked)) => {
                         self.out.drain(..n);
                         self.blocked = blocked;
@@ -299,7 +303,7 @@
                     return None;
                 }
                 if std::mem::take(&mut self.asking) {
-                    core.metrics.tries.fetch_add(1, Relaxed);
+                    shared.metrics.tries.fetch_add(1, Relaxed);
                     self.asked = true;
                 }
             }
@@ -311,9 +315,9 @@
             // answered: once more, right before each first byte of something new.
             let new = matches!(step, Step::Ask(_) | Step::Say(_) | Step::Secure(_));
             let may = || {
-                core.directory.takes_new(self.server)
-                    && core.decisions.awaits_answer(g.id)
-                    && core.decisions.may_admit()
+                shared.directory.takes_new(self.server)
+                    && shared.decisions.awaits_answer(g.id)
+                    && shared.decisions.may_admit()
             };
             if new && !adopted && !may() {
                 return failed(Outcome::NotAttempted);
@@ -329,11 +333,14 @@
                     continue;
                 }
                 Step::Secure(domain) => {
-                    let Some(tls) = core.xmpp().and_then(|xmpp| xmpp.tls.client(&domain)) else {
+                    let Some(tls) = shared
+                        .xmpp()
+                        .and_then(|xmpp| xmpp.tls.client_connection(&domain))
+                    else {
                         return failed(Outcome::NotAttempted);
                     };
                     self.said = true;
-                    self.link.as_mut()?.secure(tls);
+                    self.link.as_mut()?.start_tls(tls);
                     self.at = At::Securing;
                     continue;
                 }
@@ -361,7 +368,7 @@
                     });
                 }
             }
-            match self.link.as_mut()?.fill(&mut self.inbox) {
+            match self.link.as_mut()?.read_into(&mut self.inbox) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return None,
                 _ => return self.broke(g),
@@ -398,7 +405,7 @@
     const MINUTE: Micros = 60_000_000;
 
     struct Setup {
-        core: Arc<SharedState>,
+        shared: Arc<SharedState>,
         session: Arc<Session>,
         order: Box<dyn Order>,
         _front: TcpStream,
@@ -444,20 +451,20 @@
                 member(state),
             )],
         );
-        let core = SharedState::new(&config, decisions, directory);
+        let shared = SharedState::new(&config, decisions, directory);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let idle = core
+        let idle = shared
             .admission
-            .idle(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
+            .register(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
         let mut inbox = Buffer::holding(format!("OPEN 1 7f c=one,d=60000{at}\r\n").into_bytes());
-        let rules = core.terms().rules.clone();
+        let rules = shared.settings().rules.clone();
         let Next::Place(order) = Greeting::new(0).next(&mut inbox, 0, &rules) else {
             panic!()
         };
-        let place = idle.request("1").unwrap();
-        let session = Session::new(&core.woken, (0x7f, 0), place, false, None);
+        let place = idle.admit_request("1").unwrap();
+        let session = Session::new(&shared.wake_queue, (0x7f, 0), place, false, None);
         Setup {
-            core,
+            shared,
             session,
             order,
             _front: listener.accept().unwrap().0,
@@ -467,7 +474,7 @@
     impl Setup {
         fn ground(&self, id: RequestId) -> Ground<'_> {
             Ground {
-                core: &self.core,
+                shared: &self.shared,
                 session: &self.session,
                 order: &*self.order,
                 id,
@@ -475,7 +482,7 @@
         }
 
         fn attempt(&self, left: Micros) -> Attempt {
-            let now = self.core.decisions.now();
+            let now = self.shared.decisions.now();
             Attempt::new(&*self.order, SERVER, now + left, 0, now)
         }
 
@@ -493,7 +500,7 @@
                     watched = Some(interest);
                 }
                 poller.wait(
-                    self.core.decisions.time_until(attempt.due()),
+                    self.shared.decisions.time_until(attempt.due()),
                     &mut events,
                     &mut ready,
                 );
@@ -519,11 +526,11 @@
             let (listener, addr) = listener();
             let s = setup(addr, state, "", 10_000.0);
             let pick =
-                s.core
+                s.shared
                     .decisions
                     .submit(s.order.request().clone(), s.session.clone(), |_| {});
             if answered {
-                s.core.decisions.client_disconnected(pick.id);
+                s.shared.decisions.client_disconnected(pick.id);
             }
             let result = s.drive(pick.id, s.attempt(MINUTE));
             assert!(
@@ -542,10 +549,11 @@
     fn the_wait_for_an_adopted_connection_ends() {
         let (_listener, addr) = listener();
         let s = setup(addr, EndpointState::Ready, ",at=s-1", 10_000.0);
-        let id =
-            s.core
-                .decisions
-                .adopt_connection(s.order.request().clone(), SERVER, s.session.clone());
+        let id = s.shared.decisions.adopt_connection(
+            s.order.request().clone(),
+            SERVER,
+            s.session.clone(),
+        );
         assert!(matches!(
             s.drive(id, s.attempt(300_000)),
             Err((Outcome::Timeout, _))
@@ -557,10 +565,11 @@
     fn an_adopted_connection_waits_for_the_list_that_names_its_backend() {
         let (_listener, addr) = listener();
         let s = setup(addr, EndpointState::Removed, ",at=s-1", 10_000.0);
-        let id =
-            s.core
-                .decisions
-                .adopt_connection(s.order.request().clone(), SERVER, s.session.clone());
+        let id = s.shared.decisions.adopt_connection(
+            s.order.request().clone(),
+            SERVER,
+            s.session.clone(),
+        );
         let mut attempt = s.attempt(MINUTE);
         assert!(attempt.go(s.ground(id), false).is_none() && attempt.seeks());
         let member = ListedEndpoint {
@@ -571,7 +580,7 @@
             size: 1.0,
             started_at: None,
         };
-        s.core.directory.update(
+        s.shared.directory.update(
             false,
             &[(
                 Endpoint {
@@ -596,7 +605,7 @@
         let refusing = held.local_addr().unwrap().as_socket().unwrap();
         let s = setup(refusing, EndpointState::Ready, "", 10_000.0);
         let pick = s
-            .core
+            .shared
             .decisions
             .submit(s.order.request().clone(), s.session.clone(), |_| {});
         assert!(matches!(
@@ -610,7 +619,7 @@
         let _waiting: Vec<TcpStream> = (0..3).map(|_| dial(addr).unwrap()).collect();
         let s = setup(addr, EndpointState::Ready, "", 20.0);
         let pick = s
-            .core
+            .shared
             .decisions
             .submit(s.order.request().clone(), s.session.clone(), |_| {});
         assert!(matches!(
@@ -624,13 +633,13 @@
             let (listener, addr) = listener();
             let s = setup(addr, EndpointState::Ready, "", 1.0);
             let pick =
-                s.core
+                s.shared
                     .decisions
                     .submit(s.order.request().clone(), s.session.clone(), |_| {});
             let mut attempt = s.attempt(MINUTE);
             assert!(attempt.go(s.ground(pick.id), false).is_none());
             let (mut backend, _) = listener.accept().unwrap();
-            while s.core.decisions.now() < attempt.due() {
+            while s.shared.decisions.now() < attempt.due() {
                 std::thread::sleep(Duration::from_millis(1));
             }
             assert!(matches!(
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -6,11 +6,11 @@
 
 use crate::decision_service::PendingDecision;
 use crate::decisions::api::{EndpointId, Micros, Outcome, Request, RequestId};
-use crate::net::admission::{Idle, GRACE};
+use crate::net::admission::{WaitingConnection, DISMISS_GRACE};
 use crate::net::attempt::Attempt;
 use crate::net::link::Link;
 use crate::net::poll::{Interest, Poller, Ready};
-use crate::net::session::{Account, Session};
+use crate::net::session::{ConnectionRecord, Session};
 use crate::net::shared::SharedState;
 use crate::protocol::buffer::{Buffer, MAX_LINE};
 use crate::protocol::{Cause, Greeter, Order, Passage};
@@ -62,7 +62,7 @@
 
 /// A client that is heard.
 pub(super) struct Hearing {
-    pub idle: Idle,
+    pub idle: WaitingConnection,
     pub greeter: Box<dyn Greeter>,
     /// Whether TLS is negotiated, and whether the greeter is to hear of its end.
     pub securing: bool,
@@ -88,7 +88,7 @@
 
 /// A client's connection.
 pub(super) struct Conn {
-    pub core: Arc<SharedState>,
+    pub shared: Arc<SharedState>,
     pub number: u64,
     pub client: Link,
     pub phase: Phase,
@@ -97,8 +97,8 @@
     /// None before the request is let in.
     pub session: Option<Arc<Session>>,
     /// The room of a client that was turned away, until it has gone.
-    pub idle: Option<Idle>,
-    pub account: Option<Account>,
+    pub idle: Option<WaitingConnection>,
+    pub record: Option<ConnectionRecord>,
     pub backend: Option<Backend>,
     /// From the client to the backend, and the other way.
     pub up: Buffer,
@@ -149,9 +149,9 @@
 
 impl Conn {
     /// One of a client that has just come, with nothing known of it.
-    pub fn new(core: &Arc<SharedState>, number: u64, socket: Arc<TcpStream>) -> Conn {
+    pub fn new(shared: &Arc<SharedState>, number: u64, socket: Arc<TcpStream>) -> Conn {
         Conn {
-            core: core.clone(),
+            shared: shared.clone(),
             number,
             client: Link::plain(socket),
             phase: Phase::Hearing,
@@ -159,7 +159,7 @@
             placing: None,
             session: None,
             idle: None,
-            account: None,
+            record: None,
             backend: None,
             up: Buffer::default(),
             down: Buffer::default(),
@@ -187,19 +187,21 @@
 
     /// The time of all that it does.
     pub fn now(&self) -> Micros {
-        self.core.decisions.now()
+        self.shared.decisions.now()
     }
 
     /// Its name for the log.
     pub fn name(&self) -> &str {
-        self.session.as_ref().map_or("", |session| session.name())
+        self.session
+            .as_ref()
+            .map_or("", |session| session.connection_id())
     }
 
     /// Whether its client is to be moved.
     pub fn moving(&self) -> bool {
         self.session
             .as_ref()
-            .is_some_and(|session| session.moving())
+            .is_some_and(|session| session.is_migrating())
     }
 
     /// The request as the decisions see one that came up in another process, or before the start.
@@ -238,7 +240,9 @@
 
     /// The decisions have news of it.
     pub fn woken(&mut self) {
-        self.session.iter().for_each(|session| session.looked_at());
+        self.session
+            .iter()
+            .for_each(|session| session.clear_notification());
         if self.phase == Phase::Placing {
             self.place(false);
         }
@@ -260,19 +264,19 @@
             .as_ref()
             .filter(|_| self.phase == Phase::Hearing);
         let came = self
-            .account
+            .record
             .as_ref()
-            .is_none_or(|account| account.began.elapsed() >= GRACE);
+            .is_none_or(|record| record.started_at.elapsed() >= DISMISS_GRACE);
         came && hearing
             .is_some_and(|h| self.up.rest().is_empty() && h.out.is_empty() && !h.securing)
     }
 
     /// The process ends, and it with that.
     pub fn cut_off(&mut self) {
-        self.account
+        self.record
             .take()
             .iter()
-            .for_each(|account| account.log("cut-off"));
+            .for_each(|record| record.log_end("cut-off"));
     }
 
     /// Whether it waits for a list that names its backend.
@@ -347,7 +351,7 @@
 
     /// What is waited for on the client's socket and the backend's.
     fn wanted(&self) -> (Option<Interest>, Option<Interest>) {
-        let held = self.client.holds_back();
+        let held = self.client.has_unsent_tls();
         let client_in = self.client_ended.is_none()
             && !self.parting
             && match self.phase {
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -18,8 +18,8 @@
 pub use crate::net::handshake::ListenerProtocol;
 use crate::net::link::Link;
 use crate::net::listen::Listener;
-use crate::net::poll::{dial, is_local, Events, Interest, Poller, Ready};
-use crate::net::session::{Account, Session};
+use crate::net::poll::{dial, is_local_failure, Events, Interest, Poller, Ready};
+use crate::net::session::{ConnectionRecord, Session};
 use crate::net::shared::SharedState;
 use crate::platform::probe::{self, Probe, PROBES};
 use crate::platform::takeover::{HandoverListener, Older, Passed, Rest, Successor};
@@ -111,7 +111,7 @@
 
 /// All that one relay drives.
 pub struct EventLoop {
-    core: Arc<SharedState>,
+    shared: Arc<SharedState>,
     poller: Poller,
     handle: Arc<Handle>,
     conns: BTreeMap<u64, Box<Conn>>,
@@ -135,7 +135,7 @@
     next_probe: u64,
     probe_limit: Micros,
     /// The directory that the processes of this relay share.
-    shared: Option<PathBuf>,
+    takeover_dir: Option<PathBuf>,
     drain: Option<Drain>,
     looked: Micros,
 }
@@ -143,18 +143,18 @@
 impl EventLoop {
     /// One that serves nobody yet; `orders` are the probes that the decisions ask for.
     pub fn new(
-        core: Arc<SharedState>,
+        shared: Arc<SharedState>,
         names: Names,
         orders: Receiver<EndpointId>,
     ) -> io::Result<EventLoop> {
         let poller = Poller::new()?;
         let wake = poller.waker();
-        core.decisions.set_waker(wake.clone());
-        core.directory.wakes(wake.clone());
-        core.woken.wakes(wake.clone());
-        let looked = core.decisions.now();
+        shared.decisions.set_waker(wake.clone());
+        shared.directory.wakes(wake.clone());
+        shared.wake_queue.set_waker(wake.clone());
+        let looked = shared.decisions.now();
         Ok(EventLoop {
-            core,
+            shared,
             handle: Arc::new(Handle {
                 stop: AtomicBool::new(false),
                 wake,
@@ -176,7 +176,7 @@
             probes: BTreeMap::new(),
             next_probe: 0,
             probe_limit: probe::LIMIT,
-            shared: None,
+            takeover_dir: None,
             drain: None,
             looked,
         })
@@ -213,7 +213,7 @@
     /// Takes over what older processes pass on in this directory, and passes on there what stands at the end.
     pub fn enable_takeover(&mut self, dir: PathBuf) -> io::Result<()> {
         let handovers = HandoverListener::open(&dir)?;
-        self.shared = Some(dir);
+        self.takeover_dir = Some(dir);
         self.poller
             .watch(&handovers, other(HANDOVERS), None, Some(READ))?;
         self.handovers = Some(handovers);
@@ -223,12 +223,12 @@
     /// Serves until it has been told to stop and nothing stands any more, or the platform is about to kill.
     pub fn run(mut self) {
         self.poller.set_owner();
-        self.core.accepting.store(true, Relaxed);
+        self.shared.accepting.store(true, Relaxed);
         let (mut events, mut ready) = (Events::default(), Vec::new());
         loop {
-            let timer = self.core.decisions.fire_timers();
+            let timer = self.shared.decisions.fire_timers();
             // One look at the clock for all of a turn: it has cost more than the rest of an idle one.
-            let now = self.core.decisions.now();
+            let now = self.shared.decisions.now();
             self.woken();
             self.start_probes();
             self.listed();
@@ -239,7 +239,7 @@
             self.look(now);
             self.resume(now);
             // What this turn has given itself to do comes before the wait.
-            let limit = if self.poller.again() {
+            let limit = if self.poller.take_rescheduled() {
                 Duration::ZERO
             } else {
                 self.limit(timer, now)
@@ -315,14 +315,14 @@
 
     /// What the decisions have news of.
     fn woken(&mut self) {
-        for number in self.core.woken.take() {
+        for number in self.shared.wake_queue.take() {
             self.with(number, Conn::woken);
         }
     }
 
     /// A list has come: whoever waits for its backend looks again.
     fn listed(&mut self) {
-        let version = self.core.directory.version();
+        let version = self.shared.directory.version();
         if std::mem::replace(&mut self.list, version) != version {
             for number in std::mem::take(&mut self.seeking) {
                 self.with(number, Conn::late);
@@ -372,7 +372,7 @@
             if !self.make_room() {
                 return self.pause(FULL);
             }
-            match listener.next() {
+            match listener.accept() {
                 Ok(client) => {
                     self.short = false;
                     self.take_in(client, speaks);
@@ -390,7 +390,7 @@
 
     /// Whether one more client can be taken in; if not, some that rest are sent away.
     fn make_room(&mut self) -> bool {
-        let leave = match self.core.admission.room() {
+        let leave = match self.shared.admission.check_capacity() {
             Ok(()) => return true,
             Err(leave) => leave,
         };
@@ -401,15 +401,15 @@
     }
 
     fn take_in(&mut self, client: std::net::TcpStream, speaks: ListenerProtocol) {
-        let idle = self.core.admission.idle(client);
-        if let Some(conn) = Conn::greet(&self.core, idle, speaks) {
+        let idle = self.shared.admission.register(client);
+        if let Some(conn) = Conn::greet(&self.shared, idle, speaks) {
             self.enter(conn);
         }
     }
 
     /// Leaves all listeners alone for so long.
     fn pause(&mut self, wait: Micros) {
-        self.paused = Some(self.core.decisions.now() + wait);
+        self.paused = Some(self.shared.decisions.now() + wait);
         self.watch_listeners(false);
     }
 
@@ -445,7 +445,7 @@
             let Ok(server) = self.orders.try_recv() else {
                 break;
             };
-            let directory = &self.core.directory;
+            let directory = &self.shared.directory;
             let book = self.book.as_ref().filter(|_| directory.takes_new(server));
             match book.and_then(|book| book.fresh_report(server, boottime())) {
                 Some(report) => self.probed(server, false, Outcome::Success, report),
@@ -464,7 +464,7 @@
                 return;
             };
             // It may have been told to leave since the probe was asked for.
-            let directory = &self.core.directory;
+            let directory = &self.shared.directory;
             let Some(endpoint) = directory
                 .endpoint(server)
                 .filter(|_| directory.takes_new(server))
@@ -472,7 +472,7 @@
                 self.probed(server, watch, Outcome::NotAttempted, Vec::new());
                 continue;
             };
-            let now = self.core.decisions.now();
+            let now = self.shared.decisions.now();
             let (n, token) = (self.next_probe, self.next_probe << NUMBER_SHIFT | PROBE);
             let begun = dial(endpoint.addr).and_then(|stream| {
                 self.poller.watch(&stream, token, None, Some(WRITE))?;
@@ -485,7 +485,7 @@
                     self.probes.insert(n, probe);
                 }
                 // For want of a descriptor or a port: it says nothing of the backend.
-                Err(e) if is_local(&e) => {
+                Err(e) if is_local_failure(&e) => {
                     self.probed(server, watch, Outcome::NotAttempted, Vec::new())
                 }
                 Err(_) => self.probed(server, watch, Outcome::ConnectFailed, Vec::new()),
@@ -498,7 +498,7 @@
             return;
         };
         let (before, dialled, token) = (probe.by, probe.dials(), n << NUMBER_SHIFT | PROBE);
-        let found = probe.go(self.core.decisions.now(), ready, &self.names);
+        let found = probe.go(self.shared.decisions.now(), ready, &self.names);
         self.due.remove(&(before, token));
         let Some((outcome, report)) = found else {
             self.due.insert((probe.by, token));
@@ -523,7 +523,9 @@
                 (outcome == Outcome::Success).then_some(report),
             );
         }
-        self.core.decisions.health_checked(server, outcome, report);
+        self.shared
+            .decisions
+            .health_checked(server, outcome, report);
     }
 
     // Other processes of this relay.
@@ -565,27 +567,27 @@
 
     /// Takes a connection over that has come up in another process of this relay.
     fn adopt_standing(&mut self, (handover, client, backend): Passed) {
-        let core = self.core.clone();
+        let shared = self.shared.clone();
         let set = client
             .set_nonblocking(true)
             .and_then(|()| backend.set_nonblocking(true));
         if let Err(e) = set {
             return log(&format!("takeover: {e}"));
         }
-        let idle = core.admission.idle(client);
-        let mut conn = Conn::new(&core, idle.number(), idle.stream.clone());
-        let account = Account {
+        let idle = shared.admission.register(client);
+        let mut conn = Conn::new(&shared, idle.number(), idle.stream.clone());
+        let record = ConnectionRecord {
             front: "line",
-            name: handover.name.clone(),
+            id: handover.name.clone(),
             class: handover.class.clone(),
             backend: handover.backend.clone(),
             attempts: handover.attempts,
-            began: Instant::now()
+            started_at: Instant::now()
                 .checked_sub(Duration::from_millis(handover.age_ms))
                 .unwrap_or_else(Instant::now),
-            tally: Some(core.metrics.begin(&handover.class)),
+            tally: Some(shared.metrics.begin(&handover.class)),
         };
-        let Ok(place) = idle.request(&handover.name) else {
+        let Ok(place) = idle.admit_request(&handover.name) else {
             let whole = handover
                 .down
                 .iter()
@@ -594,21 +596,27 @@
             conn.last = [&handover.down[..whole], b"MOVE\r\n"].concat();
             conn.idle = Some(idle);
             conn.close();
-            account.log("no-descriptors");
+            record.log_end("no-descriptors");
             return self.enter(conn);
         };
         let (keys, backend) = ((handover.key, handover.group), Arc::new(backend));
-        let session = Session::new(&core.woken, keys, place, false, Some(backend.clone()));
+        let session = Session::new(
+            &shared.wake_queue,
+            keys,
+            place,
+            false,
+            Some(backend.clone()),
+        );
         drop(idle);
         // One that has vanished here goes on under any: the decisions look at nothing but its aims.
-        let class = core
-            .terms()
+        let class = shared
+            .settings()
             .rules
             .classes
             .index(&handover.class)
             .unwrap_or(0);
         let server = server_id(&handover.backend);
-        let id = core.decisions.adopt_connection(
+        let id = shared.decisions.adopt_connection(
             Conn::standing_request(class, keys),
             server,
             session.clone(),
@@ -620,7 +628,7 @@
             server,
             passage: Box::new(Lines),
         };
-        conn.take_over(account, session, backend, handover);
+        conn.take_over(record, session, backend, handover);
         self.enter(conn);
     }
 
@@ -653,16 +661,16 @@
             }
             entry.closed = true;
             if entry.speaks == ListenerProtocol::Line {
-                self.core.accepting.store(false, Relaxed);
+                self.shared.accepting.store(false, Relaxed);
             } else {
                 self.last_clients(n);
             }
         }
         self.watch_listeners(self.paused.is_none());
-        let longest = self.core.terms().rules.classes.longest();
+        let longest = self.shared.settings().rules.classes.longest();
         let kill = longest.min(KILL_DEADLINE) + KILL_AFTER;
         let stop_by = now + kill - DRAIN_SPARE - LAST_WORDS;
-        self.core.stop_by.store(stop_by, Relaxed);
+        self.shared.answer_deadline.store(stop_by, Relaxed);
         let numbers: Vec<u64> = self.conns.keys().copied().collect();
         numbers
             .into_iter()
@@ -676,7 +684,7 @@
             still_coming,
             next: now + DRAIN_STEP,
             successor: self
-                .shared
+                .takeover_dir
                 .as_deref()
                 .filter(|_| held)
                 .and_then(Successor::find),
@@ -687,7 +695,9 @@
     fn last_clients(&mut self, n: usize) {
         let (listener, speaks) = (self.listeners[n].listener.clone(), self.listeners[n].speaks);
         while self.make_room() {
-            let Ok(client) = listener.next() else { return };
+            let Ok(client) = listener.accept() else {
+                return;
+            };
             self.take_in(client, speaks);
         }
     }
@@ -702,12 +712,12 @@
             let session = conn
                 .session
                 .as_ref()
-                .filter(|s| conn.phase == Phase::Up && s.stands());
+                .filter(|s| conn.phase == Phase::Up && s.may_migrate());
             session.map(|s| (conn.number, s.clone()))
         };
         let standing = self.conns.values().filter_map(|conn| stands(conn));
         // What cannot change process is moved, whoever takes over.
-        let (mut standing, fixed): (Vec<_>, Vec<_>) = standing.partition(|(_, s)| s.portable());
+        let (mut standing, fixed): (Vec<_>, Vec<_>) = standing.partition(|(_, s)| s.is_portable());
         if let Some(to) = &drain.successor {
             let mut result = Ok(());
             for (number, _) in &standing {
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -8,8 +8,8 @@
 use crate::log::log;
 use crate::net::attempt::reset;
 use crate::net::connection::{end, Backend, Conn, End, Phase, LINGER};
-use crate::net::poll::hung_up;
-use crate::net::session::{Account, Session};
+use crate::net::poll::peer_closed;
+use crate::net::session::{ConnectionRecord, Session};
 use crate::platform::takeover::{self, Handover, Successor};
 use crate::protocol::buffer::{Buffer, MAX_LINE};
 use crate::protocol::{Away, News, Parting};
@@ -38,7 +38,7 @@
             self.up.room() + self.down.room()
         };
         let before = std::mem::replace(&mut self.held, now);
-        if !self.core.held.change(before, now) && self.phase == Phase::Up {
+        if !self.shared.long_unit_memory.replace(before, now) && self.phase == Phase::Up {
             let words = self.backend.as_ref().map(|b| b.passage.words(Away::NoRoom));
             self.leave(
                 words.unwrap_or_default(),
@@ -54,7 +54,7 @@
         let (Phase::Up, None, None) = (self.phase, self.client_ended, &self.farewell) else {
             return Ok(());
         };
-        let (Some(backend), Some(account)) = (&self.backend, &self.account) else {
+        let (Some(backend), Some(record)) = (&self.backend, &self.record) else {
             return Ok(());
         };
         let (backend, id) = (backend.link.socket.clone(), backend.id);
@@ -65,33 +65,33 @@
             return Ok(());
         };
         let bytes = self.up.rest().len() + self.down.rest().len();
-        if bytes > takeover::MAX_BYTES || !session.give_away() {
+        if bytes > takeover::MAX_BYTES || !session.begin_handover() {
             return Ok(());
         }
         let now = self.now();
         let handover = Handover {
-            name: account.name.clone(),
-            class: account.class.clone(),
-            backend: account.backend.clone(),
+            name: record.id.clone(),
+            class: record.class.clone(),
+            backend: record.backend.clone(),
             key: session.keys.0,
             group: session.keys.1,
-            attempts: account.attempts,
-            age_ms: account.began.elapsed().as_millis() as u64,
+            attempts: record.attempts,
+            age_ms: record.started_at.elapsed().as_millis() as u64,
             asked_ms: self.asked.map(|at| now.saturating_sub(at) / 1_000),
             seen: self.down_passed,
             up: self.up.rest().to_vec(),
             down: self.down.rest().to_vec(),
         };
         if let Err(e) = to.send(&handover, &self.client.socket, &backend) {
-            session.keep(&backend);
+            session.undo_handover(&backend);
             return Err(e);
         }
-        account.log("handed-over");
-        self.account = None;
+        record.log_end("handed-over");
+        self.record = None;
         // The sockets stay with this value until they are no longer waited for (see `settle`): they live on
         // in the other process, and would go on waking this one.
         self.phase = Phase::Done;
-        self.core
+        self.shared
             .decisions
             .connection_ended(id, Outcome::Cancelled, Vec::new());
         Ok(())
@@ -100,7 +100,7 @@
     /// Goes on with a connection that stood in another process.
     pub fn take_over(
         &mut self,
-        account: Account,
+        record: ConnectionRecord,
         session: Arc<Session>,
         backend: Backend,
         handover: Handover,
@@ -110,7 +110,7 @@
         self.heard = self.asked.unwrap_or(now);
         self.up = Buffer::holding(handover.up);
         (self.down, self.down_passed) = (Buffer::holding(handover.down), handover.seen);
-        (self.session, self.account) = (Some(session), Some(account));
+        (self.session, self.record) = (Some(session), Some(record));
         (self.backend, self.phase) = (Some(backend), Phase::Up);
         self.flush_down();
         self.flush_up();
@@ -141,7 +141,7 @@
     }
 
     fn read_client(&mut self) {
-        let ended = match self.client.fill(&mut self.up) {
+        let ended = match self.client.read_into(&mut self.up) {
             Ok(n) if n > 0 => {
                 if self.phase == Phase::Up {
                     self.flush_up();
@@ -170,9 +170,9 @@
         if let Some(id) = self
             .session
             .as_ref()
-            .and_then(|session| session.client_has_ended())
+            .and_then(|session| session.client_gone())
         {
-            self.core.decisions.client_disconnected(id);
+            self.shared.decisions.client_disconnected(id);
         }
         self.place(false);
     }
@@ -182,13 +182,13 @@
     /// sent as much as is read ahead, the end stands behind that.
     pub fn look_for_end(&mut self) {
         while self.client_ended.is_none() && self.up.rest().len() < MAX_LINE {
-            match self.client.fill(&mut self.up) {
+            match self.client.read_into(&mut self.up) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return,
                 _ => return self.client_gone(),
             }
         }
-        if self.client_ended.is_none() && hung_up(&self.client.socket) {
+        if self.client_ended.is_none() && peer_closed(&self.client.socket) {
             self.client_gone();
         }
     }
@@ -197,7 +197,7 @@
         let Some(backend) = &mut self.backend else {
             return;
         };
-        match backend.link.fill(&mut self.down) {
+        match backend.link.read_into(&mut self.down) {
             Ok(0) => self.backend_ended(),
             Ok(_) => {
                 if !backend.passage.marks_answers() {
@@ -262,9 +262,12 @@
                 break;
             }
             if self.asks {
-                self.asked.get_or_insert(self.core.decisions.now());
+                self.asked.get_or_insert(self.shared.decisions.now());
             }
-            match backend.link.write_some(&self.up.rest()[..self.up_passed]) {
+            match backend
+                .link
+                .write_available(&self.up.rest()[..self.up_passed])
+            {
                 Ok((n, full)) => {
                     self.up.consume(n);
                     self.up_passed -= n;
@@ -283,7 +286,7 @@
         }
         self.up_blocked = blocked;
         if self.client_ended.is_some() && !self.up_blocked {
-            backend.link.end_sending();
+            backend.link.shutdown_write();
         }
     }
 
@@ -291,12 +294,12 @@
     /// backend, passes on the last words.
     pub fn flush_down(&mut self) {
         if let Phase::Closing(since, false) = self.phase {
-            match self.client.write_some(&self.last) {
+            match self.client.write_available(&self.last) {
                 Ok((n, blocked)) => {
                     self.last.drain(..n);
                     self.down_blocked = blocked.then_some(since);
                     if !blocked {
-                        self.client.end_sending();
+                        self.client.shutdown_write();
                         self.phase = Phase::Closing(self.now(), true);
                     }
                 }
@@ -314,7 +317,7 @@
             let unread = &self.down.rest()[self.down_passed..];
             match backend
                 .passage
-                .down(unread, &self.core.terms().rules, &mut news)
+                .down(unread, &self.shared.settings().rules, &mut news)
             {
                 Ok(n) => fresh = n,
                 Err(_) if self.down_passed > 0 => {}
@@ -327,11 +330,13 @@
             for news in news {
                 match news {
                     News::Load(x) => {
-                        let note = self
-                            .core
-                            .notes
-                            .read(server, id, self.core.decisions.now(), x);
-                        self.core.decisions.record_sample(id, note);
+                        let note = self.shared.load_samples.read(
+                            server,
+                            id,
+                            self.shared.decisions.now(),
+                            x,
+                        );
+                        self.shared.decisions.record_sample(id, note);
                     }
                     News::Heard => self.hear_back(),
                     News::Farewell(outcome, report, reason) => {
@@ -348,10 +353,10 @@
                     News::Finished => finished = true,
                 }
             }
-            let now = self.core.decisions.now();
+            let now = self.shared.decisions.now();
             match self
                 .client
-                .write_some(&self.down.rest()[..self.down_passed])
+                .write_available(&self.down.rest()[..self.down_passed])
             {
                 Ok((n, blocked)) => {
                     self.down.consume(n);
@@ -375,22 +380,22 @@
     /// The client has its final answer.
     fn answered(&mut self, served: bool) {
         self.answer_by = None;
-        match (&self.account, served) {
+        match (&self.record, served) {
             (
-                Some(Account {
+                Some(ConnectionRecord {
                     tally: Some(tally), ..
                 }),
                 true,
             ) => tally.passed(),
             (_, true) => {}
-            (_, false) => drop(self.core.metrics.xmpp.sasl_failures.fetch_add(1, Relaxed)),
+            (_, false) => drop(self.shared.metrics.xmpp.sasl_failures.fetch_add(1, Relaxed)),
         }
     }
 
     /// Asks the client to come again, between two units, then ends both sides.
     fn move_away(&mut self) {
         let Some(backend) = &self.backend else { return };
-        let metrics = &self.core.metrics.xmpp;
+        let metrics = &self.shared.metrics.xmpp;
         if backend.passage.half() {
             metrics.cut.fetch_add(1, Relaxed);
         }
@@ -481,21 +486,23 @@
             link, id, passage, ..
         }) = self.backend.take()
         {
-            self.session.iter().for_each(|session| session.release());
+            self.session
+                .iter()
+                .for_each(|session| session.detach_backend());
             drop(link);
             if !passage.portable() {
-                self.core.metrics.xmpp.sessions.fetch_sub(1, Relaxed);
+                self.shared.metrics.xmpp.sessions.fetch_sub(1, Relaxed);
             }
-            self.core
+            self.shared
                 .decisions
                 .connection_ended(id, end.outcome, end.report);
         }
-        if let Some(account) = self.account.take() {
+        if let Some(record) = self.record.take() {
             // It was owed an answer, and what it has had now was a failure's.
             if self.answer_by.take().is_some() && self.client_ended.is_none() {
-                account.tally.iter().for_each(|tally| tally.failed());
+                record.tally.iter().for_each(|tally| tally.failed());
             }
-            account.log(end.reason);
+            record.log_end(end.reason);
         }
     }
 
@@ -521,12 +528,12 @@
 
     /// Its backend has brought something back.
     fn hear_back(&mut self) {
-        (self.asked, self.heard) = (None, self.core.decisions.now());
+        (self.asked, self.heard) = (None, self.shared.decisions.now());
     }
 
     /// What only time shows.
     pub fn look(&mut self) {
-        let now = self.core.decisions.now();
+        let now = self.shared.decisions.now();
         if let Some(backend) = self.backend.as_mut().filter(|b| !b.passage.portable()) {
             self.up.rest_room();
             self.down.rest_room();
@@ -568,7 +575,7 @@
                 if self
                     .session
                     .as_ref()
-                    .is_some_and(|session| session.departs()) =>
+                    .is_some_and(|session| session.finishes_before_migration()) =>
             {
                 self.depart(now)
             }
--- a/src/net/handshake.rs
+++ b/src/net/handshake.rs
@@ -5,9 +5,9 @@
 
 use crate::decisions::api::Micros;
 use crate::log::log;
-use crate::net::admission::Idle;
+use crate::net::admission::WaitingConnection;
 use crate::net::connection::{Conn, Hearing, Phase, LINGER_SHORT};
-use crate::net::session::Account;
+use crate::net::session::ConnectionRecord;
 use crate::net::shared::SharedState;
 use crate::protocol::line::Greeting;
 use crate::protocol::xmpp::greeting;
@@ -41,8 +41,8 @@
 }
 
 /// The machine that hears a client of this listener; none where the front has gone meanwhile.
-fn greeter(core: &SharedState, speaks: ListenerProtocol) -> Option<Box<dyn Greeter>> {
-    let now = core.decisions.now();
+fn greeter(shared: &SharedState, speaks: ListenerProtocol) -> Option<Box<dyn Greeter>> {
+    let now = shared.decisions.now();
     if speaks == ListenerProtocol::Line {
         return Some(Box::new(Greeting::new(now)));
     }
@@ -52,7 +52,7 @@
             .inspect_err(|e| log(&format!("xmpp: no random numbers: {e}")))
             .ok()?;
     }
-    let terms = core.xmpp()?.terms.clone();
+    let terms = shared.xmpp()?.terms.clone();
     Some(Box::new(greeting::Greeting::new(
         terms,
         ids,
@@ -72,14 +72,18 @@
 
 impl Conn {
     /// The connection of a client that has just come to this listener; none where there is nobody to hear it.
-    pub fn greet(core: &Arc<SharedState>, idle: Idle, speaks: ListenerProtocol) -> Option<Conn> {
-        let greeter = greeter(core, speaks)?;
+    pub fn greet(
+        shared: &Arc<SharedState>,
+        idle: WaitingConnection,
+        speaks: ListenerProtocol,
+    ) -> Option<Conn> {
+        let greeter = greeter(shared, speaks)?;
         idle.stream
             .set_nonblocking(true)
             .and_then(|()| idle.stream.set_nodelay(true))
             .ok()?;
-        let mut conn = Conn::new(core, idle.number(), idle.stream.clone());
-        conn.account = Some(Account::new(speaks.front()));
+        let mut conn = Conn::new(shared, idle.number(), idle.stream.clone());
+        conn.record = Some(ConnectionRecord::new(speaks.front()));
         let (out, blocked) = (Vec::new(), None);
         let mut hearing = Hearing {
             idle,
@@ -99,11 +103,15 @@
 
     /// Puts the client's link under TLS with the certificate of that domain; false where there is none.
     fn secure(&mut self, hearing: &mut Hearing, domain: Option<&str>, tells: bool) -> bool {
-        let Some(tls) = self.core.xmpp().and_then(|xmpp| xmpp.tls.server(domain)) else {
+        let Some(tls) = self
+            .shared
+            .xmpp()
+            .and_then(|xmpp| xmpp.tls.server_connection(domain))
+        else {
             self.unheard("no-tls");
             return false;
         };
-        self.client.secure(tls);
+        self.client.start_tls(tls);
         (hearing.securing, hearing.tells) = (true, tells);
         true
     }
@@ -127,8 +135,8 @@
 
     /// It is closed with no word more.
     fn unheard(&mut self, reason: &str) {
-        if let Some(account) = self.account.take().filter(|_| !reason.is_empty()) {
-            account.log(reason);
+        if let Some(record) = self.record.take().filter(|_| !reason.is_empty()) {
+            record.log_end(reason);
         }
         self.phase = Phase::Done;
     }
@@ -153,7 +161,7 @@
         loop {
             let now = self.now();
             if h.securing {
-                match self.client.shake() {
+                match self.client.continue_handshake() {
                     Ok(true) => {
                         // What came right behind the handshake is TLS's now: no socket tells of it.
                         (h.securing, filled) = (false, false);
@@ -163,7 +171,7 @@
                     }
                     Ok(false) if now < h.greeter.until() => return true,
                     failed => {
-                        self.core.metrics.xmpp.tls_failures.fetch_add(1, Relaxed);
+                        self.shared.metrics.xmpp.tls_failures.fetch_add(1, Relaxed);
                         self.unheard(if failed.is_ok() {
                             "tls-late"
                         } else {
@@ -174,7 +182,7 @@
                 }
             }
             if !h.out.is_empty() || h.blocked.is_some() {
-                match self.client.write_some(&h.out) {
+                match self.client.write_available(&h.out) {
                     Ok((n, true)) => {
                         h.out.drain(..n);
                         let since = *h.blocked.get_or_insert(now);
@@ -190,11 +198,11 @@
                     }
                 }
             }
-            let rules = self.core.terms().rules.clone();
+            let rules = self.shared.settings().rules.clone();
             match h.greeter.next(&mut self.up, now, &rules) {
                 Next::Read => {}
                 Next::Say(bytes) => {
-                    h.idle.asked();
+                    h.idle.record_activity();
                     h.out = bytes;
                     continue;
                 }
@@ -226,7 +234,7 @@
             if std::mem::replace(&mut filled, true) {
                 return true;
             }
-            match self.client.fill(&mut self.up) {
+            match self.client.read_into(&mut self.up) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return true,
                 _ => {
@@ -240,8 +248,8 @@
 
     /// Ends a connection that asked for nothing sensible, or for nothing.
     fn turn_away(&mut self, last: Vec<u8>, reason: &'static str) {
-        if let Some(account) = self.account.take().filter(|_| !reason.is_empty()) {
-            account.log(reason);
+        if let Some(record) = self.record.take().filter(|_| !reason.is_empty()) {
+            record.log_end(reason);
         }
         self.last = last;
         self.close();
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -20,13 +20,13 @@
         Link { socket, tls: None }
     }
 
-    /// Puts the link under TLS: [`Link::shake`] goes on until it stands.
-    pub fn secure(&mut self, tls: Connection) {
+    /// Puts the link under TLS: [`Link::continue_handshake`] goes on until it stands.
+    pub fn start_tls(&mut self, tls: Connection) {
         self.tls = Some(Box::new(tls));
     }
 
     /// Goes on with the handshake as far as the socket allows; true once TLS stands and its last words are out.
-    pub fn shake(&mut self) -> io::Result<bool> {
+    pub fn continue_handshake(&mut self) -> io::Result<bool> {
         let Some(tls) = &mut self.tls else {
             return Ok(true);
         };
@@ -42,7 +42,7 @@
             if !tls.is_handshaking() {
                 return Ok(true);
             }
-            match receive(tls, &self.socket) {
+            match read_tls_records(tls, &self.socket) {
                 Ok(()) => {}
                 Err(e) if timed_out(&e) => return Ok(false),
                 Err(e) => return Err(e),
@@ -51,12 +51,12 @@
     }
 
     /// Whether TLS holds bytes that the socket has not taken yet.
-    pub fn holds_back(&self) -> bool {
+    pub fn has_unsent_tls(&self) -> bool {
         self.tls.as_ref().is_some_and(|tls| tls.wants_write())
     }
 
     /// Reads what has come; 0 is the end of the stream. Of a link under TLS nothing that has come stays unread.
-    pub fn fill(&mut self, inbox: &mut Buffer) -> io::Result<usize> {
+    pub fn read_into(&mut self, inbox: &mut Buffer) -> io::Result<usize> {
         let Some(tls) = &mut self.tls else {
             return inbox.fill(&mut &*self.socket);
         };
@@ -81,12 +81,12 @@
             if all > 0 || ended {
                 return Ok(all);
             }
-            receive(tls, &self.socket)?;
+            read_tls_records(tls, &self.socket)?;
         }
     }
 
     /// Writes as much as goes; the number of bytes taken, and whether the socket takes no more for now.
-    pub fn write_some(&mut self, bytes: &[u8]) -> io::Result<(usize, bool)> {
+    pub fn write_available(&mut self, bytes: &[u8]) -> io::Result<(usize, bool)> {
         let mut done = 0;
         if let Some(tls) = &mut self.tls {
             loop {
@@ -117,17 +117,17 @@
     }
 
     /// Ends the sending.
-    pub fn end_sending(&mut self) {
+    pub fn shutdown_write(&mut self) {
         if let Some(tls) = &mut self.tls {
             tls.send_close_notify();
-            let _ = self.write_some(&[]);
+            let _ = self.write_available(&[]);
         }
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 }
 
 /// Takes in records of TLS, once. What breaks TLS is told to the other side and is an error.
-fn receive(tls: &mut Connection, mut socket: &TcpStream) -> io::Result<()> {
+fn read_tls_records(tls: &mut Connection, mut socket: &TcpStream) -> io::Result<()> {
     loop {
         match tls.read_tls(&mut socket as &mut dyn Read) {
             Ok(0) if tls.is_handshaking() => return Err(ErrorKind::UnexpectedEof.into()),
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -59,7 +59,7 @@
 
     /// The next client that waits; an error of the kind "would block" where none does, also where another process
     /// was faster.
-    pub fn next(&self) -> io::Result<TcpStream> {
+    pub fn accept(&self) -> io::Result<TcpStream> {
         loop {
             match self.socket.accept() {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
--- a/src/net/placement.rs
+++ b/src/net/placement.rs
@@ -3,17 +3,17 @@
 use crate::config::listing::server_id;
 use crate::decision_service::{Decision, RequestHandle};
 use crate::decisions::api::{Micros, Outcome, Request};
-use crate::net::admission::{Denied, Idle};
+use crate::net::admission::{AdmissionError, WaitingConnection};
 use crate::net::attempt::{Attempt, Failed, Ground, Up, ADOPT};
 use crate::net::connection::{Backend, Conn, Phase, Placing};
-use crate::net::session::{Account, Session};
+use crate::net::session::{ConnectionRecord, Session};
 use crate::protocol::{Answer, Cause, Order};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
 /// Counts a connection by its final answer.
-fn count(account: &Account, answer: Answer) {
-    match (&account.tally, answer) {
+fn count(record: &ConnectionRecord, answer: Answer) {
+    match (&record.tally, answer) {
         (Some(tally), Answer::Refused(_)) => tally.dropped(),
         (Some(tally), Answer::Failed(_) | Answer::IdInUse) => tally.failed(),
         (None, _) => {}
@@ -22,32 +22,38 @@
 
 impl Conn {
     /// A client has asked for this.
-    pub fn let_in(&mut self, idle: &Idle, order: Box<dyn Order>) {
-        let core = self.core.clone();
-        if let Some(account) = &mut self.account {
-            account.name = order.name().to_string();
-            account.class = core
-                .terms()
+    pub fn let_in(&mut self, idle: &WaitingConnection, order: Box<dyn Order>) {
+        let shared = self.shared.clone();
+        if let Some(record) = &mut self.record {
+            record.id = order.name().to_string();
+            record.class = shared
+                .settings()
                 .rules
                 .classes
                 .name(order.request().class)
                 .to_string();
-            account.tally = Some(core.metrics.begin(&account.class));
+            record.tally = Some(shared.metrics.begin(&record.class));
         }
-        let (answer, reason) = match idle.request(order.name()) {
+        let (answer, reason) = match idle.admit_request(order.name()) {
             Ok(place) => {
                 let keys = (order.request().client_key, order.request().group);
                 let finishes = order.finishes();
-                self.session = Some(Session::new(&core.woken, keys, place, finishes, None));
+                self.session = Some(Session::new(
+                    &shared.wake_queue,
+                    keys,
+                    place,
+                    finishes,
+                    None,
+                ));
                 self.phase = Phase::Placing;
                 return self.begin(order);
             }
             // Nothing was sent, so a refusal promises nothing false.
-            Err(Denied::Full) => (
-                Answer::Refused(core.terms().max_retry_after / 2),
+            Err(AdmissionError::NoCapacity) => (
+                Answer::Refused(shared.settings().max_retry_after / 2),
                 "no-descriptors",
             ),
-            Err(Denied::IdInUse) => (Answer::IdInUse, "id-in-use"),
+            Err(AdmissionError::IdInUse) => (Answer::IdInUse, "id-in-use"),
         };
         self.finish(Some(answer), order.words(answer), reason);
     }
@@ -57,22 +63,24 @@
         let Some(session) = self.session.clone() else {
             return;
         };
-        let (core, now) = (self.core.clone(), self.now());
+        let (shared, now) = (self.shared.clone(), self.now());
         // Where this process stops, the answer is owed before it ends.
-        let stop_by = core.stop_by.load(Relaxed);
+        let stop_by = shared.answer_deadline.load(Relaxed);
         let asked = &Request {
             time_left: order.request().time_left.min(stop_by.saturating_sub(now)),
             ..order.request().clone()
         };
         let flow: Arc<dyn RequestHandle> = session.clone();
-        let name = session.name();
+        let name = session.connection_id();
         tracing::debug!(id = %name, group = asked.group, key = asked.client_key, again = asked.returning, "request");
         let (id, pick, attempt, server, answer_by) = match order.at() {
             Some(at) => {
                 let server = server_id(at);
-                let id = core.decisions.adopt_connection(asked.clone(), server, flow);
-                if let Some(account) = &mut self.account {
-                    (account.backend, account.attempts) = (at.to_string(), 1);
+                let id = shared
+                    .decisions
+                    .adopt_connection(asked.clone(), server, flow);
+                if let Some(record) = &mut self.record {
+                    (record.backend, record.attempts) = (at.to_string(), 1);
                 }
                 let until = (now + ADOPT).min(stop_by);
                 (
@@ -86,9 +94,9 @@
             None => {
                 // Whoever waits is owed its answer by then; what went before the request is the client's own time.
                 let answer_by = now + asked.time_left;
-                let pick = core
+                let pick = shared
                     .decisions
-                    .submit(asked.clone(), flow, |id| session.takes_id(id));
+                    .submit(asked.clone(), flow, |id| session.set_request_id(id));
                 (pick.id, Some(pick), None, Default::default(), answer_by)
             }
         };
@@ -112,7 +120,7 @@
             p.answer_by = p.answer_by.min(by);
             p.attempt.iter_mut().for_each(|attempt| attempt.hurry(by));
             if p.pick.is_some() {
-                self.core.decisions.shorten_deadline(p.id, by);
+                self.shared.decisions.shorten_deadline(p.id, by);
             }
         }
     }
@@ -136,7 +144,7 @@
             };
             if let Some(attempt) = &mut p.attempt {
                 let ground = Ground {
-                    core: &self.core,
+                    shared: &self.shared,
                     session: &session,
                     order: &*p.order,
                     id: p.id,
@@ -162,10 +170,10 @@
                     give_up_at: until,
                     number,
                 }) => {
-                    if let Some(account) = &mut self.account {
-                        account.attempts += 1;
-                        account.backend = self
-                            .core
+                    if let Some(record) = &mut self.record {
+                        record.attempts += 1;
+                        record.backend = self
+                            .shared
                             .directory
                             .endpoint(server)
                             .map_or(String::new(), |e| e.name);
@@ -176,13 +184,15 @@
                     continue;
                 }
                 Some(Decision::Reject(wait)) => (
-                    Some(Answer::Refused(wait.min(self.core.terms().max_retry_after))),
+                    Some(Answer::Refused(
+                        wait.min(self.shared.settings().max_retry_after),
+                    )),
                     "refused",
                 ),
                 Some(Decision::Fail) => (Some(Answer::Failed(p.cause)), "failed"),
                 Some(Decision::Withdrawn) => (None, "client-gave-up"),
             };
-            self.core.decisions.remove(p.id);
+            self.shared.decisions.remove(p.id);
             let words = answer.map_or(Vec::new(), |answer| p.order.words(answer));
             self.finish(answer, words, reason);
         }
@@ -190,10 +200,10 @@
 
     /// An attempt has come up or failed.
     fn attempted(&mut self, mut p: Box<Placing>, session: &Session, result: Result<Up, Failed>) {
-        let decisions = self.core.decisions.clone();
+        let decisions = self.shared.decisions.clone();
         let began = p.attempt.take().map_or(0, |attempt| attempt.began);
         // Before the decisions hear of it: they may ask for a move at once.
-        session.is_up(result.is_ok());
+        session.set_established(result.is_ok());
         match (result, p.pick.is_some()) {
             (Ok(up), false) => return self.stand(*p, up),
             (Ok(up), true) if decisions.connected(p.id, self.now().saturating_sub(began)) => {
@@ -202,8 +212,8 @@
             (Ok(up), true) => {
                 // Answered meanwhile: the attempt is closed before anything else happens.
                 drop(up);
-                session.release();
-                session.is_up(false);
+                session.detach_backend();
+                session.set_established(false);
                 decisions.attempt_failed(p.id, Outcome::Cancelled, Vec::new());
             }
             (Err((outcome, report)), true) => {
@@ -225,9 +235,9 @@
 
     /// Gives a client the final answer that is no connection; nothing where it is gone.
     fn finish(&mut self, answer: Option<Answer>, words: Vec<u8>, reason: &'static str) {
-        if let Some(account) = self.account.take() {
-            answer.iter().for_each(|answer| count(&account, *answer));
-            account.log(reason);
+        if let Some(record) = self.record.take() {
+            answer.iter().for_each(|answer| count(&record, *answer));
+            record.log_end(reason);
         }
         self.last = words;
         self.close();
@@ -241,15 +251,15 @@
             passage,
         } = up;
         if passage.answered() {
-            self.account
+            self.record
                 .iter()
-                .filter_map(|account| account.tally.as_ref())
+                .filter_map(|record| record.tally.as_ref())
                 .for_each(|tally| tally.passed());
         } else {
             self.answer_by = Some(p.answer_by);
         }
         if !passage.portable() {
-            self.core.metrics.xmpp.sessions.fetch_add(1, Relaxed);
+            self.shared.metrics.xmpp.sessions.fetch_add(1, Relaxed);
             self.up.make_roomy();
         }
         self.down = inbox;
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Wait after a failure of the wait itself, so that it does not take the processor.
-const PAUSE: Duration = Duration::from_millis(200);
+const ERROR_PAUSE: Duration = Duration::from_millis(200);
 
 /// What is waited for on a socket. That it broke is always told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 }
 
 /// The token of the wake-up itself.
-const WOKEN: u64 = u64::MAX;
+const WAKE_TOKEN: u64 = u64::MAX;
 
 /// Wakes the thread that waits, from any other.
 struct Waker {
@@ -53,14 +53,14 @@
     /// Whether a wake-up is under way: one is enough.
     pending: AtomicBool,
     /// Whether the thread that waits has given work to itself: it looks again before it waits.
-    again: AtomicBool,
+    rescheduled: AtomicBool,
     owner: OnceLock<ThreadId>,
 }
 
 impl Waker {
     fn wake(&self) {
         if self.owner.get() == Some(&thread::current().id()) {
-            self.again.store(true, SeqCst);
+            self.rescheduled.store(true, SeqCst);
         } else if !self.pending.swap(true, SeqCst) {
             // It can fail only when the counter is full, and then it is readable anyway.
             let _ = rustix::io::write(&self.fd, &1u64.to_ne_bytes());
@@ -88,8 +88,8 @@
     pub fn new() -> io::Result<Poller> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let fd = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
-        epoll::add(&epoll, &fd, EventData::new_u64(WOKEN), EventFlags::IN)?;
-        let (pending, again, owner) = (
+        epoll::add(&epoll, &fd, EventData::new_u64(WAKE_TOKEN), EventFlags::IN)?;
+        let (pending, rescheduled, owner) = (
             AtomicBool::new(false),
             AtomicBool::new(false),
             OnceLock::new(),
@@ -97,7 +97,7 @@
         let waker = Arc::new(Waker {
             fd,
             pending,
-            again,
+            rescheduled,
             owner,
         });
         Ok(Poller { epoll, waker })
@@ -115,8 +115,8 @@
     }
 
     /// Whether this thread has given itself work since it was last asked.
-    pub fn again(&self) -> bool {
-        self.waker.again.swap(false, SeqCst)
+    pub fn take_rescheduled(&self) -> bool {
+        self.waker.rescheduled.swap(false, SeqCst)
     }
 
     /// Watches a socket for `to` in place of `from`; none is not at all. A socket that is closed needs no call.
@@ -153,12 +153,12 @@
             Ok(()) | Err(rustix::io::Errno::INTR) => {}
             Err(e) => {
                 log(&format!("poll: {e}"));
-                thread::sleep(PAUSE);
+                thread::sleep(ERROR_PAUSE);
             }
         }
         for event in events.iter() {
             let (token, flags) = (event.data.u64(), event.flags);
-            if token == WOKEN {
+            if token == WAKE_TOKEN {
                 // Before what it was for is looked at: what comes from now on brings a wake-up of its own.
                 let _ = rustix::io::read(&self.waker.fd, &mut [0; 8]);
                 self.waker.pending.store(false, SeqCst);
@@ -179,13 +179,13 @@
 }
 
 /// Whether the other side has ended its sending or broken off, also where unread bytes stand before that.
-pub fn hung_up(socket: &TcpStream) -> bool {
+pub fn peer_closed(socket: &TcpStream) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::RDHUP)];
     poll(&mut fds, 0).is_ok_and(|n| n > 0)
 }
 
 /// Whether a dial failed for want of something of this machine's own: it says nothing of the backend.
-pub fn is_local(e: &io::Error) -> bool {
+pub fn is_local_failure(e: &io::Error) -> bool {
     use rustix::io::Errno;
     let own = [
         Errno::MFILE,
@@ -229,9 +229,9 @@
         thread::spawn(move || (other(), other())).join().unwrap();
         // For as long as the longest wait, if it were not woken.
         poller.wait(Duration::from_secs(3600), &mut events, &mut ready);
-        assert!(ready.is_empty() && !poller.again());
+        assert!(ready.is_empty() && !poller.take_rescheduled());
         wake();
-        assert!(poller.again() && !poller.again());
+        assert!(poller.take_rescheduled() && !poller.take_rescheduled());
         let other = wake.clone();
         thread::spawn(move || other()).join().unwrap();
         poller.wait(Duration::from_secs(3600), &mut events, &mut ready);
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -5,8 +5,8 @@
 use crate::decision_service::DecisionService;
 use crate::decisions::api::Micros;
 use crate::net::admission::Admission;
-use crate::net::session::Woken;
-use crate::net::tls::Tls;
+use crate::net::session::WakeQueue;
+use crate::net::tls::TlsConfig;
 use crate::ops::metrics::Metrics;
 use crate::platform::directory::Directory;
 use crate::protocol::line::note::Notes;
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// What the network takes from the settings, all of it at once.
-pub struct Terms {
+pub struct NetSettings {
     /// What the fronts take from them.
     pub rules: Arc<Rules>,
     /// The longest dial.
@@ -27,9 +27,9 @@
     pub max_retry_after: Micros,
 }
 
-impl Terms {
-    fn of(config: &Config) -> Terms {
-        Terms {
+impl NetSettings {
+    fn from_config(config: &Config) -> NetSettings {
+        NetSettings {
             rules: Arc::new(Rules {
                 classes: config.classes.clone(),
                 names: config.names.clone(),
@@ -45,7 +45,7 @@
     /// What its machines take from the operator file.
     pub terms: Arc<terms::Terms>,
     /// Certificates.
-    pub tls: Tls,
+    pub tls: TlsConfig,
     /// The port of XMPP servers, where it is not the one that discovery gives.
     pub port: Option<u16>,
 }
@@ -62,39 +62,39 @@
         let terms = Arc::new(terms::Terms::of(file, x, &config.classes)?);
         Ok(Some(Arc::new(XmppFront {
             terms,
-            tls: Tls::load(file, x)?,
+            tls: TlsConfig::load(file, x)?,
             port: x.servers.port,
         })))
     }
 }
 
 /// The share of the memory limit that long units may take together, all connections counted.
-const HELD_SHARE: u64 = 4;
+const LONG_UNIT_MEMORY_DIVISOR: u64 = 4;
 
 /// Memory that is held for long units, and the most that may be: a stanza is held until it is whole, and many
 /// clients with a long one each, begun and never ended, would else take all there is.
-pub struct Held {
-    now: AtomicUsize,
-    most: usize,
+pub struct MemoryBudget {
+    used: AtomicUsize,
+    limit: usize,
 }
 
-impl Held {
+impl MemoryBudget {
     /// None yet, within that limit of the process.
-    pub fn new(memory_mb: u64) -> Held {
-        Held {
-            now: AtomicUsize::new(0),
-            most: (memory_mb * 1024 * 1024 / HELD_SHARE) as usize,
+    pub fn new(memory_mb: u64) -> MemoryBudget {
+        MemoryBudget {
+            used: AtomicUsize::new(0),
+            limit: (memory_mb * 1024 * 1024 / LONG_UNIT_MEMORY_DIVISOR) as usize,
         }
     }
 
     /// Holds so many bytes in place of so many before; false where that is more than there may be. What is held
     /// is counted in any case.
-    pub fn change(&self, before: usize, after: usize) -> bool {
+    pub fn replace(&self, before: usize, after: usize) -> bool {
         if after >= before {
-            let all = self.now.fetch_add(after - before, Relaxed) + (after - before);
-            return after == before || all <= self.most;
+            let all = self.used.fetch_add(after - before, Relaxed) + (after - before);
+            return after == before || all <= self.limit;
         }
-        self.now.fetch_sub(before - after, Relaxed);
+        self.used.fetch_sub(before - after, Relaxed);
         true
     }
 }
@@ -105,22 +105,22 @@
     pub decisions: Arc<DecisionService>,
     /// The backends' addresses.
     pub directory: Arc<Directory>,
-    terms: Mutex<Arc<Terms>>,
+    settings: Mutex<Arc<NetSettings>>,
     xmpp: Mutex<Option<Arc<XmppFront>>>,
     /// What backends told lately.
-    pub notes: Notes,
+    pub load_samples: Notes,
     /// Who may come in.
     pub admission: Arc<Admission>,
     /// What is counted.
     pub metrics: Arc<Metrics>,
     /// By when all that is owed must be answered, as a process that stops has it; [`Micros::MAX`] before that.
-    pub stop_by: AtomicU64,
+    pub answer_deadline: AtomicU64,
     /// Whether this process takes clients.
     pub accepting: Arc<AtomicBool>,
     /// Memory that the buffers of standing connections hold for long units.
-    pub held: Held,
+    pub long_unit_memory: MemoryBudget,
     /// The requests and connections of which the decisions have news.
-    pub woken: Arc<Woken>,
+    pub wake_queue: Arc<WakeQueue>,
 }
 
 impl SharedState {
@@ -135,25 +135,25 @@
         Arc::new(SharedState {
             decisions,
             directory,
-            terms: Mutex::new(Arc::new(Terms::of(config))),
+            settings: Mutex::new(Arc::new(NetSettings::from_config(config))),
             xmpp: Mutex::default(),
-            notes: Notes::default(),
+            load_samples: Notes::default(),
             admission: Admission::new(
                 &config.limits,
                 config.admin.is_some(),
                 config.accept_fd.is_some(),
             ),
             metrics,
-            held: Held::new(config.limits.memory_mb),
-            stop_by: AtomicU64::new(Micros::MAX),
+            long_unit_memory: MemoryBudget::new(config.limits.memory_mb),
+            answer_deadline: AtomicU64::new(Micros::MAX),
             accepting: Arc::default(),
-            woken: Arc::default(),
+            wake_queue: Arc::default(),
         })
     }
 
     /// What the settings in force say.
-    pub fn terms(&self) -> Arc<Terms> {
-        lock(&self.terms).clone()
+    pub fn settings(&self) -> Arc<NetSettings> {
+        lock(&self.settings).clone()
     }
 
     /// New settings hold from now on. The decisions first: a class must mean something to them before a
@@ -161,7 +161,7 @@
     pub fn adopt_settings(&self, config: &Config) {
         self.metrics.show(&config.classes.names());
         self.decisions.update_settings(config.settings.clone());
-        *lock(&self.terms) = Arc::new(Terms::of(config));
+        *lock(&self.settings) = Arc::new(NetSettings::from_config(config));
     }
 
     /// The XMPP front, where there is one.
@@ -176,7 +176,7 @@
     }
 
     /// The port at which servers of that front are reached, where it is not the one that discovery gives.
-    pub fn port(&self, front: &str) -> Option<u16> {
+    pub fn backend_port(&self, front: &str) -> Option<u16> {
         self.xmpp()
             .filter(|_| front == "xmpp")
             .and_then(|xmpp| xmpp.port)
--- a/src/net/tls.rs
+++ b/src/net/tls.rs
@@ -18,42 +18,46 @@
 
 /// Certificates by domain, and the one for whoever names none.
 #[derive(Debug)]
-struct Chosen {
-    all: Arc<BTreeMap<String, Arc<CertifiedKey>>>,
+struct CertificateResolver {
+    by_name: Arc<BTreeMap<String, Arc<CertifiedKey>>>,
     default: String,
 }
 
-impl ResolvesServerCert for Chosen {
+impl ResolvesServerCert for CertificateResolver {
     fn resolve(&self, hello: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
         let named = hello
             .server_name()
-            .and_then(|name| self.all.get(&name.to_lowercase()));
-        named.or_else(|| self.all.get(&self.default)).cloned()
+            .and_then(|name| self.by_name.get(&name.to_lowercase()));
+        named.or_else(|| self.by_name.get(&self.default)).cloned()
     }
 }
 
 /// TLS towards clients and servers.
-pub struct Tls {
+pub struct TlsConfig {
     by_domain: BTreeMap<String, Arc<ServerConfig>>,
-    first: String,
-    towards_servers: Option<Arc<ClientConfig>>,
+    default_domain: String,
+    client_config: Option<Arc<ClientConfig>>,
 }
 
-fn certified(file: &OperatorFile, n: usize, x: &Xmpp) -> Result<Arc<CertifiedKey>, OperatorError> {
+fn load_certificate(
+    file: &OperatorFile,
+    n: usize,
+    x: &Xmpp,
+) -> Result<Arc<CertifiedKey>, OperatorError> {
     let (domain, key) = (&x.domain[n], format!("xmpp.domain[{n}]"));
     let at = file.resolve(&domain.certificate);
-    let wrong = |what: String| {
+    let error = |what: String| {
         file.error(
             &format!("{key}.certificate"),
             format!("{}: {what}", at.display()),
         )
     };
     let chain: Result<Vec<CertificateDer<'_>>, _> = CertificateDer::pem_file_iter(&at)
-        .map_err(|e| wrong(e.to_string()))?
+        .map_err(|e| error(e.to_string()))?
         .collect();
-    let chain = chain.map_err(|e| wrong(e.to_string()))?;
+    let chain = chain.map_err(|e| error(e.to_string()))?;
     let Some(leaf) = chain.first() else {
-        return Err(wrong("has no certificate".into()));
+        return Err(error("has no certificate".into()));
     };
     let name = ServerName::try_from(domain.name.clone()).map_err(|_| {
         file.error(
@@ -61,7 +65,7 @@
             "is no name that a certificate can have",
         )
     })?;
-    let end = webpki::EndEntityCert::try_from(leaf).map_err(|e| wrong(e.to_string()))?;
+    let end = webpki::EndEntityCert::try_from(leaf).map_err(|e| error(e.to_string()))?;
     // Who has signed it is the clients' to judge: without an anchor only its dates are looked at.
     let (algorithms, usage) = (
         webpki::ALL_VERIFICATION_ALGS,
@@ -69,49 +73,58 @@
     );
     match end.verify_for_usage(algorithms, &[], &[], UnixTime::now(), usage, None, None) {
         Err(webpki::Error::CertExpired { not_after, .. }) => {
-            return Err(wrong(format!("has run out, {} days ago", days(not_after))));
+            return Err(error(format!(
+                "has run out, {} days ago",
+                days_from_now(not_after)
+            )));
         }
         Err(webpki::Error::CertNotValidYet { not_before, .. }) => {
-            return Err(wrong(format!("holds in {} days only", days(not_before))));
+            return Err(error(format!(
+                "holds in {} days only",
+                days_from_now(not_before)
+            )));
         }
         _ => {}
     }
     end.verify_is_valid_for_subject_name(&name)
-        .map_err(|_| wrong(format!("is not for {}", domain.name)))?;
+        .map_err(|_| error(format!("is not for {}", domain.name)))?;
     let secret = file.resolve(&domain.key);
-    let wrong = |what: String| {
+    let error = |what: String| {
         file.error(
             &format!("{key}.key"),
             format!("{}: {what}", secret.display()),
         )
     };
-    let secret = PrivateKeyDer::from_pem_file(&secret).map_err(|e| wrong(e.to_string()))?;
+    let secret = PrivateKeyDer::from_pem_file(&secret).map_err(|e| error(e.to_string()))?;
     let pair = CertifiedKey::from_der(chain, secret, &ring::default_provider());
     pair.map(Arc::new)
-        .map_err(|e| wrong(format!("is not the certificate's key: {e}")))
+        .map_err(|e| error(format!("is not the certificate's key: {e}")))
 }
 
 /// How many days a moment is from now.
-fn days(at: UnixTime) -> u64 {
+fn days_from_now(at: UnixTime) -> u64 {
     UnixTime::now().as_secs().abs_diff(at.as_secs()) / 86_400
 }
 
-impl Tls {
+impl TlsConfig {
     /// Reads and checks all that `[xmpp]` names.
-    pub fn load(file: &OperatorFile, x: &Xmpp) -> Result<Tls, OperatorError> {
-        let mut all = BTreeMap::new();
+    pub fn load(file: &OperatorFile, x: &Xmpp) -> Result<TlsConfig, OperatorError> {
+        let mut by_name = BTreeMap::new();
         for n in 0..x.domain.len() {
-            all.insert(x.domain[n].name.to_lowercase(), certified(file, n, x)?);
+            by_name.insert(
+                x.domain[n].name.to_lowercase(),
+                load_certificate(file, n, x)?,
+            );
         }
-        let all = Arc::new(all);
+        let by_name = Arc::new(by_name);
         let Some(first) = x.domain.first() else {
             return Err(file.error("xmpp.domain", "no domain is served"));
         };
         let ticketer = ring::Ticketer::new()
             .map_err(|e| file.error("xmpp", format!("no random numbers: {e}")))?;
         let config = |domain: &String| {
-            let chosen = Chosen {
-                all: all.clone(),
+            let resolver = CertificateResolver {
+                by_name: by_name.clone(),
                 default: domain.clone(),
             };
             let mut config =
@@ -119,7 +132,7 @@
                     .with_safe_default_protocol_versions()
                     .map_err(|e| file.error("xmpp", e))?
                     .with_no_client_auth()
-                    .with_cert_resolver(Arc::new(chosen));
+                    .with_cert_resolver(Arc::new(resolver));
             // Clients that were moved come back together: a resumed handshake costs a tenth of a full one.
             config.ticketer = ticketer.clone();
             config.send_tls13_tickets = 1;
@@ -127,19 +140,19 @@
             config.session_storage = Arc::new(rustls::server::NoServerSessionStorage {});
             Ok((domain.clone(), Arc::new(config)))
         };
-        let by_domain = all.keys().map(config).collect::<Result<_, _>>()?;
-        let towards_servers = match x.servers.security {
+        let by_domain = by_name.keys().map(config).collect::<Result<_, _>>()?;
+        let client_config = match x.servers.security {
             Security::Plain => None,
-            Security::StartTls | Security::Tls => Some(Tls::towards_servers(file, x)?),
+            Security::StartTls | Security::Tls => Some(TlsConfig::client_config(file, x)?),
         };
-        Ok(Tls {
+        Ok(TlsConfig {
             by_domain,
-            first: first.name.to_lowercase(),
-            towards_servers,
+            default_domain: first.name.to_lowercase(),
+            client_config,
         })
     }
 
-    fn towards_servers(file: &OperatorFile, x: &Xmpp) -> Result<Arc<ClientConfig>, OperatorError> {
+    fn client_config(file: &OperatorFile, x: &Xmpp) -> Result<Arc<ClientConfig>, OperatorError> {
         let key = "xmpp.servers.ca";
         let Some(ca) = &x.servers.ca else {
             return Err(file.error(
@@ -148,14 +161,14 @@
             ));
         };
         let at = file.resolve(ca);
-        let wrong = |what: String| file.error(key, format!("{}: {what}", at.display()));
+        let error = |what: String| file.error(key, format!("{}: {what}", at.display()));
         let mut roots = RootCertStore::empty();
-        for root in CertificateDer::pem_file_iter(&at).map_err(|e| wrong(e.to_string()))? {
-            let root = root.map_err(|e| wrong(e.to_string()))?;
-            roots.add(root).map_err(|e| wrong(e.to_string()))?;
+        for root in CertificateDer::pem_file_iter(&at).map_err(|e| error(e.to_string()))? {
+            let root = root.map_err(|e| error(e.to_string()))?;
+            roots.add(root).map_err(|e| error(e.to_string()))?;
         }
         if roots.is_empty() {
-            return Err(wrong("has no certificate".into()));
+            return Err(error("has no certificate".into()));
         }
         let config = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
             .with_safe_default_protocol_versions()
@@ -167,19 +180,19 @@
 
     /// The relay's side of TLS with a client; the certificate is that of the name the client gives, else that of
     /// this domain, else the first.
-    pub fn server(&self, domain: Option<&str>) -> Option<Connection> {
+    pub fn server_connection(&self, domain: Option<&str>) -> Option<Connection> {
         let config = domain
             .and_then(|d| self.by_domain.get(d))
-            .or_else(|| self.by_domain.get(&self.first))?;
+            .or_else(|| self.by_domain.get(&self.default_domain))?;
         ServerConnection::new(config.clone())
             .ok()
             .map(Connection::Server)
     }
 
     /// The relay's side of TLS with a server of that domain.
-    pub fn client(&self, domain: &str) -> Option<Connection> {
+    pub fn client_connection(&self, domain: &str) -> Option<Connection> {
         let name = ServerName::try_from(domain.to_string()).ok()?;
-        ClientConnection::new(self.towards_servers.clone()?, name)
+        ClientConnection::new(self.client_config.clone()?, name)
             .ok()
             .map(Connection::Client)
     }
