--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -66,17 +66,17 @@
             limits.memory_mb as usize * 1024 * 1024,
         );
         let processes = if inherited { 2 } else { 1 };
-        let reserve = RESERVED_DESCRIPTORS + if admin { CALLERS + 1 } else { 0 };
-        let left = sockets.saturating_sub(processes * (reserve + MIN_WAITING));
+        let reserved = RESERVED_DESCRIPTORS + if admin { CALLERS + 1 } else { 0 };
+        let left = sockets.saturating_sub(processes * (reserved + MIN_WAITING));
         let max_requests = sockets
             .div_ceil(3)
             .min(left / 2)
             .min(memory / 2 / BYTES_PER_REQUEST)
             .max(1);
-        let idle = (sockets / processes).saturating_sub(reserve + 2 * max_requests / processes);
-        let idle = idle.min(memory / processes / 4 / BYTES_PER_WAITING);
+        let waiting = (sockets / processes).saturating_sub(reserved + 2 * max_requests / processes);
+        let waiting = waiting.min(memory / processes / 4 / BYTES_PER_WAITING);
         Arc::new(Admission {
-            max_waiting: idle.max(MIN_WAITING),
+            max_waiting: waiting.max(MIN_WAITING),
             max_requests,
             next: AtomicU64::new(0),
             inner: Mutex::default(),
@@ -95,19 +95,23 @@
             return Ok(());
         }
         let now = Instant::now();
-        let mut idle: Vec<_> = inner.waiting.iter_mut().collect();
-        if idle.iter().any(|(_, w)| w.dismissed) {
+        let mut waiting: Vec<_> = inner.waiting.iter_mut().collect();
+        if waiting.iter().any(|(_, w)| w.dismissed) {
             return Err(Vec::new());
         }
-        idle.retain(|(_, w)| now.duration_since(w.since) >= DISMISS_GRACE);
-        idle.sort_by_key(|(_, w)| (w.active, w.since));
+        waiting.retain(|(_, w)| now.duration_since(w.since) >= DISMISS_GRACE);
+        waiting.sort_by_key(|(_, w)| (w.active, w.since));
         // Several at a time: a crowd must not hold up the clients that come with it.
-        let most = self.max_waiting.div_ceil(8);
-        let leave = |(number, w): (&u64, &mut WaitingState)| {
+        let max_dismissed = self.max_waiting.div_ceil(8);
+        let dismiss = |(number, w): (&u64, &mut WaitingState)| {
             w.dismissed = true;
             *number
         };
-        Err(idle.into_iter().take(most).map(leave).collect())
+        Err(waiting
+            .into_iter()
+            .take(max_dismissed)
+            .map(dismiss)
+            .collect())
     }
 
     /// Takes in a connection.
@@ -224,17 +228,17 @@
     #[test]
     fn the_room_follows_the_limits() {
         for (sockets, memory_mb) in [(128, 16), (256, 32), (384, 48), (756, 48), (1024, 192)] {
-            let (requests, idle) = admission(sockets, memory_mb).limits();
-            let case = format!("{sockets} sockets, {memory_mb} MB: {requests}, {idle}");
+            let (requests, waiting) = admission(sockets, memory_mb).limits();
+            let case = format!("{sockets} sockets, {memory_mb} MB: {requests}, {waiting}");
             assert!(
-                2 * requests + idle + RESERVED_DESCRIPTORS <= sockets as usize,
+                2 * requests + waiting + RESERVED_DESCRIPTORS <= sockets as usize,
                 "{case}"
             );
             assert!(
-                requests >= (sockets / 3) as usize && idle >= MIN_WAITING,
+                requests >= (sockets / 3) as usize && waiting >= MIN_WAITING,
                 "{case}"
             );
-            let memory = requests * BYTES_PER_REQUEST + idle * BYTES_PER_WAITING;
+            let memory = requests * BYTES_PER_REQUEST + waiting * BYTES_PER_WAITING;
             assert!(memory <= memory_mb as usize * 1024 * 1024 * 3 / 4, "{case}");
         }
     }
@@ -249,13 +253,13 @@
                 sockets,
             };
             for (inherited, processes) in [(false, 1), (true, 2)] {
-                let (requests, idle) = Admission::new(&limits, true, inherited).limits();
-                let all = 2 * requests + processes * (idle + RESERVED_DESCRIPTORS + CALLERS + 1);
+                let (requests, waiting) = Admission::new(&limits, true, inherited).limits();
+                let all = 2 * requests + processes * (waiting + RESERVED_DESCRIPTORS + CALLERS + 1);
                 assert!(
                     all <= sockets as usize,
-                    "{sockets} sockets, inherited {inherited}: {requests}, {idle}"
+                    "{sockets} sockets, inherited {inherited}: {requests}, {waiting}"
                 );
-                let memory = requests * BYTES_PER_REQUEST + processes * idle * BYTES_PER_WAITING;
+                let memory = requests * BYTES_PER_REQUEST + processes * waiting * BYTES_PER_WAITING;
                 assert!(memory <= memory_mb as usize * 1024 * 1024 * 3 / 4);
                 assert!(requests >= sockets as usize * 3 / 10);
             }
@@ -267,34 +271,34 @@
     fn the_silent_make_room_and_those_that_asked_stay_longer() {
         let admission = admission(128, 16);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (mut far, mut idle) = (Vec::new(), Vec::new());
+        let (mut far, mut waiting) = (Vec::new(), Vec::new());
         for _ in 0..admission.limits().1 {
             assert!(admission.check_capacity().is_ok());
             far.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
-            idle.push(admission.register(listener.accept().unwrap().0));
+            waiting.push(admission.register(listener.accept().unwrap().0));
         }
-        idle[0].record_activity();
+        waiting[0].record_activity();
         std::thread::sleep(DISMISS_GRACE);
         // The second has to go, the first and the last stay.
         let gone = admission.check_capacity().unwrap_err();
         assert!(
-            gone.contains(&idle[1].number()) && gone.len() < far.len() / 2,
+            gone.contains(&waiting[1].number()) && gone.len() < far.len() / 2,
             "{gone:?}"
         );
         for n in [0, far.len() - 1] {
-            assert!(!gone.contains(&idle[n].number()));
+            assert!(!gone.contains(&waiting[n].number()));
         }
         // No more are sent away before those have gone.
         assert_eq!(admission.check_capacity(), Err(Vec::new()));
-        idle.remove(1);
+        waiting.remove(1);
         assert!(admission.check_capacity().is_ok());
         // A request takes no room from the others that wait.
-        let slot = idle[0].admit_request("01").unwrap();
+        let slot = waiting[0].admit_request("01").unwrap();
         assert_eq!(
-            idle[1].admit_request("01").err(),
+            waiting[1].admit_request("01").err(),
             Some(AdmissionError::IdInUse)
         );
         drop(slot);
-        assert!(idle[1].admit_request("01").is_ok());
+        assert!(waiting[1].admit_request("01").is_ok());
     }
 }
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -20,19 +20,19 @@
 use std::sync::Arc;
 
 /// The longest wait for the `UP` of a connection that was open before the run.
-pub const ADOPT: Micros = 35_000_000;
+pub const ADOPT_TIMEOUT: Micros = 35_000_000;
 /// The longest wait for the dial of such a connection.
-const ADOPT_DIAL: Micros = 2_000_000;
+const ADOPT_DIAL_TIMEOUT: Micros = 2_000_000;
 
 /// An attempt that did not come up: its outcome, and a load report where one came.
-pub type Failed = (Outcome, Vec<f32>);
+pub type AttemptFailure = (Outcome, Vec<f32>);
 
-fn failed<T>(outcome: Outcome) -> Option<Result<T, Failed>> {
+fn failed<T>(outcome: Outcome) -> Option<Result<T, AttemptFailure>> {
     Some(Err((outcome, Vec::new())))
 }
 
 /// A connection that is up: the backend's side, what came on it so far, and the machine that goes on.
-pub struct Up {
+pub struct EstablishedBackend {
     /// The backend's side.
     pub link: Link,
     /// What has come for the client.
@@ -43,7 +43,7 @@
 
 /// Whose attempt it is.
 #[derive(Clone, Copy)]
-pub struct Ground<'a> {
+pub struct AttemptContext<'a> {
     /// What all connections share.
     pub shared: &'a SharedState,
     /// The client's.
@@ -55,82 +55,82 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum At {
+enum AttemptState {
     /// The backend's address is not known yet.
-    Seeking,
+    AwaitingAddress,
     /// The dial is under way, up to that time.
-    Dialing(Micros),
+    Dialling(Micros),
     /// TLS is negotiated.
-    Securing,
+    TlsHandshake,
     /// The exchange goes on.
-    Talking,
+    Exchanging,
     /// It is over.
     Over,
 }
 
 /// One attempt of a session's request.
 pub struct Attempt {
-    server: EndpointId,
+    endpoint_id: EndpointId,
     /// When to stop waiting.
-    until: Micros,
+    deadline: Micros,
     /// Its number among those of the request.
     pub number: u16,
     /// When it began.
-    pub began: Micros,
-    endpoint: Option<Endpoint>,
-    at: At,
+    pub started_at: Micros,
+    backend: Option<Endpoint>,
+    state: AttemptState,
     link: Option<Link>,
     exchange: Option<Box<dyn Exchange>>,
     inbox: Buffer,
     /// What is still to be sent, whether the link takes no more for now, and whether it is the request.
-    out: Vec<u8>,
+    unsent: Vec<u8>,
     blocked: bool,
-    asking: bool,
+    sending_request: bool,
     /// Whether the request's last byte is out, and whether anything is.
-    asked: bool,
-    said: bool,
+    request_sent: bool,
+    anything_sent: bool,
 }
 
 impl Attempt {
     /// One that has not begun.
     pub fn new(
         order: &dyn Order,
-        server: EndpointId,
-        until: Micros,
+        endpoint_id: EndpointId,
+        deadline: Micros,
         number: u16,
         now: Micros,
     ) -> Attempt {
         Attempt {
-            server,
-            until,
+            endpoint_id,
+            deadline,
             number,
-            began: now,
-            endpoint: None,
-            at: At::Seeking,
+            started_at: now,
+            backend: None,
+            state: AttemptState::AwaitingAddress,
             link: None,
             exchange: Some(order.exchange()),
             inbox: Buffer::default(),
-            out: Vec::new(),
+            unsent: Vec::new(),
             blocked: false,
-            asking: false,
-            asked: false,
-            said: false,
+            sending_request: false,
+            request_sent: false,
+            anything_sent: false,
         }
     }
 
     /// Its socket, and what is waited for there.
-    pub fn waits(&self) -> Option<(&Arc<TcpStream>, Interest)> {
+    pub fn interest(&self) -> Option<(&Arc<TcpStream>, Interest)> {
         let socket = &self.link.as_ref()?.socket;
-        let held = self.link.as_ref().is_some_and(Link::has_unsent_tls);
-        let interest = match self.at {
-            At::Dialing(_) => Interest {
+        let unsent_tls = self.link.as_ref().is_some_and(Link::has_unsent_tls);
+        let interest = match self.state {
+            AttemptState::Dialling(_) => Interest {
                 read: false,
                 write: true,
                 peer_closed: false,
             },
             _ => Interest {
                 read: true,
-                write: self.blocked || held,
+                write: self.blocked || unsent_tls,
                 peer_closed: false,
             },
         };
@@ -138,64 +138,72 @@
     }
 
     /// Whether it is about to begin, or to send its first byte.
-    pub fn begins(&self, ready: bool) -> bool {
-        matches!(self.at, At::Seeking | At::Dialing(_) if ready || self.seeks())
+    pub fn sends_next(&self, ready: bool) -> bool {
+        matches!(self.state, AttemptState::AwaitingAddress | AttemptState::Dialling(_) if ready || self.awaits_address())
     }
 
     /// It must be over by then.
-    pub fn hurry(&mut self, by: Micros) {
-        self.until = self.until.min(by);
+    pub fn shorten_deadline(&mut self, by: Micros) {
+        self.deadline = self.deadline.min(by);
     }
 
     /// Whether it waits for a list that names its backend.
-    pub fn seeks(&self) -> bool {
-        self.at == At::Seeking
+    pub fn awaits_address(&self) -> bool {
+        self.state == AttemptState::AwaitingAddress
     }
 
     /// When it must be called though nothing has happened.
-    pub fn due(&self) -> Micros {
-        match self.at {
-            At::Dialing(by) => by.min(self.until),
-            _ => self.until,
+    pub fn next_timer(&self) -> Micros {
+        match self.state {
+            AttemptState::Dialling(by) => by.min(self.deadline),
+            _ => self.deadline,
         }
     }
 
     /// Goes on as far as is possible now; `ready` says that its socket is. None while it is out. When it has
     /// failed, its socket is closed before this returns.
-    pub fn go(&mut self, g: Ground<'_>, ready: bool) -> Option<Result<Up, Failed>> {
-        let result = self.step(g, ready)?;
+    pub fn advance(
+        &mut self,
+        context: AttemptContext<'_>,
+        ready: bool,
+    ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
+        let result = self.advance_state(context, ready)?;
         let (id, server, now) = (
-            g.session.connection_id(),
-            self.server.0,
-            g.shared.decisions.now(),
+            context.session.connection_id(),
+            self.endpoint_id.0,
+            context.shared.decisions.now(),
         );
-        let ms = now.saturating_sub(self.began) / 1_000;
-        self.at = At::Over;
+        let ms = now.saturating_sub(self.started_at) / 1_000;
+        self.state = AttemptState::Over;
         match &result {
             Ok(_) => tracing::debug!(%id, server, ms, "attempt is up"),
             Err((outcome, _)) => {
                 tracing::debug!(%id, server, ms, ?outcome, "attempt failed");
                 self.link = None;
-                g.session.detach_backend();
+                context.session.detach_backend();
             }
         }
         Some(result)
     }
 
-    fn step(&mut self, g: Ground<'_>, ready: bool) -> Option<Result<Up, Failed>> {
-        if g.session.is_cancelled(self.number) {
+    fn advance_state(
+        &mut self,
+        context: AttemptContext<'_>,
+        ready: bool,
+    ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
+        if context.session.is_cancelled(self.number) {
             // Before the dial nothing has begun: the retry budget has its share back.
-            return failed(if self.seeks() {
+            return failed(if self.awaits_address() {
                 Outcome::NotAttempted
             } else {
                 Outcome::Cancelled
             });
         }
-        let now = g.shared.decisions.now();
-        match self.at {
-            At::Over => None,
-            At::Seeking => self.dial(g, now),
-            At::Dialing(by) => {
+        let now = context.shared.decisions.now();
+        match self.state {
+            AttemptState::Over => None,
+            AttemptState::AwaitingAddress => self.dial(context, now),
+            AttemptState::Dialling(by) => {
                 let socket = &self.link.as_ref()?.socket;
                 match (ready, socket.take_error()) {
                     // A connection that comes up after its time is closed unused, also where this process was held
@@ -205,131 +213,143 @@
                     (true, _) => return failed(Outcome::ConnectFailed),
                     (false, _) => return None,
                 }
-                self.at = At::Talking;
-                self.talk(g)
+                self.state = AttemptState::Exchanging;
+                self.exchange(context)
             }
-            At::Securing | At::Talking => self.talk(g),
+            AttemptState::TlsHandshake | AttemptState::Exchanging => self.exchange(context),
         }
     }
 
     /// Begins the dial, once the backend's address is known.
-    fn dial(&mut self, g: Ground<'_>, now: Micros) -> Option<Result<Up, Failed>> {
-        let adopted = g.order.at().is_some();
-        let Some(endpoint) = g.shared.directory.endpoint(self.server) else {
+    fn dial(
+        &mut self,
+        context: AttemptContext<'_>,
+        now: Micros,
+    ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
+        let adopted = context.order.at().is_some();
+        let Some(endpoint) = context.shared.directory.endpoint(self.endpoint_id) else {
             // The list that a relay starts with may be stale; one that was chosen now has left.
-            return if adopted && now < self.until {
+            return if adopted && now < self.deadline {
                 None
             } else {
                 failed(Outcome::NotAttempted)
             };
         };
-        let most = if adopted {
-            ADOPT_DIAL
+        let dial_timeout = if adopted {
+            ADOPT_DIAL_TIMEOUT
         } else {
-            g.shared.settings().dial_timeout.as_micros() as Micros
+            context.shared.settings().dial_timeout.as_micros() as Micros
         };
-        if now >= self.until || most == 0 {
+        if now >= self.deadline || dial_timeout == 0 {
             return failed(Outcome::NotAttempted);
         }
         let mut addr = endpoint.addr;
-        if let Some(port) = g.shared.backend_port(g.order.front()) {
+        if let Some(port) = context.shared.backend_port(context.order.front()) {
             addr.set_port(port);
         }
-        self.endpoint = Some(endpoint);
+        self.backend = Some(endpoint);
         let stream = match dial(addr) {
             Ok(stream) => stream,
             Err(e) if is_local_failure(&e) => {
                 log(&format!(
                     "attempt {} of {}: dial of {}: {e}",
                     self.number,
-                    g.session.connection_id(),
-                    self.name()
+                    context.session.connection_id(),
+                    self.backend_name()
                 ));
                 return failed(Outcome::NotAttempted);
             }
             Err(_) => return failed(Outcome::ConnectFailed),
         };
         let stream = Arc::new(stream);
-        if !g.session.attach_backend(&stream, self.number) {
+        if !context.session.attach_backend(&stream, self.number) {
             return failed(Outcome::Cancelled);
         }
         self.link = Some(Link::plain(stream));
-        self.at = At::Dialing(self.until.min(now + most));
+        self.state = AttemptState::Dialling(self.deadline.min(now + dial_timeout));
         None
     }
 
     /// How it ends where the link breaks: before the request's last byte nothing can have run.
-    fn broke(&self, g: Ground<'_>) -> Option<Result<Up, Failed>> {
-        failed(match (self.asked, g.session.is_cancelled(self.number)) {
-            (_, true) => Outcome::Cancelled,
-            (true, false) => Outcome::Reset,
-            (false, false) => Outcome::ConnectFailed,
-        })
+    fn link_broken(
+        &self,
+        context: AttemptContext<'_>,
+    ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
+        failed(
+            match (self.request_sent, context.session.is_cancelled(self.number)) {
+                (_, true) => Outcome::Cancelled,
+                (true, false) => Outcome::Reset,
+                (false, false) => Outcome::ConnectFailed,
+            },
+        )
     }
 
-    fn talk(&mut self, g: Ground<'_>) -> Option<Result<Up, Failed>> {
-        let Ground { shared, order, .. } = g;
+    fn exchange(
+        &mut self,
+        context: AttemptContext<'_>,
+    ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
+        let AttemptContext { shared, order, .. } = context;
         let adopted = order.at().is_some();
         loop {
             let now = shared.decisions.now();
-            if now >= self.until {
-                return failed(match (self.asked, self.said) {
+            if now >= self.deadline {
+                return failed(match (self.request_sent, self.anything_sent) {
                     (true, _) => Outcome::Timeout,
                     (false, true) => Outcome::ConnectFailed,
                     (false, false) => Outcome::NotAttempted,
                 });
             }
             let link = self.link.as_mut()?;
-            if self.at == At::Securing {
-                match link.continue_handshake() {
-                    Ok(true) => self.at = At::Talking,
+            if self.state == AttemptState::TlsHandshake {
+                match link.continue_tls_handshake() {
+                    Ok(true) => self.state = AttemptState::Exchanging,
                     Ok(false) => return None,
                     Err(e) => {
-                        log(&format!("backend {}: no TLS: {e}", self.name()));
-                        return self.broke(g);
+                        log(&format!("backend {}: no TLS: {e}", self.backend_name()));
+                        return self.link_broken(context);
                     }
                 }
                 continue;
             }
-            if !self.out.is_empty() || self.blocked {
-                match link.write_available(&self.out) {
+            if !self.unsent.is_empty() || self.blocked {
+                match link.write_available(&self.unsent) {
                     Ok((n, blocked)) => {
-                        self.out.drain(..n);
+                        self.unsent.drain(..n);
                         self.blocked = blocked;
                     }
-                    Err(_) => return self.broke(g),
+                    Err(_) => return self.link_broken(context),
                 }
                 if self.blocked {
                     return None;
                 }
-                if std::mem::take(&mut self.asking) {
+                if std::mem::take(&mut self.sending_request) {
                     shared.metrics.tries.fetch_add(1, Relaxed);
-                    self.asked = true;
+                    self.request_sent = true;
                 }
             }
             let step = self
                 .exchange
                 .as_mut()?
-                .step(&mut self.inbox, self.until - now);
+                .step(&mut self.inbox, self.deadline - now);
             // During the dial, or a negotiation, the backend may have left, or the request may have been
             // answered: once more, right before each first byte of something new.
-            let new = matches!(step, Step::Ask(_) | Step::Say(_) | Step::Secure(_));
-            let may = || {
-                shared.directory.takes_new(self.server)
-                    && shared.decisions.awaits_answer(g.id)
+            let sends_first_byte = matches!(step, Step::Ask(_) | Step::Say(_) | Step::Secure(_));
+            let may_send = || {
+                shared.directory.takes_new(self.endpoint_id)
+                    && shared.decisions.awaits_answer(context.id)
                     && shared.decisions.may_admit()
             };
-            if new && !adopted && !may() {
+            if sends_first_byte && !adopted && !may_send() {
                 return failed(Outcome::NotAttempted);
             }
             match step {
                 Step::Read => {}
                 Step::Say(bytes) => {
-                    (self.said, self.out) = (true, bytes);
+                    (self.anything_sent, self.unsent) = (true, bytes);
                     continue;
                 }
                 Step::Ask(bytes) => {
-                    (self.asking, self.out) = (true, bytes);
+                    (self.sending_request, self.unsent) = (true, bytes);
                     continue;
                 }
                 Step::Secure(domain) => {
@@ -339,29 +359,29 @@
                     else {
                         return failed(Outcome::NotAttempted);
                     };
-                    self.said = true;
+                    self.anything_sent = true;
                     self.link.as_mut()?.start_tls(tls);
-                    self.at = At::Securing;
+                    self.state = AttemptState::TlsHandshake;
                     continue;
                 }
                 Step::Up => {
                     let (link, passage) = (self.link.take()?, self.exchange.take()?.passage());
-                    return Some(Ok(Up {
+                    return Some(Ok(EstablishedBackend {
                         link,
                         inbox: std::mem::take(&mut self.inbox),
                         passage,
                     }));
                 }
-                Step::Not(Outcome::Error | Outcome::Reset, _) if !self.asked => {
-                    return self.broke(g)
+                Step::Not(Outcome::Error | Outcome::Reset, _) if !self.request_sent => {
+                    return self.link_broken(context)
                 }
                 Step::Not(outcome, report) => return Some(Err((outcome, report))),
                 Step::Nonsense(what) => {
                     log(&format!(
                         "backend {}: {what} in place of an answer",
-                        self.name()
+                        self.backend_name()
                     ));
-                    return failed(if self.asked {
+                    return failed(if self.request_sent {
                         Outcome::Error
                     } else {
                         Outcome::ConnectFailed
@@ -371,13 +391,13 @@
             match self.link.as_mut()?.read_into(&mut self.inbox) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return None,
-                _ => return self.broke(g),
+                _ => return self.link_broken(context),
             }
         }
     }
 
-    fn name(&self) -> &str {
-        self.endpoint.as_ref().map_or("", |endpoint| &endpoint.name)
+    fn backend_name(&self) -> &str {
+        self.backend.as_ref().map_or("", |endpoint| &endpoint.name)
     }
 }
 
@@ -401,14 +421,14 @@
     use std::net::{SocketAddr, TcpListener};
     use std::time::Duration;
 
-    const SERVER: EndpointId = EndpointId(1);
+    const ENDPOINT: EndpointId = EndpointId(1);
     const MINUTE: Micros = 60_000_000;
 
     struct Setup {
         shared: Arc<SharedState>,
         session: Arc<Session>,
         order: Box<dyn Order>,
-        _front: TcpStream,
+        _client: TcpStream,
     }
 
     /// A session before a backend in that state at that address, with this longest dial.
@@ -422,7 +442,7 @@
         );
         let config = Config::parse(text.into_bytes(), &|_| None).unwrap();
         let member = |state| ListedEndpoint {
-            id: SERVER,
+            id: ENDPOINT,
             zone: 0,
             cell: 0,
             state,
@@ -467,13 +487,13 @@
             shared,
             session,
             order,
-            _front: listener.accept().unwrap().0,
+            _client: listener.accept().unwrap().0,
         }
     }
 
     impl Setup {
-        fn ground(&self, id: RequestId) -> Ground<'_> {
-            Ground {
+        fn context(&self, id: RequestId) -> AttemptContext<'_> {
+            AttemptContext {
                 shared: &self.shared,
                 session: &self.session,
                 order: &*self.order,
@@ -483,28 +503,32 @@
 
         fn attempt(&self, left: Micros) -> Attempt {
             let now = self.shared.decisions.now();
-            Attempt::new(&*self.order, SERVER, now + left, 0, now)
+            Attempt::new(&*self.order, ENDPOINT, now + left, 0, now)
         }
 
         /// Drives an attempt as the thread that serves does, to its end.
-        fn drive(&self, id: RequestId, mut attempt: Attempt) -> Result<Up, Failed> {
+        fn drive(
+            &self,
+            id: RequestId,
+            mut attempt: Attempt,
+        ) -> Result<EstablishedBackend, AttemptFailure> {
             let (poller, mut events, mut ready) =
                 (Poller::new().unwrap(), Events::default(), Vec::new());
-            let (mut told, mut watched) = (false, None);
+            let (mut ready_now, mut watched) = (false, None);
             loop {
-                if let Some(result) = attempt.go(self.ground(id), told) {
+                if let Some(result) = attempt.advance(self.context(id), ready_now) {
                     return result;
                 }
-                if let Some((socket, interest)) = attempt.waits() {
+                if let Some((socket, interest)) = attempt.interest() {
                     poller.watch(socket, 1, watched, Some(interest)).unwrap();
                     watched = Some(interest);
                 }
                 poller.wait(
-                    self.shared.decisions.time_until(attempt.due()),
+                    self.shared.decisions.time_until(attempt.next_timer()),
                     &mut events,
                     &mut ready,
                 );
-                told = ready.drain(..).count() > 0;
+                ready_now = ready.drain(..).count() > 0;
             }
         }
     }
@@ -551,7 +575,7 @@
         let s = setup(addr, EndpointState::Ready, ",at=s-1", 10_000.0);
         let id = s.shared.decisions.adopt_connection(
             s.order.request().clone(),
-            SERVER,
+            ENDPOINT,
             s.session.clone(),
         );
         assert!(matches!(
@@ -567,13 +591,13 @@
         let s = setup(addr, EndpointState::Removed, ",at=s-1", 10_000.0);
         let id = s.shared.decisions.adopt_connection(
             s.order.request().clone(),
-            SERVER,
+            ENDPOINT,
             s.session.clone(),
         );
         let mut attempt = s.attempt(MINUTE);
-        assert!(attempt.go(s.ground(id), false).is_none() && attempt.seeks());
+        assert!(attempt.advance(s.context(id), false).is_none() && attempt.awaits_address());
         let member = ListedEndpoint {
-            id: SERVER,
+            id: ENDPOINT,
             zone: 0,
             cell: 0,
             state: EndpointState::Ready,
@@ -590,8 +614,8 @@
                 member,
             )],
         );
-        assert!(attempt.go(s.ground(id), false).is_none() && !attempt.seeks());
-        assert!(attempt.waits().is_some());
+        assert!(attempt.advance(s.context(id), false).is_none() && !attempt.awaits_address());
+        assert!(attempt.interest().is_some());
     }
 
     /// A dial has one end, whichever way it ends, and its socket is closed then with nothing sent.
@@ -629,7 +653,7 @@
 
         // It answers, and its time is up before that is told; or both are told at once, the answer first: a process
         // that was held up once went on with a dial whose time was over.
-        for told in [false, true] {
+        for ready_now in [false, true] {
             let (listener, addr) = listener();
             let s = setup(addr, EndpointState::Ready, "", 1.0);
             let pick =
@@ -637,20 +661,20 @@
                     .decisions
                     .submit(s.order.request().clone(), s.session.clone(), |_| {});
             let mut attempt = s.attempt(MINUTE);
-            assert!(attempt.go(s.ground(pick.id), false).is_none());
+            assert!(attempt.advance(s.context(pick.id), false).is_none());
             let (mut backend, _) = listener.accept().unwrap();
-            while s.shared.decisions.now() < attempt.due() {
+            while s.shared.decisions.now() < attempt.next_timer() {
                 std::thread::sleep(Duration::from_millis(1));
             }
             assert!(matches!(
-                attempt.go(s.ground(pick.id), told),
+                attempt.advance(s.context(pick.id), ready_now),
                 Some(Err((Outcome::ConnectFailed, _)))
             ));
             let mut sent = Vec::new();
             backend.read_to_end(&mut sent).unwrap();
-            assert!(sent.is_empty() && attempt.waits().is_none());
+            assert!(sent.is_empty() && attempt.interest().is_none());
             assert!(
-                attempt.go(s.ground(pick.id), true).is_none(),
+                attempt.advance(s.context(pick.id), true).is_none(),
                 "it is over once"
             );
         }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -21,120 +21,123 @@
 /// with input unread would reset the connection, and the reset can destroy an answer that is not read yet.
 pub(super) const LINGER: Micros = 1_000_000;
 /// The same for one that rested and is sent away: others wait for its room. More than the way there and back takes.
-pub(super) const LINGER_SHORT: Micros = 50_000;
+pub(super) const DISMISSED_LINGER: Micros = 50_000;
 
 /// The backend's side of a connection that is up.
-pub(super) struct Backend {
+pub(super) struct BackendSide {
     pub link: Link,
     /// The connection as the decisions know it.
     pub id: RequestId,
-    pub server: EndpointId,
+    pub endpoint_id: EndpointId,
     pub passage: Box<dyn Passage>,
 }
 
 /// How a connection that was up has ended.
-pub(super) struct End {
+pub(super) struct ConnectionEnd {
     pub outcome: Outcome,
     pub report: Vec<f32>,
     pub reason: &'static str,
 }
 
-pub(super) fn end(outcome: Outcome, reason: &'static str) -> End {
-    End {
-        outcome,
-        report: Vec::new(),
-        reason,
+impl ConnectionEnd {
+    /// An end without a load report.
+    pub fn new(outcome: Outcome, reason: &'static str) -> ConnectionEnd {
+        ConnectionEnd {
+            outcome,
+            report: Vec::new(),
+            reason,
+        }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
     /// The client has not asked for anything yet.
-    Hearing,
+    Handshake,
     /// The request waits for its answer; what the client sends waits too.
-    Placing,
+    Pending,
     /// The connection is up.
-    Up,
+    Established,
     /// The client gets its last words since then; true once it has them.
     Closing(Micros, bool),
-    Done,
+    Closed,
 }
 
 /// A client that is heard.
-pub(super) struct Hearing {
-    pub idle: WaitingConnection,
+pub(super) struct Handshake {
+    pub waiting: WaitingConnection,
     pub greeter: Box<dyn Greeter>,
     /// Whether TLS is negotiated, and whether the greeter is to hear of its end.
-    pub securing: bool,
-    pub tells: bool,
+    pub in_tls_handshake: bool,
+    pub reports_tls: bool,
     /// What is still to be sent, and since when the client takes none of it.
-    pub out: Vec<u8>,
-    pub blocked: Option<Micros>,
+    pub unsent: Vec<u8>,
+    pub blocked_since: Option<Micros>,
 }
 
 /// A request that is placed.
-pub(super) struct Placing {
+pub(super) struct PendingRequest {
     pub order: Box<dyn Order>,
     pub id: RequestId,
     /// The decisions' verdicts; none where the connection was open before the start.
-    pub pick: Option<PendingDecision>,
+    pub decision: Option<PendingDecision>,
     pub attempt: Option<Attempt>,
-    pub server: EndpointId,
+    pub endpoint_id: EndpointId,
     /// What it has failed of.
-    pub cause: Cause,
+    pub failure_cause: Cause,
     /// When the client is owed its answer.
-    pub answer_by: Micros,
+    pub answer_deadline: Micros,
 }
 
 /// A client's connection.
-pub(super) struct Conn {
+pub(super) struct Connection {
     pub shared: Arc<SharedState>,
     pub number: u64,
     pub client: Link,
     pub phase: Phase,
-    pub hearing: Option<Box<Hearing>>,
-    pub placing: Option<Box<Placing>>,
+    pub handshake: Option<Box<Handshake>>,
+    pub pending: Option<Box<PendingRequest>>,
     /// None before the request is let in.
     pub session: Option<Arc<Session>>,
     /// The room of a client that was turned away, until it has gone.
-    pub idle: Option<WaitingConnection>,
+    pub waiting: Option<WaitingConnection>,
     pub record: Option<ConnectionRecord>,
-    pub backend: Option<Backend>,
+    pub backend: Option<BackendSide>,
     /// From the client to the backend, and the other way.
-    pub up: Buffer,
-    pub down: Buffer,
+    pub to_backend: Buffer,
+    pub to_client: Buffer,
     /// How many bytes at the front of either may go on.
-    pub up_passed: usize,
-    pub down_passed: usize,
+    pub to_backend_ready: usize,
+    pub to_client_ready: usize,
     /// Whether the backend owes an answer to what is to go on.
-    pub asks: bool,
+    pub expects_answer: bool,
     /// By when the client is owed its final answer; none once it has it.
-    pub answer_by: Option<Micros>,
+    pub answer_deadline: Option<Micros>,
     /// Up to when the backend may finish what it sends, or its client be answered, before it is moved.
-    pub finish_by: Option<Micros>,
+    pub finish_deadline: Option<Micros>,
     /// Whether the backend was told to finish.
-    pub parting: bool,
+    pub finishing: bool,
     /// How long a client that has had its last word may go on.
     pub linger: Micros,
     /// Memory of its buffers that is counted with that of all.
-    pub held: usize,
+    pub counted_memory: usize,
     /// How it ends once what may go on has gone on, and the last words.
-    pub over: Option<(Vec<u8>, End)>,
+    pub end_after_flush: Option<(Vec<u8>, ConnectionEnd)>,
     /// Last words for the client.
-    pub last: Vec<u8>,
-    pub farewell: Option<End>,
+    pub last_words: Vec<u8>,
+    pub announced_end: Option<ConnectionEnd>,
     /// When the oldest unanswered line of the client was passed on.
-    pub asked: Option<Micros>,
+    pub unanswered_since: Option<Micros>,
     /// When the backend last brought something back.
-    pub heard: Micros,
-    pub client_ended: Option<Micros>,
-    pub up_blocked: bool,
-    pub down_blocked: Option<Micros>,
-    pub flooded: bool,
+    pub last_heard: Micros,
+    pub client_ended_at: Option<Micros>,
+    pub to_backend_blocked: bool,
+    pub to_client_blocked_since: Option<Micros>,
+    pub discard_paused: bool,
     /// What is waited for on either socket, and under which token; none once it is not watched.
     watched: [Option<(u64, Interest)>; 2],
     /// When it is to be called next though nothing happens.
-    pub due: Option<Micros>,
+    pub timer: Option<Micros>,
 }
 
 /// Bits of a token below the connection's number: the side, and the number of the attempt, so that what is told of a
@@ -147,41 +150,41 @@
 pub(super) const CLIENT: u64 = 0;
 pub(super) const BACKEND: u64 = 1;
 
-impl Conn {
+impl Connection {
     /// One of a client that has just come, with nothing known of it.
-    pub fn new(shared: &Arc<SharedState>, number: u64, socket: Arc<TcpStream>) -> Conn {
-        Conn {
+    pub fn new(shared: &Arc<SharedState>, number: u64, socket: Arc<TcpStream>) -> Connection {
+        Connection {
             shared: shared.clone(),
             number,
             client: Link::plain(socket),
-            phase: Phase::Hearing,
-            hearing: None,
-            placing: None,
+            phase: Phase::Handshake,
+            handshake: None,
+            pending: None,
             session: None,
-            idle: None,
+            waiting: None,
             record: None,
             backend: None,
-            up: Buffer::default(),
-            down: Buffer::default(),
-            up_passed: 0,
-            down_passed: 0,
-            asks: false,
-            answer_by: None,
-            finish_by: None,
-            parting: false,
+            to_backend: Buffer::default(),
+            to_client: Buffer::default(),
+            to_backend_ready: 0,
+            to_client_ready: 0,
+            expects_answer: false,
+            answer_deadline: None,
+            finish_deadline: None,
+            finishing: false,
             linger: LINGER,
-            held: 0,
-            over: None,
-            last: Vec::new(),
-            farewell: None,
-            asked: None,
-            heard: 0,
-            client_ended: None,
-            up_blocked: false,
-            down_blocked: None,
-            flooded: false,
+            counted_memory: 0,
+            end_after_flush: None,
+            last_words: Vec::new(),
+            announced_end: None,
+            unanswered_since: None,
+            last_heard: 0,
+            client_ended_at: None,
+            to_backend_blocked: false,
+            to_client_blocked_since: None,
+            discard_paused: false,
             watched: [None, None],
-            due: None,
+            timer: None,
         }
     }
 
@@ -191,21 +194,21 @@
     }
 
     /// Its name for the log.
-    pub fn name(&self) -> &str {
+    pub fn connection_id(&self) -> &str {
         self.session
             .as_ref()
             .map_or("", |session| session.connection_id())
     }
 
     /// Whether its client is to be moved.
-    pub fn moving(&self) -> bool {
+    pub fn is_migrating(&self) -> bool {
         self.session
             .as_ref()
             .is_some_and(|session| session.is_migrating())
     }
 
     /// The request as the decisions see one that came up in another process, or before the start.
-    pub fn standing_request(class: usize, (key, group): (u64, u64)) -> Request {
+    pub fn request_of_established(class: usize, (key, group): (u64, u64)) -> Request {
         Request {
             class,
             client_key: key,
@@ -215,7 +218,7 @@
     }
 
     /// A socket of its own is ready.
-    pub fn ready(
+    pub fn handle_ready(
         &mut self,
         Ready {
             token,
@@ -230,49 +233,51 @@
             return;
         }
         match (self.phase, side) {
-            (Phase::Hearing, _) => self.hear(),
-            (Phase::Placing, BACKEND) => self.place(true),
+            (Phase::Handshake, _) => self.continue_handshake(),
+            (Phase::Pending, BACKEND) => self.drive_request(true),
             (_, BACKEND) => self.backend_ready(read, write),
-            (Phase::Placing, _) if peer_closed && !read => self.client_gone(),
+            (Phase::Pending, _) if peer_closed && !read => self.client_gone(),
             _ => self.client_ready(read, write),
         }
     }
 
     /// The decisions have news of it.
-    pub fn woken(&mut self) {
+    pub fn handle_update(&mut self) {
         self.session
             .iter()
             .for_each(|session| session.clear_notification());
-        if self.phase == Phase::Placing {
-            self.place(false);
+        if self.phase == Phase::Pending {
+            self.drive_request(false);
         }
     }
 
     /// Its time is up.
-    pub fn late(&mut self) {
+    pub fn handle_timer(&mut self) {
         match self.phase {
-            Phase::Hearing => self.hear(),
-            Phase::Placing => self.place(false),
-            _ => self.look(),
+            Phase::Handshake => self.continue_handshake(),
+            Phase::Pending => self.drive_request(false),
+            _ => self.check_timeouts(),
         }
     }
 
     /// Whether nothing has been asked for, nor begun, and it has not come just now.
-    pub fn rests(&self) -> bool {
-        let hearing = self
-            .hearing
+    pub fn is_waiting(&self) -> bool {
+        let handshake = self
+            .handshake
             .as_ref()
-            .filter(|_| self.phase == Phase::Hearing);
-        let came = self
+            .filter(|_| self.phase == Phase::Handshake);
+        let grace_over = self
             .record
             .as_ref()
             .is_none_or(|record| record.started_at.elapsed() >= DISMISS_GRACE);
-        came && hearing
-            .is_some_and(|h| self.up.rest().is_empty() && h.out.is_empty() && !h.securing)
+        grace_over
+            && handshake.is_some_and(|h| {
+                self.to_backend.rest().is_empty() && h.unsent.is_empty() && !h.in_tls_handshake
+            })
     }
 
     /// The process ends, and it with that.
-    pub fn cut_off(&mut self) {
+    pub fn log_cut_off(&mut self) {
         self.record
             .take()
             .iter()
@@ -280,18 +285,18 @@
     }
 
     /// Whether it waits for a list that names its backend.
-    pub fn seeks(&self) -> bool {
-        self.placing
+    pub fn awaits_address(&self) -> bool {
+        self.pending
             .as_ref()
             .and_then(|p| p.attempt.as_ref())
-            .is_some_and(Attempt::seeks)
+            .is_some_and(Attempt::awaits_address)
     }
 
     /// Waits for what it now needs. False once it is done.
-    pub fn settle(&mut self, poller: &Poller) -> bool {
-        self.count_memory();
-        let (client, backend) = self.wanted();
-        let attempt = self.placing.as_ref().and_then(|p| p.attempt.as_ref());
+    pub fn update_interest(&mut self, poller: &Poller) -> bool {
+        self.update_memory_budget();
+        let (client, backend) = self.wanted_interest();
+        let attempt = self.pending.as_ref().and_then(|p| p.attempt.as_ref());
         let number = attempt.map_or(0, |a| u64::from(a.number));
         let token = |side: u64| {
             (self.number << NUMBER_SHIFT) | ((number % (1 << ATTEMPT_BITS)) << SIDE_BITS) | side
@@ -306,7 +311,7 @@
                 client,
                 CLIENT | self.number << NUMBER_SHIFT,
             ),
-            match (attempt.and_then(Attempt::waits), &self.backend) {
+            match (attempt.and_then(Attempt::interest), &self.backend) {
                 (Some((socket, interest)), _) => (socket.clone(), Some(interest), token(BACKEND)),
                 (None, Some(b)) => (
                     b.link.socket.clone(),
@@ -317,7 +322,7 @@
                 (None, None) => (self.client.socket.clone(), None, 0),
             },
         ];
-        let gone = attempt.and_then(Attempt::waits).is_none() && self.backend.is_none();
+        let gone = attempt.and_then(Attempt::interest).is_none() && self.backend.is_none();
         for (side, (socket, wanted, token)) in sockets.into_iter().enumerate() {
             let before = self.watched[side]
                 .filter(|(now, _)| *now == token)
@@ -331,52 +336,55 @@
                 Err(e) => crate::log::log(&format!("poll: a socket is not watched: {e}")),
             }
         }
-        self.due = self.next_due();
-        self.phase != Phase::Done
+        self.timer = self.next_timer();
+        self.phase != Phase::Closed
     }
 
     /// When it must be called though nothing happens; what is up is looked at with all others.
-    fn next_due(&self) -> Option<Micros> {
+    fn next_timer(&self) -> Option<Micros> {
         match self.phase {
-            Phase::Hearing => self.hearing.as_ref().map(|h| h.due()),
-            Phase::Placing => self
-                .placing
+            Phase::Handshake => self.handshake.as_ref().map(|h| h.next_timer()),
+            Phase::Pending => self
+                .pending
                 .as_ref()
                 .and_then(|p| p.attempt.as_ref())
-                .map(Attempt::due),
+                .map(Attempt::next_timer),
             Phase::Closing(since, true) => Some(since + self.linger + 1),
             _ => None,
         }
     }
 
     /// What is waited for on the client's socket and the backend's.
-    fn wanted(&self) -> (Option<Interest>, Option<Interest>) {
-        let held = self.client.has_unsent_tls();
-        let client_in = self.client_ended.is_none()
-            && !self.parting
+    fn wanted_interest(&self) -> (Option<Interest>, Option<Interest>) {
+        let unsent_tls = self.client.has_unsent_tls();
+        let client_in = self.client_ended_at.is_none()
+            && !self.finishing
             && match self.phase {
-                Phase::Hearing => self.hearing.as_ref().is_some_and(|h| h.blocked.is_none()),
-                Phase::Placing => self.up.rest().len() < MAX_LINE,
-                Phase::Up => !self.up_blocked,
-                Phase::Closing(..) => !self.flooded,
-                Phase::Done => false,
+                Phase::Handshake => self
+                    .handshake
+                    .as_ref()
+                    .is_some_and(|h| h.blocked_since.is_none()),
+                Phase::Pending => self.to_backend.rest().len() < MAX_LINE,
+                Phase::Established => !self.to_backend_blocked,
+                Phase::Closing(..) => !self.discard_paused,
+                Phase::Closed => false,
             };
-        let hearing = self
-            .hearing
+        let handshake = self
+            .handshake
             .as_ref()
-            .is_some_and(|h| h.blocked.is_some() || (h.securing && held));
-        let client_out = self.down_blocked.is_some();
+            .is_some_and(|h| h.blocked_since.is_some() || (h.in_tls_handshake && unsent_tls));
+        let client_out = self.to_client_blocked_since.is_some();
         // Once a client has ended there is nothing to be heard from it but, with nothing wanted, errors
         // again and again.
-        let client = self.phase != Phase::Done && (self.client_ended.is_none() || client_out);
+        let client = self.phase != Phase::Closed && (self.client_ended_at.is_none() || client_out);
         let client = client.then_some(Interest {
             read: client_in,
-            write: client_out || hearing,
-            peer_closed: self.phase == Phase::Placing && !client_in,
+            write: client_out || handshake,
+            peer_closed: self.phase == Phase::Pending && !client_in,
         });
-        let backend = (self.phase == Phase::Up).then_some(Interest {
+        let backend = (self.phase == Phase::Established).then_some(Interest {
             read: !client_out,
-            write: self.up_blocked,
+            write: self.to_backend_blocked,
             peer_closed: false,
         });
         (client, backend)
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -13,8 +13,8 @@
 use crate::decisions::api::{EndpointId, Micros, Outcome};
 use crate::load::LoadReportCache;
 use crate::log::log;
-use crate::net::connection::{Backend, Conn, Phase, NUMBER_SHIFT};
-use crate::net::forward::LOOK;
+use crate::net::connection::{BackendSide, Connection, Phase, NUMBER_SHIFT};
+use crate::net::forward::CHECK_INTERVAL;
 pub use crate::net::handshake::ListenerProtocol;
 use crate::net::link::Link;
 use crate::net::listen::Listener;
@@ -34,32 +34,32 @@
 use std::time::{Duration, Instant};
 
 /// How long connections go on coming after the signal to stop, in microseconds: the platform's front takes 0.4 s.
-const STILL_COMING: Micros = 450_000;
+const LATE_CLIENT_TIME: Micros = 450_000;
 /// The longest deadline that the platform waits for before it kills, and what it adds, in microseconds.
-const KILL_DEADLINE: Micros = 3_000_000;
-const KILL_AFTER: Micros = 700_000;
+const MAX_KILL_DEADLINE: Micros = 3_000_000;
+const KILL_DELAY: Micros = 700_000;
 /// How often the relay that stops moves some of what stands, in microseconds, and by when it is done before the kill.
-const DRAIN_STEP: Micros = 25_000;
-const DRAIN_SPARE: Micros = 200_000;
+const DRAIN_INTERVAL: Micros = 25_000;
+const KILL_MARGIN: Micros = 200_000;
 /// What is owed is answered so long before that, in microseconds: a request whose client would wait for longer is not
 /// left to the kill. Time for the words' way, for what came up last to be moved, and for clients to close.
-const LAST_WORDS: Micros = 300_000;
+const ANSWER_MARGIN: Micros = 300_000;
 /// A client that has come by the end may take so long to ask, in microseconds; one that rests is sent away.
-const LAST_REQUESTS: Micros = 2 * STILL_COMING;
+const HANDSHAKE_DRAIN_TIME: Micros = 2 * LATE_CLIENT_TIME;
 /// Clients and passed connections taken in a turn: the others wait in their queues while those here are served.
-const TURN: usize = 32;
+const MAX_PER_TURN: usize = 32;
 /// Wait of a full relay before it looks at its listeners again, in microseconds, and of one without descriptors.
-const FULL: Micros = 1_000;
-const SHORT: Micros = 5_000;
+const FULL_PAUSE: Micros = 1_000;
+const ACCEPT_ERROR_PAUSE: Micros = 5_000;
 
 /// What a token that is no connection's names. The side's place in a token says which.
-const PROBE: u64 = 2;
+const HEALTH_CHECK: u64 = 2;
 const OTHER: u64 = 3;
-const SIDES: u64 = 3;
-const HANDOVERS: u64 = 0;
+const KIND_MASK: u64 = 3;
+const TAKEOVER_LISTENER: u64 = 0;
 /// From here on listeners, and links from older processes.
-const LISTENERS: u64 = 16;
-const OLDER: u64 = 1024;
+const FIRST_LISTENER: u64 = 16;
+const FIRST_PREDECESSOR: u64 = 1024;
 
 const READ: Interest = Interest {
     read: true,
@@ -72,13 +72,13 @@
     peer_closed: false,
 };
 
-fn other(n: u64) -> u64 {
+fn other_token(n: u64) -> u64 {
     n << NUMBER_SHIFT | OTHER
 }
 
-struct Entry {
+struct ListenerEntry {
     listener: Arc<Listener>,
-    speaks: ListenerProtocol,
+    protocol: ListenerProtocol,
     /// Whether its clients are waited for just now.
     watched: bool,
     closed: bool,
@@ -86,12 +86,12 @@
 
 /// A relay that stops.
 struct Drain {
-    start: Micros,
+    started_at: Micros,
     /// By when all that stands has been told to move, and when it must be over.
-    moved_by: Micros,
-    kill: Micros,
-    still_coming: Micros,
-    next: Micros,
+    migrated_by: Micros,
+    kill_after: Micros,
+    late_client_time: Micros,
+    next_step: Micros,
     successor: Option<Successor>,
 }
 
@@ -114,30 +114,30 @@
     shared: Arc<SharedState>,
     poller: Poller,
     handle: Arc<Handle>,
-    conns: BTreeMap<u64, Box<Conn>>,
+    connections: BTreeMap<u64, Box<Connection>>,
     /// When connections and probes must be called though nothing happens: once each, by their tokens.
-    due: BTreeSet<(Micros, u64)>,
+    timers: BTreeSet<(Micros, u64)>,
     /// Connections that wait for a list which names their backend, and the list that they know.
-    seeking: BTreeSet<u64>,
-    list: u64,
-    listeners: Vec<Entry>,
+    awaiting_address: BTreeSet<u64>,
+    list_version: u64,
+    listeners: Vec<ListenerEntry>,
     /// When closed listeners are looked at again, and whether the last client could not be taken in: said once.
-    paused: Option<Micros>,
-    short: bool,
-    handovers: Option<HandoverListener>,
-    older: BTreeMap<u64, Older>,
-    next_older: u64,
-    orders: Receiver<EndpointId>,
+    paused_until: Option<Micros>,
+    accept_failed: bool,
+    takeover_listener: Option<HandoverListener>,
+    predecessors: BTreeMap<u64, Older>,
+    next_predecessor: u64,
+    check_requests: Receiver<EndpointId>,
     /// What the fleet's load watch knows, where there is one.
-    book: Option<Arc<LoadReportCache>>,
+    load_reports: Option<Arc<LoadReportCache>>,
     names: Names,
-    probes: BTreeMap<u64, Probe>,
-    next_probe: u64,
-    probe_limit: Micros,
+    health_checks: BTreeMap<u64, Probe>,
+    next_check_number: u64,
+    health_check_timeout: Micros,
     /// The directory that the processes of this relay share.
     takeover_dir: Option<PathBuf>,
     drain: Option<Drain>,
-    looked: Micros,
+    last_check: Micros,
 }
 
 impl EventLoop {
@@ -145,14 +145,14 @@
     pub fn new(
         shared: Arc<SharedState>,
         names: Names,
-        orders: Receiver<EndpointId>,
+        check_requests: Receiver<EndpointId>,
     ) -> io::Result<EventLoop> {
         let poller = Poller::new()?;
         let wake = poller.waker();
         shared.decisions.set_waker(wake.clone());
         shared.directory.wakes(wake.clone());
         shared.wake_queue.set_waker(wake.clone());
-        let looked = shared.decisions.now();
+        let last_check = shared.decisions.now();
         Ok(EventLoop {
             shared,
             handle: Arc::new(Handle {
@@ -160,25 +160,25 @@
                 wake,
             }),
             poller,
-            conns: BTreeMap::new(),
-            due: BTreeSet::new(),
-            seeking: BTreeSet::new(),
-            list: 0,
+            connections: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            awaiting_address: BTreeSet::new(),
+            list_version: 0,
             listeners: Vec::new(),
-            paused: None,
-            short: false,
-            handovers: None,
-            older: BTreeMap::new(),
-            next_older: OLDER,
-            orders,
-            book: None,
+            paused_until: None,
+            accept_failed: false,
+            takeover_listener: None,
+            predecessors: BTreeMap::new(),
+            next_predecessor: FIRST_PREDECESSOR,
+            check_requests,
+            load_reports: None,
             names,
-            probes: BTreeMap::new(),
-            next_probe: 0,
-            probe_limit: probe::LIMIT,
+            health_checks: BTreeMap::new(),
+            next_check_number: 0,
+            health_check_timeout: probe::LIMIT,
             takeover_dir: None,
             drain: None,
-            looked,
+            last_check,
         })
     }
 
@@ -191,13 +191,13 @@
     pub fn add_listener(
         &mut self,
         listener: Arc<Listener>,
-        speaks: ListenerProtocol,
+        protocol: ListenerProtocol,
     ) -> io::Result<()> {
-        let token = other(LISTENERS + self.listeners.len() as u64);
+        let token = other_token(FIRST_LISTENER + self.listeners.len() as u64);
         self.poller.watch(&listener, token, None, Some(READ))?;
-        self.listeners.push(Entry {
+        self.listeners.push(ListenerEntry {
             listener,
-            speaks,
+            protocol,
             watched: true,
             closed: false,
         });
@@ -205,18 +205,22 @@
     }
 
     /// Probes for the fleet's load watch, and takes what it knows in place of own probes.
-    pub fn use_load_reports(&mut self, book: Arc<LoadReportCache>) {
-        book.set_checker_waker(self.handle.wake.clone());
-        self.book = Some(book);
+    pub fn use_load_reports(&mut self, load_reports: Arc<LoadReportCache>) {
+        load_reports.set_checker_waker(self.handle.wake.clone());
+        self.load_reports = Some(load_reports);
     }
 
     /// Takes over what older processes pass on in this directory, and passes on there what stands at the end.
     pub fn enable_takeover(&mut self, dir: PathBuf) -> io::Result<()> {
-        let handovers = HandoverListener::open(&dir)?;
+        let takeover_listener = HandoverListener::open(&dir)?;
         self.takeover_dir = Some(dir);
-        self.poller
-            .watch(&handovers, other(HANDOVERS), None, Some(READ))?;
-        self.handovers = Some(handovers);
+        self.poller.watch(
+            &takeover_listener,
+            other_token(TAKEOVER_LISTENER),
+            None,
+            Some(READ),
+        )?;
+        self.takeover_listener = Some(takeover_listener);
         Ok(())
     }
 
@@ -229,160 +233,160 @@
             let timer = self.shared.decisions.fire_timers();
             // One look at the clock for all of a turn: it has cost more than the rest of an idle one.
             let now = self.shared.decisions.now();
-            self.woken();
-            self.start_probes();
-            self.listed();
-            self.late(now);
-            if self.handle.stop.load(Relaxed) && self.drained(now) {
+            self.handle_wake_queue();
+            self.start_health_checks();
+            self.handle_list_update();
+            self.fire_timers(now);
+            if self.handle.stop.load(Relaxed) && self.drive_drain(now) {
                 return;
             }
-            self.look(now);
-            self.resume(now);
+            self.check_connections(now);
+            self.resume_accepting(now);
             // What this turn has given itself to do comes before the wait.
             let limit = if self.poller.take_rescheduled() {
                 Duration::ZERO
             } else {
-                self.limit(timer, now)
+                self.next_wait(timer, now)
             };
             self.poller.wait(limit, &mut events, &mut ready);
             for ready in ready.drain(..) {
-                self.ready(ready);
+                self.handle_ready(ready);
             }
         }
     }
 
     /// How long nothing is due.
-    fn limit(&self, timer: Option<Micros>, now: Micros) -> Duration {
-        let next = self.looked + LOOK;
-        let drain = self.drain.as_ref().map(|drain| drain.next);
-        let due = self.due.first().map(|&(at, _)| at);
-        let next = [timer, drain, due, self.paused]
+    fn next_wait(&self, timer: Option<Micros>, now: Micros) -> Duration {
+        let next = self.last_check + CHECK_INTERVAL;
+        let drain = self.drain.as_ref().map(|drain| drain.next_step);
+        let due = self.timers.first().map(|&(at, _)| at);
+        let next = [timer, drain, due, self.paused_until]
             .into_iter()
             .flatten()
             .fold(next, Micros::min);
         Duration::from_micros(next.saturating_sub(now))
     }
 
-    fn ready(&mut self, ready: Ready) {
+    fn handle_ready(&mut self, ready: Ready) {
         let token = ready.token;
         let number = token >> NUMBER_SHIFT;
-        match token & SIDES {
-            PROBE => self.probe_ready(number, true),
-            OTHER if number == HANDOVERS => self.older_came(),
-            OTHER if number >= OLDER => self.passed_on(number),
-            OTHER => self.clients_wait((number - LISTENERS) as usize),
-            _ => self.with(number, |conn| conn.ready(ready)),
+        match token & KIND_MASK {
+            HEALTH_CHECK => self.advance_health_check(number, true),
+            OTHER if number == TAKEOVER_LISTENER => self.accept_predecessor(),
+            OTHER if number >= FIRST_PREDECESSOR => self.receive_handovers(number),
+            OTHER => self.accept_clients((number - FIRST_LISTENER) as usize),
+            _ => self.update_connection(number, |conn| conn.handle_ready(ready)),
         }
     }
 
     /// Does something with a connection, and waits for what it needs then.
-    fn with(&mut self, number: u64, work: impl FnOnce(&mut Conn)) {
-        let Some(conn) = self.conns.get_mut(&number) else {
+    fn update_connection(&mut self, number: u64, work: impl FnOnce(&mut Connection)) {
+        let Some(conn) = self.connections.get_mut(&number) else {
             return;
         };
         work(conn);
-        let (before, token) = (conn.due, number << NUMBER_SHIFT);
-        let stays = conn.settle(&self.poller);
-        let (after, seeks) = (conn.due, conn.seeks());
+        let (before, token) = (conn.timer, number << NUMBER_SHIFT);
+        let stays = conn.update_interest(&self.poller);
+        let (after, seeks) = (conn.timer, conn.awaits_address());
         if !stays {
-            self.conns.remove(&number);
+            self.connections.remove(&number);
         }
         let after = after.filter(|_| stays);
         if before != after {
             before
                 .iter()
-                .for_each(|&at| _ = self.due.remove(&(at, token)));
+                .for_each(|&at| _ = self.timers.remove(&(at, token)));
             after
                 .iter()
-                .for_each(|&at| _ = self.due.insert((at, token)));
+                .for_each(|&at| _ = self.timers.insert((at, token)));
         }
         if seeks && stays {
-            self.seeking.insert(number);
+            self.awaiting_address.insert(number);
         } else {
-            self.seeking.remove(&number);
+            self.awaiting_address.remove(&number);
         }
         if !stays {
             // Its room is free again.
-            self.paused = self.paused.map(|_| 0);
+            self.paused_until = self.paused_until.map(|_| 0);
         }
     }
 
-    fn enter(&mut self, conn: Conn) {
+    fn add_connection(&mut self, conn: Connection) {
         let number = conn.number;
-        self.conns.insert(number, Box::new(conn));
-        self.with(number, |_| {});
+        self.connections.insert(number, Box::new(conn));
+        self.update_connection(number, |_| {});
     }
 
     /// What the decisions have news of.
-    fn woken(&mut self) {
+    fn handle_wake_queue(&mut self) {
         for number in self.shared.wake_queue.take() {
-            self.with(number, Conn::woken);
+            self.update_connection(number, Connection::handle_update);
         }
     }
 
     /// A list has come: whoever waits for its backend looks again.
-    fn listed(&mut self) {
+    fn handle_list_update(&mut self) {
         let version = self.shared.directory.version();
-        if std::mem::replace(&mut self.list, version) != version {
-            for number in std::mem::take(&mut self.seeking) {
-                self.with(number, Conn::late);
+        if std::mem::replace(&mut self.list_version, version) != version {
+            for number in std::mem::take(&mut self.awaiting_address) {
+                self.update_connection(number, Connection::handle_timer);
             }
         }
     }
 
     /// Calls those whose time is up.
-    fn late(&mut self, now: Micros) {
-        let late: Vec<(Micros, u64)> = self.due.range(..=(now, u64::MAX)).copied().collect();
+    fn fire_timers(&mut self, now: Micros) {
+        let late: Vec<(Micros, u64)> = self.timers.range(..=(now, u64::MAX)).copied().collect();
         for (at, token) in late {
             let number = token >> NUMBER_SHIFT;
-            if token & SIDES == PROBE {
-                self.probe_ready(number, false);
+            if token & KIND_MASK == HEALTH_CHECK {
+                self.advance_health_check(number, false);
             } else if self
-                .conns
+                .connections
                 .get(&number)
-                .is_some_and(|conn| conn.due == Some(at))
+                .is_some_and(|conn| conn.timer == Some(at))
             {
-                self.with(number, Conn::late);
+                self.update_connection(number, Connection::handle_timer);
             }
         }
     }
 
     /// Looks at what only time shows.
-    fn look(&mut self, now: Micros) {
-        if now < self.looked + LOOK {
+    fn check_connections(&mut self, now: Micros) {
+        if now < self.last_check + CHECK_INTERVAL {
             return;
         }
-        self.looked = now;
-        let numbers: Vec<u64> = self.conns.keys().copied().collect();
+        self.last_check = now;
+        let numbers: Vec<u64> = self.connections.keys().copied().collect();
         numbers
             .into_iter()
-            .for_each(|number| self.with(number, Conn::look));
+            .for_each(|number| self.update_connection(number, Connection::check_timeouts));
     }
 
     // Doors.
 
     /// Clients wait at a listener.
-    fn clients_wait(&mut self, n: usize) {
-        for _ in 0..TURN {
+    fn accept_clients(&mut self, n: usize) {
+        for _ in 0..MAX_PER_TURN {
             let Some(entry) = self.listeners.get(n).filter(|entry| !entry.closed) else {
                 return;
             };
-            let (listener, speaks) = (entry.listener.clone(), entry.speaks);
+            let (listener, protocol) = (entry.listener.clone(), entry.protocol);
             // What cannot be taken in now waits in the listener's queue.
             if !self.make_room() {
-                return self.pause(FULL);
+                return self.pause_accepting(FULL_PAUSE);
             }
             match listener.accept() {
                 Ok(client) => {
-                    self.short = false;
-                    self.take_in(client, speaks);
+                    self.accept_failed = false;
+                    self.add_client(client, protocol);
                 }
                 Err(e) if timed_out(&e) => return,
                 Err(e) => {
-                    if !std::mem::replace(&mut self.short, true) {
+                    if !std::mem::replace(&mut self.accept_failed, true) {
                         log(&format!("accept: {e}"));
                     }
-                    return self.pause(SHORT);
+                    return self.pause_accepting(ACCEPT_ERROR_PAUSE);
                 }
             }
         }
@@ -390,32 +394,32 @@
 
     /// Whether one more client can be taken in; if not, some that rest are sent away.
     fn make_room(&mut self) -> bool {
-        let leave = match self.shared.admission.check_capacity() {
+        let dismissals = match self.shared.admission.check_capacity() {
             Ok(()) => return true,
-            Err(leave) => leave,
+            Err(dismissals) => dismissals,
         };
-        leave
+        dismissals
             .into_iter()
-            .for_each(|number| self.with(number, Conn::dismiss));
+            .for_each(|number| self.update_connection(number, Connection::dismiss));
         false
     }
 
-    fn take_in(&mut self, client: std::net::TcpStream, speaks: ListenerProtocol) {
-        let idle = self.shared.admission.register(client);
-        if let Some(conn) = Conn::greet(&self.shared, idle, speaks) {
-            self.enter(conn);
+    fn add_client(&mut self, client: std::net::TcpStream, protocol: ListenerProtocol) {
+        let waiting = self.shared.admission.register(client);
+        if let Some(conn) = Connection::accept(&self.shared, waiting, protocol) {
+            self.add_connection(conn);
         }
     }
 
     /// Leaves all listeners alone for so long.
-    fn pause(&mut self, wait: Micros) {
-        self.paused = Some(self.shared.decisions.now() + wait);
+    fn pause_accepting(&mut self, wait: Micros) {
+        self.paused_until = Some(self.shared.decisions.now() + wait);
         self.watch_listeners(false);
     }
 
-    fn resume(&mut self, now: Micros) {
-        if self.paused.is_some_and(|until| now >= until) {
-            self.paused = None;
+    fn resume_accepting(&mut self, now: Micros) {
+        if self.paused_until.is_some_and(|until| now >= until) {
+            self.paused_until = None;
             self.watch_listeners(true);
         }
     }
@@ -426,7 +430,7 @@
             let of = |on: bool| on.then_some(READ);
             match self.poller.watch(
                 &entry.listener,
-                other(LISTENERS + n as u64),
+                other_token(FIRST_LISTENER + n as u64),
                 of(entry.watched),
                 of(on),
             ) {
@@ -440,68 +444,86 @@
 
     /// The next probe that is to be made, and whether it is for the load watch. Where what the watch knows is as good,
     /// the decisions are told that.
-    fn ordered(&mut self) -> Option<(EndpointId, bool)> {
-        for _ in 0..TURN {
-            let Ok(server) = self.orders.try_recv() else {
+    fn next_health_check(&mut self) -> Option<(EndpointId, bool)> {
+        for _ in 0..MAX_PER_TURN {
+            let Ok(endpoint_id) = self.check_requests.try_recv() else {
                 break;
             };
             let directory = &self.shared.directory;
-            let book = self.book.as_ref().filter(|_| directory.takes_new(server));
-            match book.and_then(|book| book.fresh_report(server, boottime())) {
-                Some(report) => self.probed(server, false, Outcome::Success, report),
-                None => return Some((server, false)),
+            let load_reports = self
+                .load_reports
+                .as_ref()
+                .filter(|_| directory.takes_new(endpoint_id));
+            match load_reports
+                .and_then(|load_reports| load_reports.fresh_report(endpoint_id, boottime()))
+            {
+                Some(report) => {
+                    self.finish_health_check(endpoint_id, false, Outcome::Success, report)
+                }
+                None => return Some((endpoint_id, false)),
             }
         }
-        self.book
+        self.load_reports
             .as_ref()?
             .next_check()
-            .map(|server| (server, true))
+            .map(|endpoint_id| (endpoint_id, true))
     }
 
-    fn start_probes(&mut self) {
-        while self.probes.len() < PROBES {
-            let Some((server, watch)) = self.ordered() else {
+    fn start_health_checks(&mut self) {
+        while self.health_checks.len() < PROBES {
+            let Some((endpoint_id, watch)) = self.next_health_check() else {
                 return;
             };
             // It may have been told to leave since the probe was asked for.
             let directory = &self.shared.directory;
             let Some(endpoint) = directory
-                .endpoint(server)
-                .filter(|_| directory.takes_new(server))
+                .endpoint(endpoint_id)
+                .filter(|_| directory.takes_new(endpoint_id))
             else {
-                self.probed(server, watch, Outcome::NotAttempted, Vec::new());
+                self.finish_health_check(endpoint_id, watch, Outcome::NotAttempted, Vec::new());
                 continue;
             };
             let now = self.shared.decisions.now();
-            let (n, token) = (self.next_probe, self.next_probe << NUMBER_SHIFT | PROBE);
+            let (n, token) = (
+                self.next_check_number,
+                self.next_check_number << NUMBER_SHIFT | HEALTH_CHECK,
+            );
             let begun = dial(endpoint.addr).and_then(|stream| {
                 self.poller.watch(&stream, token, None, Some(WRITE))?;
-                Ok(Probe::new(server, watch, stream, now, self.probe_limit))
+                Ok(Probe::new(
+                    endpoint_id,
+                    watch,
+                    stream,
+                    now,
+                    self.health_check_timeout,
+                ))
             });
             match begun {
                 Ok(probe) => {
-                    self.next_probe += 1;
-                    self.due.insert((probe.by, token));
-                    self.probes.insert(n, probe);
+                    self.next_check_number += 1;
+                    self.timers.insert((probe.by, token));
+                    self.health_checks.insert(n, probe);
                 }
                 // For want of a descriptor or a port: it says nothing of the backend.
                 Err(e) if is_local_failure(&e) => {
-                    self.probed(server, watch, Outcome::NotAttempted, Vec::new())
+                    self.finish_health_check(endpoint_id, watch, Outcome::NotAttempted, Vec::new())
+                }
+                Err(_) => {
+                    self.finish_health_check(endpoint_id, watch, Outcome::ConnectFailed, Vec::new())
                 }
-                Err(_) => self.probed(server, watch, Outcome::ConnectFailed, Vec::new()),
             }
         }
     }
 
-    fn probe_ready(&mut self, n: u64, ready: bool) {
-        let Some(probe) = self.probes.get_mut(&n) else {
+    fn advance_health_check(&mut self, n: u64, ready: bool) {
+        let Some(probe) = self.health_checks.get_mut(&n) else {
             return;
         };
-        let (before, dialled, token) = (probe.by, probe.dials(), n << NUMBER_SHIFT | PROBE);
+        let (before, dialled, token) = (probe.by, probe.dials(), n << NUMBER_SHIFT | HEALTH_CHECK);
         let found = probe.go(self.shared.decisions.now(), ready, &self.names);
-        self.due.remove(&(before, token));
+        self.timers.remove(&(before, token));
         let Some((outcome, report)) = found else {
-            self.due.insert((probe.by, token));
+            self.timers.insert((probe.by, token));
             if dialled != probe.dials() {
                 let _ = self
                     .poller
@@ -509,41 +531,47 @@
             }
             return;
         };
-        let (server, watch) = (probe.server, probe.watch);
-        self.probes.remove(&n);
-        self.probed(server, watch, outcome, report);
-    }
-
-    fn probed(&self, server: EndpointId, watch: bool, outcome: Outcome, report: Vec<f32>) {
-        tracing::debug!(server = server.0, watch, ?outcome, ?report, "probe");
-        if let Some(book) = self.book.as_ref().filter(|_| watch) {
-            return book.check_finished(
-                server,
+        let (endpoint_id, watch) = (probe.server, probe.watch);
+        self.health_checks.remove(&n);
+        self.finish_health_check(endpoint_id, watch, outcome, report);
+    }
+
+    fn finish_health_check(
+        &self,
+        endpoint_id: EndpointId,
+        watch: bool,
+        outcome: Outcome,
+        report: Vec<f32>,
+    ) {
+        tracing::debug!(server = endpoint_id.0, watch, ?outcome, ?report, "probe");
+        if let Some(load_reports) = self.load_reports.as_ref().filter(|_| watch) {
+            return load_reports.check_finished(
+                endpoint_id,
                 boottime(),
                 (outcome == Outcome::Success).then_some(report),
             );
         }
         self.shared
             .decisions
-            .health_checked(server, outcome, report);
+            .health_checked(endpoint_id, outcome, report);
     }
 
     // Other processes of this relay.
 
-    fn older_came(&mut self) {
-        let Some(handovers) = &self.handovers else {
+    fn accept_predecessor(&mut self) {
+        let Some(takeover_listener) = &self.takeover_listener else {
             return;
         };
-        match handovers.next() {
-            Ok(older) => {
-                let n = self.next_older;
-                self.next_older += 1;
+        match takeover_listener.next() {
+            Ok(predecessor) => {
+                let n = self.next_predecessor;
+                self.next_predecessor += 1;
                 if self
                     .poller
-                    .watch(&older, other(n), None, Some(READ))
+                    .watch(&predecessor, other_token(n), None, Some(READ))
                     .is_ok()
                 {
-                    self.older.insert(n, older);
+                    self.predecessors.insert(n, predecessor);
                 }
             }
             Err(e) if timed_out(&e) || e.kind() == io::ErrorKind::Interrupted => {}
@@ -551,22 +579,22 @@
         }
     }
 
-    fn passed_on(&mut self, n: u64) {
-        let Some(mut older) = self.older.remove(&n) else {
+    fn receive_handovers(&mut self, n: u64) {
+        let Some(mut predecessor) = self.predecessors.remove(&n) else {
             return;
         };
-        let mut passed = Vec::new();
-        let rest = older.receive(TURN, &mut |p| passed.push(p));
+        let mut handovers = Vec::new();
+        let rest = predecessor.receive(MAX_PER_TURN, &mut |p| handovers.push(p));
         if rest == Rest::Later {
-            self.older.insert(n, older);
+            self.predecessors.insert(n, predecessor);
         }
-        passed
+        handovers
             .into_iter()
-            .for_each(|passed| self.adopt_standing(passed));
+            .for_each(|handovers| self.adopt_connection(handovers));
     }
 
     /// Takes a connection over that has come up in another process of this relay.
-    fn adopt_standing(&mut self, (handover, client, backend): Passed) {
+    fn adopt_connection(&mut self, (handover, client, backend): Passed) {
         let shared = self.shared.clone();
         let set = client
             .set_nonblocking(true)
@@ -574,8 +602,8 @@
         if let Err(e) = set {
             return log(&format!("takeover: {e}"));
         }
-        let idle = shared.admission.register(client);
-        let mut conn = Conn::new(&shared, idle.number(), idle.stream.clone());
+        let waiting = shared.admission.register(client);
+        let mut conn = Connection::new(&shared, waiting.number(), waiting.stream.clone());
         let record = ConnectionRecord {
             front: "line",
             id: handover.name.clone(),
@@ -587,27 +615,21 @@
                 .unwrap_or_else(Instant::now),
             tally: Some(shared.metrics.begin(&handover.class)),
         };
-        let Ok(place) = idle.admit_request(&handover.name) else {
+        let Ok(slot) = waiting.admit_request(&handover.name) else {
             let whole = handover
                 .down
                 .iter()
                 .rposition(|&b| b == b'\n')
                 .map_or(0, |at| at + 1);
-            conn.last = [&handover.down[..whole], b"MOVE\r\n"].concat();
-            conn.idle = Some(idle);
+            conn.last_words = [&handover.down[..whole], b"MOVE\r\n"].concat();
+            conn.waiting = Some(waiting);
             conn.close();
             record.log_end("no-descriptors");
-            return self.enter(conn);
+            return self.add_connection(conn);
         };
         let (keys, backend) = ((handover.key, handover.group), Arc::new(backend));
-        let session = Session::new(
-            &shared.wake_queue,
-            keys,
-            place,
-            false,
-            Some(backend.clone()),
-        );
-        drop(idle);
+        let session = Session::new(&shared.wake_queue, keys, slot, false, Some(backend.clone()));
+        drop(waiting);
         // One that has vanished here goes on under any: the decisions look at nothing but its aims.
         let class = shared
             .settings()
@@ -615,21 +637,21 @@
             .classes
             .index(&handover.class)
             .unwrap_or(0);
-        let server = server_id(&handover.backend);
+        let endpoint_id = server_id(&handover.backend);
         let id = shared.decisions.adopt_connection(
-            Conn::standing_request(class, keys),
-            server,
+            Connection::request_of_established(class, keys),
+            endpoint_id,
             session.clone(),
         );
         // Only lines go from one process to another.
-        let backend = Backend {
+        let backend = BackendSide {
             link: Link::plain(backend),
             id,
-            server,
+            endpoint_id,
             passage: Box::new(Lines),
         };
         conn.take_over(record, session, backend, handover);
-        self.enter(conn);
+        self.add_connection(conn);
     }
 
     // The end.
@@ -637,138 +659,148 @@
     /// Moves the standing connections in a paced way; true once none is left, or when the platform is about to kill.
     /// Where the platform holds the listening socket, new clients are left to the process that takes over;
     /// elsewhere they are served as long as they come.
-    fn drained(&mut self, now: Micros) -> bool {
+    fn drive_drain(&mut self, now: Micros) -> bool {
         let Some(mut drain) = self.drain.take() else {
             self.drain = Some(self.begin_drain(now));
             return false;
         };
-        if now < drain.next {
+        if now < drain.next_step {
             self.drain = Some(drain);
             return false;
         }
-        drain.next = now + DRAIN_STEP;
-        let over = self.step(&mut drain, now);
+        drain.next_step = now + DRAIN_INTERVAL;
+        let over = self.drain_step(&mut drain, now);
         self.drain = Some(drain);
         over
     }
 
     fn begin_drain(&mut self, now: Micros) -> Drain {
-        let held = self.listeners.iter().any(|entry| entry.listener.inherited);
+        let inherited = self.listeners.iter().any(|entry| entry.listener.inherited);
         for n in 0..self.listeners.len() {
             let entry = &mut self.listeners[n];
-            if entry.speaks == ListenerProtocol::Line && !entry.listener.inherited {
+            if entry.protocol == ListenerProtocol::Line && !entry.listener.inherited {
                 continue;
             }
             entry.closed = true;
-            if entry.speaks == ListenerProtocol::Line {
+            if entry.protocol == ListenerProtocol::Line {
                 self.shared.accepting.store(false, Relaxed);
             } else {
-                self.last_clients(n);
+                self.accept_queued_clients(n);
             }
         }
-        self.watch_listeners(self.paused.is_none());
+        self.watch_listeners(self.paused_until.is_none());
         let longest = self.shared.settings().rules.classes.longest();
-        let kill = longest.min(KILL_DEADLINE) + KILL_AFTER;
-        let stop_by = now + kill - DRAIN_SPARE - LAST_WORDS;
-        self.shared.answer_deadline.store(stop_by, Relaxed);
-        let numbers: Vec<u64> = self.conns.keys().copied().collect();
-        numbers
-            .into_iter()
-            .for_each(|number| self.with(number, |conn| conn.hurry(stop_by)));
-        let still_coming = if held { 0 } else { STILL_COMING };
+        let kill_after = longest.min(MAX_KILL_DEADLINE) + KILL_DELAY;
+        let answer_deadline = now + kill_after - KILL_MARGIN - ANSWER_MARGIN;
+        self.shared.answer_deadline.store(answer_deadline, Relaxed);
+        let numbers: Vec<u64> = self.connections.keys().copied().collect();
+        numbers.into_iter().for_each(|number| {
+            self.update_connection(number, |conn| conn.shorten_deadline(answer_deadline))
+        });
+        let late_client_time = if inherited { 0 } else { LATE_CLIENT_TIME };
         Drain {
-            start: now,
+            started_at: now,
             // All told to move by then: time enough for the ends and for answers that are still owed.
-            moved_by: (kill * 3 / 5).max(still_coming + DRAIN_STEP),
-            kill,
-            still_coming,
-            next: now + DRAIN_STEP,
+            migrated_by: (kill_after * 3 / 5).max(late_client_time + DRAIN_INTERVAL),
+            kill_after,
+            late_client_time,
+            next_step: now + DRAIN_INTERVAL,
             successor: self
                 .takeover_dir
                 .as_deref()
-                .filter(|_| held)
+                .filter(|_| inherited)
                 .and_then(Successor::find),
         }
     }
 
     /// This listener's socket is the process's own, and goes with it: who waits there would be reset.
-    fn last_clients(&mut self, n: usize) {
-        let (listener, speaks) = (self.listeners[n].listener.clone(), self.listeners[n].speaks);
+    fn accept_queued_clients(&mut self, n: usize) {
+        let (listener, protocol) = (
+            self.listeners[n].listener.clone(),
+            self.listeners[n].protocol,
+        );
         while self.make_room() {
             let Ok(client) = listener.accept() else {
                 return;
             };
-            self.take_in(client, speaks);
+            self.add_client(client, protocol);
         }
     }
 
-    fn step(&mut self, drain: &mut Drain, time: Micros) -> bool {
-        let now = time.saturating_sub(drain.start);
-        if now + DRAIN_SPARE >= drain.kill {
-            self.conns.values_mut().for_each(|conn| conn.cut_off());
+    fn drain_step(&mut self, drain: &mut Drain, time: Micros) -> bool {
+        let now = time.saturating_sub(drain.started_at);
+        if now + KILL_MARGIN >= drain.kill_after {
+            self.connections
+                .values_mut()
+                .for_each(|conn| conn.log_cut_off());
             return true;
         }
-        let stands = |conn: &Conn| {
+        let session_to_migrate = |conn: &Connection| {
             let session = conn
                 .session
                 .as_ref()
-                .filter(|s| conn.phase == Phase::Up && s.may_migrate());
+                .filter(|s| conn.phase == Phase::Established && s.may_migrate());
             session.map(|s| (conn.number, s.clone()))
         };
-        let standing = self.conns.values().filter_map(|conn| stands(conn));
+        let established = self
+            .connections
+            .values()
+            .filter_map(|conn| session_to_migrate(conn));
         // What cannot change process is moved, whoever takes over.
-        let (mut standing, fixed): (Vec<_>, Vec<_>) = standing.partition(|(_, s)| s.is_portable());
+        let (mut established, not_portable): (Vec<_>, Vec<_>) =
+            established.partition(|(_, s)| s.is_portable());
         if let Some(to) = &drain.successor {
             let mut result = Ok(());
-            for (number, _) in &standing {
-                self.with(*number, |conn| result = conn.hand_over(to));
+            for (number, _) in &established {
+                self.update_connection(*number, |conn| result = conn.hand_over(to));
                 if result.is_err() {
                     break;
                 }
             }
             match result {
                 // What could not be given away right now is tried again, up to half the time.
-                Ok(()) if now < drain.kill / 2 => standing.clear(),
+                Ok(()) if now < drain.kill_after / 2 => established.clear(),
                 Ok(()) => {}
-                Err(e) if timed_out(&e) && now < drain.kill / 2 => standing.clear(),
+                Err(e) if timed_out(&e) && now < drain.kill_after / 2 => established.clear(),
                 Err(e) => {
                     log(&format!("takeover: the successor takes no more: {e}"));
                     drain.successor = None;
                 }
             }
         }
-        if now < drain.still_coming {
+        if now < drain.late_client_time {
             return false;
         }
-        let steps = (drain.moved_by.saturating_sub(now) as f32 / DRAIN_STEP as f32).max(1.0);
-        standing.extend(fixed);
-        let share = (standing.len() as f32 / steps).ceil() as usize;
-        standing
+        let steps = (drain.migrated_by.saturating_sub(now) as f32 / DRAIN_INTERVAL as f32).max(1.0);
+        established.extend(not_portable);
+        let share = (established.len() as f32 / steps).ceil() as usize;
+        established
             .iter()
             .take(share)
             .for_each(|(_, session)| crate::decision_service::RequestHandle::migrate(&**session));
         // Whoever rests is sent away, and whoever has begun to ask has some time: nobody else would hear them.
-        let rests =
-            |conn: &Conn| conn.rests() || (now > LAST_REQUESTS && conn.phase == Phase::Hearing);
-        let resting: Vec<u64> = self
-            .conns
+        let is_dismissible = |conn: &Connection| {
+            conn.is_waiting() || (now > HANDSHAKE_DRAIN_TIME && conn.phase == Phase::Handshake)
+        };
+        let numbers: Vec<u64> = self
+            .connections
             .values()
-            .filter(|conn| rests(conn))
+            .filter(|conn| is_dismissible(conn))
             .map(|conn| conn.number)
             .collect();
-        resting
+        numbers
             .into_iter()
-            .for_each(|number| self.with(number, Conn::dismiss));
-        if !self.conns.is_empty() {
+            .for_each(|number| self.update_connection(number, Connection::dismiss));
+        if !self.connections.is_empty() {
             return false;
         }
         // The listener's queue goes with this process, where it is its own: who waits there would be reset.
         for n in 0..self.listeners.len() {
             if !self.listeners[n].closed {
-                self.last_clients(n);
+                self.accept_queued_clients(n);
             }
         }
-        self.conns.is_empty()
+        self.connections.is_empty()
     }
 }
 
@@ -798,7 +830,9 @@
     }
 
     /// An engine that serves nobody, listening stand-ins for its backends, and where probes are ordered.
-    fn probing(backends: usize) -> (EventLoop, Vec<TcpListener>, Sender<EndpointId>) {
+    fn event_loop_with_backends(
+        backends: usize,
+    ) -> (EventLoop, Vec<TcpListener>, Sender<EndpointId>) {
         let listeners: Vec<TcpListener> = (0..backends)
             .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
             .collect();
@@ -811,7 +845,7 @@
         );
         let config = Config::parse(text.into_bytes(), &|_| None).unwrap();
         let listed = |(n, listener): (usize, &TcpListener)| {
-            let server = EndpointId(n as u64);
+            let endpoint_id = EndpointId(n as u64);
             let endpoint = Endpoint {
                 name: format!("s-{n}"),
                 addr: listener.local_addr().unwrap(),
@@ -820,7 +854,7 @@
             (
                 endpoint,
                 ListedEndpoint {
-                    id: server,
+                    id: endpoint_id,
                     zone: 0,
                     cell: 0,
                     state,
@@ -844,7 +878,7 @@
                 check_health: probe,
             },
         );
-        let (order, orders) = bounded(16);
+        let (requests, check_requests) = bounded(16);
         let names = Names {
             columns: vec!["x0".into()],
             ..config.names.clone()
@@ -853,16 +887,16 @@
             EventLoop::new(
                 SharedState::new(&config, decisions, directory),
                 names,
-                orders,
+                check_requests,
             )
             .unwrap(),
             listeners,
-            order,
+            requests,
         )
     }
 
     /// The probe that comes to this backend.
-    fn probed(listener: &TcpListener) -> TcpStream {
+    fn accept_health_check(listener: &TcpListener) -> TcpStream {
         let mut asked: TcpStream = until(|| listener.accept().ok()).0;
         asked.set_nonblocking(false).unwrap();
         let mut line = [0; 7];
@@ -873,43 +907,43 @@
 
     #[test]
     fn what_the_fleets_watch_told_stands_for_a_probe_and_what_it_wants_is_probed() {
-        let (mut engine, listeners, order) = probing(3);
-        let book = Arc::new(LoadReportCache::default());
+        let (mut event_loop, listeners, requests) = event_loop_with_backends(3);
+        let load_reports = Arc::new(LoadReportCache::default());
         // Young for as long as the test may take.
-        book.insert([LoadReport {
+        load_reports.insert([LoadReport {
             endpoint: EndpointId(0),
             measured_at: boottime() + 3_600_000_000,
             values: vec![0.5],
         }]);
-        engine.use_load_reports(book.clone());
-        let handle = engine.handle();
+        event_loop.use_load_reports(load_reports.clone());
+        let handle = event_loop.handle();
         // Both are there before it begins: in their order.
-        order.send(EndpointId(0)).unwrap();
-        order.send(EndpointId(1)).unwrap();
-        let serving = std::thread::spawn(move || engine.run());
-        drop(probed(&listeners[1]));
+        requests.send(EndpointId(0)).unwrap();
+        requests.send(EndpointId(1)).unwrap();
+        let serving = std::thread::spawn(move || event_loop.run());
+        drop(accept_health_check(&listeners[1]));
         assert_eq!(
             listeners[0].accept().unwrap_err().kind(),
             ErrorKind::WouldBlock
         );
         assert_eq!(
             (
-                book.checks_avoided.load(Relaxed),
-                book.checks_sent.load(Relaxed)
+                load_reports.checks_avoided.load(Relaxed),
+                load_reports.checks_sent.load(Relaxed)
             ),
             (1, 1)
         );
-        book.request_checks([EndpointId(2)]);
-        probed(&listeners[2])
+        load_reports.request_checks([EndpointId(2)]);
+        accept_health_check(&listeners[2])
             .write_all(b"PONG x0=0.25\r\n")
             .unwrap();
-        let found = until(|| book.take_results().pop());
+        let found = until(|| load_reports.take_results().pop());
         assert_eq!(
             (found.endpoint, found.report),
             (EndpointId(2), Some(vec![0.25]))
         );
         assert_eq!(
-            book.fresh_report(EndpointId(2), found.checked_at),
+            load_reports.fresh_report(EndpointId(2), found.checked_at),
             Some(vec![0.25]),
             "its own relay knows it at once"
         );
@@ -920,15 +954,15 @@
     /// A lost zone once held up the probes of all others, 250 ms for each of its servers.
     #[test]
     fn silent_servers_do_not_hold_up_the_probes_of_the_others() {
-        let (mut engine, listeners, order) = probing(7);
+        let (mut event_loop, listeners, requests) = event_loop_with_backends(7);
         // So long a limit that a seventh which waited for the six would never be asked.
-        engine.probe_limit = 3_600_000_000;
-        let handle = engine.handle();
-        let serving = std::thread::spawn(move || engine.run());
+        event_loop.health_check_timeout = 3_600_000_000;
+        let handle = event_loop.handle();
+        let serving = std::thread::spawn(move || event_loop.run());
         let ask = |n: usize| {
-            order.send(EndpointId(n as u64)).unwrap();
+            requests.send(EndpointId(n as u64)).unwrap();
             (handle.wake)();
-            probed(&listeners[n])
+            accept_health_check(&listeners[n])
         };
         let silent: Vec<TcpStream> = (0..6).map(ask).collect();
         let mut seventh = ask(6);
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -7,7 +7,7 @@
 use crate::decisions::api::{Micros, Outcome};
 use crate::log::log;
 use crate::net::attempt::reset;
-use crate::net::connection::{end, Backend, Conn, End, Phase, LINGER};
+use crate::net::connection::{BackendSide, Connection, ConnectionEnd, Phase, LINGER};
 use crate::net::poll::peer_closed;
 use crate::net::session::{ConnectionRecord, Session};
 use crate::platform::takeover::{self, Handover, Successor};
@@ -20,38 +20,40 @@
 use std::sync::Arc;
 
 /// How often connections on which nothing happens are looked at, in microseconds.
-pub const LOOK: Micros = 200_000;
+pub const CHECK_INTERVAL: Micros = 200_000;
 /// The longest wait for a client that takes no bytes, in microseconds.
-const STUCK: Micros = 5_000_000;
+const STUCK_CLIENT_TIMEOUT: Micros = 5_000_000;
 /// What is thrown away at a time of a client that has had its last word; more waits for the next look, so
 /// that one that sends at full speed does not take the processor from the others.
-const PIECE: usize = 8192;
+const DISCARD_BYTES: usize = 8192;
 
-impl Conn {
+impl Connection {
     /// Counts what its buffers hold; whoever asks for more when there is none left gives up its place. Lines are
     /// short and not counted.
-    pub fn count_memory(&mut self) {
+    pub fn update_memory_budget(&mut self) {
         let lines = self.backend.as_ref().is_none_or(|b| b.passage.portable());
         let now = if lines {
             0
         } else {
-            self.up.room() + self.down.room()
+            self.to_backend.room() + self.to_client.room()
         };
-        let before = std::mem::replace(&mut self.held, now);
-        if !self.shared.long_unit_memory.replace(before, now) && self.phase == Phase::Up {
+        let before = std::mem::replace(&mut self.counted_memory, now);
+        if !self.shared.long_unit_memory.replace(before, now) && self.phase == Phase::Established {
             let words = self.backend.as_ref().map(|b| b.passage.words(Away::NoRoom));
-            self.leave(
+            self.close_with(
                 words.unwrap_or_default(),
-                end(Outcome::Cancelled, "no-memory"),
+                ConnectionEnd::new(Outcome::Cancelled, "no-memory"),
             );
-            self.count_memory();
+            self.update_memory_budget();
         }
     }
 
     /// The connection as another process needs it, with both sockets; here it is done then. It goes on
     /// without a word to either side: nothing may be shut down here after that.
     pub fn hand_over(&mut self, to: &Successor) -> io::Result<()> {
-        let (Phase::Up, None, None) = (self.phase, self.client_ended, &self.farewell) else {
+        let (Phase::Established, None, None) =
+            (self.phase, self.client_ended_at, &self.announced_end)
+        else {
             return Ok(());
         };
         let (Some(backend), Some(record)) = (&self.backend, &self.record) else {
@@ -64,7 +66,7 @@
         let Some(session) = &self.session else {
             return Ok(());
         };
-        let bytes = self.up.rest().len() + self.down.rest().len();
+        let bytes = self.to_backend.rest().len() + self.to_client.rest().len();
         if bytes > takeover::MAX_BYTES || !session.begin_handover() {
             return Ok(());
         }
@@ -77,10 +79,12 @@
             group: session.keys.1,
             attempts: record.attempts,
             age_ms: record.started_at.elapsed().as_millis() as u64,
-            asked_ms: self.asked.map(|at| now.saturating_sub(at) / 1_000),
-            seen: self.down_passed,
-            up: self.up.rest().to_vec(),
-            down: self.down.rest().to_vec(),
+            asked_ms: self
+                .unanswered_since
+                .map(|at| now.saturating_sub(at) / 1_000),
+            seen: self.to_client_ready,
+            up: self.to_backend.rest().to_vec(),
+            down: self.to_client.rest().to_vec(),
         };
         if let Err(e) = to.send(&handover, &self.client.socket, &backend) {
             session.undo_handover(&backend);
@@ -90,7 +94,7 @@
         self.record = None;
         // The sockets stay with this value until they are no longer waited for (see `settle`): they live on
         // in the other process, and would go on waking this one.
-        self.phase = Phase::Done;
+        self.phase = Phase::Closed;
         self.shared
             .decisions
             .connection_ended(id, Outcome::Cancelled, Vec::new());
@@ -102,49 +106,49 @@
         &mut self,
         record: ConnectionRecord,
         session: Arc<Session>,
-        backend: Backend,
+        backend: BackendSide,
         handover: Handover,
     ) {
         let now = self.now();
-        self.asked = handover.asked_ms.map(|ms| now.saturating_sub(ms * 1_000));
-        self.heard = self.asked.unwrap_or(now);
-        self.up = Buffer::holding(handover.up);
-        (self.down, self.down_passed) = (Buffer::holding(handover.down), handover.seen);
+        self.unanswered_since = handover.asked_ms.map(|ms| now.saturating_sub(ms * 1_000));
+        self.last_heard = self.unanswered_since.unwrap_or(now);
+        self.to_backend = Buffer::holding(handover.up);
+        (self.to_client, self.to_client_ready) = (Buffer::holding(handover.down), handover.seen);
         (self.session, self.record) = (Some(session), Some(record));
-        (self.backend, self.phase) = (Some(backend), Phase::Up);
-        self.flush_down();
-        self.flush_up();
+        (self.backend, self.phase) = (Some(backend), Phase::Established);
+        self.flush_to_client();
+        self.flush_to_backend();
     }
 
     /// The client's socket is ready.
     pub fn client_ready(&mut self, read: bool, write: bool) {
-        if write && self.down_blocked.is_some() {
-            self.flush_down();
+        if write && self.to_client_blocked_since.is_some() {
+            self.flush_to_client();
         }
         if read {
             match self.phase {
-                Phase::Placing | Phase::Up => self.read_client(),
-                Phase::Closing(..) => self.discard(),
-                Phase::Hearing | Phase::Done => {}
+                Phase::Pending | Phase::Established => self.read_client(),
+                Phase::Closing(..) => self.discard_input(),
+                Phase::Handshake | Phase::Closed => {}
             }
         }
     }
 
     /// The backend's socket is ready.
     pub fn backend_ready(&mut self, read: bool, write: bool) {
-        if self.phase == Phase::Up && self.up_blocked && write {
-            self.flush_up();
+        if self.phase == Phase::Established && self.to_backend_blocked && write {
+            self.flush_to_backend();
         }
-        if self.phase == Phase::Up && read {
+        if self.phase == Phase::Established && read {
             self.read_backend();
         }
     }
 
     fn read_client(&mut self) {
-        let ended = match self.client.read_into(&mut self.up) {
+        let ended = match self.client.read_into(&mut self.to_backend) {
             Ok(n) if n > 0 => {
-                if self.phase == Phase::Up {
-                    self.flush_up();
+                if self.phase == Phase::Established {
+                    self.flush_to_backend();
                 }
                 return;
             }
@@ -152,21 +156,21 @@
             ended => ended,
         };
         match (self.phase, ended) {
-            (Phase::Placing, _) => self.client_gone(),
+            (Phase::Pending, _) => self.client_gone(),
             (_, Err(_)) => {
-                self.client_ended = Some(self.now());
-                self.reset_both(end(Outcome::Cancelled, "client-reset"))
+                self.client_ended_at = Some(self.now());
+                self.reset_both(ConnectionEnd::new(Outcome::Cancelled, "client-reset"))
             }
             _ => {
-                self.client_ended = Some(self.now());
-                self.flush_up()
+                self.client_ended_at = Some(self.now());
+                self.flush_to_backend()
             }
         }
     }
 
     /// It left before its answer. An attempt that is out is ended, and reported.
     pub fn client_gone(&mut self) {
-        self.client_ended = Some(self.now());
+        self.client_ended_at = Some(self.now());
         if let Some(id) = self
             .session
             .as_ref()
@@ -174,21 +178,21 @@
         {
             self.shared.decisions.client_disconnected(id);
         }
-        self.place(false);
+        self.drive_request(false);
     }
 
     /// Looks whether the client of a request that waits has left, right before something is begun for it. Its end may
     /// be on its way here behind what woke this connection, in the same batch of events or behind a timer; where it has
     /// sent as much as is read ahead, the end stands behind that.
-    pub fn look_for_end(&mut self) {
-        while self.client_ended.is_none() && self.up.rest().len() < MAX_LINE {
-            match self.client.read_into(&mut self.up) {
+    pub fn check_client_gone(&mut self) {
+        while self.client_ended_at.is_none() && self.to_backend.rest().len() < MAX_LINE {
+            match self.client.read_into(&mut self.to_backend) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return,
                 _ => return self.client_gone(),
             }
         }
-        if self.client_ended.is_none() && peer_closed(&self.client.socket) {
+        if self.client_ended_at.is_none() && peer_closed(&self.client.socket) {
             self.client_gone();
         }
     }
@@ -197,22 +201,22 @@
         let Some(backend) = &mut self.backend else {
             return;
         };
-        match backend.link.read_into(&mut self.down) {
+        match backend.link.read_into(&mut self.to_client) {
             Ok(0) => self.backend_ended(),
             Ok(_) => {
                 if !backend.passage.marks_answers() {
-                    self.hear_back();
+                    self.heard_backend();
                 }
-                self.flush_down();
+                self.flush_to_client();
             }
             Err(e) if timed_out(&e) => {}
             Err(_) if !backend.passage.mirrors_end() => self.backend_ended(),
             Err(_) => {
                 // Ended by a reset: so is the other side.
                 let gone = self
-                    .farewell
+                    .announced_end
                     .take()
-                    .unwrap_or(end(Outcome::Reset, "backend-reset"));
+                    .unwrap_or(ConnectionEnd::new(Outcome::Reset, "backend-reset"));
                 self.reset_both(gone);
             }
         }
@@ -222,88 +226,95 @@
     fn backend_ended(&mut self) {
         let Some(backend) = &self.backend else { return };
         let mirrors = backend.passage.mirrors_end();
-        let gone = match self.client_ended {
-            Some(_) => end(Outcome::Cancelled, "client-left"),
-            None => end(Outcome::Reset, "backend-ended"),
+        let gone = match self.client_ended_at {
+            Some(_) => ConnectionEnd::new(Outcome::Cancelled, "client-left"),
+            None => ConnectionEnd::new(Outcome::Reset, "backend-ended"),
         };
-        match self.farewell.take() {
-            Some(farewell) if !self.parting => self.part(farewell, true),
-            _ if self.parting || self.moving() => self.move_away(),
-            None if !mirrors && self.client_ended.is_none() => {
+        match self.announced_end.take() {
+            Some(announced) if !self.finishing => self.end_backend(announced, true),
+            _ if self.finishing || self.is_migrating() => self.migrate_now(),
+            None if !mirrors && self.client_ended_at.is_none() => {
                 let words = backend.passage.words(Away::Gone);
-                self.leave(words, gone);
+                self.close_with(words, gone);
             }
-            farewell => self.part(farewell.unwrap_or(gone), true),
+            announced => self.end_backend(announced.unwrap_or(gone), true),
         }
     }
 
     /// Passes on to the backend what the client has sent.
-    pub fn flush_up(&mut self) {
+    pub fn flush_to_backend(&mut self) {
         let Some(backend) = &mut self.backend else {
             return;
         };
-        let mut blocked = std::mem::take(&mut self.up_blocked);
+        let mut blocked = std::mem::take(&mut self.to_backend_blocked);
         loop {
             let mut fresh = 0;
-            match backend.passage.up(&self.up.rest()[self.up_passed..]) {
+            match backend
+                .passage
+                .up(&self.to_backend.rest()[self.to_backend_ready..])
+            {
                 Ok(passed) => {
                     fresh = passed.bytes;
-                    self.asks |= passed.asks;
+                    self.expects_answer |= passed.asks;
                 }
                 // What came before it goes on first.
-                Err(_) if self.up_passed > 0 => {}
+                Err(_) if self.to_backend_ready > 0 => {}
                 Err(fault) => {
-                    log(&format!("client {}: {}", self.name(), fault.what));
-                    return self.leave(fault.words, end(Outcome::Cancelled, fault.reason));
+                    log(&format!("client {}: {}", self.connection_id(), fault.what));
+                    return self.close_with(
+                        fault.words,
+                        ConnectionEnd::new(Outcome::Cancelled, fault.reason),
+                    );
                 }
             }
-            self.up_passed += fresh;
-            if self.up_passed == 0 && !blocked {
+            self.to_backend_ready += fresh;
+            if self.to_backend_ready == 0 && !blocked {
                 break;
             }
-            if self.asks {
-                self.asked.get_or_insert(self.shared.decisions.now());
+            if self.expects_answer {
+                self.unanswered_since
+                    .get_or_insert(self.shared.decisions.now());
             }
             match backend
                 .link
-                .write_available(&self.up.rest()[..self.up_passed])
+                .write_available(&self.to_backend.rest()[..self.to_backend_ready])
             {
                 Ok((n, full)) => {
-                    self.up.consume(n);
-                    self.up_passed -= n;
+                    self.to_backend.consume(n);
+                    self.to_backend_ready -= n;
                     blocked = full;
                 }
                 // That the backend is gone is noticed on its own side.
                 Err(_) => {
-                    self.up.discard();
-                    (self.up_passed, blocked) = (0, false);
+                    self.to_backend.discard();
+                    (self.to_backend_ready, blocked) = (0, false);
                 }
             }
-            self.asks &= self.up_passed > 0;
+            self.expects_answer &= self.to_backend_ready > 0;
             if blocked || fresh == 0 {
                 break;
             }
         }
-        self.up_blocked = blocked;
-        if self.client_ended.is_some() && !self.up_blocked {
+        self.to_backend_blocked = blocked;
+        if self.client_ended_at.is_some() && !self.to_backend_blocked {
             backend.link.shutdown_write();
         }
     }
 
     /// Passes on to the client what the backend has sent, and hears what it means; after the end of the
     /// backend, passes on the last words.
-    pub fn flush_down(&mut self) {
+    pub fn flush_to_client(&mut self) {
         if let Phase::Closing(since, false) = self.phase {
-            match self.client.write_available(&self.last) {
+            match self.client.write_available(&self.last_words) {
                 Ok((n, blocked)) => {
-                    self.last.drain(..n);
-                    self.down_blocked = blocked.then_some(since);
+                    self.last_words.drain(..n);
+                    self.to_client_blocked_since = blocked.then_some(since);
                     if !blocked {
                         self.client.shutdown_write();
                         self.phase = Phase::Closing(self.now(), true);
                     }
                 }
-                Err(_) => self.phase = Phase::Done,
+                Err(_) => self.phase = Phase::Closed,
             }
             return;
         }
@@ -312,43 +323,50 @@
             let Some(backend) = &mut self.backend else {
                 return;
             };
-            let (id, server) = (backend.id, backend.server);
+            let (id, endpoint_id) = (backend.id, backend.endpoint_id);
             let (mut fresh, mut news) = (0, Vec::new());
-            let unread = &self.down.rest()[self.down_passed..];
+            let unread = &self.to_client.rest()[self.to_client_ready..];
             match backend
                 .passage
                 .down(unread, &self.shared.settings().rules, &mut news)
             {
                 Ok(n) => fresh = n,
-                Err(_) if self.down_passed > 0 => {}
+                Err(_) if self.to_client_ready > 0 => {}
                 Err(fault) => {
-                    log(&format!("backend of {}: {}", self.name(), fault.what));
-                    return self.leave(fault.words, end(Outcome::Reset, fault.reason));
+                    log(&format!(
+                        "backend of {}: {}",
+                        self.connection_id(),
+                        fault.what
+                    ));
+                    return self.close_with(
+                        fault.words,
+                        ConnectionEnd::new(Outcome::Reset, fault.reason),
+                    );
                 }
             }
-            self.down_passed += fresh;
+            self.to_client_ready += fresh;
             for news in news {
                 match news {
                     News::Load(x) => {
-                        let note = self.shared.load_samples.read(
-                            server,
+                        let sample = self.shared.load_samples.read(
+                            endpoint_id,
                             id,
                             self.shared.decisions.now(),
                             x,
                         );
-                        self.shared.decisions.record_sample(id, note);
+                        self.shared.decisions.record_sample(id, sample);
                     }
-                    News::Heard => self.hear_back(),
+                    News::Heard => self.heard_backend(),
                     News::Farewell(outcome, report, reason) => {
-                        self.farewell = Some(End {
+                        self.announced_end = Some(ConnectionEnd {
                             outcome,
                             report,
                             reason,
                         });
                     }
-                    News::Answered(served) => self.answered(served),
+                    News::Answered(served) => self.count_final_answer(served),
                     News::Over(words, outcome, reason) => {
-                        self.over = Some((words, end(outcome, reason)))
+                        self.end_after_flush = Some((words, ConnectionEnd::new(outcome, reason)))
                     }
                     News::Finished => finished = true,
                 }
@@ -356,30 +374,33 @@
             let now = self.shared.decisions.now();
             match self
                 .client
-                .write_available(&self.down.rest()[..self.down_passed])
+                .write_available(&self.to_client.rest()[..self.to_client_ready])
             {
                 Ok((n, blocked)) => {
-                    self.down.consume(n);
-                    self.down_passed -= n;
-                    self.down_blocked = blocked.then(|| self.down_blocked.unwrap_or(now));
+                    self.to_client.consume(n);
+                    self.to_client_ready -= n;
+                    self.to_client_blocked_since =
+                        blocked.then(|| self.to_client_blocked_since.unwrap_or(now));
+                }
+                Err(_) => {
+                    return self.reset_both(ConnectionEnd::new(Outcome::Cancelled, "client-reset"))
                 }
-                Err(_) => return self.reset_both(end(Outcome::Cancelled, "client-reset")),
             }
             if finished {
-                return self.move_away();
+                return self.migrate_now();
             }
-            if let Some((words, end)) = self.over.take() {
-                return self.leave(words, end);
+            if let Some((words, end)) = self.end_after_flush.take() {
+                return self.close_with(words, end);
             }
-            if self.down_blocked.is_some() || fresh == 0 {
+            if self.to_client_blocked_since.is_some() || fresh == 0 {
                 return;
             }
         }
     }
 
     /// The client has its final answer.
-    fn answered(&mut self, served: bool) {
-        self.answer_by = None;
+    fn count_final_answer(&mut self, served: bool) {
+        self.answer_deadline = None;
         match (&self.record, served) {
             (
                 Some(ConnectionRecord {
@@ -393,7 +414,7 @@
     }
 
     /// Asks the client to come again, between two units, then ends both sides.
-    fn move_away(&mut self) {
+    fn migrate_now(&mut self) {
         let Some(backend) = &self.backend else { return };
         let metrics = &self.shared.metrics.xmpp;
         if backend.passage.half() {
@@ -402,87 +423,90 @@
         if !backend.passage.portable() {
             metrics.moved.fetch_add(1, Relaxed);
         }
-        self.leave(
+        self.close_with(
             backend.passage.words(Away::Moved),
-            end(Outcome::Cancelled, "moved"),
+            ConnectionEnd::new(Outcome::Cancelled, "moved"),
         );
     }
 
     /// The connection is to be moved: once the backend has finished, or its time for that is up.
-    fn depart(&mut self, now: Micros) {
+    fn begin_migration(&mut self, now: Micros) {
         let Some(backend) = &mut self.backend else {
             return;
         };
-        if let Some(by) = self.finish_by.filter(|by| self.parting || now >= *by) {
+        if let Some(by) = self
+            .finish_deadline
+            .filter(|by| self.finishing || now >= *by)
+        {
             if now >= by {
-                self.move_away();
+                self.migrate_now();
             }
             return;
         }
         match backend.passage.part() {
-            Parting::Now => self.move_away(),
-            Parting::Later(within) => drop(self.finish_by.get_or_insert(now + within)),
+            Parting::Now => self.migrate_now(),
+            Parting::Later(within) => drop(self.finish_deadline.get_or_insert(now + within)),
             Parting::Finish { words, within } => {
                 // Half a unit of the client's is not on its way: nothing of it went on.
-                self.up.replace_tail(self.up_passed, &words);
-                self.up_passed += words.len();
-                (self.parting, self.finish_by) = (true, Some(now + within));
-                self.flush_up();
+                self.to_backend.replace_tail(self.to_backend_ready, &words);
+                self.to_backend_ready += words.len();
+                (self.finishing, self.finish_deadline) = (true, Some(now + within));
+                self.flush_to_backend();
             }
         }
     }
 
     /// Sends the client away with these words, after what may go on to it, then ends both sides.
-    fn leave(&mut self, words: Vec<u8>, end: End) {
-        self.last = words;
-        self.part(end, false);
+    fn close_with(&mut self, words: Vec<u8>, end: ConnectionEnd) {
+        self.last_words = words;
+        self.end_backend(end, false);
     }
 
     /// Ends the backend's side; the client gets what has come from there, then the last words.
-    fn part(&mut self, end: End, rest: bool) {
+    fn end_backend(&mut self, end: ConnectionEnd, rest: bool) {
         let rest = rest
             && self
                 .backend
                 .as_ref()
                 .is_some_and(|b| b.passage.mirrors_end());
         let to = if rest {
-            self.down.rest().len()
+            self.to_client.rest().len()
         } else {
-            self.down_passed
+            self.to_client_ready
         };
-        let mut last = self.down.rest()[..to].to_vec();
-        last.append(&mut self.last);
-        self.last = last;
+        let mut last = self.to_client.rest()[..to].to_vec();
+        last.append(&mut self.last_words);
+        self.last_words = last;
         if let Some(backend) = &self.backend {
             let _ = backend.link.socket.shutdown(Shutdown::Both);
         }
-        self.report(end);
+        self.report_end(end);
         self.close();
     }
 
     /// Gives the client its last words and ends the connection.
     pub fn close(&mut self) {
         self.phase = Phase::Closing(self.now(), false);
-        if self.client_ended.is_some() && self.last.is_empty() {
-            self.phase = Phase::Done;
+        if self.client_ended_at.is_some() && self.last_words.is_empty() {
+            self.phase = Phase::Closed;
         } else {
-            self.flush_down();
+            self.flush_to_client();
         }
     }
 
     /// Closes both sides by a reset.
-    fn reset_both(&mut self, end: End) {
+    fn reset_both(&mut self, end: ConnectionEnd) {
         reset(&self.client.socket);
         if let Some(backend) = &self.backend {
             reset(&backend.link.socket);
         }
-        self.report(end);
-        self.phase = Phase::Done;
+        self.report_end(end);
+        self.phase = Phase::Closed;
     }
 
     /// Tells the decisions and the log how the connection ended, and lets go of its backend.
-    fn report(&mut self, end: End) {
-        if let Some(Backend {
+    fn report_end(&mut self, end: ConnectionEnd) {
+        if let Some(BackendSide {
             link, id, passage, ..
         }) = self.backend.take()
         {
@@ -499,7 +523,7 @@
         }
         if let Some(record) = self.record.take() {
             // It was owed an answer, and what it has had now was a failure's.
-            if self.answer_by.take().is_some() && self.client_ended.is_none() {
+            if self.answer_deadline.take().is_some() && self.client_ended_at.is_none() {
                 record.tally.iter().for_each(|tally| tally.failed());
             }
             record.log_end(end.reason);
@@ -507,77 +531,89 @@
     }
 
     /// Throws away what a client sends that has had its last words.
-    fn discard(&mut self) {
-        match (&*self.client.socket).read(&mut [0; PIECE]) {
-            Ok(PIECE) => self.flooded = true,
+    fn discard_input(&mut self) {
+        match (&*self.client.socket).read(&mut [0; DISCARD_BYTES]) {
+            Ok(DISCARD_BYTES) => self.discard_paused = true,
             Ok(n) if n > 0 => {}
             Err(e) if timed_out(&e) || e.kind() == ErrorKind::Interrupted => {}
-            _ => self.phase = Phase::Done,
+            _ => self.phase = Phase::Closed,
         }
     }
 
     /// Whether its backend has stopped without a word.
-    fn lost(&self, now: Micros) -> bool {
-        let (Some(asked), Some(backend)) = (self.asked, &self.backend) else {
+    fn backend_is_silent(&self, now: Micros) -> bool {
+        let (Some(asked), Some(backend)) = (self.unanswered_since, &self.backend) else {
             return false;
         };
-        backend
-            .passage
-            .lost(now.saturating_sub(asked), now.saturating_sub(self.heard))
+        backend.passage.lost(
+            now.saturating_sub(asked),
+            now.saturating_sub(self.last_heard),
+        )
     }
 
     /// Its backend has brought something back.
-    fn hear_back(&mut self) {
-        (self.asked, self.heard) = (None, self.shared.decisions.now());
+    fn heard_backend(&mut self) {
+        (self.unanswered_since, self.last_heard) = (None, self.shared.decisions.now());
     }
 
     /// What only time shows.
-    pub fn look(&mut self) {
+    pub fn check_timeouts(&mut self) {
         let now = self.shared.decisions.now();
         if let Some(backend) = self.backend.as_mut().filter(|b| !b.passage.portable()) {
-            self.up.rest_room();
-            self.down.rest_room();
+            self.to_backend.rest_room();
+            self.to_client.rest_room();
             backend.passage.rest();
         }
         let past = |since: Micros, limit: Micros| now > since + limit;
-        let stuck = self.down_blocked.is_some_and(|since| past(since, STUCK));
+        let stuck = self
+            .to_client_blocked_since
+            .is_some_and(|since| past(since, STUCK_CLIENT_TIMEOUT));
         match self.phase {
-            Phase::Closing(since, true) if past(since, self.linger) => self.phase = Phase::Done,
-            Phase::Closing(..) if stuck => self.phase = Phase::Done,
-            Phase::Closing(..) if self.flooded => {
-                self.flooded = false;
-                self.discard();
+            Phase::Closing(since, true) if past(since, self.linger) => self.phase = Phase::Closed,
+            Phase::Closing(..) if stuck => self.phase = Phase::Closed,
+            Phase::Closing(..) if self.discard_paused => {
+                self.discard_paused = false;
+                self.discard_input();
             }
-            Phase::Up if stuck => self.reset_both(end(Outcome::Cancelled, "client-stuck")),
-            Phase::Up if self.client_ended.is_some_and(|at| past(at, LINGER)) => {
-                self.part(end(Outcome::Cancelled, "client-left"), true);
+            Phase::Established if stuck => {
+                self.reset_both(ConnectionEnd::new(Outcome::Cancelled, "client-stuck"))
+            }
+            Phase::Established if self.client_ended_at.is_some_and(|at| past(at, LINGER)) => {
+                self.end_backend(ConnectionEnd::new(Outcome::Cancelled, "client-left"), true);
             }
             // A machine that vanished says nothing and keeps its connections open: only what stays unanswered
             // shows it.
-            Phase::Up if self.lost(now) => {
+            Phase::Established if self.backend_is_silent(now) => {
                 let words = self.backend.as_ref().map(|b| b.passage.words(Away::Gone));
-                self.leave(
+                self.close_with(
                     words.unwrap_or_default(),
-                    end(Outcome::Reset, "backend-silent"),
+                    ConnectionEnd::new(Outcome::Reset, "backend-silent"),
                 );
             }
             // Two looks before it is due: the next one might be too late.
-            Phase::Up if self.answer_by.is_some_and(|by| now + 2 * LOOK >= by) => {
-                let late = if self.asked.is_some() {
+            Phase::Established
+                if self
+                    .answer_deadline
+                    .is_some_and(|by| now + 2 * CHECK_INTERVAL >= by) =>
+            {
+                let late = if self.unanswered_since.is_some() {
                     Outcome::Timeout
                 } else {
                     Outcome::Cancelled
                 };
                 let words = self.backend.as_ref().map(|b| b.passage.words(Away::Late));
-                self.leave(words.unwrap_or_default(), end(late, "answer-late"));
+                self.close_with(
+                    words.unwrap_or_default(),
+                    ConnectionEnd::new(late, "answer-late"),
+                );
             }
-            Phase::Up
+            Phase::Established
                 if self
                     .session
                     .as_ref()
                     .is_some_and(|session| session.finishes_before_migration()) =>
             {
-                self.depart(now)
+                self.begin_migration(now)
             }
             _ => {}
         }
--- a/src/net/handshake.rs
+++ b/src/net/handshake.rs
@@ -6,7 +6,7 @@
 use crate::decisions::api::Micros;
 use crate::log::log;
 use crate::net::admission::WaitingConnection;
-use crate::net::connection::{Conn, Hearing, Phase, LINGER_SHORT};
+use crate::net::connection::{Connection, Handshake, Phase, DISMISSED_LINGER};
 use crate::net::session::ConnectionRecord;
 use crate::net::shared::SharedState;
 use crate::protocol::line::Greeting;
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 
 /// The longest wait for a client to take its answer, in microseconds.
-const ANSWER: Micros = 1_000_000;
+const WRITE_TIMEOUT: Micros = 1_000_000;
 
 /// What is spoken at a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,9 +41,9 @@
 }
 
 /// The machine that hears a client of this listener; none where the front has gone meanwhile.
-fn greeter(shared: &SharedState, speaks: ListenerProtocol) -> Option<Box<dyn Greeter>> {
+fn greeter(shared: &SharedState, protocol: ListenerProtocol) -> Option<Box<dyn Greeter>> {
     let now = shared.decisions.now();
-    if speaks == ListenerProtocol::Line {
+    if protocol == ListenerProtocol::Line {
         return Some(Box::new(Greeting::new(now)));
     }
     let mut ids = [0; 3];
@@ -56,123 +56,132 @@
     Some(Box::new(greeting::Greeting::new(
         terms,
         ids,
-        speaks == ListenerProtocol::XmppTls,
+        protocol == ListenerProtocol::XmppTls,
         now,
     )))
 }
 
-impl Hearing {
+impl Handshake {
     /// When it must be called though nothing has come.
-    pub fn due(&self) -> Micros {
-        let until = self.greeter.until();
-        self.blocked
-            .map_or(until, |since| until.min(since + ANSWER))
+    pub fn next_timer(&self) -> Micros {
+        let deadline = self.greeter.until();
+        self.blocked_since
+            .map_or(deadline, |since| deadline.min(since + WRITE_TIMEOUT))
     }
 }
 
-impl Conn {
+impl Connection {
     /// The connection of a client that has just come to this listener; none where there is nobody to hear it.
-    pub fn greet(
+    pub fn accept(
         shared: &Arc<SharedState>,
-        idle: WaitingConnection,
-        speaks: ListenerProtocol,
-    ) -> Option<Conn> {
-        let greeter = greeter(shared, speaks)?;
-        idle.stream
+        waiting: WaitingConnection,
+        protocol: ListenerProtocol,
+    ) -> Option<Connection> {
+        let greeter = greeter(shared, protocol)?;
+        waiting
+            .stream
             .set_nonblocking(true)
-            .and_then(|()| idle.stream.set_nodelay(true))
+            .and_then(|()| waiting.stream.set_nodelay(true))
             .ok()?;
-        let mut conn = Conn::new(shared, idle.number(), idle.stream.clone());
-        conn.record = Some(ConnectionRecord::new(speaks.front()));
-        let (out, blocked) = (Vec::new(), None);
-        let mut hearing = Hearing {
-            idle,
+        let mut conn = Connection::new(shared, waiting.number(), waiting.stream.clone());
+        conn.record = Some(ConnectionRecord::new(protocol.front()));
+        let (unsent, blocked_since) = (Vec::new(), None);
+        let mut handshake = Handshake {
+            waiting,
             greeter,
-            securing: false,
-            tells: false,
-            out,
-            blocked,
+            in_tls_handshake: false,
+            reports_tls: false,
+            unsent,
+            blocked_since,
         };
-        let secured = speaks != ListenerProtocol::XmppTls || conn.secure(&mut hearing, None, false);
-        conn.hearing = Some(Box::new(hearing));
+        let secured = protocol != ListenerProtocol::XmppTls
+            || conn.start_client_tls(&mut handshake, None, false);
+        conn.handshake = Some(Box::new(handshake));
         if secured {
-            conn.hear();
+            conn.continue_handshake();
         }
         Some(conn)
     }
 
     /// Puts the client's link under TLS with the certificate of that domain; false where there is none.
-    fn secure(&mut self, hearing: &mut Hearing, domain: Option<&str>, tells: bool) -> bool {
+    fn start_client_tls(
+        &mut self,
+        handshake: &mut Handshake,
+        domain: Option<&str>,
+        reports_tls: bool,
+    ) -> bool {
         let Some(tls) = self
             .shared
             .xmpp()
             .and_then(|xmpp| xmpp.tls.server_connection(domain))
         else {
-            self.unheard("no-tls");
+            self.close_silently("no-tls");
             return false;
         };
         self.client.start_tls(tls);
-        (hearing.securing, hearing.tells) = (true, tells);
+        (handshake.in_tls_handshake, handshake.reports_tls) = (true, reports_tls);
         true
     }
 
     /// Ends a connection that rests, whose room is needed, or whose process stops: with an answer, since a request may
     /// be on its way at this moment. One that has come by now is heard as ever.
     pub fn dismiss(&mut self) {
-        if self.phase == Phase::Hearing {
-            self.hear();
+        if self.phase == Phase::Handshake {
+            self.continue_handshake();
         }
-        let Some(mut hearing) = self.hearing.take() else {
+        let Some(mut handshake) = self.handshake.take() else {
             return;
         };
-        let (last, reason) = hearing.greeter.cut_short(&self.up, Short::Dismissed);
-        self.idle = Some(hearing.idle);
-        self.linger = LINGER_SHORT;
+        let (last_words, reason) = handshake
+            .greeter
+            .cut_short(&self.to_backend, Short::Dismissed);
+        self.waiting = Some(handshake.waiting);
+        self.linger = DISMISSED_LINGER;
         // Behind what is still to be said, or in place of it: half a word would garble the answer.
-        let whole = hearing.out.is_empty() && !hearing.securing;
-        self.turn_away(if whole { last } else { Vec::new() }, reason);
+        let whole = handshake.unsent.is_empty() && !handshake.in_tls_handshake;
+        self.reject(if whole { last_words } else { Vec::new() }, reason);
     }
 
     /// It is closed with no word more.
-    fn unheard(&mut self, reason: &str) {
+    fn close_silently(&mut self, reason: &str) {
         if let Some(record) = self.record.take().filter(|_| !reason.is_empty()) {
             record.log_end(reason);
         }
-        self.phase = Phase::Done;
+        self.phase = Phase::Closed;
     }
 
     /// Hears the client as far as it has spoken.
-    pub fn hear(&mut self) {
-        let Some(mut hearing) = self.hearing.take() else {
+    pub fn continue_handshake(&mut self) {
+        let Some(mut handshake) = self.handshake.take() else {
             return;
         };
-        if self.heard(&mut hearing) {
-            self.hearing = Some(hearing);
-        } else if self.phase != Phase::Done && self.session.is_none() {
+        if self.drive_handshake(&mut handshake) {
+            self.handshake = Some(handshake);
+        } else if self.phase != Phase::Closed && self.session.is_none() {
             // Its room is its own until it has gone.
-            self.idle = Some(hearing.idle);
+            self.waiting = Some(handshake.waiting);
         }
     }
 
     /// True while it is to be heard further.
-    fn heard(&mut self, h: &mut Hearing) -> bool {
+    fn drive_handshake(&mut self, h: &mut Handshake) -> bool {
         // A turn takes in once what has come: one that sends at full speed must not hold up the others.
         let mut filled = false;
         loop {
             let now = self.now();
-            if h.securing {
-                match self.client.continue_handshake() {
+            if h.in_tls_handshake {
+                match self.client.continue_tls_handshake() {
                     Ok(true) => {
                         // What came right behind the handshake is TLS's now: no socket tells of it.
-                        (h.securing, filled) = (false, false);
-                        if h.tells {
+                        (h.in_tls_handshake, filled) = (false, false);
+                        if h.reports_tls {
                             h.greeter.secured(self.now());
                         }
                     }
                     Ok(false) if now < h.greeter.until() => return true,
                     failed => {
                         self.shared.metrics.xmpp.tls_failures.fetch_add(1, Relaxed);
-                        self.unheard(if failed.is_ok() {
+                        self.close_silently(if failed.is_ok() {
                             "tls-late"
                         } else {
                             "tls-failed"
@@ -181,65 +190,66 @@
                     }
                 }
             }
-            if !h.out.is_empty() || h.blocked.is_some() {
-                match self.client.write_available(&h.out) {
+            if !h.unsent.is_empty() || h.blocked_since.is_some() {
+                match self.client.write_available(&h.unsent) {
                     Ok((n, true)) => {
-                        h.out.drain(..n);
-                        let since = *h.blocked.get_or_insert(now);
-                        if now >= since + ANSWER {
-                            self.unheard("");
+                        h.unsent.drain(..n);
+                        let since = *h.blocked_since.get_or_insert(now);
+                        if now >= since + WRITE_TIMEOUT {
+                            self.close_silently("");
                         }
-                        return self.phase != Phase::Done;
+                        return self.phase != Phase::Closed;
                     }
-                    Ok((_, false)) => (h.out, h.blocked) = (Vec::new(), None),
+                    Ok((_, false)) => (h.unsent, h.blocked_since) = (Vec::new(), None),
                     Err(_) => {
-                        self.unheard("");
+                        self.close_silently("");
                         return false;
                     }
                 }
             }
             let rules = self.shared.settings().rules.clone();
-            match h.greeter.next(&mut self.up, now, &rules) {
+            match h.greeter.next(&mut self.to_backend, now, &rules) {
                 Next::Read => {}
                 Next::Say(bytes) => {
-                    h.idle.record_activity();
-                    h.out = bytes;
+                    h.waiting.record_activity();
+                    h.unsent = bytes;
                     continue;
                 }
                 Next::Secure(domain) => {
-                    if !self.secure(h, Some(&domain), true) {
+                    if !self.start_client_tls(h, Some(&domain), true) {
                         return false;
                     }
                     continue;
                 }
                 Next::Place(order) => {
-                    self.let_in(&h.idle, order);
+                    self.admit(&h.waiting, order);
                     return false;
                 }
-                Next::End(last, reason) => {
-                    self.turn_away(last, reason);
+                Next::End(last_words, reason) => {
+                    self.reject(last_words, reason);
                     return false;
                 }
             }
             if now >= h.greeter.until() {
-                let (mut last, mut reason) = h.greeter.cut_short(&self.up, Short::Late);
-                if last.is_empty() && reason.is_empty() {
+                let (mut last_words, mut reason) =
+                    h.greeter.cut_short(&self.to_backend, Short::Late);
+                if last_words.is_empty() && reason.is_empty() {
                     // It has rested for too long. Its request may be on its way just now.
-                    (last, reason) = h.greeter.cut_short(&self.up, Short::Dismissed);
-                    self.linger = LINGER_SHORT;
+                    (last_words, reason) = h.greeter.cut_short(&self.to_backend, Short::Dismissed);
+                    self.linger = DISMISSED_LINGER;
                 }
-                self.turn_away(last, reason);
+                self.reject(last_words, reason);
                 return false;
             }
             if std::mem::replace(&mut filled, true) {
                 return true;
             }
-            match self.client.read_into(&mut self.up) {
+            match self.client.read_into(&mut self.to_backend) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return true,
                 _ => {
-                    let reason = h.greeter.cut_short(&self.up, Short::Ended).1;
-                    self.unheard(reason);
+                    let reason = h.greeter.cut_short(&self.to_backend, Short::Ended).1;
+                    self.close_silently(reason);
                     return false;
                 }
             }
@@ -247,11 +257,11 @@
     }
 
     /// Ends a connection that asked for nothing sensible, or for nothing.
-    fn turn_away(&mut self, last: Vec<u8>, reason: &'static str) {
+    fn reject(&mut self, last_words: Vec<u8>, reason: &'static str) {
         if let Some(record) = self.record.take().filter(|_| !reason.is_empty()) {
             record.log_end(reason);
         }
-        self.last = last;
+        self.last_words = last_words;
         self.close();
     }
 }
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -20,13 +20,13 @@
         Link { socket, tls: None }
     }
 
-    /// Puts the link under TLS: [`Link::continue_handshake`] goes on until it stands.
+    /// Puts the link under TLS: [`Link::continue_tls_handshake`] goes on until it stands.
     pub fn start_tls(&mut self, tls: Connection) {
         self.tls = Some(Box::new(tls));
     }
 
     /// Goes on with the handshake as far as the socket allows; true once TLS stands and its last words are out.
-    pub fn continue_handshake(&mut self) -> io::Result<bool> {
+    pub fn continue_tls_handshake(&mut self) -> io::Result<bool> {
         let Some(tls) = &mut self.tls else {
             return Ok(true);
         };
--- a/src/net/placement.rs
+++ b/src/net/placement.rs
@@ -4,15 +4,17 @@
 use crate::decision_service::{Decision, RequestHandle};
 use crate::decisions::api::{Micros, Outcome, Request};
 use crate::net::admission::{AdmissionError, WaitingConnection};
-use crate::net::attempt::{Attempt, Failed, Ground, Up, ADOPT};
-use crate::net::connection::{Backend, Conn, Phase, Placing};
+use crate::net::attempt::{
+    Attempt, AttemptContext, AttemptFailure, EstablishedBackend, ADOPT_TIMEOUT,
+};
+use crate::net::connection::{BackendSide, Connection, PendingRequest, Phase};
 use crate::net::session::{ConnectionRecord, Session};
 use crate::protocol::{Answer, Cause, Order};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
 /// Counts a connection by its final answer.
-fn count(record: &ConnectionRecord, answer: Answer) {
+fn count_answer(record: &ConnectionRecord, answer: Answer) {
     match (&record.tally, answer) {
         (Some(tally), Answer::Refused(_)) => tally.dropped(),
         (Some(tally), Answer::Failed(_) | Answer::IdInUse) => tally.failed(),
@@ -20,9 +22,9 @@
     }
 }
 
-impl Conn {
+impl Connection {
     /// A client has asked for this.
-    pub fn let_in(&mut self, idle: &WaitingConnection, order: Box<dyn Order>) {
+    pub fn admit(&mut self, waiting: &WaitingConnection, order: Box<dyn Order>) {
         let shared = self.shared.clone();
         if let Some(record) = &mut self.record {
             record.id = order.name().to_string();
@@ -34,19 +36,13 @@
                 .to_string();
             record.tally = Some(shared.metrics.begin(&record.class));
         }
-        let (answer, reason) = match idle.admit_request(order.name()) {
-            Ok(place) => {
+        let (answer, reason) = match waiting.admit_request(order.name()) {
+            Ok(slot) => {
                 let keys = (order.request().client_key, order.request().group);
                 let finishes = order.finishes();
-                self.session = Some(Session::new(
-                    &shared.wake_queue,
-                    keys,
-                    place,
-                    finishes,
-                    None,
-                ));
-                self.phase = Phase::Placing;
-                return self.begin(order);
+                self.session = Some(Session::new(&shared.wake_queue, keys, slot, finishes, None));
+                self.phase = Phase::Pending;
+                return self.submit(order);
             }
             // Nothing was sent, so a refusal promises nothing false.
             Err(AdmissionError::NoCapacity) => (
@@ -55,119 +51,130 @@
             ),
             Err(AdmissionError::IdInUse) => (Answer::IdInUse, "id-in-use"),
         };
-        self.finish(Some(answer), order.words(answer), reason);
+        self.answer_and_close(Some(answer), order.words(answer), reason);
     }
 
     /// Asks the decisions, or goes back to the backend at which the connection was open before the start.
-    fn begin(&mut self, order: Box<dyn Order>) {
+    fn submit(&mut self, order: Box<dyn Order>) {
         let Some(session) = self.session.clone() else {
             return;
         };
         let (shared, now) = (self.shared.clone(), self.now());
         // Where this process stops, the answer is owed before it ends.
-        let stop_by = shared.answer_deadline.load(Relaxed);
-        let asked = &Request {
-            time_left: order.request().time_left.min(stop_by.saturating_sub(now)),
+        let shutdown_deadline = shared.answer_deadline.load(Relaxed);
+        let request = &Request {
+            time_left: order
+                .request()
+                .time_left
+                .min(shutdown_deadline.saturating_sub(now)),
             ..order.request().clone()
         };
-        let flow: Arc<dyn RequestHandle> = session.clone();
-        let name = session.connection_id();
-        tracing::debug!(id = %name, group = asked.group, key = asked.client_key, again = asked.returning, "request");
-        let (id, pick, attempt, server, answer_by) = match order.at() {
+        let handle: Arc<dyn RequestHandle> = session.clone();
+        let id = session.connection_id();
+        tracing::debug!(%id, group = request.group, key = request.client_key, again = request.returning, "request");
+        let (id, decision, attempt, endpoint_id, answer_deadline) = match order.at() {
             Some(at) => {
-                let server = server_id(at);
+                let endpoint_id = server_id(at);
                 let id = shared
                     .decisions
-                    .adopt_connection(asked.clone(), server, flow);
+                    .adopt_connection(request.clone(), endpoint_id, handle);
                 if let Some(record) = &mut self.record {
                     (record.backend, record.attempts) = (at.to_string(), 1);
                 }
-                let until = (now + ADOPT).min(stop_by);
+                let deadline = (now + ADOPT_TIMEOUT).min(shutdown_deadline);
                 (
                     id,
                     None,
-                    Some(Attempt::new(&*order, server, until, 0, now)),
-                    server,
-                    until,
+                    Some(Attempt::new(&*order, endpoint_id, deadline, 0, now)),
+                    endpoint_id,
+                    deadline,
                 )
             }
             None => {
                 // Whoever waits is owed its answer by then; what went before the request is the client's own time.
-                let answer_by = now + asked.time_left;
-                let pick = shared
+                let answer_deadline = now + request.time_left;
+                let decision = shared
                     .decisions
-                    .submit(asked.clone(), flow, |id| session.set_request_id(id));
-                (pick.id, Some(pick), None, Default::default(), answer_by)
+                    .submit(request.clone(), handle, |id| session.set_request_id(id));
+                (
+                    decision.id,
+                    Some(decision),
+                    None,
+                    Default::default(),
+                    answer_deadline,
+                )
             }
         };
-        let cause = Cause::Broke;
-        self.placing = Some(Box::new(Placing {
+        let failure_cause = Cause::Broke;
+        self.pending = Some(Box::new(PendingRequest {
             order,
             id,
-            pick,
+            decision,
             attempt,
-            server,
-            cause,
-            answer_by,
+            endpoint_id,
+            failure_cause,
+            answer_deadline,
         }));
-        self.place(false);
+        self.drive_request(false);
     }
 
     /// All that is owed to it is owed by then: this process stops.
-    pub fn hurry(&mut self, by: Micros) {
-        self.answer_by = self.answer_by.map(|at| at.min(by));
-        if let Some(p) = &mut self.placing {
-            p.answer_by = p.answer_by.min(by);
-            p.attempt.iter_mut().for_each(|attempt| attempt.hurry(by));
-            if p.pick.is_some() {
+    pub fn shorten_deadline(&mut self, by: Micros) {
+        self.answer_deadline = self.answer_deadline.map(|at| at.min(by));
+        if let Some(p) = &mut self.pending {
+            p.answer_deadline = p.answer_deadline.min(by);
+            p.attempt
+                .iter_mut()
+                .for_each(|attempt| attempt.shorten_deadline(by));
+            if p.decision.is_some() {
                 self.shared.decisions.shorten_deadline(p.id, by);
             }
         }
     }
 
     /// Goes on with a request that is placed; `ready` says that the socket of its attempt is.
-    pub fn place(&mut self, mut ready: bool) {
+    pub fn drive_request(&mut self, mut ready: bool) {
         let Some(session) = self.session.clone() else {
             return;
         };
         loop {
             if self
-                .placing
+                .pending
                 .as_ref()
                 .and_then(|p| p.attempt.as_ref())
-                .is_some_and(|a| a.begins(ready))
+                .is_some_and(|a| a.sends_next(ready))
             {
-                self.look_for_end();
+                self.check_client_gone();
             }
-            let Some(mut p) = self.placing.take() else {
+            let Some(mut p) = self.pending.take() else {
                 return;
             };
             if let Some(attempt) = &mut p.attempt {
-                let ground = Ground {
+                let context = AttemptContext {
                     shared: &self.shared,
                     session: &session,
                     order: &*p.order,
                     id: p.id,
                 };
-                let Some(result) = attempt.go(ground, std::mem::take(&mut ready)) else {
-                    self.placing = Some(p);
+                let Some(result) = attempt.advance(context, std::mem::take(&mut ready)) else {
+                    self.pending = Some(p);
                     return;
                 };
-                self.attempted(p, &session, result);
+                self.handle_attempt_result(p, &session, result);
                 continue;
             }
-            let verdict = match &p.pick {
-                Some(pick) => pick.try_next(),
+            let verdict = match &p.decision {
+                Some(decision) => decision.try_next(),
                 None => Some(Decision::Withdrawn),
             };
             let (answer, reason) = match verdict {
                 None => {
-                    self.placing = Some(p);
+                    self.pending = Some(p);
                     return;
                 }
                 Some(Decision::Attempt {
-                    endpoint: server,
-                    give_up_at: until,
+                    endpoint: endpoint_id,
+                    give_up_at: deadline,
                     number,
                 }) => {
                     if let Some(record) = &mut self.record {
@@ -175,12 +182,18 @@
                         record.backend = self
                             .shared
                             .directory
-                            .endpoint(server)
+                            .endpoint(endpoint_id)
                             .map_or(String::new(), |e| e.name);
                     }
-                    p.attempt = Some(Attempt::new(&*p.order, server, until, number, self.now()));
-                    p.server = server;
-                    self.placing = Some(p);
+                    p.attempt = Some(Attempt::new(
+                        &*p.order,
+                        endpoint_id,
+                        deadline,
+                        number,
+                        self.now(),
+                    ));
+                    p.endpoint_id = endpoint_id;
+                    self.pending = Some(p);
                     continue;
                 }
                 Some(Decision::Reject(wait)) => (
@@ -189,35 +202,42 @@
                     )),
                     "refused",
                 ),
-                Some(Decision::Fail) => (Some(Answer::Failed(p.cause)), "failed"),
+                Some(Decision::Fail) => (Some(Answer::Failed(p.failure_cause)), "failed"),
                 Some(Decision::Withdrawn) => (None, "client-gave-up"),
             };
             self.shared.decisions.remove(p.id);
             let words = answer.map_or(Vec::new(), |answer| p.order.words(answer));
-            self.finish(answer, words, reason);
+            self.answer_and_close(answer, words, reason);
         }
     }
 
     /// An attempt has come up or failed.
-    fn attempted(&mut self, mut p: Box<Placing>, session: &Session, result: Result<Up, Failed>) {
+    fn handle_attempt_result(
+        &mut self,
+        mut p: Box<PendingRequest>,
+        session: &Session,
+        result: Result<EstablishedBackend, AttemptFailure>,
+    ) {
         let decisions = self.shared.decisions.clone();
-        let began = p.attempt.take().map_or(0, |attempt| attempt.began);
+        let started_at = p.attempt.take().map_or(0, |attempt| attempt.started_at);
         // Before the decisions hear of it: they may ask for a move at once.
         session.set_established(result.is_ok());
-        match (result, p.pick.is_some()) {
-            (Ok(up), false) => return self.stand(*p, up),
-            (Ok(up), true) if decisions.connected(p.id, self.now().saturating_sub(began)) => {
-                return self.stand(*p, up)
+        match (result, p.decision.is_some()) {
+            (Ok(established), false) => return self.establish(*p, established),
+            (Ok(established), true)
+                if decisions.connected(p.id, self.now().saturating_sub(started_at)) =>
+            {
+                return self.establish(*p, established)
             }
-            (Ok(up), true) => {
+            (Ok(established), true) => {
                 // Answered meanwhile: the attempt is closed before anything else happens.
-                drop(up);
+                drop(established);
                 session.detach_backend();
                 session.set_established(false);
                 decisions.attempt_failed(p.id, Outcome::Cancelled, Vec::new());
             }
             (Err((outcome, report)), true) => {
-                p.cause = if outcome == Outcome::Timeout {
+                p.failure_cause = if outcome == Outcome::Timeout {
                     Cause::Late
                 } else {
                     Cause::Broke
@@ -227,53 +247,55 @@
             (Err((outcome, report)), false) => {
                 decisions.connection_ended(p.id, outcome, report);
                 let answer = Answer::Failed(Cause::Broke);
-                return self.finish(Some(answer), p.order.words(answer), "not-adopted");
+                return self.answer_and_close(Some(answer), p.order.words(answer), "not-adopted");
             }
         }
-        self.placing = Some(p);
+        self.pending = Some(p);
     }
 
     /// Gives a client the final answer that is no connection; nothing where it is gone.
-    fn finish(&mut self, answer: Option<Answer>, words: Vec<u8>, reason: &'static str) {
+    fn answer_and_close(&mut self, answer: Option<Answer>, words: Vec<u8>, reason: &'static str) {
         if let Some(record) = self.record.take() {
-            answer.iter().for_each(|answer| count(&record, *answer));
+            answer
+                .iter()
+                .for_each(|answer| count_answer(&record, *answer));
             record.log_end(reason);
         }
-        self.last = words;
+        self.last_words = words;
         self.close();
     }
 
     /// Goes on with a connection that has come up.
-    fn stand(&mut self, p: Placing, up: Up) {
-        let Up {
+    fn establish(&mut self, p: PendingRequest, established: EstablishedBackend) {
+        let EstablishedBackend {
             link,
             inbox,
             passage,
-        } = up;
+        } = established;
         if passage.answered() {
             self.record
                 .iter()
                 .filter_map(|record| record.tally.as_ref())
                 .for_each(|tally| tally.passed());
         } else {
-            self.answer_by = Some(p.answer_by);
+            self.answer_deadline = Some(p.answer_deadline);
         }
         if !passage.portable() {
             self.shared.metrics.xmpp.sessions.fetch_add(1, Relaxed);
-            self.up.make_roomy();
+            self.to_backend.make_roomy();
         }
-        self.down = inbox;
+        self.to_client = inbox;
         if !passage.portable() {
-            self.down.make_roomy();
+            self.to_client.make_roomy();
         }
-        self.backend = Some(Backend {
+        self.backend = Some(BackendSide {
             link,
             id: p.id,
-            server: p.server,
+            endpoint_id: p.endpoint_id,
             passage,
         });
-        (self.phase, self.heard) = (Phase::Up, self.now());
-        self.flush_down();
-        self.flush_up();
+        (self.phase, self.last_heard) = (Phase::Established, self.now());
+        self.flush_to_client();
+        self.flush_to_backend();
     }
 }
