--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -1,5 +1,8 @@
-//! Who may come in. Descriptors, memory and ids are given out here, so that connections which ask for
-//! nothing never take the room of those that do.
+//! Admission of connections and requests within the limits of the process.
+//!
+//! Descriptors, memory and connection ids are assigned here. Connections without a request and
+//! connections with one have separate limits, so that clients which request nothing cannot exhaust
+//! the descriptors of those that do.
 
 use crate::config::Limits;
 use crate::ops::admin::CALLERS;
@@ -10,24 +13,26 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Descriptors for all that is no client's: standard streams, listener, signals, discovery, the
-/// configuration while it is read, and the probes that may be out.
+/// Descriptors that no client may use: standard streams, listener, signals, discovery, the
+/// configuration while it is read, and the health checks that may be in progress.
 const RESERVED_DESCRIPTORS: usize = 15 + PROBES;
-/// Memory that a connection may need that is served: two stacks as far as they are used, two buffers.
+/// Memory for a connection with a request: the used part of two stacks, and two buffers.
 const BYTES_PER_REQUEST: usize = 48 * 1024;
-/// The same for one that has not asked yet: one of each.
+/// Memory for a connection without a request: the used part of one stack, and one buffer.
 const BYTES_PER_WAITING: usize = 24 * 1024;
-/// The fewest connections that may wait to be heard.
+/// The lowest limit of connections without a request.
 const MIN_WAITING: usize = 16;
-/// One that has just come is not sent away unheard: its first line may be under way.
+/// A connection is not dismissed for this time after it was accepted: its first line may be on the
+/// way.
 pub const DISMISS_GRACE: Duration = Duration::from_millis(100);
 
-/// A connection whose first line has not come yet.
+/// The state of a connection without a request.
 struct WaitingState {
-    /// Whether it has ever asked something.
+    /// Whether the client has sent anything that the relay answered, such as `PING`.
     active: bool,
-    /// When it last did, or came.
+    /// Time of the last such message, or of the accept.
     since: Instant,
+    /// Whether the connection was told to end, to make room for others.
     dismissed: bool,
 }
 
@@ -37,7 +42,7 @@
     request_ids: BTreeSet<String>,
 }
 
-/// The room there is, and who has it.
+/// The limits of the process, and the connections and requests that count against them.
 pub struct Admission {
     max_waiting: usize,
     max_requests: usize,
@@ -45,21 +50,23 @@
     inner: Mutex<Inner>,
 }
 
-/// Why a request is not let in.
+/// The reason why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionError {
-    /// Another open connection has its id.
+    /// Another open connection has the same id.
     IdInUse,
-    /// No descriptors or no memory are left for it.
+    /// No descriptors or no memory are left for the request.
     NoCapacity,
 }
 
 impl Admission {
-    /// The room within these limits. Clients with requests hold at most a third of the descriptors, and
-    /// each needs a second one for its backend; what is left is for those that have not asked yet.
+    /// Derives the limits of connections and requests from those of the process. Clients with
+    /// requests use at most a third of the descriptors, and each needs a second one for its
+    /// backend; the rest is for connections without a request.
     ///
-    /// Where the platform holds the listening socket, two processes share all of it during an upgrade. Of
-    /// the clients with requests there are no more than before; the rest is halved for good.
+    /// Where the listening socket is `inherited` from the platform, two processes share all limits
+    /// during an upgrade. The number of clients with requests does not grow by that; the limit of
+    /// connections without a request is always halved.
     pub fn new(limits: &Limits, admin: bool, inherited: bool) -> Arc<Admission> {
         let (sockets, memory) = (
             limits.sockets as usize,
@@ -87,8 +94,9 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether one more connection can be taken in. If not, these are to be sent away: those that have asked for
-    /// nothing, the ones that have done so for longest first; it takes them a moment to go.
+    /// Checks whether one more connection can be accepted. The error lists connections to dismiss:
+    /// first those that never sent anything, and of these the longest waiting first. It is empty
+    /// while earlier dismissals are still in progress.
     pub fn check_capacity(&self) -> Result<(), Vec<u64>> {
         let mut inner = self.lock();
         if inner.waiting.len() < self.max_waiting {
@@ -101,7 +109,8 @@
         }
         waiting.retain(|(_, w)| now.duration_since(w.since) >= DISMISS_GRACE);
         waiting.sort_by_key(|(_, w)| (w.active, w.since));
-        // Several at a time: a crowd must not hold up the clients that come with it.
+        // Several at a time, so that a burst of silent connections does not delay the clients that
+        // arrive with it.
         let max_dismissed = self.max_waiting.div_ceil(8);
         let dismiss = |(number, w): (&u64, &mut WaitingState)| {
             w.dismissed = true;
@@ -114,7 +123,7 @@
             .collect())
     }
 
-    /// Takes in a connection.
+    /// Registers an accepted connection.
     pub fn register(self: &Arc<Self>, stream: TcpStream) -> WaitingConnection {
         let (number, stream) = (self.next.fetch_add(1, Ordering::Relaxed), Arc::new(stream));
         let waiting = WaitingState {
@@ -130,27 +139,27 @@
         }
     }
 
-    /// How many connections have not asked yet.
+    /// The number of connections without a request.
     pub fn waiting_count(&self) -> usize {
         self.lock().waiting.len()
     }
 
-    /// How many requests and connections are under way.
+    /// The number of pending requests and established connections.
     pub fn request_count(&self) -> usize {
         self.lock().request_ids.len()
     }
 
-    /// The most requests and the most connections without one.
+    /// The limit of requests, and that of connections without a request.
     pub fn limits(&self) -> (usize, usize) {
         (self.max_requests, self.max_waiting)
     }
 }
 
-/// A connection that has not asked for anything yet; leaves when it is dropped.
+/// An accepted connection without a request. It is deregistered when this value is dropped.
 pub struct WaitingConnection {
     admission: Arc<Admission>,
     number: u64,
-    /// Its socket.
+    /// The client's socket.
     pub stream: Arc<TcpStream>,
 }
 
@@ -160,17 +169,17 @@
         self.number
     }
 
-    /// It has asked something.
+    /// Records that the client has sent something that the relay answers.
     pub fn record_activity(&self) {
         if let Some(w) = self.admission.lock().waiting.get_mut(&self.number) {
             (w.active, w.since) = (true, Instant::now());
         }
     }
 
-    /// Lets in its request, with the id that the client gave it.
+    /// Admits the connection's request under the id that the client has chosen.
     pub fn admit_request(&self, id: &str) -> Result<RequestSlot, AdmissionError> {
         let mut inner = self.admission.lock();
-        // Two of one id could not be told apart by a backend: the second is no request of its own.
+        // A backend could not tell two connections with the same id apart.
         if inner.request_ids.contains(id) {
             return Err(AdmissionError::IdInUse);
         }
@@ -193,12 +202,12 @@
     }
 }
 
-/// The room that a request has until this is dropped.
+/// The capacity and the id that a request holds until this value is dropped.
 pub struct RequestSlot {
     admission: Arc<Admission>,
     /// The connection's number.
     pub number: u64,
-    /// Its id.
+    /// The connection's id.
     pub id: String,
 }
 
@@ -226,7 +235,7 @@
     }
 
     #[test]
-    fn the_room_follows_the_limits() {
+    fn the_limits_of_requests_and_connections_follow_those_of_the_process() {
         for (sockets, memory_mb) in [(128, 16), (256, 32), (384, 48), (756, 48), (1024, 192)] {
             let (requests, waiting) = admission(sockets, memory_mb).limits();
             let case = format!("{sockets} sockets, {memory_mb} MB: {requests}, {waiting}");
@@ -243,9 +252,10 @@
         }
     }
 
-    /// During an upgrade two processes share the limits; callers at the second address need their part.
+    /// During an upgrade two processes share the limits, and callers of the admin address need
+    /// descriptors in both.
     #[test]
-    fn two_processes_and_their_callers_stay_within_the_limits() {
+    fn two_processes_and_their_admin_callers_stay_within_the_limits() {
         for (sockets, memory_mb) in [(256, 32), (384, 48), (1024, 192)] {
             let limits = Limits {
                 cores: 1.0,
@@ -266,33 +276,35 @@
         }
     }
 
-    /// Connections that said nothing once filled the relay, and clients with requests were refused.
+    /// Guards against silent connections that fill the relay, so that clients with requests are
+    /// refused.
     #[test]
-    fn the_silent_make_room_and_those_that_asked_stay_longer() {
+    fn silent_connections_are_dismissed_before_those_that_sent_something() {
         let admission = admission(128, 16);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (mut far, mut waiting) = (Vec::new(), Vec::new());
+        let (mut clients, mut waiting) = (Vec::new(), Vec::new());
         for _ in 0..admission.limits().1 {
             assert!(admission.check_capacity().is_ok());
-            far.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
+            clients.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
             waiting.push(admission.register(listener.accept().unwrap().0));
         }
         waiting[0].record_activity();
         std::thread::sleep(DISMISS_GRACE);
-        // The second has to go, the first and the last stay.
-        let gone = admission.check_capacity().unwrap_err();
+        // The second one is dismissed; the first was active and the last waits for the shortest
+        // time.
+        let dismissed = admission.check_capacity().unwrap_err();
         assert!(
-            gone.contains(&waiting[1].number()) && gone.len() < far.len() / 2,
-            "{gone:?}"
+            dismissed.contains(&waiting[1].number()) && dismissed.len() < clients.len() / 2,
+            "{dismissed:?}"
         );
-        for n in [0, far.len() - 1] {
-            assert!(!gone.contains(&waiting[n].number()));
+        for n in [0, clients.len() - 1] {
+            assert!(!dismissed.contains(&waiting[n].number()));
         }
-        // No more are sent away before those have gone.
+        // No more are dismissed before those have gone.
         assert_eq!(admission.check_capacity(), Err(Vec::new()));
         waiting.remove(1);
         assert!(admission.check_capacity().is_ok());
-        // A request takes no room from the others that wait.
+        // A request does not count against the limit of connections without one.
         let slot = waiting[0].admit_request("01").unwrap();
         assert_eq!(
             waiting[1].admit_request("01").err(),
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -1,8 +1,10 @@
-//! The side of the backends: one attempt at a time, up to the answer, as a machine that is called when its socket is
-//! ready or its time is up and never waits.
+//! One attempt to open a connection at a backend: dial, TLS, and the exchange up to the backend's
+//! answer. It is a state machine that the event loop advances when its socket is ready or its timer
+//! expires; it never blocks.
 //!
-//! Guards against: an attempt that is still out when the next begins (its socket is closed before it says how it
-//! ended), a first byte to a backend that has left meanwhile, and one silent machine holding up everybody else.
+//! Guards against: two attempts of one request at the same time (the socket is closed before the
+//! outcome is reported), a first byte to a backend that has left the endpoint list meanwhile, and a
+//! silent backend that delays all others.
 
 use crate::config::listing::Endpoint;
 use crate::decisions::api::{EndpointId, Micros, Outcome, RequestId};
@@ -19,80 +21,85 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// The longest wait for the `UP` of a connection that was open before the run.
+/// The longest wait for the `UP` of a connection that was established before this process started.
 pub const ADOPT_TIMEOUT: Micros = 35_000_000;
 /// The longest wait for the dial of such a connection.
 const ADOPT_DIAL_TIMEOUT: Micros = 2_000_000;
 
-/// An attempt that did not come up: its outcome, and a load report where one came.
+/// The outcome of a failed attempt, and the load report that the backend sent with it; empty if
+/// none.
 pub type AttemptFailure = (Outcome, Vec<f32>);
 
 fn failed<T>(outcome: Outcome) -> Option<Result<T, AttemptFailure>> {
     Some(Err((outcome, Vec::new())))
 }
 
-/// A connection that is up: the backend's side, what came on it so far, and the machine that goes on.
+/// The backend's side of a connection that was just established.
 pub struct EstablishedBackend {
-    /// The backend's side.
+    /// The socket of the backend.
     pub link: Link,
-    /// What has come for the client.
+    /// Received bytes that are for the client.
     pub inbox: Buffer,
-    /// What may go on.
+    /// The protocol's state machine of the established connection.
     pub passage: Box<dyn Passage>,
 }
 
-/// Whose attempt it is.
+/// The request that an attempt belongs to, and the state that it needs.
 #[derive(Clone, Copy)]
 pub struct AttemptContext<'a> {
-    /// What all connections share.
+    /// State that all connections share.
     pub shared: &'a SharedState,
-    /// The client's.
+    /// The client's session.
     pub session: &'a Session,
-    /// What the client asked for.
+    /// The client's request.
     pub order: &'a dyn Order,
-    /// The request.
+    /// The id of the request for the decisions.
     pub id: RequestId,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum AttemptState {
-    /// The backend's address is not known yet.
+    /// The endpoint list does not name the backend yet.
     AwaitingAddress,
-    /// The dial is under way, up to that time.
+    /// The dial is in progress, until its own deadline.
     Dialling(Micros),
-    /// TLS is negotiated.
+    /// The TLS handshake is in progress.
     TlsHandshake,
-    /// The exchange goes on.
+    /// The protocol's exchange is in progress.
     Exchanging,
-    /// It is over.
+    /// The attempt has ended.
     Over,
 }
 
-/// One attempt of a session's request.
+/// One attempt of a request.
 pub struct Attempt {
     endpoint_id: EndpointId,
-    /// When to stop waiting.
+    /// The time at which the attempt is given up.
     deadline: Micros,
-    /// Its number among those of the request.
+    /// The number of the attempt within its request.
     pub number: u16,
-    /// When it began.
+    /// The time at which the attempt was created.
     pub started_at: Micros,
+    /// The backend's name and address; none until it is dialled.
     backend: Option<Endpoint>,
     state: AttemptState,
     link: Option<Link>,
     exchange: Option<Box<dyn Exchange>>,
     inbox: Buffer,
-    /// What is still to be sent, whether the link takes no more for now, and whether it is the request.
+    /// Bytes that are still to be sent.
     unsent: Vec<u8>,
+    /// Whether the socket accepts no more bytes for now.
     blocked: bool,
+    /// Whether the unsent bytes are the request.
     sending_request: bool,
-    /// Whether the request's last byte is out, and whether anything is.
+    /// Whether the last byte of the request was sent: from then on it may have run.
     request_sent: bool,
+    /// Whether anything was sent.
     anything_sent: bool,
 }
 
 impl Attempt {
-    /// One that has not begun.
+    /// An attempt that was not dialled yet.
     pub fn new(
         order: &dyn Order,
         endpoint_id: EndpointId,
@@ -118,7 +125,7 @@
         }
     }
 
-    /// Its socket, and what is waited for there.
+    /// The backend's socket, and the events to wait for on it.
     pub fn interest(&self) -> Option<(&Arc<TcpStream>, Interest)> {
         let socket = &self.link.as_ref()?.socket;
         let unsent_tls = self.link.as_ref().is_some_and(Link::has_unsent_tls);
@@ -137,22 +144,26 @@
         Some((socket, interest))
     }
 
-    /// Whether it is about to begin, or to send its first byte.
-    pub fn sends_next(&self, ready: bool) -> bool {
-        matches!(self.state, AttemptState::AwaitingAddress | AttemptState::Dialling(_) if ready || self.awaits_address())
+    /// Whether the next call of [`Attempt::advance`] may dial or send the first byte.
+    pub fn may_dial_or_send(&self, ready: bool) -> bool {
+        match self.state {
+            AttemptState::AwaitingAddress => true,
+            AttemptState::Dialling(_) => ready,
+            _ => false,
+        }
     }
 
-    /// It must be over by then.
+    /// Lowers the deadline to this time.
     pub fn shorten_deadline(&mut self, by: Micros) {
         self.deadline = self.deadline.min(by);
     }
 
-    /// Whether it waits for a list that names its backend.
+    /// Whether it waits for an endpoint list that names its backend.
     pub fn awaits_address(&self) -> bool {
         self.state == AttemptState::AwaitingAddress
     }
 
-    /// When it must be called though nothing has happened.
+    /// The time at which it must be advanced even if its socket is not ready.
     pub fn next_timer(&self) -> Micros {
         match self.state {
             AttemptState::Dialling(by) => by.min(self.deadline),
@@ -160,8 +171,9 @@
         }
     }
 
-    /// Goes on as far as is possible now; `ready` says that its socket is. None while it is out. When it has
-    /// failed, its socket is closed before this returns.
+    /// Continues as far as is possible without blocking; `ready` says whether the socket is ready.
+    /// Returns none while the attempt is in progress. The socket of a failed attempt is closed
+    /// before this returns.
     pub fn advance(
         &mut self,
         context: AttemptContext<'_>,
@@ -192,7 +204,7 @@
         ready: bool,
     ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
         if context.session.is_cancelled(self.number) {
-            // Before the dial nothing has begun: the retry budget has its share back.
+            // Nothing was begun before the dial, so the attempt is given back to the retry budget.
             return failed(if self.awaits_address() {
                 Outcome::NotAttempted
             } else {
@@ -206,8 +218,8 @@
             AttemptState::Dialling(by) => {
                 let socket = &self.link.as_ref()?.socket;
                 match (ready, socket.take_error()) {
-                    // A connection that comes up after its time is closed unused, also where this process was held
-                    // up and hears of both at once.
+                    // A dial that succeeds after its deadline is closed unused. This also covers a
+                    // process that was suspended and learns of success and deadline at once.
                     _ if now >= by => return failed(Outcome::ConnectFailed),
                     (true, Ok(None)) => {}
                     (true, _) => return failed(Outcome::ConnectFailed),
@@ -220,7 +232,7 @@
         }
     }
 
-    /// Begins the dial, once the backend's address is known.
+    /// Dials the backend once its address is known.
     fn dial(
         &mut self,
         context: AttemptContext<'_>,
@@ -228,7 +240,8 @@
     ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
         let adopted = context.order.at().is_some();
         let Some(endpoint) = context.shared.directory.endpoint(self.endpoint_id) else {
-            // The list that a relay starts with may be stale; one that was chosen now has left.
+            // The endpoint list that a relay starts with may be stale, so an adopted connection
+            // waits for the next one. A backend that was just chosen and is not listed has left.
             return if adopted && now < self.deadline {
                 None
             } else {
@@ -270,7 +283,8 @@
         None
     }
 
-    /// How it ends where the link breaks: before the request's last byte nothing can have run.
+    /// The outcome where the connection breaks. Before the request's last byte was sent it cannot
+    /// have run.
     fn link_broken(
         &self,
         context: AttemptContext<'_>,
@@ -331,15 +345,15 @@
                 .exchange
                 .as_mut()?
                 .step(&mut self.inbox, self.deadline - now);
-            // During the dial, or a negotiation, the backend may have left, or the request may have been
-            // answered: once more, right before each first byte of something new.
-            let sends_first_byte = matches!(step, Step::Ask(_) | Step::Say(_) | Step::Secure(_));
+            // While the dial or a negotiation was in progress, the backend may have left or the
+            // request may have been answered. Checked again right before each new message.
+            let sends_message = matches!(step, Step::Ask(_) | Step::Say(_) | Step::Secure(_));
             let may_send = || {
                 shared.directory.takes_new(self.endpoint_id)
                     && shared.decisions.awaits_answer(context.id)
                     && shared.decisions.may_admit()
             };
-            if sends_first_byte && !adopted && !may_send() {
+            if sends_message && !adopted && !may_send() {
                 return failed(Outcome::NotAttempted);
             }
             match step {
@@ -401,8 +415,8 @@
     }
 }
 
-/// Makes the closing of a socket a reset.
-pub fn reset(stream: &TcpStream) {
+/// Makes the later close of this socket a reset.
+pub fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO));
 }
 
@@ -431,7 +445,8 @@
         _client: TcpStream,
     }
 
-    /// A session before a backend in that state at that address, with this longest dial.
+    /// A session with one backend in this state at this address. `at` is the last part of the
+    /// request's line.
     fn setup(addr: SocketAddr, state: EndpointState, at: &str, dial_ms: f64) -> Setup {
         let settings = include_str!("../../tests/data/settings.json").replace(
             "\"dial_timeout\": 250.0",
@@ -506,7 +521,7 @@
             Attempt::new(&*self.order, ENDPOINT, now + left, 0, now)
         }
 
-        /// Drives an attempt as the thread that serves does, to its end.
+        /// Drives an attempt to its end as the event loop does.
         fn drive(
             &self,
             id: RequestId,
@@ -539,10 +554,10 @@
         (listener, addr)
     }
 
-    /// A backend may leave, and a request may be answered, while the dial is under way: then not one
-    /// byte may go out on the new connection.
+    /// A backend may leave, or a request may be answered, while the dial is in progress. Then no
+    /// byte may be sent on the new connection.
     #[test]
-    fn nothing_is_sent_after_the_dial_to_a_backend_that_leaves_or_for_a_request_that_is_answered() {
+    fn nothing_is_sent_after_the_dial_to_a_backend_that_left_or_for_an_answered_request() {
         for (state, answered) in [
             (EndpointState::Draining, false),
             (EndpointState::Ready, true),
@@ -561,14 +576,15 @@
                 matches!(result, Err((Outcome::NotAttempted, _))),
                 "{state:?} {answered}"
             );
-            // Its socket is closed by now: the next attempt may begin.
+            // The socket is closed by now, so the next attempt may begin.
             let mut sent = Vec::new();
             listener.accept().unwrap().0.read_to_end(&mut sent).unwrap();
             assert_eq!(sent, b"", "{state:?} {answered}");
         }
     }
 
-    /// The wait for a connection from before the start once began anew after each silence, for good.
+    /// Guards against a wait for an adopted connection that starts again after each silence and
+    /// never ends.
     #[test]
     fn the_wait_for_an_adopted_connection_ends() {
         let (_listener, addr) = listener();
@@ -584,7 +600,7 @@
         ));
     }
 
-    /// A list that does not name its backend yet is waited for, and costs no dial.
+    /// An adopted connection whose backend is not listed yet waits without a dial.
     #[test]
     fn an_adopted_connection_waits_for_the_list_that_names_its_backend() {
         let (_listener, addr) = listener();
@@ -618,15 +634,16 @@
         assert!(attempt.interest().is_some());
     }
 
-    /// A dial has one end, whichever way it ends, and its socket is closed then with nothing sent.
+    /// Each dial reports one outcome; after a failure its socket is closed and nothing was sent.
     #[test]
-    fn a_dial_that_is_refused_or_hangs_or_answers_too_late_has_one_end() {
-        // Refused: the port is held, and nobody listens.
-        let held =
+    fn a_dial_that_is_refused_or_hangs_or_succeeds_too_late_fails_once() {
+        // Refused: the port is bound, but nothing listens on it.
+        let bound =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        held.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        bound
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
-        let refusing = held.local_addr().unwrap().as_socket().unwrap();
+        let refusing = bound.local_addr().unwrap().as_socket().unwrap();
         let s = setup(refusing, EndpointState::Ready, "", 10_000.0);
         let pick = s
             .shared
@@ -637,7 +654,7 @@
             Err((Outcome::ConnectFailed, _))
         ));
 
-        // Black-holed: a queue that is full answers nothing to a dial.
+        // Hanging: a listener whose accept queue is full does not answer a dial.
         let (full, addr) = listener();
         socket2::SockRef::from(&full).listen(0).unwrap();
         let _waiting: Vec<TcpStream> = (0..3).map(|_| dial(addr).unwrap()).collect();
@@ -651,8 +668,9 @@
             Err((Outcome::ConnectFailed, _))
         ));
 
-        // It answers, and its time is up before that is told; or both are told at once, the answer first: a process
-        // that was held up once went on with a dial whose time was over.
+        // Too late: the deadline passes before the success is reported, or both are reported at
+        // once with the success first, as to a process that was suspended. It must not use the
+        // connection.
         for ready_now in [false, true] {
             let (listener, addr) = listener();
             let s = setup(addr, EndpointState::Ready, "", 1.0);
@@ -675,7 +693,7 @@
             assert!(sent.is_empty() && attempt.interest().is_none());
             assert!(
                 attempt.advance(s.context(pick.id), true).is_none(),
-                "it is over once"
+                "the attempt reported two outcomes"
             );
         }
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,8 +1,9 @@
-//! One client's connection, from its first byte to its last: a machine that is called when one of its sockets is
-//! ready, when its time is up and when the decisions have news of it, and never waits.
+//! One client's connection, from the accept to the close. It is a state machine that the event loop
+//! calls when one of its sockets is ready, when its timer expires, or when the decisions have an
+//! update for it; it never blocks.
 //!
-//! It passes through the phases below in their order. What it does in each is in a file of its own: `greet` hears the
-//! request, `client` has it placed, `forward` passes on what comes once it is up, `part` ends it.
+//! It passes through the phases of [`Phase`] in their order. `handshake` reads the request,
+//! `placement` has it placed, and `forward` passes bytes on and ends the connection.
 
 use crate::decision_service::PendingDecision;
 use crate::decisions::api::{EndpointId, Micros, Outcome, Request, RequestId};
@@ -17,22 +18,24 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// How long a client that has had its last word may go on before it is cut off, in microseconds. To close a socket
-/// with input unread would reset the connection, and the reset can destroy an answer that is not read yet.
+/// How long a client that was sent its last bytes may keep the connection open, in microseconds.
+/// Closing a socket with unread input resets the connection, and the reset can destroy an answer
+/// that the client has not read yet.
 pub(super) const LINGER: Micros = 1_000_000;
-/// The same for one that rested and is sent away: others wait for its room. More than the way there and back takes.
+/// The same for a dismissed connection, whose room others wait for. Longer than a round trip.
 pub(super) const DISMISSED_LINGER: Micros = 50_000;
 
-/// The backend's side of a connection that is up.
+/// The backend's side of an established connection.
 pub(super) struct BackendSide {
     pub link: Link,
-    /// The connection as the decisions know it.
+    /// The connection's id for the decisions.
     pub id: RequestId,
     pub endpoint_id: EndpointId,
     pub passage: Box<dyn Passage>,
 }
 
-/// How a connection that was up has ended.
+/// The end of an established connection: its outcome, the backend's last load report, and the
+/// reason code for the log.
 pub(super) struct ConnectionEnd {
     pub outcome: Outcome,
     pub report: Vec<f32>,
@@ -50,42 +53,49 @@
     }
 }
 
+/// The phases of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// The client has not asked for anything yet.
+    /// The client has not sent a request yet.
     Handshake,
-    /// The request waits for its answer; what the client sends waits too.
+    /// The request waits for its answer; what the client sends meanwhile is buffered.
     Pending,
-    /// The connection is up.
+    /// The backend has accepted the connection.
     Established,
-    /// The client gets its last words since then; true once it has them.
+    /// The client is sent its last bytes. The time is when this began or, once all bytes were sent
+    /// (true), when that was.
     Closing(Micros, bool),
     Closed,
 }
 
-/// A client that is heard.
+/// The state of a connection in [`Phase::Handshake`].
 pub(super) struct Handshake {
     pub waiting: WaitingConnection,
     pub greeter: Box<dyn Greeter>,
-    /// Whether TLS is negotiated, and whether the greeter is to hear of its end.
+    /// Whether a TLS handshake is in progress.
     pub in_tls_handshake: bool,
+    /// Whether the greeter is told when the TLS handshake is complete.
     pub reports_tls: bool,
-    /// What is still to be sent, and since when the client takes none of it.
+    /// Bytes that are still to be sent to the client.
     pub unsent: Vec<u8>,
+    /// Since when the client accepts none of the unsent bytes.
     pub blocked_since: Option<Micros>,
 }
 
-/// A request that is placed.
+/// The state of a connection in [`Phase::Pending`].
 pub(super) struct PendingRequest {
     pub order: Box<dyn Order>,
     pub id: RequestId,
-    /// The decisions' verdicts; none where the connection was open before the start.
+    /// The stream of decisions; none where the connection was established before this process
+    /// started.
     pub decision: Option<PendingDecision>,
+    /// The attempt in progress.
     pub attempt: Option<Attempt>,
+    /// The endpoint of the latest attempt.
     pub endpoint_id: EndpointId,
-    /// What it has failed of.
+    /// Why the latest attempt failed.
     pub failure_cause: Cause,
-    /// When the client is owed its answer.
+    /// The time by which the client must have its final answer.
     pub answer_deadline: Micros,
 }
 
@@ -97,61 +107,74 @@
     pub phase: Phase,
     pub handshake: Option<Box<Handshake>>,
     pub pending: Option<Box<PendingRequest>>,
-    /// None before the request is let in.
+    /// None before the request is admitted.
     pub session: Option<Arc<Session>>,
-    /// The room of a client that was turned away, until it has gone.
+    /// The slot of a client without a request that is being closed.
     pub waiting: Option<WaitingConnection>,
+    /// The record for the log; none once its line was written.
     pub record: Option<ConnectionRecord>,
     pub backend: Option<BackendSide>,
-    /// From the client to the backend, and the other way.
+    /// Bytes from the client to the backend.
     pub to_backend: Buffer,
+    /// Bytes from the backend to the client.
     pub to_client: Buffer,
-    /// How many bytes at the front of either may go on.
+    /// The number of bytes at the front of `to_backend` that may be forwarded.
     pub to_backend_ready: usize,
+    /// The number of bytes at the front of `to_client` that may be forwarded.
     pub to_client_ready: usize,
-    /// Whether the backend owes an answer to what is to go on.
+    /// Whether the backend must answer the bytes in `to_backend` that may be forwarded.
     pub expects_answer: bool,
-    /// By when the client is owed its final answer; none once it has it.
+    /// The time by which the client must have its final answer; none once it has it.
     pub answer_deadline: Option<Micros>,
-    /// Up to when the backend may finish what it sends, or its client be answered, before it is moved.
+    /// The time at which the connection is migrated even if the backend has not finished, or the
+    /// client has not been answered.
     pub finish_deadline: Option<Micros>,
     /// Whether the backend was told to finish.
     pub finishing: bool,
-    /// How long a client that has had its last word may go on.
+    /// How long a client that was sent its last bytes may keep the connection open.
     pub linger: Micros,
-    /// Memory of its buffers that is counted with that of all.
+    /// The memory of the buffers that is counted in the budget of all connections.
     pub counted_memory: usize,
-    /// How it ends once what may go on has gone on, and the last words.
+    /// The end of the connection after all bytes that may be forwarded were sent: the last bytes
+    /// for the client, and how it ends.
     pub end_after_flush: Option<(Vec<u8>, ConnectionEnd)>,
-    /// Last words for the client.
-    pub last_words: Vec<u8>,
+    /// The last bytes for the client.
+    pub last_bytes: Vec<u8>,
+    /// The end that the backend has announced, for when it closes its side.
     pub announced_end: Option<ConnectionEnd>,
-    /// When the oldest unanswered line of the client was passed on.
+    /// When the oldest unanswered line of the client was forwarded.
     pub unanswered_since: Option<Micros>,
-    /// When the backend last brought something back.
+    /// When the backend last sent something.
     pub last_heard: Micros,
+    /// When the client closed its side.
     pub client_ended_at: Option<Micros>,
+    /// Whether the backend's socket accepts no more bytes for now.
     pub to_backend_blocked: bool,
+    /// Since when the client's socket accepts no bytes.
     pub to_client_blocked_since: Option<Micros>,
+    /// Whether the client's input is read again only at the next periodic check; see
+    /// [`Connection::discard_input`].
     pub discard_paused: bool,
-    /// What is waited for on either socket, and under which token; none once it is not watched.
+    /// The token and the events that each socket is watched for; none where it is not watched.
     watched: [Option<(u64, Interest)>; 2],
-    /// When it is to be called next though nothing happens.
+    /// The time at which the connection must be called even if nothing happens.
     pub timer: Option<Micros>,
 }
 
-/// Bits of a token below the connection's number: the side, and the number of the attempt, so that what is told of a
-/// socket that was closed meanwhile is not taken for the next one's.
+/// Bits of a token below the connection's number: the side, then the number of the attempt. An
+/// event of a socket that was closed meanwhile is thereby not taken for one of the next attempt's
+/// socket.
 const SIDE_BITS: u32 = 2;
 const ATTEMPT_BITS: u32 = 6;
-/// How far the connection's number stands from the right.
+/// The position of the connection's number in a token.
 pub(super) const NUMBER_SHIFT: u32 = SIDE_BITS + ATTEMPT_BITS;
-/// Sides: the connection's own two, and what is no connection's.
+/// The client's side in a token. Values above [`BACKEND`] are used by the event loop.
 pub(super) const CLIENT: u64 = 0;
+/// The backend's side in a token.
 pub(super) const BACKEND: u64 = 1;
 
 impl Connection {
-    /// One of a client that has just come, with nothing known of it.
+    /// A connection of a client that was just accepted.
     pub fn new(shared: &Arc<SharedState>, number: u64, socket: Arc<TcpStream>) -> Connection {
         Connection {
             shared: shared.clone(),
@@ -175,7 +198,7 @@
             linger: LINGER,
             counted_memory: 0,
             end_after_flush: None,
-            last_words: Vec::new(),
+            last_bytes: Vec::new(),
             announced_end: None,
             unanswered_since: None,
             last_heard: 0,
@@ -188,26 +211,26 @@
         }
     }
 
-    /// The time of all that it does.
+    /// The current time of the decisions' clock.
     pub fn now(&self) -> Micros {
         self.shared.decisions.now()
     }
 
-    /// Its name for the log.
+    /// The id that the client gave the connection, for the log; empty before it has one.
     pub fn connection_id(&self) -> &str {
         self.session
             .as_ref()
             .map_or("", |session| session.connection_id())
     }
 
-    /// Whether its client is to be moved.
+    /// Whether the client is to be migrated.
     pub fn is_migrating(&self) -> bool {
         self.session
             .as_ref()
             .is_some_and(|session| session.is_migrating())
     }
 
-    /// The request as the decisions see one that came up in another process, or before the start.
+    /// The request of a connection that was established in another process.
     pub fn request_of_established(class: usize, (key, group): (u64, u64)) -> Request {
         Request {
             class,
@@ -217,7 +240,7 @@
         }
     }
 
-    /// A socket of its own is ready.
+    /// Handles an event of one of its sockets.
     pub fn handle_ready(
         &mut self,
         Ready {
@@ -229,7 +252,7 @@
     ) {
         let side = token & (BACKEND | CLIENT);
         if self.watched[side as usize].is_none_or(|(now, _)| now != token) {
-            // It was closed while this was on its way.
+            // The socket that this event is for was closed meanwhile.
             return;
         }
         match (self.phase, side) {
@@ -241,7 +264,7 @@
         }
     }
 
-    /// The decisions have news of it.
+    /// Handles an update from the decisions.
     pub fn handle_update(&mut self) {
         self.session
             .iter()
@@ -251,7 +274,7 @@
         }
     }
 
-    /// Its time is up.
+    /// Handles its timer.
     pub fn handle_timer(&mut self) {
         match self.phase {
             Phase::Handshake => self.continue_handshake(),
@@ -260,8 +283,9 @@
         }
     }
 
-    /// Whether nothing has been asked for, nor begun, and it has not come just now.
-    pub fn is_waiting(&self) -> bool {
+    /// Whether it may be dismissed: nothing of a request was received, nothing is being sent, and
+    /// its grace period is over.
+    pub fn may_be_dismissed(&self) -> bool {
         let handshake = self
             .handshake
             .as_ref()
@@ -276,7 +300,7 @@
             })
     }
 
-    /// The process ends, and it with that.
+    /// Logs that the connection ends with the process.
     pub fn log_cut_off(&mut self) {
         self.record
             .take()
@@ -284,7 +308,7 @@
             .for_each(|record| record.log_end("cut-off"));
     }
 
-    /// Whether it waits for a list that names its backend.
+    /// Whether it waits for an endpoint list that names its backend.
     pub fn awaits_address(&self) -> bool {
         self.pending
             .as_ref()
@@ -292,7 +316,8 @@
             .is_some_and(Attempt::awaits_address)
     }
 
-    /// Waits for what it now needs. False once it is done.
+    /// Updates the events that its sockets are watched for, and its timer. Returns false once the
+    /// connection is closed.
     pub fn update_interest(&mut self, poller: &Poller) -> bool {
         self.update_memory_budget();
         let (client, backend) = self.wanted_interest();
@@ -301,8 +326,8 @@
         let token = |side: u64| {
             (self.number << NUMBER_SHIFT) | ((number % (1 << ATTEMPT_BITS)) << SIDE_BITS) | side
         };
-        // One that is up keeps the token of its attempt.
-        let same = self.watched[1]
+        // An established connection keeps the token of its attempt.
+        let attempt_token = self.watched[1]
             .filter(|_| attempt.is_none())
             .map(|(token, _)| token);
         let sockets = [
@@ -316,9 +341,9 @@
                 (None, Some(b)) => (
                     b.link.socket.clone(),
                     backend,
-                    same.unwrap_or(token(BACKEND)),
+                    attempt_token.unwrap_or(token(BACKEND)),
                 ),
-                // A socket that was let go of is closed, and so is no longer watched.
+                // The socket was closed, which ended the watch.
                 (None, None) => (self.client.socket.clone(), None, 0),
             },
         ];
@@ -340,7 +365,8 @@
         self.phase != Phase::Closed
     }
 
-    /// When it must be called though nothing happens; what is up is looked at with all others.
+    /// The time at which it must be called even if nothing happens. Timeouts of established
+    /// connections are checked periodically; see [`Connection::check_timeouts`].
     fn next_timer(&self) -> Option<Micros> {
         match self.phase {
             Phase::Handshake => self.handshake.as_ref().map(|h| h.next_timer()),
@@ -354,7 +380,7 @@
         }
     }
 
-    /// What is waited for on the client's socket and the backend's.
+    /// The events to wait for on the client's socket and on the backend's.
     fn wanted_interest(&self) -> (Option<Interest>, Option<Interest>) {
         let unsent_tls = self.client.has_unsent_tls();
         let client_in = self.client_ended_at.is_none()
@@ -374,8 +400,8 @@
             .as_ref()
             .is_some_and(|h| h.blocked_since.is_some() || (h.in_tls_handshake && unsent_tls));
         let client_out = self.to_client_blocked_since.is_some();
-        // Once a client has ended there is nothing to be heard from it but, with nothing wanted, errors
-        // again and again.
+        // A client that has ended sends nothing more. Its socket is not watched at all, since even
+        // without wanted events epoll would report its errors again and again.
         let client = self.phase != Phase::Closed && (self.client_ended_at.is_none() || client_out);
         let client = client.then_some(Interest {
             read: client_in,
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,12 +1,15 @@
-//! The one thread that serves: it takes clients in, drives every connection, attempt and probe, fires the timers of
-//! the decisions, takes over what an older process passes on, and at the end moves what stands.
+//! The event loop of the thread that serves clients. It accepts clients, drives every connection,
+//! attempt and health check, fires the timers of the decisions, and takes over the connections of
+//! another process. At a shutdown it migrates the established connections or hands them over.
 //!
-//! All of them are machines that never wait; the only wait is [`Poller::wait`], and the only clock that of the
-//! decisions. So a relay needs no further thread whatever its load: with a thread for each first line, dial and
-//! probe, a machine with hundreds of relays ran out of them, and clients were dropped without a word.
+//! Everything that it drives is a state machine that never blocks. The only wait is
+//! [`Poller::wait`], and the only clock that of the decisions. A relay therefore needs no more
+//! threads under load. With one thread per first line, dial and health check, a machine with
+//! hundreds of relays ran out of threads, and clients were disconnected without an answer.
 //!
-//! Guards against: a silent machine that holds up others (nothing here blocks), a crowd at the listener that holds up
-//! those who are served (a turn takes in so many), and an event that is taken for another socket's (see `conn`).
+//! Guards against: a silent peer that delays others (nothing here blocks), a burst of new clients
+//! that delays established ones (the number accepted per turn is limited), and an event that is
+//! taken for one of another socket (see the tokens in `connection`).
 
 use crate::config::listing::server_id;
 use crate::config::Names;
@@ -33,31 +36,42 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long connections go on coming after the signal to stop, in microseconds: the platform's front takes 0.4 s.
+/// How long new clients may still arrive after the signal to stop, in microseconds: the platform's
+/// front end takes 0.4 s to stop sending them.
 const LATE_CLIENT_TIME: Micros = 450_000;
-/// The longest deadline that the platform waits for before it kills, and what it adds, in microseconds.
+/// The platform kills a process that was told to stop after the longest deadline of its classes,
+/// but at most this, plus [`KILL_DELAY`]. In microseconds.
 const MAX_KILL_DEADLINE: Micros = 3_000_000;
+/// The time that the platform adds to that deadline, in microseconds.
 const KILL_DELAY: Micros = 700_000;
-/// How often the relay that stops moves some of what stands, in microseconds, and by when it is done before the kill.
+/// The interval between two steps of a drain, in microseconds.
 const DRAIN_INTERVAL: Micros = 25_000;
+/// A drain ends this long before the kill, in microseconds.
 const KILL_MARGIN: Micros = 200_000;
-/// What is owed is answered so long before that, in microseconds: a request whose client would wait for longer is not
-/// left to the kill. Time for the words' way, for what came up last to be moved, and for clients to close.
+/// All pending requests are answered this long before the end of the drain, in microseconds, also
+/// those whose clients would wait longer. The time is for the answers to arrive, for the
+/// connections that were established last to be migrated, and for clients to close.
 const ANSWER_MARGIN: Micros = 300_000;
-/// A client that has come by the end may take so long to ask, in microseconds; one that rests is sent away.
+/// From this long after the start of a drain, in microseconds, clients that have begun to send a
+/// request are dismissed too. Those that have sent nothing are dismissed earlier.
 const HANDSHAKE_DRAIN_TIME: Micros = 2 * LATE_CLIENT_TIME;
-/// Clients and passed connections taken in a turn: the others wait in their queues while those here are served.
+/// Clients accepted, or handed-over connections received, per listener and turn. The others wait in
+/// the kernel's queues while existing connections are served.
 const MAX_PER_TURN: usize = 32;
-/// Wait of a full relay before it looks at its listeners again, in microseconds, and of one without descriptors.
+/// The pause before a relay without capacity accepts clients again, in microseconds.
 const FULL_PAUSE: Micros = 1_000;
+/// The pause after an accept failed, as for lack of descriptors, in microseconds.
 const ACCEPT_ERROR_PAUSE: Micros = 5_000;
 
-/// What a token that is no connection's names. The side's place in a token says which.
+/// Kinds of tokens other than a connection's two sides ([`CLIENT`](crate::net::connection::CLIENT)
+/// and [`BACKEND`](crate::net::connection::BACKEND)). The kind has the place of the side in a
+/// token.
 const HEALTH_CHECK: u64 = 2;
 const OTHER: u64 = 3;
 const KIND_MASK: u64 = 3;
+/// Numbers of tokens of the kind [`OTHER`]: the listener for predecessors, then the listeners for
+/// clients, then the links from predecessors.
 const TAKEOVER_LISTENER: u64 = 0;
-/// From here on listeners, and links from older processes.
 const FIRST_LISTENER: u64 = 16;
 const FIRST_PREDECESSOR: u64 = 1024;
 
@@ -79,69 +93,83 @@
 struct ListenerEntry {
     listener: Arc<Listener>,
     protocol: ListenerProtocol,
-    /// Whether its clients are waited for just now.
+    /// Whether the poller watches the socket now.
     watched: bool,
+    /// Whether this process accepts no more clients from it.
     closed: bool,
 }
 
-/// A relay that stops.
+/// The state of a relay that stops. `migrated_by`, `kill_after` and `late_client_time` are relative
+/// to
+/// `started_at`.
 struct Drain {
     started_at: Micros,
-    /// By when all that stands has been told to move, and when it must be over.
+    /// When all established connections have been told to migrate.
     migrated_by: Micros,
+    /// When the platform kills the process.
     kill_after: Micros,
+    /// How long new clients may still arrive; until then nothing is migrated.
     late_client_time: Micros,
+    /// The time of the next step.
     next_step: Micros,
+    /// The process that takes over the established connections, if there is one.
     successor: Option<Successor>,
 }
 
-/// What other threads may ask of the one that serves.
+/// Controls an event loop from other threads.
 pub struct Handle {
     stop: AtomicBool,
     wake: Wake,
 }
 
 impl Handle {
-    /// Stop: move what stands, and return.
+    /// Starts the drain, after which [`EventLoop::run`] returns.
     pub fn stop(&self) {
         self.stop.store(true, Relaxed);
         (self.wake)();
     }
 }
 
-/// All that one relay drives.
+/// The event loop of one relay, with all that it drives.
 pub struct EventLoop {
     shared: Arc<SharedState>,
     poller: Poller,
     handle: Arc<Handle>,
     connections: BTreeMap<u64, Box<Connection>>,
-    /// When connections and probes must be called though nothing happens: once each, by their tokens.
+    /// The timers of connections and health checks, with their tokens; one each.
     timers: BTreeSet<(Micros, u64)>,
-    /// Connections that wait for a list which names their backend, and the list that they know.
+    /// Connections that wait for an endpoint list that names their backend.
     awaiting_address: BTreeSet<u64>,
+    /// The version of the endpoint list that these have seen.
     list_version: u64,
     listeners: Vec<ListenerEntry>,
-    /// When closed listeners are looked at again, and whether the last client could not be taken in: said once.
+    /// Until when no listener is watched.
     paused_until: Option<Micros>,
+    /// Whether the last accept failed: repeated failures are logged once.
     accept_failed: bool,
+    /// Accepts links from other processes of this relay that hand over their connections.
     takeover_listener: Option<HandoverListener>,
     predecessors: BTreeMap<u64, Older>,
     next_predecessor: u64,
+    /// Endpoints whose health the decisions want checked.
     check_requests: Receiver<EndpointId>,
-    /// What the fleet's load watch knows, where there is one.
+    /// Load reports of the fleet's load watch, and its requests for health checks, if it is
+    /// enabled.
     load_reports: Option<Arc<LoadReportCache>>,
     names: Names,
     health_checks: BTreeMap<u64, Probe>,
     next_check_number: u64,
     health_check_timeout: Micros,
-    /// The directory that the processes of this relay share.
+    /// The directory where the processes of this relay find each other.
     takeover_dir: Option<PathBuf>,
     drain: Option<Drain>,
+    /// When the timeouts of connections were last checked.
     last_check: Micros,
 }
 
 impl EventLoop {
-    /// One that serves nobody yet; `orders` are the probes that the decisions ask for.
+    /// An event loop without listeners. `check_requests` are the endpoints whose health the
+    /// decisions want checked.
     pub fn new(
         shared: Arc<SharedState>,
         names: Names,
@@ -182,12 +210,12 @@
         })
     }
 
-    /// What other threads may ask of it.
+    /// Returns a handle for other threads.
     pub fn handle(&self) -> Arc<Handle> {
         self.handle.clone()
     }
 
-    /// Takes in clients at this listener, which speak so.
+    /// Accepts clients of this protocol from a listener.
     pub fn add_listener(
         &mut self,
         listener: Arc<Listener>,
@@ -204,13 +232,15 @@
         Ok(())
     }
 
-    /// Probes for the fleet's load watch, and takes what it knows in place of own probes.
+    /// Makes health checks for the fleet's load watch, and uses its load reports in place of own
+    /// health checks.
     pub fn use_load_reports(&mut self, load_reports: Arc<LoadReportCache>) {
         load_reports.set_checker_waker(self.handle.wake.clone());
         self.load_reports = Some(load_reports);
     }
 
-    /// Takes over what older processes pass on in this directory, and passes on there what stands at the end.
+    /// Takes over connections of other processes through this directory, and hands over its own
+    /// there when it stops.
     pub fn enable_takeover(&mut self, dir: PathBuf) -> io::Result<()> {
         let takeover_listener = HandoverListener::open(&dir)?;
         self.takeover_dir = Some(dir);
@@ -224,14 +254,16 @@
         Ok(())
     }
 
-    /// Serves until it has been told to stop and nothing stands any more, or the platform is about to kill.
+    /// Serves until a drain has ended all connections, or the platform is about to kill the
+    /// process.
     pub fn run(mut self) {
         self.poller.set_owner();
         self.shared.accepting.store(true, Relaxed);
         let (mut events, mut ready) = (Events::default(), Vec::new());
         loop {
             let timer = self.shared.decisions.fire_timers();
-            // One look at the clock for all of a turn: it has cost more than the rest of an idle one.
+            // The clock is read once per turn, because that has cost more than the rest of an idle
+            // turn.
             let now = self.shared.decisions.now();
             self.handle_wake_queue();
             self.start_health_checks();
@@ -242,7 +274,7 @@
             }
             self.check_connections(now);
             self.resume_accepting(now);
-            // What this turn has given itself to do comes before the wait.
+            // Work that this turn has scheduled for the loop itself is done before the next wait.
             let limit = if self.poller.take_rescheduled() {
                 Duration::ZERO
             } else {
@@ -255,7 +287,7 @@
         }
     }
 
-    /// How long nothing is due.
+    /// The time until the earliest timer.
     fn next_wait(&self, timer: Option<Micros>, now: Micros) -> Duration {
         let next = self.last_check + CHECK_INTERVAL;
         let drain = self.drain.as_ref().map(|drain| drain.next_step);
@@ -279,7 +311,8 @@
         }
     }
 
-    /// Does something with a connection, and waits for what it needs then.
+    /// Calls a connection, then updates the watches on its sockets and its timer, and removes it if
+    /// it is closed.
     fn update_connection(&mut self, number: u64, work: impl FnOnce(&mut Connection)) {
         let Some(conn) = self.connections.get_mut(&number) else {
             return;
@@ -306,7 +339,7 @@
             self.awaiting_address.remove(&number);
         }
         if !stays {
-            // Its room is free again.
+            // Its slot is free again.
             self.paused_until = self.paused_until.map(|_| 0);
         }
     }
@@ -317,14 +350,14 @@
         self.update_connection(number, |_| {});
     }
 
-    /// What the decisions have news of.
+    /// Calls the connections that the decisions have an update for.
     fn handle_wake_queue(&mut self) {
         for number in self.shared.wake_queue.take() {
             self.update_connection(number, Connection::handle_update);
         }
     }
 
-    /// A list has come: whoever waits for its backend looks again.
+    /// After a list update, calls the connections that wait for the address of their backend.
     fn handle_list_update(&mut self) {
         let version = self.shared.directory.version();
         if std::mem::replace(&mut self.list_version, version) != version {
@@ -334,10 +367,10 @@
         }
     }
 
-    /// Calls those whose time is up.
+    /// Calls the connections and health checks whose timers have expired.
     fn fire_timers(&mut self, now: Micros) {
-        let late: Vec<(Micros, u64)> = self.timers.range(..=(now, u64::MAX)).copied().collect();
-        for (at, token) in late {
+        let expired: Vec<(Micros, u64)> = self.timers.range(..=(now, u64::MAX)).copied().collect();
+        for (at, token) in expired {
             let number = token >> NUMBER_SHIFT;
             if token & KIND_MASK == HEALTH_CHECK {
                 self.advance_health_check(number, false);
@@ -351,7 +384,7 @@
         }
     }
 
-    /// Looks at what only time shows.
+    /// Checks the timeouts of all connections, once per interval.
     fn check_connections(&mut self, now: Micros) {
         if now < self.last_check + CHECK_INTERVAL {
             return;
@@ -363,16 +396,16 @@
             .for_each(|number| self.update_connection(number, Connection::check_timeouts));
     }
 
-    // Doors.
+    // Listeners.
 
-    /// Clients wait at a listener.
+    /// Accepts clients that wait at a listener.
     fn accept_clients(&mut self, n: usize) {
         for _ in 0..MAX_PER_TURN {
             let Some(entry) = self.listeners.get(n).filter(|entry| !entry.closed) else {
                 return;
             };
             let (listener, protocol) = (entry.listener.clone(), entry.protocol);
-            // What cannot be taken in now waits in the listener's queue.
+            // Clients that cannot be accepted now wait in the listener's queue.
             if !self.make_room() {
                 return self.pause_accepting(FULL_PAUSE);
             }
@@ -392,7 +425,8 @@
         }
     }
 
-    /// Whether one more client can be taken in; if not, some that rest are sent away.
+    /// Whether one more client can be accepted. If not, some connections without a request are
+    /// dismissed.
     fn make_room(&mut self) -> bool {
         let dismissals = match self.shared.admission.check_capacity() {
             Ok(()) => return true,
@@ -411,7 +445,7 @@
         }
     }
 
-    /// Leaves all listeners alone for so long.
+    /// Accepts no clients for this time.
     fn pause_accepting(&mut self, wait: Micros) {
         self.paused_until = Some(self.shared.decisions.now() + wait);
         self.watch_listeners(false);
@@ -440,10 +474,10 @@
         }
     }
 
-    // Probes.
+    // Health checks.
 
-    /// The next probe that is to be made, and whether it is for the load watch. Where what the watch knows is as good,
-    /// the decisions are told that.
+    /// The next endpoint to check, and whether the check is for the load watch. Where the load
+    /// watch has a fresh report of an endpoint, the decisions get that report instead.
     fn next_health_check(&mut self) -> Option<(EndpointId, bool)> {
         for _ in 0..MAX_PER_TURN {
             let Ok(endpoint_id) = self.check_requests.try_recv() else {
@@ -474,7 +508,7 @@
             let Some((endpoint_id, watch)) = self.next_health_check() else {
                 return;
             };
-            // It may have been told to leave since the probe was asked for.
+            // It may have begun to leave since the health check was requested.
             let directory = &self.shared.directory;
             let Some(endpoint) = directory
                 .endpoint(endpoint_id)
@@ -504,7 +538,7 @@
                     self.timers.insert((probe.by, token));
                     self.health_checks.insert(n, probe);
                 }
-                // For want of a descriptor or a port: it says nothing of the backend.
+                // For lack of a descriptor or a port, which says nothing about the backend.
                 Err(e) if is_local_failure(&e) => {
                     self.finish_health_check(endpoint_id, watch, Outcome::NotAttempted, Vec::new())
                 }
@@ -593,7 +627,7 @@
             .for_each(|handovers| self.adopt_connection(handovers));
     }
 
-    /// Takes a connection over that has come up in another process of this relay.
+    /// Takes over a connection that was established in another process of this relay.
     fn adopt_connection(&mut self, (handover, client, backend): Passed) {
         let shared = self.shared.clone();
         let set = client
@@ -621,7 +655,7 @@
                 .iter()
                 .rposition(|&b| b == b'\n')
                 .map_or(0, |at| at + 1);
-            conn.last_words = [&handover.down[..whole], b"MOVE\r\n"].concat();
+            conn.last_bytes = [&handover.down[..whole], b"MOVE\r\n"].concat();
             conn.waiting = Some(waiting);
             conn.close();
             record.log_end("no-descriptors");
@@ -630,7 +664,8 @@
         let (keys, backend) = ((handover.key, handover.group), Arc::new(backend));
         let session = Session::new(&shared.wake_queue, keys, slot, false, Some(backend.clone()));
         drop(waiting);
-        // One that has vanished here goes on under any: the decisions look at nothing but its aims.
+        // Any class will do where this process does not know it: of an established connection the
+        // decisions use only the latency objectives of its class.
         let class = shared
             .settings()
             .rules
@@ -643,7 +678,7 @@
             endpoint_id,
             session.clone(),
         );
-        // Only lines go from one process to another.
+        // Only connections of the line protocol are handed over.
         let backend = BackendSide {
             link: Link::plain(backend),
             id,
@@ -654,11 +689,12 @@
         self.add_connection(conn);
     }
 
-    // The end.
+    // Shutdown.
 
-    /// Moves the standing connections in a paced way; true once none is left, or when the platform is about to kill.
-    /// Where the platform holds the listening socket, new clients are left to the process that takes over;
-    /// elsewhere they are served as long as they come.
+    /// Hands over or migrates the established connections at a limited pace. True once none is
+    /// left, or when the platform is about to kill the process. Where the listening socket is
+    /// inherited from the platform, new clients are left to the successor; elsewhere they are
+    /// served as long as they arrive.
     fn drive_drain(&mut self, now: Micros) -> bool {
         let Some(mut drain) = self.drain.take() else {
             self.drain = Some(self.begin_drain(now));
@@ -700,7 +736,7 @@
         let late_client_time = if inherited { 0 } else { LATE_CLIENT_TIME };
         Drain {
             started_at: now,
-            // All told to move by then: time enough for the ends and for answers that are still owed.
+            // Leaves time for the migrated connections to end, and for pending requests.
             migrated_by: (kill_after * 3 / 5).max(late_client_time + DRAIN_INTERVAL),
             kill_after,
             late_client_time,
@@ -713,7 +749,8 @@
         }
     }
 
-    /// This listener's socket is the process's own, and goes with it: who waits there would be reset.
+    /// Accepts the clients that wait at a listener whose socket is closed with this process: the
+    /// close would reset them.
     fn accept_queued_clients(&mut self, n: usize) {
         let (listener, protocol) = (
             self.listeners[n].listener.clone(),
@@ -746,7 +783,7 @@
             .connections
             .values()
             .filter_map(|conn| session_to_migrate(conn));
-        // What cannot change process is moved, whoever takes over.
+        // Connections that cannot be handed over are migrated even if there is a successor.
         let (mut established, not_portable): (Vec<_>, Vec<_>) =
             established.partition(|(_, s)| s.is_portable());
         if let Some(to) = &drain.successor {
@@ -758,7 +795,8 @@
                 }
             }
             match result {
-                // What could not be given away right now is tried again, up to half the time.
+                // Connections that could not be handed over now are tried again in the next step,
+                // for half of the time. After that they are migrated.
                 Ok(()) if now < drain.kill_after / 2 => established.clear(),
                 Ok(()) => {}
                 Err(e) if timed_out(&e) && now < drain.kill_after / 2 => established.clear(),
@@ -778,9 +816,11 @@
             .iter()
             .take(share)
             .for_each(|(_, session)| crate::decision_service::RequestHandle::migrate(&**session));
-        // Whoever rests is sent away, and whoever has begun to ask has some time: nobody else would hear them.
+        // Connections without a request are dismissed. Clients that have begun to send one have
+        // some time to finish, because no other process can read the rest.
         let is_dismissible = |conn: &Connection| {
-            conn.is_waiting() || (now > HANDSHAKE_DRAIN_TIME && conn.phase == Phase::Handshake)
+            conn.may_be_dismissed()
+                || (now > HANDSHAKE_DRAIN_TIME && conn.phase == Phase::Handshake)
         };
         let numbers: Vec<u64> = self
             .connections
@@ -794,7 +834,7 @@
         if !self.connections.is_empty() {
             return false;
         }
-        // The listener's queue goes with this process, where it is its own: who waits there would be reset.
+        // Clients in the queue of a listener that is closed with this process would be reset.
         for n in 0..self.listeners.len() {
             if !self.listeners[n].closed {
                 self.accept_queued_clients(n);
@@ -817,19 +857,21 @@
     use std::io::{ErrorKind, Read, Write};
     use std::net::{TcpListener, TcpStream};
 
-    /// Polls until something is there; far longer than it takes, so that a slow machine changes no verdict.
-    fn until<T>(mut look: impl FnMut() -> Option<T>) -> T {
+    /// Polls until there is a result. The limit is far longer than any test takes, so that a slow
+    /// machine does not fail it.
+    fn poll_until<T>(mut check: impl FnMut() -> Option<T>) -> T {
         let end = Instant::now() + Duration::from_secs(30);
         loop {
-            if let Some(found) = look() {
+            if let Some(found) = check() {
                 return found;
             }
-            assert!(Instant::now() < end, "waited in vain");
+            assert!(Instant::now() < end, "timed out");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// An engine that serves nobody, listening stand-ins for its backends, and where probes are ordered.
+    /// An event loop without clients, listeners in place of its backends, and the sender of
+    /// requests for health checks.
     fn event_loop_with_backends(
         backends: usize,
     ) -> (EventLoop, Vec<TcpListener>, Sender<EndpointId>) {
@@ -895,21 +937,21 @@
         )
     }
 
-    /// The probe that comes to this backend.
+    /// Accepts a health check at this backend and reads its line.
     fn accept_health_check(listener: &TcpListener) -> TcpStream {
-        let mut asked: TcpStream = until(|| listener.accept().ok()).0;
-        asked.set_nonblocking(false).unwrap();
+        let mut stream: TcpStream = poll_until(|| listener.accept().ok()).0;
+        stream.set_nonblocking(false).unwrap();
         let mut line = [0; 7];
-        asked.read_exact(&mut line).unwrap();
+        stream.read_exact(&mut line).unwrap();
         assert_eq!(&line, b"STATS\r\n");
-        asked
+        stream
     }
 
     #[test]
-    fn what_the_fleets_watch_told_stands_for_a_probe_and_what_it_wants_is_probed() {
+    fn a_report_of_the_load_watch_replaces_a_health_check_and_its_own_requests_are_made() {
         let (mut event_loop, listeners, requests) = event_loop_with_backends(3);
         let load_reports = Arc::new(LoadReportCache::default());
-        // Young for as long as the test may take.
+        // Fresh for as long as the test may take.
         load_reports.insert([LoadReport {
             endpoint: EndpointId(0),
             measured_at: boottime() + 3_600_000_000,
@@ -917,7 +959,7 @@
         }]);
         event_loop.use_load_reports(load_reports.clone());
         let handle = event_loop.handle();
-        // Both are there before it begins: in their order.
+        // Both are queued before the loop starts, so they are handled in order.
         requests.send(EndpointId(0)).unwrap();
         requests.send(EndpointId(1)).unwrap();
         let serving = std::thread::spawn(move || event_loop.run());
@@ -937,7 +979,7 @@
         accept_health_check(&listeners[2])
             .write_all(b"PONG x0=0.25\r\n")
             .unwrap();
-        let found = until(|| load_reports.take_results().pop());
+        let found = poll_until(|| load_reports.take_results().pop());
         assert_eq!(
             (found.endpoint, found.report),
             (EndpointId(2), Some(vec![0.25]))
@@ -945,17 +987,18 @@
         assert_eq!(
             load_reports.fresh_report(EndpointId(2), found.checked_at),
             Some(vec![0.25]),
-            "its own relay knows it at once"
+            "the relay that made the check has its report at once"
         );
         handle.stop();
         serving.join().unwrap();
     }
 
-    /// A lost zone once held up the probes of all others, 250 ms for each of its servers.
+    /// Guards against health checks that wait for each other: a lost zone delayed those of all
+    /// others by 250 ms for each of its backends.
     #[test]
-    fn silent_servers_do_not_hold_up_the_probes_of_the_others() {
+    fn silent_backends_do_not_delay_the_health_checks_of_others() {
         let (mut event_loop, listeners, requests) = event_loop_with_backends(7);
-        // So long a limit that a seventh which waited for the six would never be asked.
+        // With this timeout, a seventh check that waited for the first six would never begin.
         event_loop.health_check_timeout = 3_600_000_000;
         let handle = event_loop.handle();
         let serving = std::thread::spawn(move || event_loop.run());
@@ -967,7 +1010,7 @@
         let silent: Vec<TcpStream> = (0..6).map(ask).collect();
         let mut seventh = ask(6);
         seventh.write_all(b"PONG x0=0.5\r\n").unwrap();
-        // It has its answer and goes; the others are still waited for.
+        // The check that was answered ends; the others are still in progress.
         assert_eq!(seventh.read(&mut [0]).unwrap(), 0);
         for mut stream in silent {
             stream.set_nonblocking(true).unwrap();
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -1,12 +1,14 @@
-//! Passes lines on, both ways, and ends connections: what a connection does once it is up.
+//! Established connections: forwards bytes both ways, migrates and hands over connections, and ends
+//! them.
 //!
-//! Threads that wait in reads were measured here first, two for each connection. The platform stops and
-//! continues a process that is over its share of the processor, and each time all of them wake: with 300
-//! threads the waking alone kept the process over its share for good, and lines were held back for seconds.
+//! There is no thread per direction. With two threads per connection that block in reads, all of
+//! them wake each time that the platform stops and continues a process over its processor share.
+//! With 300 threads the wake-ups alone kept the process over its share, and lines were delayed by
+//! seconds.
 
 use crate::decisions::api::{Micros, Outcome};
 use crate::log::log;
-use crate::net::attempt::reset;
+use crate::net::attempt::reset_on_close;
 use crate::net::connection::{BackendSide, Connection, ConnectionEnd, Phase, LINGER};
 use crate::net::poll::peer_closed;
 use crate::net::session::{ConnectionRecord, Session};
@@ -19,20 +21,21 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// How often connections on which nothing happens are looked at, in microseconds.
+/// The interval of the checks for timeouts of connections, in microseconds.
 pub const CHECK_INTERVAL: Micros = 200_000;
-/// The longest wait for a client that takes no bytes, in microseconds.
+/// The longest wait for a client that accepts no bytes, in microseconds.
 const STUCK_CLIENT_TIMEOUT: Micros = 5_000_000;
-/// What is thrown away at a time of a client that has had its last word; more waits for the next look, so
-/// that one that sends at full speed does not take the processor from the others.
+/// Bytes that are discarded at once from a client that was sent its last bytes. More input waits
+/// for the next periodic check, so that a client that sends at full speed does not use up the
+/// processor.
 const DISCARD_BYTES: usize = 8192;
 
 impl Connection {
-    /// Counts what its buffers hold; whoever asks for more when there is none left gives up its place. Lines are
-    /// short and not counted.
+    /// Updates the memory that its buffers hold in the budget of all connections. A connection that
+    /// exceeds the budget is ended. Buffers of the line protocol are small and not counted.
     pub fn update_memory_budget(&mut self) {
-        let lines = self.backend.as_ref().is_none_or(|b| b.passage.portable());
-        let now = if lines {
+        let is_uncounted = self.backend.as_ref().is_none_or(|b| b.passage.portable());
+        let now = if is_uncounted {
             0
         } else {
             self.to_backend.room() + self.to_client.room()
@@ -48,8 +51,9 @@
         }
     }
 
-    /// The connection as another process needs it, with both sockets; here it is done then. It goes on
-    /// without a word to either side: nothing may be shut down here after that.
+    /// Hands the connection over to another process, with both sockets, and closes it here. A
+    /// connection that cannot be handed over now is left as it is. Neither side is told, so nothing
+    /// may be shut down here after that.
     pub fn hand_over(&mut self, to: &Successor) -> io::Result<()> {
         let (Phase::Established, None, None) =
             (self.phase, self.client_ended_at, &self.announced_end)
@@ -92,8 +96,8 @@
         }
         record.log_end("handed-over");
         self.record = None;
-        // The sockets stay with this value until they are no longer waited for (see `settle`): they live on
-        // in the other process, and would go on waking this one.
+        // This value keeps the sockets until `update_interest` has ended the watch on them: they
+        // stay open in the other process, so the kernel would continue to report their events here.
         self.phase = Phase::Closed;
         self.shared
             .decisions
@@ -101,7 +105,7 @@
         Ok(())
     }
 
-    /// Goes on with a connection that stood in another process.
+    /// Continues a connection that another process has handed over.
     pub fn take_over(
         &mut self,
         record: ConnectionRecord,
@@ -120,7 +124,7 @@
         self.flush_to_backend();
     }
 
-    /// The client's socket is ready.
+    /// Handles an event of the client's socket.
     pub fn client_ready(&mut self, read: bool, write: bool) {
         if write && self.to_client_blocked_since.is_some() {
             self.flush_to_client();
@@ -134,7 +138,7 @@
         }
     }
 
-    /// The backend's socket is ready.
+    /// Handles an event of the backend's socket.
     pub fn backend_ready(&mut self, read: bool, write: bool) {
         if self.phase == Phase::Established && self.to_backend_blocked && write {
             self.flush_to_backend();
@@ -168,7 +172,7 @@
         }
     }
 
-    /// It left before its answer. An attempt that is out is ended, and reported.
+    /// Handles a client that left before its answer. The attempt in progress is ended and reported.
     pub fn client_gone(&mut self) {
         self.client_ended_at = Some(self.now());
         if let Some(id) = self
@@ -181,9 +185,10 @@
         self.drive_request(false);
     }
 
-    /// Looks whether the client of a request that waits has left, right before something is begun for it. Its end may
-    /// be on its way here behind what woke this connection, in the same batch of events or behind a timer; where it has
-    /// sent as much as is read ahead, the end stands behind that.
+    /// Checks whether the client of a pending request has left, right before a dial or a first byte
+    /// on its behalf. Its close may not have been handled yet: it may be later in the same batch of
+    /// events, or behind the timer that woke this connection. If the client has sent as much as is
+    /// read ahead, the close is behind unread bytes.
     pub fn check_client_gone(&mut self) {
         while self.client_ended_at.is_none() && self.to_backend.rest().len() < MAX_LINE {
             match self.client.read_into(&mut self.to_backend) {
@@ -205,28 +210,28 @@
             Ok(0) => self.backend_ended(),
             Ok(_) => {
                 if !backend.passage.marks_answers() {
-                    self.heard_backend();
+                    self.record_backend_activity();
                 }
                 self.flush_to_client();
             }
             Err(e) if timed_out(&e) => {}
             Err(_) if !backend.passage.mirrors_end() => self.backend_ended(),
             Err(_) => {
-                // Ended by a reset: so is the other side.
-                let gone = self
+                // A reset is passed on to the client as a reset.
+                let end = self
                     .announced_end
                     .take()
                     .unwrap_or(ConnectionEnd::new(Outcome::Reset, "backend-reset"));
-                self.reset_both(gone);
+                self.reset_both(end);
             }
         }
     }
 
-    /// The backend has ended its side.
+    /// Handles a backend that has closed its side.
     fn backend_ended(&mut self) {
         let Some(backend) = &self.backend else { return };
         let mirrors = backend.passage.mirrors_end();
-        let gone = match self.client_ended_at {
+        let unannounced = match self.client_ended_at {
             Some(_) => ConnectionEnd::new(Outcome::Cancelled, "client-left"),
             None => ConnectionEnd::new(Outcome::Reset, "backend-ended"),
         };
@@ -235,13 +240,13 @@
             _ if self.finishing || self.is_migrating() => self.migrate_now(),
             None if !mirrors && self.client_ended_at.is_none() => {
                 let words = backend.passage.words(Away::Gone);
-                self.close_with(words, gone);
+                self.close_with(words, unannounced);
             }
-            announced => self.end_backend(announced.unwrap_or(gone), true),
+            announced => self.end_backend(announced.unwrap_or(unannounced), true),
         }
     }
 
-    /// Passes on to the backend what the client has sent.
+    /// Forwards to the backend what the client has sent.
     pub fn flush_to_backend(&mut self) {
         let Some(backend) = &mut self.backend else {
             return;
@@ -257,7 +262,7 @@
                     fresh = passed.bytes;
                     self.expects_answer |= passed.asks;
                 }
-                // What came before it goes on first.
+                // The bytes before the invalid ones are forwarded first.
                 Err(_) if self.to_backend_ready > 0 => {}
                 Err(fault) => {
                     log(&format!("client {}: {}", self.connection_id(), fault.what));
@@ -279,12 +284,12 @@
                 .link
                 .write_available(&self.to_backend.rest()[..self.to_backend_ready])
             {
-                Ok((n, full)) => {
+                Ok((n, is_blocked)) => {
                     self.to_backend.consume(n);
                     self.to_backend_ready -= n;
-                    blocked = full;
+                    blocked = is_blocked;
                 }
-                // That the backend is gone is noticed on its own side.
+                // A backend that is gone is handled when its socket is read.
                 Err(_) => {
                     self.to_backend.discard();
                     (self.to_backend_ready, blocked) = (0, false);
@@ -301,13 +306,13 @@
         }
     }
 
-    /// Passes on to the client what the backend has sent, and hears what it means; after the end of the
-    /// backend, passes on the last words.
+    /// Forwards to the client what the backend has sent, and acts on what it means. While the
+    /// connection is closing, sends the last bytes instead.
     pub fn flush_to_client(&mut self) {
         if let Phase::Closing(since, false) = self.phase {
-            match self.client.write_available(&self.last_words) {
+            match self.client.write_available(&self.last_bytes) {
                 Ok((n, blocked)) => {
-                    self.last_words.drain(..n);
+                    self.last_bytes.drain(..n);
                     self.to_client_blocked_since = blocked.then_some(since);
                     if !blocked {
                         self.client.shutdown_write();
@@ -356,7 +361,7 @@
                         );
                         self.shared.decisions.record_sample(id, sample);
                     }
-                    News::Heard => self.heard_backend(),
+                    News::Heard => self.record_backend_activity(),
                     News::Farewell(outcome, report, reason) => {
                         self.announced_end = Some(ConnectionEnd {
                             outcome,
@@ -398,7 +403,7 @@
         }
     }
 
-    /// The client has its final answer.
+    /// Counts the client's final answer in the metrics.
     fn count_final_answer(&mut self, served: bool) {
         self.answer_deadline = None;
         match (&self.record, served) {
@@ -413,7 +418,7 @@
         }
     }
 
-    /// Asks the client to come again, between two units, then ends both sides.
+    /// Asks the client to reconnect, between two protocol units, then ends both sides.
     fn migrate_now(&mut self) {
         let Some(backend) = &self.backend else { return };
         let metrics = &self.shared.metrics.xmpp;
@@ -429,7 +434,7 @@
         );
     }
 
-    /// The connection is to be moved: once the backend has finished, or its time for that is up.
+    /// Migrates the connection once the backend has finished, or at the deadline for that.
     fn begin_migration(&mut self, now: Micros) {
         let Some(backend) = &mut self.backend else {
             return;
@@ -447,7 +452,7 @@
             Parting::Now => self.migrate_now(),
             Parting::Later(within) => drop(self.finish_deadline.get_or_insert(now + within)),
             Parting::Finish { words, within } => {
-                // Half a unit of the client's is not on its way: nothing of it went on.
+                // A partial unit of the client is replaced: none of its bytes were forwarded.
                 self.to_backend.replace_tail(self.to_backend_ready, &words);
                 self.to_backend_ready += words.len();
                 (self.finishing, self.finish_deadline) = (true, Some(now + within));
@@ -456,27 +461,29 @@
         }
     }
 
-    /// Sends the client away with these words, after what may go on to it, then ends both sides.
+    /// Ends both sides after the client was sent the bytes that may be forwarded, and these words.
     fn close_with(&mut self, words: Vec<u8>, end: ConnectionEnd) {
-        self.last_words = words;
+        self.last_bytes = words;
         self.end_backend(end, false);
     }
 
-    /// Ends the backend's side; the client gets what has come from there, then the last words.
-    fn end_backend(&mut self, end: ConnectionEnd, rest: bool) {
-        let rest = rest
+    /// Ends the backend's side. The client is sent the bytes that may be forwarded, then the last
+    /// bytes. With `partial_unit` it is also sent an incomplete unit of the backend, if the
+    /// protocol shows clients the end of their backend as it was.
+    fn end_backend(&mut self, end: ConnectionEnd, partial_unit: bool) {
+        let partial_unit = partial_unit
             && self
                 .backend
                 .as_ref()
                 .is_some_and(|b| b.passage.mirrors_end());
-        let to = if rest {
+        let length = if partial_unit {
             self.to_client.rest().len()
         } else {
             self.to_client_ready
         };
-        let mut last = self.to_client.rest()[..to].to_vec();
-        last.append(&mut self.last_words);
-        self.last_words = last;
+        let mut bytes = self.to_client.rest()[..length].to_vec();
+        bytes.append(&mut self.last_bytes);
+        self.last_bytes = bytes;
         if let Some(backend) = &self.backend {
             let _ = backend.link.socket.shutdown(Shutdown::Both);
         }
@@ -484,10 +491,10 @@
         self.close();
     }
 
-    /// Gives the client its last words and ends the connection.
+    /// Sends the client its last bytes and closes the connection.
     pub fn close(&mut self) {
         self.phase = Phase::Closing(self.now(), false);
-        if self.client_ended_at.is_some() && self.last_words.is_empty() {
+        if self.client_ended_at.is_some() && self.last_bytes.is_empty() {
             self.phase = Phase::Closed;
         } else {
             self.flush_to_client();
@@ -496,15 +503,16 @@
 
     /// Closes both sides by a reset.
     fn reset_both(&mut self, end: ConnectionEnd) {
-        reset(&self.client.socket);
+        reset_on_close(&self.client.socket);
         if let Some(backend) = &self.backend {
-            reset(&backend.link.socket);
+            reset_on_close(&backend.link.socket);
         }
         self.report_end(end);
         self.phase = Phase::Closed;
     }
 
-    /// Tells the decisions and the log how the connection ended, and lets go of its backend.
+    /// Reports the end of the connection to the decisions and the log, and closes the backend's
+    /// socket.
     fn report_end(&mut self, end: ConnectionEnd) {
         if let Some(BackendSide {
             link, id, passage, ..
@@ -522,7 +530,7 @@
                 .connection_ended(id, end.outcome, end.report);
         }
         if let Some(record) = self.record.take() {
-            // It was owed an answer, and what it has had now was a failure's.
+            // The client had no final answer yet, so it was answered with a failure.
             if self.answer_deadline.take().is_some() && self.client_ended_at.is_none() {
                 record.tally.iter().for_each(|tally| tally.failed());
             }
@@ -530,7 +538,7 @@
         }
     }
 
-    /// Throws away what a client sends that has had its last words.
+    /// Discards input of a client that was sent its last bytes.
     fn discard_input(&mut self) {
         match (&*self.client.socket).read(&mut [0; DISCARD_BYTES]) {
             Ok(DISCARD_BYTES) => self.discard_paused = true,
@@ -540,23 +548,24 @@
         }
     }
 
-    /// Whether its backend has stopped without a word.
+    /// Whether the backend has been silent for so long that it counts as lost.
     fn backend_is_silent(&self, now: Micros) -> bool {
-        let (Some(asked), Some(backend)) = (self.unanswered_since, &self.backend) else {
+        let (Some(unanswered_since), Some(backend)) = (self.unanswered_since, &self.backend) else {
             return false;
         };
         backend.passage.lost(
-            now.saturating_sub(asked),
+            now.saturating_sub(unanswered_since),
             now.saturating_sub(self.last_heard),
         )
     }
 
-    /// Its backend has brought something back.
-    fn heard_backend(&mut self) {
+    /// Records that the backend has sent something.
+    fn record_backend_activity(&mut self) {
         (self.unanswered_since, self.last_heard) = (None, self.shared.decisions.now());
     }
 
-    /// What only time shows.
+    /// Checks timeouts, and releases memory that an idle connection does not need. Called
+    /// periodically.
     pub fn check_timeouts(&mut self) {
         let now = self.shared.decisions.now();
         if let Some(backend) = self.backend.as_mut().filter(|b| !b.passage.portable()) {
@@ -581,8 +590,8 @@
             Phase::Established if self.client_ended_at.is_some_and(|at| past(at, LINGER)) => {
                 self.end_backend(ConnectionEnd::new(Outcome::Cancelled, "client-left"), true);
             }
-            // A machine that vanished says nothing and keeps its connections open: only what stays unanswered
-            // shows it.
+            // A machine that vanished sends nothing and leaves its connections open. Only
+            // unanswered lines show it.
             Phase::Established if self.backend_is_silent(now) => {
                 let words = self.backend.as_ref().map(|b| b.passage.words(Away::Gone));
                 self.close_with(
@@ -590,7 +599,7 @@
                     ConnectionEnd::new(Outcome::Reset, "backend-silent"),
                 );
             }
-            // Two looks before it is due: the next one might be too late.
+            // Two intervals before the deadline, since the next check might be too late.
             Phase::Established
                 if self
                     .answer_deadline
--- a/src/net/handshake.rs
+++ b/src/net/handshake.rs
@@ -1,7 +1,7 @@
-//! The first words of a connection, up to the request.
+//! The first phase of a connection: TLS and what the client sends up to and with its request.
 //!
-//! Guards against: a client that says nothing, half a line, or floods; a TLS handshake that stalls. Each costs a
-//! place and no thread, and holds up nobody.
+//! Guards against: a client that sends nothing, half a line, or without pause, and a TLS handshake
+//! that stalls. Each of these occupies a connection slot and no thread, and delays no other client.
 
 use crate::decisions::api::Micros;
 use crate::log::log;
@@ -16,21 +16,22 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// The longest wait for a client to take its answer, in microseconds.
+/// The longest wait for a client to accept the bytes of an answer, in microseconds.
 const WRITE_TIMEOUT: Micros = 1_000_000;
 
-/// What is spoken at a listener.
+/// The protocol of a listener's clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerProtocol {
     /// The line protocol.
     Line,
-    /// XMPP that begins in clear.
+    /// XMPP that begins unencrypted and offers STARTTLS.
     Xmpp,
     /// XMPP that begins with TLS.
     XmppTls,
 }
 
 impl ListenerProtocol {
+    /// The name of the front in the log.
     fn front(self) -> &'static str {
         if self == ListenerProtocol::Line {
             "line"
@@ -40,8 +41,9 @@
     }
 }
 
-/// The machine that hears a client of this listener; none where the front has gone meanwhile.
-fn greeter(shared: &SharedState, protocol: ListenerProtocol) -> Option<Box<dyn Greeter>> {
+/// The protocol's state machine for a client of this listener; none where a reload has removed the
+/// front meanwhile.
+fn new_greeter(shared: &SharedState, protocol: ListenerProtocol) -> Option<Box<dyn Greeter>> {
     let now = shared.decisions.now();
     if protocol == ListenerProtocol::Line {
         return Some(Box::new(Greeting::new(now)));
@@ -62,7 +64,7 @@
 }
 
 impl Handshake {
-    /// When it must be called though nothing has come.
+    /// The time at which it must be called even if nothing was received.
     pub fn next_timer(&self) -> Micros {
         let deadline = self.greeter.until();
         self.blocked_since
@@ -71,13 +73,14 @@
 }
 
 impl Connection {
-    /// The connection of a client that has just come to this listener; none where there is nobody to hear it.
+    /// Begins the connection of a client that this listener has accepted; none where it cannot be
+    /// served.
     pub fn accept(
         shared: &Arc<SharedState>,
         waiting: WaitingConnection,
         protocol: ListenerProtocol,
     ) -> Option<Connection> {
-        let greeter = greeter(shared, protocol)?;
+        let greeter = new_greeter(shared, protocol)?;
         waiting
             .stream
             .set_nonblocking(true)
@@ -103,7 +106,8 @@
         Some(conn)
     }
 
-    /// Puts the client's link under TLS with the certificate of that domain; false where there is none.
+    /// Starts TLS with the certificate of this domain. Without a certificate the connection is
+    /// closed and false is returned.
     fn start_client_tls(
         &mut self,
         handshake: &mut Handshake,
@@ -123,8 +127,9 @@
         true
     }
 
-    /// Ends a connection that rests, whose room is needed, or whose process stops: with an answer, since a request may
-    /// be on its way at this moment. One that has come by now is heard as ever.
+    /// Ends a connection without a request, to make room or because the process stops. The client
+    /// is sent an answer, since its request may be on the way at this moment. A request that has
+    /// already arrived is read and admitted as usual.
     pub fn dismiss(&mut self) {
         if self.phase == Phase::Handshake {
             self.continue_handshake();
@@ -132,17 +137,18 @@
         let Some(mut handshake) = self.handshake.take() else {
             return;
         };
-        let (last_words, reason) = handshake
+        let (last_bytes, reason) = handshake
             .greeter
             .cut_short(&self.to_backend, Short::Dismissed);
         self.waiting = Some(handshake.waiting);
         self.linger = DISMISSED_LINGER;
-        // Behind what is still to be said, or in place of it: half a word would garble the answer.
-        let whole = handshake.unsent.is_empty() && !handshake.in_tls_handshake;
-        self.reject(if whole { last_words } else { Vec::new() }, reason);
+        // Where earlier bytes were sent in part, or TLS is not established, an answer would be
+        // garbled, so none is sent.
+        let can_answer = handshake.unsent.is_empty() && !handshake.in_tls_handshake;
+        self.reject(if can_answer { last_bytes } else { Vec::new() }, reason);
     }
 
-    /// It is closed with no word more.
+    /// Closes the connection without sending anything more. An empty reason is not logged.
     fn close_silently(&mut self, reason: &str) {
         if let Some(record) = self.record.take().filter(|_| !reason.is_empty()) {
             record.log_end(reason);
@@ -150,7 +156,7 @@
         self.phase = Phase::Closed;
     }
 
-    /// Hears the client as far as it has spoken.
+    /// Reads what the client has sent and acts on it.
     pub fn continue_handshake(&mut self) {
         let Some(mut handshake) = self.handshake.take() else {
             return;
@@ -158,22 +164,24 @@
         if self.drive_handshake(&mut handshake) {
             self.handshake = Some(handshake);
         } else if self.phase != Phase::Closed && self.session.is_none() {
-            // Its room is its own until it has gone.
+            // A rejected client keeps its slot until the connection is closed.
             self.waiting = Some(handshake.waiting);
         }
     }
 
-    /// True while it is to be heard further.
+    /// Continues the handshake; true while it is not complete.
     fn drive_handshake(&mut self, h: &mut Handshake) -> bool {
-        // A turn takes in once what has come: one that sends at full speed must not hold up the others.
-        let mut filled = false;
+        // The socket is read once per call, so that a client that sends at full speed does not
+        // delay the others.
+        let mut has_read = false;
         loop {
             let now = self.now();
             if h.in_tls_handshake {
                 match self.client.continue_tls_handshake() {
                     Ok(true) => {
-                        // What came right behind the handshake is TLS's now: no socket tells of it.
-                        (h.in_tls_handshake, filled) = (false, false);
+                        // Bytes right after the handshake may be in the TLS buffers already, where
+                        // no socket event reports them: read again.
+                        (h.in_tls_handshake, has_read) = (false, false);
                         if h.reports_tls {
                             h.greeter.secured(self.now());
                         }
@@ -225,23 +233,24 @@
                     self.admit(&h.waiting, order);
                     return false;
                 }
-                Next::End(last_words, reason) => {
-                    self.reject(last_words, reason);
+                Next::End(last_bytes, reason) => {
+                    self.reject(last_bytes, reason);
                     return false;
                 }
             }
             if now >= h.greeter.until() {
-                let (mut last_words, mut reason) =
+                let (mut last_bytes, mut reason) =
                     h.greeter.cut_short(&self.to_backend, Short::Late);
-                if last_words.is_empty() && reason.is_empty() {
-                    // It has rested for too long. Its request may be on its way just now.
-                    (last_words, reason) = h.greeter.cut_short(&self.to_backend, Short::Dismissed);
+                if last_bytes.is_empty() && reason.is_empty() {
+                    // The client was silent for too long. Its request may be on the way just now,
+                    // so it is sent an answer.
+                    (last_bytes, reason) = h.greeter.cut_short(&self.to_backend, Short::Dismissed);
                     self.linger = DISMISSED_LINGER;
                 }
-                self.reject(last_words, reason);
+                self.reject(last_bytes, reason);
                 return false;
             }
-            if std::mem::replace(&mut filled, true) {
+            if std::mem::replace(&mut has_read, true) {
                 return true;
             }
             match self.client.read_into(&mut self.to_backend) {
@@ -256,12 +265,13 @@
         }
     }
 
-    /// Ends a connection that asked for nothing sensible, or for nothing.
-    fn reject(&mut self, last_words: Vec<u8>, reason: &'static str) {
+    /// Ends a connection whose request is missing or invalid, after these last bytes. An empty
+    /// reason is not logged.
+    fn reject(&mut self, last_bytes: Vec<u8>, reason: &'static str) {
         if let Some(record) = self.record.take().filter(|_| !reason.is_empty()) {
             record.log_end(reason);
         }
-        self.last_words = last_words;
+        self.last_bytes = last_bytes;
         self.close();
     }
 }
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -1,4 +1,4 @@
-//! One side of a connection: its socket, and TLS where it stands between the socket and the protocol.
+//! One side of a connection: its socket, with or without TLS.
 
 use crate::protocol::buffer::Buffer;
 use crate::sys::timed_out;
@@ -7,7 +7,8 @@
 use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
 
-/// A side of a connection. Whoever drives it owns it; the socket is shared with those who may end it.
+/// One side of a connection. The connection owns it; the socket is shared with the session, through
+/// which other threads may end it.
 pub struct Link {
     /// The socket.
     pub socket: Arc<TcpStream>,
@@ -15,17 +16,18 @@
 }
 
 impl Link {
-    /// A side without protection.
+    /// A side without TLS.
     pub fn plain(socket: Arc<TcpStream>) -> Link {
         Link { socket, tls: None }
     }
 
-    /// Puts the link under TLS: [`Link::continue_tls_handshake`] goes on until it stands.
+    /// Starts TLS. Call [`Link::continue_tls_handshake`] until it is established.
     pub fn start_tls(&mut self, tls: Connection) {
         self.tls = Some(Box::new(tls));
     }
 
-    /// Goes on with the handshake as far as the socket allows; true once TLS stands and its last words are out.
+    /// Continues the TLS handshake as far as the socket allows. True once TLS is established and
+    /// all of the handshake was sent.
     pub fn continue_tls_handshake(&mut self) -> io::Result<bool> {
         let Some(tls) = &mut self.tls else {
             return Ok(true);
@@ -50,27 +52,28 @@
         }
     }
 
-    /// Whether TLS holds bytes that the socket has not taken yet.
+    /// Whether TLS holds bytes that the socket has not accepted yet.
     pub fn has_unsent_tls(&self) -> bool {
         self.tls.as_ref().is_some_and(|tls| tls.wants_write())
     }
 
-    /// Reads what has come; 0 is the end of the stream. Of a link under TLS nothing that has come stays unread.
+    /// Reads received bytes into a buffer; 0 is the end of the stream. With TLS all decrypted bytes
+    /// are read, since no socket event would report the rest.
     pub fn read_into(&mut self, inbox: &mut Buffer) -> io::Result<usize> {
         let Some(tls) = &mut self.tls else {
             return inbox.fill(&mut &*self.socket);
         };
         loop {
-            let (mut all, mut ended) = (0, false);
+            let (mut total, mut ended) = (0, false);
             loop {
                 match inbox.fill(&mut tls.reader()) {
                     Ok(0) => {
                         ended = true;
                         break;
                     }
-                    Ok(n) => all += n,
+                    Ok(n) => total += n,
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                    // The socket has ended and TLS has not.
+                    // The socket was closed without a TLS close_notify.
                     Err(e) if e.kind() == ErrorKind::UnexpectedEof => {
                         ended = true;
                         break;
@@ -78,45 +81,46 @@
                     Err(e) => return Err(e),
                 }
             }
-            if all > 0 || ended {
-                return Ok(all);
+            if total > 0 || ended {
+                return Ok(total);
             }
             read_tls_records(tls, &self.socket)?;
         }
     }
 
-    /// Writes as much as goes; the number of bytes taken, and whether the socket takes no more for now.
+    /// Writes as many bytes as the socket accepts. Returns their number, and whether the socket
+    /// accepts no more for now.
     pub fn write_available(&mut self, bytes: &[u8]) -> io::Result<(usize, bool)> {
-        let mut done = 0;
+        let mut written = 0;
         if let Some(tls) = &mut self.tls {
             loop {
-                if done < bytes.len() {
-                    // What TLS holds for the socket is bounded by its own limit of 64 KiB.
-                    done += tls.writer().write(&bytes[done..])?;
+                if written < bytes.len() {
+                    // The TLS output buffer is limited to 64 KiB by rustls.
+                    written += tls.writer().write(&bytes[written..])?;
                 }
-                if !tls.wants_write() && done == bytes.len() {
-                    return Ok((done, false));
+                if !tls.wants_write() && written == bytes.len() {
+                    return Ok((written, false));
                 }
                 match tls.write_tls(&mut &*self.socket) {
                     Ok(_) => {}
                     Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                    Err(e) if timed_out(&e) => return Ok((done, true)),
+                    Err(e) if timed_out(&e) => return Ok((written, true)),
                     Err(e) => return Err(e),
                 }
             }
         }
-        while done < bytes.len() {
-            match (&*self.socket).write(&bytes[done..]) {
-                Ok(n) => done += n,
+        while written < bytes.len() {
+            match (&*self.socket).write(&bytes[written..]) {
+                Ok(n) => written += n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if timed_out(&e) => return Ok((done, true)),
+                Err(e) if timed_out(&e) => return Ok((written, true)),
                 Err(e) => return Err(e),
             }
         }
-        Ok((done, false))
+        Ok((written, false))
     }
 
-    /// Ends the sending.
+    /// Ends the sending side of the connection.
     pub fn shutdown_write(&mut self) {
         if let Some(tls) = &mut self.tls {
             tls.send_close_notify();
@@ -126,7 +130,8 @@
     }
 }
 
-/// Takes in records of TLS, once. What breaks TLS is told to the other side and is an error.
+/// Reads TLS records once. A violation of TLS is reported to the other side with an alert, and is
+/// an error.
 fn read_tls_records(tls: &mut Connection, mut socket: &TcpStream) -> io::Result<()> {
     loop {
         match tls.read_tls(&mut socket as &mut dyn Read) {
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,6 +1,6 @@
-//! The socket at which clients come in: one that this process opens, or one that the platform holds and
-//! every process of the relay shares. It never blocks, so a process can stop taking clients at once: a blocked
-//! `accept` would take one more.
+//! Listening sockets for clients: opened by this process, or inherited from the platform and shared
+//! by all processes of the relay. They never block, so that a process can stop accepting at once; a
+//! blocked `accept` would accept one more client.
 
 use listenfd::ListenFd;
 use rustix::fd::{AsFd, BorrowedFd};
@@ -11,18 +11,19 @@
 /// A listening socket.
 pub struct Listener {
     socket: TcpListener,
-    /// Whether the platform holds the socket: other processes listen there too, now or later.
+    /// Whether the socket is inherited from the platform, so that other processes of this relay
+    /// listen on it too.
     pub inherited: bool,
 }
 
 impl Listener {
-    /// Opens a socket at this address.
+    /// Opens a socket on this address.
     pub fn open(addr: SocketAddr) -> io::Result<Listener> {
         Listener::new(TcpListener::bind(addr)?, false)
     }
 
-    /// Opens a socket at an address that several processes of a relay listen at during an upgrade, each with a
-    /// socket of its own.
+    /// Opens a socket with `SO_REUSEPORT`, for an address on which several processes of a relay
+    /// listen during an upgrade, each with its own socket.
     pub fn open_reuse_port(addr: SocketAddr) -> io::Result<Listener> {
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -32,8 +33,8 @@
         Listener::new(socket.into(), false)
     }
 
-    /// Takes the socket that this process has inherited as that descriptor. Call it before any thread is
-    /// started: the descriptor's number goes through the environment.
+    /// Uses the socket that this process has inherited under this descriptor. Must be called before
+    /// any thread is started, because it sets environment variables.
     pub fn inherit(fd: u16) -> io::Result<Listener> {
         std::env::set_var("LISTEN_FDS", "1");
         std::env::set_var("LISTEN_FDS_FIRST_FD", fd.to_string());
@@ -43,8 +44,8 @@
     }
 
     fn new(listener: TcpListener, inherited: bool) -> io::Result<Listener> {
-        // The flag is common to all processes that share the socket; none of them waits in `accept`. It is
-        // never shut down here: that would end it for the others too.
+        // The flag applies to all processes that share the socket; none of them blocks in `accept`.
+        // The socket is never shut down here, because that would end it for the others too.
         listener.set_nonblocking(true)?;
         Ok(Listener {
             socket: listener,
@@ -52,13 +53,13 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// The next client that waits; an error of the kind "would block" where none does, also where another process
-    /// was faster.
+    /// Accepts a client. The error is of the kind `WouldBlock` where no client waits, or another
+    /// process was faster.
     pub fn accept(&self) -> io::Result<TcpStream> {
         loop {
             match self.socket.accept() {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,11 @@
-//! The relay on sockets. It chooses no endpoint, retries nothing by itself and judges no load: what to
-//! do comes from [`crate::decision_service`]; what bytes mean comes from [`crate::protocol`].
+//! The relay's sockets: connections of clients, attempts at backends, and the event loop that
+//! drives them. This module does I/O only. It chooses no endpoint, retries nothing by itself and
+//! judges no load: [`crate::decision_service`] tells it what to do, and [`crate::protocol`] what
+//! bytes mean.
+//!
+//! A client's connection passes through these files: `listen` accepts it, `admission` counts it
+//! against the limits, `handshake` reads its request, `placement` has the request placed, `attempt`
+//! opens the connection to one backend, and `forward` passes bytes on between the two.
 
 pub mod admission;
 mod attempt;
--- a/src/net/placement.rs
+++ b/src/net/placement.rs
@@ -1,4 +1,5 @@
-//! The side of the clients: a request is let in, has its verdicts carried out, and gets its answer or its connection.
+//! Placement of a request: it is admitted and submitted to the decisions, their verdicts are
+//! carried out, and the client gets its final answer or its connection.
 
 use crate::config::listing::server_id;
 use crate::decision_service::{Decision, RequestHandle};
@@ -13,7 +14,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// Counts a connection by its final answer.
+/// Counts a request's final answer in the metrics.
 fn count_answer(record: &ConnectionRecord, answer: Answer) {
     match (&record.tally, answer) {
         (Some(tally), Answer::Refused(_)) => tally.dropped(),
@@ -23,7 +24,7 @@
 }
 
 impl Connection {
-    /// A client has asked for this.
+    /// Admits a client's request, or rejects it.
     pub fn admit(&mut self, waiting: &WaitingConnection, order: Box<dyn Order>) {
         let shared = self.shared.clone();
         if let Some(record) = &mut self.record {
@@ -44,7 +45,7 @@
                 self.phase = Phase::Pending;
                 return self.submit(order);
             }
-            // Nothing was sent, so a refusal promises nothing false.
+            // Nothing was sent to a backend, so the client may safely retry.
             Err(AdmissionError::NoCapacity) => (
                 Answer::Refused(shared.settings().max_retry_after / 2),
                 "no-descriptors",
@@ -54,13 +55,14 @@
         self.answer_and_close(Some(answer), order.words(answer), reason);
     }
 
-    /// Asks the decisions, or goes back to the backend at which the connection was open before the start.
+    /// Submits a request to the decisions. A connection that was established before this process
+    /// started goes to its earlier backend instead.
     fn submit(&mut self, order: Box<dyn Order>) {
         let Some(session) = self.session.clone() else {
             return;
         };
         let (shared, now) = (self.shared.clone(), self.now());
-        // Where this process stops, the answer is owed before it ends.
+        // While this process stops, the client must have its answer before the process ends.
         let shutdown_deadline = shared.answer_deadline.load(Relaxed);
         let request = &Request {
             time_left: order
@@ -91,7 +93,7 @@
                 )
             }
             None => {
-                // Whoever waits is owed its answer by then; what went before the request is the client's own time.
+                // The time before the request arrived does not count against the client's deadline.
                 let answer_deadline = now + request.time_left;
                 let decision = shared
                     .decisions
@@ -118,7 +120,7 @@
         self.drive_request(false);
     }
 
-    /// All that is owed to it is owed by then: this process stops.
+    /// Lowers the deadline of its answer, because the process stops.
     pub fn shorten_deadline(&mut self, by: Micros) {
         self.answer_deadline = self.answer_deadline.map(|at| at.min(by));
         if let Some(p) = &mut self.pending {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Goes on with a request that is placed; `ready` says that the socket of its attempt is.
+    /// Continues a pending request; `ready` says whether the socket of its attempt is ready.
     pub fn drive_request(&mut self, mut ready: bool) {
         let Some(session) = self.session.clone() else {
             return;
@@ -142,7 +144,7 @@
                 .pending
                 .as_ref()
                 .and_then(|p| p.attempt.as_ref())
-                .is_some_and(|a| a.sends_next(ready))
+                .is_some_and(|a| a.may_dial_or_send(ready))
             {
                 self.check_client_gone();
             }
@@ -211,7 +213,7 @@
         }
     }
 
-    /// An attempt has come up or failed.
+    /// Handles the result of an attempt.
     fn handle_attempt_result(
         &mut self,
         mut p: Box<PendingRequest>,
@@ -220,7 +222,7 @@
     ) {
         let decisions = self.shared.decisions.clone();
         let started_at = p.attempt.take().map_or(0, |attempt| attempt.started_at);
-        // Before the decisions hear of it: they may ask for a move at once.
+        // Before the decisions are told: they may request a migration at once.
         session.set_established(result.is_ok());
         match (result, p.decision.is_some()) {
             (Ok(established), false) => return self.establish(*p, established),
@@ -230,7 +232,8 @@
                 return self.establish(*p, established)
             }
             (Ok(established), true) => {
-                // Answered meanwhile: the attempt is closed before anything else happens.
+                // The request was answered meanwhile. The backend's socket is closed before the
+                // decisions are told.
                 drop(established);
                 session.detach_backend();
                 session.set_established(false);
@@ -253,7 +256,8 @@
         self.pending = Some(p);
     }
 
-    /// Gives a client the final answer that is no connection; nothing where it is gone.
+    /// Sends the client a final answer other than a connection, and closes; no answer where the
+    /// client is gone.
     fn answer_and_close(&mut self, answer: Option<Answer>, words: Vec<u8>, reason: &'static str) {
         if let Some(record) = self.record.take() {
             answer
@@ -261,11 +265,11 @@
                 .for_each(|answer| count_answer(&record, *answer));
             record.log_end(reason);
         }
-        self.last_words = words;
+        self.last_bytes = words;
         self.close();
     }
 
-    /// Goes on with a connection that has come up.
+    /// Continues as an established connection.
     fn establish(&mut self, p: PendingRequest, established: EstablishedBackend) {
         let EstablishedBackend {
             link,
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -1,8 +1,8 @@
-//! The one place that waits: for sockets by epoll, and for other threads by an eventfd among them. What is above it
-//! is told what is ready and when to look again, so that a driver of sockets and time which is no system can take
-//! its place.
+//! Waiting for sockets with epoll, and for other threads with an eventfd. This is the only place
+//! that blocks: the code above it is told which sockets are ready, so that a simulation of sockets
+//! and time could replace it.
 //!
-//! Guards against: a wake-up that comes between the last look at what is to be done and the wait.
+//! Guards against: a lost wake-up between the last check for work and the wait.
 
 use crate::log::log;
 use crate::sys::Wake;
@@ -17,43 +17,45 @@
 use std::thread::{self, ThreadId};
 use std::time::Duration;
 
-/// Wait after a failure of the wait itself, so that it does not take the processor.
+/// Pause after a failed wait, so that repeated failures do not use up the processor.
 const ERROR_PAUSE: Duration = Duration::from_millis(200);
 
-/// What is waited for on a socket. That it broke is always told.
+/// The events to wait for on a socket. Errors are always reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Interest {
-    /// Something to read, or the end.
+    /// Bytes to read, or the end of the stream.
     pub read: bool,
-    /// Room to write, or the end of a dial.
+    /// Space to write, or the end of a dial.
     pub write: bool,
-    /// That the other side has ended its sending, where nothing is read that would show it.
+    /// The peer has closed its sending side. For sockets that are not read at the moment, where a
+    /// read would show it.
     pub peer_closed: bool,
 }
 
-/// A socket on which something can be done.
+/// An event of a socket.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// The token under which it is watched.
+    /// The token that the socket is watched under.
     pub token: u64,
-    /// Something has come, or it has ended or broken.
+    /// There are bytes to read, the end of the stream, or an error.
     pub read: bool,
-    /// It takes bytes.
+    /// The socket accepts bytes.
     pub write: bool,
-    /// The other side has ended its sending, or it has broken.
+    /// The peer has closed its sending side, or there is an error.
     pub peer_closed: bool,
 }
 
-/// The token of the wake-up itself.
+/// The token of the eventfd.
 const WAKE_TOKEN: u64 = u64::MAX;
 
-/// Wakes the thread that waits, from any other.
+/// Wakes the thread that waits, from any thread.
 struct Waker {
     fd: OwnedFd,
-    /// Whether a wake-up is under way: one is enough.
+    /// Whether a wake-up was sent and not received yet: one is enough.
     pending: AtomicBool,
-    /// Whether the thread that waits has given work to itself: it looks again before it waits.
+    /// Whether the thread that waits has given work to itself and must not wait next.
     rescheduled: AtomicBool,
+    /// The thread that waits.
     owner: OnceLock<ThreadId>,
 }
 
@@ -62,7 +64,8 @@
         if self.owner.get() == Some(&thread::current().id()) {
             self.rescheduled.store(true, SeqCst);
         } else if !self.pending.swap(true, SeqCst) {
-            // It can fail only when the counter is full, and then it is readable anyway.
+            // The write fails only when the counter is full, and then the eventfd is readable
+            // anyway.
             let _ = rustix::io::write(&self.fd, &1u64.to_ne_bytes());
         }
     }
@@ -74,7 +77,7 @@
     waker: Arc<Waker>,
 }
 
-/// Room for what a wait brings; it belongs to the thread that waits.
+/// The buffer for the events of a wait. It belongs to the thread that waits.
 pub struct Events(epoll::EventVec);
 
 impl Default for Events {
@@ -84,7 +87,7 @@
 }
 
 impl Poller {
-    /// One that watches nothing yet.
+    /// A poller that watches no socket yet.
     pub fn new() -> io::Result<Poller> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let fd = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
@@ -103,23 +106,24 @@
         Ok(Poller { epoll, waker })
     }
 
-    /// What wakes the thread that waits here.
+    /// A function that wakes the thread that waits.
     pub fn waker(&self) -> Wake {
         let waker = self.waker.clone();
         Arc::new(move || waker.wake())
     }
 
-    /// This thread is the one that waits: it needs no wake-up from itself.
+    /// Declares the calling thread the one that waits: its own wake-ups need no system call.
     pub fn set_owner(&self) {
         let _ = self.waker.owner.set(thread::current().id());
     }
 
-    /// Whether this thread has given itself work since it was last asked.
+    /// Whether the waiting thread has woken itself since the last call.
     pub fn take_rescheduled(&self) -> bool {
         self.waker.rescheduled.swap(false, SeqCst)
     }
 
-    /// Watches a socket for `to` in place of `from`; none is not at all. A socket that is closed needs no call.
+    /// Changes the watch on a socket from the events `from` to `to`; none is no watch. Closing a
+    /// socket ends its watch without a call.
     pub fn watch(
         &self,
         socket: impl AsFd,
@@ -145,9 +149,9 @@
         Ok(())
     }
 
-    /// Waits until a socket is ready, a wake-up comes or the time is up, whichever is first.
+    /// Waits until a socket is ready, a wake-up is received or the limit has passed.
     pub fn wait(&self, limit: Duration, Events(events): &mut Events, ready: &mut Vec<Ready>) {
-        // Rounded up: a wait that ends a moment too early would be begun anew until the moment has passed.
+        // Rounded up, because waits that end too early would be repeated until the time has passed.
         let ms = limit.as_micros().div_ceil(1_000).min(60_000) as i32;
         match epoll::wait(&self.epoll, events, ms) {
             Ok(()) | Err(rustix::io::Errno::INTR) => {}
@@ -159,7 +163,7 @@
         for event in events.iter() {
             let (token, flags) = (event.data.u64(), event.flags);
             if token == WAKE_TOKEN {
-                // Before what it was for is looked at: what comes from now on brings a wake-up of its own.
+                // Reset before the caller checks for work, so that later work sends a new wake-up.
                 let _ = rustix::io::read(&self.waker.fd, &mut [0; 8]);
                 self.waker.pending.store(false, SeqCst);
                 continue;
@@ -178,16 +182,17 @@
     }
 }
 
-/// Whether the other side has ended its sending or broken off, also where unread bytes stand before that.
+/// Whether the peer has closed its sending side or the connection is broken, even if there are
+/// unread bytes before that.
 pub fn peer_closed(socket: &TcpStream) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::RDHUP)];
     poll(&mut fds, 0).is_ok_and(|n| n > 0)
 }
 
-/// Whether a dial failed for want of something of this machine's own: it says nothing of the backend.
+/// Whether a dial failed for lack of a local resource, which says nothing about the backend.
 pub fn is_local_failure(e: &io::Error) -> bool {
     use rustix::io::Errno;
-    let own = [
+    let local = [
         Errno::MFILE,
         Errno::NFILE,
         Errno::NOBUFS,
@@ -198,11 +203,13 @@
         Errno::ACCESS,
         Errno::PERM,
     ];
-    own.iter()
+    local
+        .iter()
         .any(|errno| e.raw_os_error() == Some(errno.raw_os_error()))
 }
 
-/// Begins a dial and does not wait for its end: the socket takes bytes, or has an error, when it is over.
+/// Begins a dial and does not wait for its end. The socket becomes writable, or has an error, when
+/// the dial has ended.
 pub fn dial(addr: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
@@ -219,15 +226,15 @@
 mod tests {
     use super::*;
 
-    /// A wake-up between the last look and the wait once would have been slept over.
+    /// Guards against a wake-up between the last check for work and the wait that is lost.
     #[test]
-    fn a_wake_up_before_the_wait_ends_it_and_one_of_the_waiting_thread_costs_no_call() {
+    fn a_wake_up_before_the_wait_ends_it_and_one_of_the_waiting_thread_needs_no_system_call() {
         let (poller, mut events) = (Poller::new().unwrap(), Events::default());
         poller.set_owner();
         let (wake, mut ready) = (poller.waker(), Vec::new());
         let other = wake.clone();
         thread::spawn(move || (other(), other())).join().unwrap();
-        // For as long as the longest wait, if it were not woken.
+        // Without the wake-up this would last as long as the longest wait.
         poller.wait(Duration::from_secs(3600), &mut events, &mut ready);
         assert!(ready.is_empty() && !poller.take_rescheduled());
         wake();
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -1,5 +1,5 @@
-//! A request or connection under way, as those see it who may end it from another thread: the decisions, which may
-//! have an attempt given up or a client moved. What they say is kept here, and the thread that serves is woken.
+//! The part of a connection that other threads share. The decisions cancel attempts and request
+//! migrations through it; their orders are stored here and the event loop is woken.
 
 use crate::decision_service::RequestHandle;
 use crate::decisions::api::RequestId;
@@ -13,18 +13,22 @@
 
 #[derive(Default)]
 struct State {
+    /// The socket of the attempt in progress, or of the established connection.
     backend: Option<Arc<TcpStream>>,
-    /// Attempts below this number are called off.
+    /// Attempts with a lower number are cancelled.
     cancelled_below: u16,
+    /// Whether the connection is established.
     established: bool,
+    /// Whether the client is to be migrated.
     migrating: bool,
     /// Whether the client left before its answer.
     client_gone: bool,
-    /// Its id for the decisions.
+    /// The request's id for the decisions; none until it is submitted.
     request_id: Option<RequestId>,
 }
 
-/// The connections for which there is news, each once, for the thread that serves.
+/// The numbers of connections that the decisions have an update for, each at most once. Read by the
+/// event loop.
 #[derive(Default)]
 pub struct WakeQueue {
     numbers: Mutex<Vec<u64>>,
@@ -32,7 +36,7 @@
 }
 
 impl WakeQueue {
-    /// From now on this is called with each news. Once.
+    /// Sets the function that wakes the event loop. Only the first call has an effect.
     pub fn set_waker(&self, wake: Wake) {
         let _ = self.wake.set(wake);
     }
@@ -42,23 +46,25 @@
         self.wake.get().iter().for_each(|wake| wake());
     }
 
-    /// Takes them all.
+    /// Takes all numbers.
     pub fn take(&self) -> Vec<u64> {
         std::mem::take(&mut *lock(&self.numbers))
     }
 }
 
-/// One client's connection. Whoever works on it shares its sockets: no descriptor is doubled.
+/// The shared part of one client's connection. Its sockets are shared, not duplicated, so that a
+/// connection needs only two descriptors.
 pub struct Session {
     wake_queue: Arc<WakeQueue>,
-    /// Whether it is among the woken.
+    /// Whether the connection is in the wake queue.
     notified: AtomicBool,
     /// The keys of the client and of its group.
     pub keys: (u64, u64),
     state: Mutex<State>,
-    /// Whether its backend finishes what it sends before it is moved: the forwarder sees to that.
+    /// Whether the backend finishes what it sends before a migration; see
+    /// [`Order::finishes`](crate::protocol::Order::finishes).
     backend_finishes_first: bool,
-    /// Given back last, when the sockets are closed.
+    /// The last field, so that it is released after the sockets are closed.
     slot: RequestSlot,
 }
 
@@ -79,7 +85,8 @@
         let mut state = lock(&self.state);
         if let (true, Some(backend)) = (state.established && !state.migrating, &state.backend) {
             if !self.backend_finishes_first {
-                // Wakes the forwarder, which first passes on what has come.
+                // Wakes the event loop with an end of stream, behind the bytes that were received:
+                // they are forwarded first.
                 let _ = backend.shutdown(Shutdown::Read);
             }
             state.migrating = true;
@@ -88,7 +95,8 @@
 }
 
 impl Session {
-    /// A session of that client; `standing` is the backend's socket where it is up already.
+    /// The session of a client with these keys. `established_backend` is the backend's socket of a
+    /// connection that was taken over.
     pub fn new(
         wake_queue: &Arc<WakeQueue>,
         keys: (u64, u64),
@@ -119,13 +127,13 @@
         }
     }
 
-    /// Its news are about to be looked at: what comes from now on wakes anew.
+    /// Lets the next update notify again. Called before the update is handled.
     pub fn clear_notification(&self) {
-        // Swapped, not stored: what was said before is seen after it.
+        // A swap, not a store: it also acquires what was written before the notification.
         self.notified.swap(false, AcqRel);
     }
 
-    /// Takes the socket of an attempt; false if the attempt is called off.
+    /// Stores the socket of an attempt; false if the attempt is cancelled.
     pub fn attach_backend(&self, backend: &Arc<TcpStream>, attempt: u16) -> bool {
         let mut state = lock(&self.state);
         if state.cancelled_below > attempt || state.client_gone {
@@ -135,8 +143,9 @@
         true
     }
 
-    /// Gives a connection that is up away to another process: from here on nothing of this one touches its
-    /// sockets, which both share. False if it is about to be moved.
+    /// Detaches an established connection that is handed over to another process. Both processes
+    /// share its sockets, so from here on this one must not touch them. False if the connection is
+    /// about to be migrated.
     pub fn begin_handover(&self) -> bool {
         let mut state = lock(&self.state);
         let may_migrate = state.established && !state.migrating;
@@ -146,45 +155,45 @@
         may_migrate
     }
 
-    /// Takes a connection back that could not be given away.
+    /// Takes back a connection whose handover failed.
     pub fn undo_handover(&self, backend: &Arc<TcpStream>) {
         let mut state = lock(&self.state);
         (state.established, state.backend) = (true, Some(backend.clone()));
     }
 
-    /// Lets go of the socket of an attempt.
+    /// Releases the backend's socket.
     pub fn detach_backend(&self) {
         lock(&self.state).backend = None;
     }
 
-    /// Whether an attempt is called off, or its client has left.
+    /// Whether an attempt is cancelled, or its client has left.
     pub fn is_cancelled(&self, attempt: u16) -> bool {
         let state = lock(&self.state);
         state.cancelled_below > attempt || state.client_gone
     }
 
-    /// The connection's own id.
+    /// The id that the client gave the connection.
     pub fn connection_id(&self) -> &str {
         &self.slot.id
     }
 
-    /// Whether it is up and not about to be moved.
+    /// Whether it is established and not already migrating.
     pub fn may_migrate(&self) -> bool {
         let state = lock(&self.state);
         state.established && !state.migrating
     }
 
-    /// Whether the client is to be moved.
+    /// Whether the client is to be migrated.
     pub fn is_migrating(&self) -> bool {
         lock(&self.state).migrating
     }
 
-    /// Whether the client is to be moved once its backend has finished.
+    /// Whether the client is to be migrated once its backend has finished.
     pub fn finishes_before_migration(&self) -> bool {
         self.backend_finishes_first && self.is_migrating()
     }
 
-    /// Whether it may go on in another process.
+    /// Whether it can be handed over to another process.
     pub fn is_portable(&self) -> bool {
         !self.backend_finishes_first
     }
@@ -194,44 +203,45 @@
         self.slot.number
     }
 
-    /// The decisions know it by this id.
+    /// Sets the request's id for the decisions.
     pub fn set_request_id(&self, id: RequestId) {
         lock(&self.state).request_id = Some(id);
     }
 
-    /// The client has left before its answer: an attempt that is out ends. Its id, where it has one yet.
+    /// Records that the client left before its answer, which cancels the attempt in progress.
+    /// Returns the request's id if it was submitted.
     pub fn client_gone(&self) -> Option<RequestId> {
         let mut state = lock(&self.state);
         state.client_gone = true;
         state.request_id
     }
 
-    /// Whether the connection is up.
+    /// Sets whether the connection is established.
     pub fn set_established(&self, established: bool) {
         lock(&self.state).established = established;
     }
 }
 
-/// What the log says of a connection that has ended.
+/// The data of a connection's line in the log, which is written when the connection ends.
 pub struct ConnectionRecord {
-    /// Its protocol.
+    /// The client protocol.
     pub front: &'static str,
-    /// The connection's own id.
+    /// The id that the client gave the connection.
     pub id: String,
-    /// Its class.
+    /// The name of the request's class.
     pub class: String,
-    /// Its backend.
+    /// The name of the backend.
     pub backend: String,
-    /// How many attempts were made.
+    /// The number of attempts.
     pub attempts: u16,
-    /// When it started_at.
+    /// The time of the accept.
     pub started_at: Instant,
-    /// Its part in the figures; none before its class is known.
+    /// The connection's part in the metrics; none before its class is known.
     pub tally: Option<Tally>,
 }
 
 impl ConnectionRecord {
-    /// One of a client that has just come.
+    /// The record of a connection that was just accepted.
     pub fn new(front: &'static str) -> ConnectionRecord {
         let (id, class, backend) = (String::new(), String::new(), String::new());
         ConnectionRecord {
@@ -245,7 +255,7 @@
         }
     }
 
-    /// Writes the connection's one line.
+    /// Writes the connection's line to the log.
     pub fn log_end(&self, reason: &str) {
         let ConnectionRecord {
             front,
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -1,4 +1,4 @@
-//! What all connections of a relay share.
+//! State that all connections of a relay share.
 
 use crate::config::operator::{OperatorError, OperatorFile};
 use crate::config::Config;
@@ -17,13 +17,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What the network takes from the settings, all of it at once.
+/// The part of the settings that connections need. Replaced as a whole at a reload.
 pub struct NetSettings {
-    /// What the fronts take from them.
+    /// The part that the client protocols need.
     pub rules: Arc<Rules>,
-    /// The longest dial.
+    /// The longest dial of a backend.
     pub dial_timeout: Duration,
-    /// The longest wait that a refused client obeys.
+    /// The longest time after which a rejected client may be told to retry.
     pub max_retry_after: Micros,
 }
 
@@ -40,18 +40,19 @@
     }
 }
 
-/// The XMPP front as an install has it.
+/// The configuration of the XMPP front.
 pub struct XmppFront {
-    /// What its machines take from the operator file.
+    /// The part that the XMPP protocol needs.
     pub terms: Arc<terms::Terms>,
-    /// Certificates.
+    /// The TLS configurations with their certificates.
     pub tls: TlsConfig,
-    /// The port of XMPP servers, where it is not the one that discovery gives.
+    /// The port of XMPP servers, if it is not the one that discovery gives.
     pub port: Option<u16>,
 }
 
 impl XmppFront {
-    /// The front that an operator file sets, with its certificates, all checked; none where it sets none.
+    /// Checks the front's section of an operator file and reads its certificates; none where the
+    /// file has no such section.
     pub fn from_operator_file(
         file: &OperatorFile,
         config: &Config,
@@ -68,18 +69,19 @@
     }
 }
 
-/// The share of the memory limit that long units may take together, all connections counted.
+/// The memory limit divided by this is the limit for long protocol units of all connections.
 const LONG_UNIT_MEMORY_DIVISOR: u64 = 4;
 
-/// Memory that is held for long units, and the most that may be: a stanza is held until it is whole, and many
-/// clients with a long one each, begun and never ended, would else take all there is.
+/// Budget for the memory of long protocol units. A stanza is buffered until it is complete, so
+/// without a budget many clients that each begin a long one and never end it could use up the
+/// memory.
 pub struct MemoryBudget {
     used: AtomicUsize,
     limit: usize,
 }
 
 impl MemoryBudget {
-    /// None yet, within that limit of the process.
+    /// An unused budget for a process with this memory limit.
     pub fn new(memory_mb: u64) -> MemoryBudget {
         MemoryBudget {
             used: AtomicUsize::new(0),
@@ -87,44 +89,45 @@
         }
     }
 
-    /// Holds so many bytes in place of so many before; false where that is more than there may be. What is held
-    /// is counted in any case.
+    /// Replaces `before` bytes of a connection by `after`. False where the total grows beyond the
+    /// limit; the bytes are counted in any case.
     pub fn replace(&self, before: usize, after: usize) -> bool {
         if after >= before {
-            let all = self.used.fetch_add(after - before, Relaxed) + (after - before);
-            return after == before || all <= self.limit;
+            let total = self.used.fetch_add(after - before, Relaxed) + (after - before);
+            return after == before || total <= self.limit;
         }
         self.used.fetch_sub(before - after, Relaxed);
         true
     }
 }
 
-/// What all connections share.
+/// State that all connections share.
 pub struct SharedState {
-    /// The decisions.
+    /// The decision service.
     pub decisions: Arc<DecisionService>,
-    /// The backends' addresses.
+    /// The names, addresses and states of backends.
     pub directory: Arc<Directory>,
     settings: Mutex<Arc<NetSettings>>,
     xmpp: Mutex<Option<Arc<XmppFront>>>,
-    /// What backends told lately.
+    /// Recent load samples of backends.
     pub load_samples: Notes,
-    /// Who may come in.
+    /// The limits of connections and requests.
     pub admission: Arc<Admission>,
-    /// What is counted.
+    /// The metrics of this process.
     pub metrics: Arc<Metrics>,
-    /// By when all that is owed must be answered, as a process that stops has it; [`Micros::MAX`] before that.
+    /// The time by which all pending requests must be answered, because the process stops;
+    /// [`Micros::MAX`] before that.
     pub answer_deadline: AtomicU64,
-    /// Whether this process takes clients.
+    /// Whether this process accepts clients.
     pub accepting: Arc<AtomicBool>,
-    /// Memory that the buffers of standing connections hold for long units.
+    /// The budget for long protocol units in the buffers of established connections.
     pub long_unit_memory: MemoryBudget,
-    /// The requests and connections of which the decisions have news.
+    /// The connections that the decisions have an update for.
     pub wake_queue: Arc<WakeQueue>,
 }
 
 impl SharedState {
-    /// What the connections of a relay with this configuration share.
+    /// The shared state of a relay with this configuration.
     pub fn new(
         config: &Config,
         decisions: Arc<DecisionService>,
@@ -151,31 +154,31 @@
         })
     }
 
-    /// What the settings in force say.
+    /// The settings in force.
     pub fn settings(&self) -> Arc<NetSettings> {
         lock(&self.settings).clone()
     }
 
-    /// New settings hold from now on. The decisions first: a class must mean something to them before a
-    /// client can ask for it.
+    /// Puts new settings in force. The decisions get them first, since they must know a class
+    /// before a client can request it.
     pub fn adopt_settings(&self, config: &Config) {
         self.metrics.show(&config.classes.names());
         self.decisions.update_settings(config.settings.clone());
         *lock(&self.settings) = Arc::new(NetSettings::from_config(config));
     }
 
-    /// The XMPP front, where there is one.
+    /// The XMPP front, if there is one.
     pub fn xmpp(&self) -> Option<Arc<XmppFront>> {
         lock(&self.xmpp).clone()
     }
 
-    /// The XMPP front is as said from now on; sessions under way go on as they were admitted.
+    /// Replaces the XMPP front. Existing sessions keep the configuration that they began with.
     pub fn adopt_xmpp(&self, xmpp: Option<Arc<XmppFront>>) {
         self.metrics.xmpp.on.store(xmpp.is_some(), Relaxed);
         *lock(&self.xmpp) = xmpp;
     }
 
-    /// The port at which servers of that front are reached, where it is not the one that discovery gives.
+    /// The port of this front's backends, if it is not the one that discovery gives.
     pub fn backend_port(&self, front: &str) -> Option<u16> {
         self.xmpp()
             .filter(|_| front == "xmpp")
--- a/src/net/tls.rs
+++ b/src/net/tls.rs
@@ -1,8 +1,9 @@
-//! Certificates, and the configurations of TLS made of them. All are read and checked at once: a bad pair among
-//! them changes nothing.
+//! TLS configurations with the certificates of the operator file. All certificates are read and
+//! checked together, so that a bad one leaves the configuration in use unchanged.
 //!
-//! Guards against: a key that is another certificate's, a certificate that has run out or is for another name,
-//! found out by the first client in place of the operator.
+//! Guards against: a key that belongs to another certificate, and a certificate that has expired or
+//! is for another name. The operator learns of these at the start or reload, not from the first
+//! client.
 
 use crate::config::operator::{OperatorError, OperatorFile, Security, Xmpp};
 use rustls::crypto::ring;
@@ -16,7 +17,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Certificates by domain, and the one for whoever names none.
+/// Chooses the certificate by the domain that a client names, or the default domain's.
 #[derive(Debug)]
 struct CertificateResolver {
     by_name: Arc<BTreeMap<String, Arc<CertifiedKey>>>,
@@ -32,13 +33,17 @@
     }
 }
 
-/// TLS towards clients and servers.
+/// TLS configurations for connections from clients and to XMPP servers.
 pub struct TlsConfig {
+    /// Configurations for clients, by the domain whose certificate is the default.
     by_domain: BTreeMap<String, Arc<ServerConfig>>,
+    /// The first domain of the operator file, in lower case.
     default_domain: String,
+    /// The configuration for XMPP servers; none where they are reached without TLS.
     client_config: Option<Arc<ClientConfig>>,
 }
 
+/// Reads and checks the certificate and key of the `n`th domain of `[xmpp]`.
 fn load_certificate(
     file: &OperatorFile,
     n: usize,
@@ -62,11 +67,12 @@
     let name = ServerName::try_from(domain.name.clone()).map_err(|_| {
         file.error(
             &format!("{key}.name"),
-            "is no name that a certificate can have",
+            "is not a name that a certificate can have",
         )
     })?;
     let end = webpki::EndEntityCert::try_from(leaf).map_err(|e| error(e.to_string()))?;
-    // Who has signed it is the clients' to judge: without an anchor only its dates are looked at.
+    // Whether the issuer is trusted is for the clients to judge. Without trust anchors the only
+    // errors of interest here are those of the validity period.
     let (algorithms, usage) = (
         webpki::ALL_VERIFICATION_ALGS,
         webpki::KeyUsage::server_auth(),
@@ -80,7 +86,7 @@
         }
         Err(webpki::Error::CertNotValidYet { not_before, .. }) => {
             return Err(error(format!(
-                "holds in {} days only",
+                "is not valid yet, for another {} days",
                 days_from_now(not_before)
             )));
         }
@@ -101,13 +107,13 @@
         .map_err(|e| error(format!("is not the certificate's key: {e}")))
 }
 
-/// How many days a moment is from now.
-fn days_from_now(at: UnixTime) -> u64 {
-    UnixTime::now().as_secs().abs_diff(at.as_secs()) / 86_400
+/// The number of whole days between now and a time in the past or future.
+fn days_from_now(time: UnixTime) -> u64 {
+    UnixTime::now().as_secs().abs_diff(time.as_secs()) / 86_400
 }
 
 impl TlsConfig {
-    /// Reads and checks all that `[xmpp]` names.
+    /// Reads and checks all certificates that `[xmpp]` names.
     pub fn load(file: &OperatorFile, x: &Xmpp) -> Result<TlsConfig, OperatorError> {
         let mut by_name = BTreeMap::new();
         for n in 0..x.domain.len() {
@@ -133,10 +139,11 @@
                     .map_err(|e| file.error("xmpp", e))?
                     .with_no_client_auth()
                     .with_cert_resolver(Arc::new(resolver));
-            // Clients that were moved come back together: a resumed handshake costs a tenth of a full one.
+            // Migrated clients reconnect together, and a resumed handshake costs a tenth of a full
+            // one.
             config.ticketer = ticketer.clone();
             config.send_tls13_tickets = 1;
-            // Nothing is kept for each client: phones are many.
+            // No state per client is kept in memory: there are too many clients.
             config.session_storage = Arc::new(rustls::server::NoServerSessionStorage {});
             Ok((domain.clone(), Arc::new(config)))
         };
@@ -178,8 +185,8 @@
         Ok(Arc::new(config))
     }
 
-    /// The relay's side of TLS with a client; the certificate is that of the name the client gives, else that of
-    /// this domain, else the first.
+    /// The relay's side of TLS with a client. The certificate is that of the name that the client
+    /// gives, else that of this domain, else that of the default domain.
     pub fn server_connection(&self, domain: Option<&str>) -> Option<Connection> {
         let config = domain
             .and_then(|d| self.by_domain.get(d))
@@ -189,7 +196,7 @@
             .map(Connection::Server)
     }
 
-    /// The relay's side of TLS with a server of that domain.
+    /// The relay's side of TLS with an XMPP server of this domain.
     pub fn client_connection(&self, domain: &str) -> Option<Connection> {
         let name = ServerName::try_from(domain.to_string()).ok()?;
         ClientConnection::new(self.client_config.clone()?, name)
