--- a/src/net/fleet/dispatch.rs
+++ b/src/net/fleet/dispatch.rs
@@ -15,7 +15,8 @@
 }
 
 impl Fleet {
-    /// Dispatches received messages, and carries out what the voter wants done, until neither is left.
+    /// Dispatches received messages, and carries out what the voter wants done, until neither is
+    /// left.
     pub(super) fn process_inbox(&mut self) {
         loop {
             match self.inbox.pop_front() {
--- a/src/net/fleet/error.rs
+++ b/src/net/fleet/error.rs
@@ -1,24 +1,24 @@
-//! Why a relay cannot take part in its fleet.
+//! Errors that keep a relay from taking part in its fleet.
 
 use crate::platform::ledger::LedgerError;
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the fleet's thread cannot start, or this relay cannot vote.
+/// An error that keeps the fleet's thread from starting, or this relay from voting.
 #[derive(Debug)]
 pub enum OpenError {
     /// A socket or the poller failed.
     Io(io::Error),
     /// The ledger cannot be read.
     Ledger(LedgerError),
-    /// `fleet.voter` is none of `fleet.voters`.
+    /// `fleet.voter` is not the number of any of `fleet.voters`.
     UnknownVoter,
     /// The voter's address cannot be listened on.
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
 }
--- a/src/net/fleet/event_loop.rs
+++ b/src/net/fleet/event_loop.rs
@@ -1,4 +1,5 @@
-//! The loop of the fleet's thread: what is done in each tick, in which order, and how long it waits between two.
+//! The event loop of the fleet's thread: the steps of a tick in their order, and the wait between
+//! ticks.
 
 use super::Fleet;
 use crate::decisions::api::{Micros, SECOND};
@@ -13,8 +14,8 @@
 const MAX_WAIT: Micros = SECOND;
 
 impl Fleet {
-    /// Runs until [`Handle::shutdown`](super::Handle::shutdown), or as long as the process does; `metrics` are those of
-    /// the relay.
+    /// Runs until [`Handle::shutdown`](super::Handle::shutdown), else as long as the process does.
+    /// `metrics` are those of the relay.
     pub fn run(mut self, metrics: Arc<Metrics>) {
         self.metrics = metrics;
         self.metrics.control.on.store(true, Relaxed);
@@ -36,7 +37,7 @@
         }
     }
 
-    /// How long the thread may wait where nothing arrives: until the earliest timer.
+    /// The time until the earliest timer: how long the thread may wait for events.
     fn next_wait(&self, now: Micros) -> Duration {
         let voter_tick = self
             .voter
@@ -56,8 +57,9 @@
         Duration::from_micros(earliest.saturating_sub(now))
     }
 
-    /// One tick. The order matters: the voter's membership before the lease client asks voters, the lease before jobs
-    /// that depend on it, and the metrics after all of them.
+    /// Does one tick. The order matters: the voter's membership before the lease client sends
+    /// requests to voters, the lease before jobs that depend on it, and the metrics after all of
+    /// them.
     fn tick(&mut self) {
         let now = boottime();
         if self.ledger_retry_at.is_some_and(|at| now >= at) {
--- a/src/net/fleet/job_driver.rs
+++ b/src/net/fleet/job_driver.rs
@@ -1,7 +1,8 @@
-//! Drives the fleet's jobs on this relay: those that it owns, and the updates of those that others own.
+//! Drives the fleet's jobs on this relay: the jobs that it owns, and the updates from owners of
+//! others.
 //!
-//! Inputs: job messages of the voters, results of health checks, the state of migrations. Outputs: load reports for the
-//! relay's cache, permits for migrations, messages to the voters, metrics.
+//! Inputs: job messages of the voters, results of health checks, the state of migrations. Outputs:
+//! load reports for the relay's cache, permits for migrations, messages to the voters, metrics.
 
 use super::dispatch::LOCAL;
 use super::Fleet;
@@ -23,7 +24,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// What the fleet's jobs need of the relay.
+/// The parts and settings of the relay that the fleet's jobs use.
 pub struct JobResources {
     /// The relay's endpoints.
     pub directory: Arc<Directory>,
@@ -33,7 +34,7 @@
     pub report_columns: Vec<String>,
     /// The relay's own zone: an index into `zones`.
     pub own_zone: u16,
-    /// Whether the settings allow health checks, and endpoints report their load in them.
+    /// Whether the settings allow health checks, and endpoints report their load in the answers.
     pub may_check_health: bool,
     /// Load reports of the load watch, and requests for health checks.
     pub load_reports: Arc<LoadReportCache>,
@@ -51,7 +52,7 @@
             .collect()
     }
 
-    /// The jobs that this relay can own, and those that should exist because of it.
+    /// The kinds of jobs that this relay can own, and the jobs that should exist because of it.
     fn capabilities(&self, jobs: operator::Jobs) -> JobCapabilities {
         let mut capabilities = JobCapabilities::default();
         if jobs.load_watch && self.may_check_health {
@@ -67,7 +68,8 @@
         capabilities
     }
 
-    /// Names of the load watch's jobs, one a zone. A zone whose name makes no valid job name has none.
+    /// Names of the load watch's jobs, one per zone. A zone whose name is too long for a job name
+    /// is logged and has no job.
     fn load_watch_jobs(&self) -> Vec<String> {
         let names = self
             .zones
@@ -77,28 +79,29 @@
             names.partition(|name| is_valid_job_name(name));
         for name in invalid {
             log(&format!(
-                "fleet.jobs.load_watch: no job can be named '{name}': a shorter name of the zone is wanted"
+                "fleet.jobs.load_watch: '{name}' is not a valid job name; the zone needs a shorter name"
             ));
         }
         valid
     }
 }
 
-/// The worker of the fleet's jobs, with what it needs of the relay.
+/// The worker of the fleet's jobs, with the resources that it uses.
 pub(super) struct JobRunner {
     pub(super) worker: Worker,
     resources: JobResources,
 }
 
 impl Fleet {
-    /// Lets this relay own jobs of the fleet and follow those of others, as its operator file and settings allow.
+    /// Lets this relay own jobs of the fleet and follow those of others, as its operator file and
+    /// settings allow.
     pub fn enable_jobs(&mut self, resources: JobResources) {
         let jobs = self.settings.fleet.jobs;
         if !jobs.any() {
             return;
         }
         if jobs.load_watch && !resources.may_check_health {
-            log("fleet.jobs.load_watch: the settings allow no probes, or backends tell no load: it does none of that");
+            log("fleet.jobs.load_watch: not used: the settings allow no health checks, or backends report no load");
         }
         let capabilities = resources.capabilities(jobs);
         // An empty list of kinds would mean all kinds.
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Releases the jobs at the first tick after a drain began.
+    /// Relinquishes the jobs in the first tick after a drain began.
     pub(super) fn release_jobs_on_drain(&mut self, now: Micros) {
         if self.jobs_released || !self.handle.drain.load(Relaxed) {
             return;
@@ -196,14 +199,15 @@
         } else {
             self.links.get(&from).and_then(|link| link.dialled_voter)
         };
-        // Job messages count only from voters that this relay has dialled.
+        // Job messages are accepted only from voters that this relay has dialled.
         let Some(voter) = voter else {
             return;
         };
         let Some(JobRunner { worker, resources }) = &mut self.jobs else {
             return;
         };
-        // Handling a message needs the columns only; endpoints and migrations are read by the worker's tick.
+        // Handling a message needs only the columns; the worker's tick reads endpoints and
+        // migrations.
         let context = WorkContext {
             report_columns: &resources.report_columns,
             endpoints_in_zone: &|_| Vec::new(),
@@ -226,13 +230,13 @@
         self.apply_worker_commands(commands);
     }
 
-    /// Handles the answer that a job of this relay has a newer token, and so another owner.
+    /// Handles the answer that a job of this relay has a newer token, and therefore another owner.
     pub(super) fn handle_stale_token(&mut self, job: &str, token: u64) {
         let Some(jobs) = &mut self.jobs else {
             return;
         };
         log(&format!(
-            "fleet: {job} has token {token} by now: it acts on it no more"
+            "fleet: {job} has a newer token, {token}: this relay no longer acts on it"
         ));
         jobs.worker
             .handle_stale_token(boottime(), &mut self.lease_client, job, token);
@@ -243,7 +247,8 @@
             match command {
                 WorkerCommand::Send(voter, message) => self.send_to_voter(voter, message),
                 WorkerCommand::SendAsOwner(voter, message) => {
-                    // Tests stop the process here, between the check of its lease and the message that rests on it.
+                    // Tests stop the process here, between the check of its lease and the message
+                    // that depends on it.
                     #[cfg(feature = "injected-bugs")]
                     fail::fail_point!("before-order");
                     self.send_to_voter(voter, message);
@@ -271,14 +276,15 @@
     }
 }
 
-/// Inserts received load reports, after those of endpoints that are gone were evicted.
+/// Inserts received load reports, after evicting those of endpoints that are no longer listed.
 fn insert_load_reports(resources: &JobResources, reports: impl Iterator<Item = LoadReport>) {
     let is_listed = |endpoint| resources.directory.endpoint(endpoint).is_some();
     resources.load_reports.evict(boottime(), is_listed);
     resources.load_reports.insert(reports);
 }
 
-/// The state of migrations on this relay, and the migrations a second that the whole fleet may make.
+/// The state of migrations on this relay, and the limit of migrations per second for the whole
+/// fleet.
 fn migration_status(decisions: &DecisionService) -> Option<(MigrationStatus, u64)> {
     let progress = decisions.migration_status()?;
     let status = MigrationStatus {
--- a/src/net/fleet/lease_driver.rs
+++ b/src/net/fleet/lease_driver.rs
@@ -1,9 +1,9 @@
-//! Drives the lease client: stores what it wants stored, puts policies in force, and hands the admission lease to the
-//! decisions.
+//! Drives the lease client: persists its state, puts policies in force, and hands the admission
+//! lease to the decisions.
 //!
-//! Guards against: clients that are admitted after the lease has ended (the lease goes to the decisions before anything
-//! else that an answer brings), an answer for a proposal that a crash could undo, and a policy that this build does not
-//! understand.
+//! Guards against: clients that are admitted after the lease has ended (the decisions get the lease
+//! before any other effect of an answer), agreement to a proposal that a crash could undo, and a
+//! policy that this build does not understand.
 
 use super::{Fleet, POLICY_NAME};
 use crate::config::operator::OperatorError;
@@ -18,7 +18,7 @@
 use std::path::Path;
 
 impl Fleet {
-    /// Until when clients may be admitted; 0 where they may not.
+    /// The time until which clients may be admitted; 0 where they may not.
     pub(super) fn admit_until(&self, now: Micros) -> Micros {
         if self.policy_unsupported {
             0
@@ -33,7 +33,7 @@
         self.decisions.set_admission_lease(admit_until);
     }
 
-    /// Handles a leader's answer to a renewal.
+    /// Handles a leader's answer to a renewal request.
     pub(super) fn handle_renew_response(&mut self, response: RenewResponse) {
         let check_policy = |text: &str| {
             policy::read(Path::new(POLICY_NAME), text)
@@ -47,9 +47,10 @@
         self.publish_status();
     }
 
-    /// Carries out what the lease client wants done, in its order.
+    /// Carries out actions of the lease client, in their order.
     pub(super) fn apply_lease_actions(&mut self, actions: impl IntoIterator<Item = LeaseAction>) {
-        // The lease first: where it has ended, no client may be admitted once a message to that effect is sent.
+        // The lease first: where it has ended, no client may be admitted after a message that says
+        // so.
         self.publish_admission_lease();
         for action in actions {
             self.apply_lease_action(action);
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Stores a proposal that was checked, then answers that this relay is prepared for it.
+    /// Stores a proposal that the lease client has checked, then answers that this relay is
+    /// prepared for it.
     fn prepare_proposal(&mut self, proposal: Proposal) {
         // Durable before the answer: after a restart the relay must still know what it agreed to.
         if let Some(ledger) = &self.ledger {
@@ -83,8 +85,8 @@
 
     /// Stores a new membership and uses it.
     ///
-    /// Also stored on a voter, whose log has it too: it may have lost its vote at the next start, and its operator file
-    /// may name no voter of that time.
+    /// A voter stores it too, although its log has it: at its next start it may no longer be a
+    /// voter, and its operator file may name none of the voters of that time.
     pub(super) fn update_membership(&mut self, membership: Membership) {
         if let Some(ledger) = &self.ledger {
             if let Err(e) = ledger.save_membership(&membership) {
@@ -98,14 +100,16 @@
     pub(super) fn adopt_policy(&mut self, policy: &Policy) {
         if let Some(ledger) = &self.ledger {
             if let Err(e) = ledger.save_policy(policy) {
-                // After a restart the relay needs a lease, and with it this policy, before it admits clients.
+                // Not fatal: after a restart the relay needs a lease before it admits clients, and
+                // gets this policy with it.
                 log(&format!("fleet: the policy cannot be stored: {e}"));
             }
         }
         let rules = match self.rules_of(policy) {
             Ok(rules) => rules,
             Err(e) => {
-                // Agreed upon by relays of a later build. It must serve under no other policy either.
+                // Relays of a later build have agreed on it. This relay must not admit clients
+                // under any other policy either.
                 log(&format!(
                     "fleet: the policy of epoch {} is not understood, clients are refused: {e}",
                     policy.epoch
@@ -126,7 +130,8 @@
         ));
     }
 
-    /// The rules of a policy. Epoch 0 means that the fleet has none, so the relay's own rules hold.
+    /// The rules of a policy. Epoch 0 means that the fleet has no policy, so the relay's own rules
+    /// are in force.
     fn rules_of(&self, policy: &Policy) -> Result<Rules, OperatorError> {
         if policy.epoch == 0 {
             return Ok(self.local_rules.clone());
--- a/src/net/fleet/link.rs
+++ b/src/net/fleet/link.rs
@@ -1,7 +1,8 @@
-//! One link to another process of the fleet: its socket, its authenticated session and its outbound queue.
+//! One link to another process of the fleet: its socket, its authenticated session and its outbound
+//! queue.
 //!
-//! Guards against: a peer that accepts no bytes (the queue is bounded, and replaceable messages are dropped first), and
-//! one that sends without pause (a read takes a bounded piece).
+//! Guards against: a peer that accepts no bytes (the queue is bounded, and replaceable messages are
+//! dropped first), and one that sends without pause (the size of a read is bounded).
 
 use crate::decisions::api::Micros;
 use crate::net::poll::{Interest, Poller};
@@ -20,9 +21,9 @@
 /// The id of the first link.
 pub(super) const FIRST_LINK: LinkId = 16;
 
-/// Messages in the outbound queue of a link; beyond that, replaceable ones are dropped.
+/// The most messages in the outbound queue of a link; beyond that, replaceable ones are dropped.
 const MAX_QUEUED_MESSAGES: usize = 256;
-/// Unsent bytes of a link. While there are more, messages stay in the queue, where they can still be dropped.
+/// Unsent bytes of a link from which messages stay in the queue, where they can still be dropped.
 const MAX_UNSENT_BYTES: usize = 1024 * 1024;
 /// Bytes read from a link at once, so that a fast sender does not starve the other links.
 const READ_BYTES: usize = 64 * 1024;
@@ -30,7 +31,7 @@
 /// The message type of a session's hello in the metrics.
 const HELLO_KIND: &str = "hello";
 
-/// Waits for bytes, and not for space to send.
+/// Waits for received bytes, not for space to send.
 pub(super) const READ_ONLY: Interest = Interest {
     read: true,
     write: false,
@@ -42,21 +43,21 @@
     write: true,
     peer_closed: false,
 };
-/// Waits for bytes and for space to send.
+/// Waits for received bytes and for space to send.
 const READ_WRITE: Interest = Interest {
     read: true,
     write: true,
     peer_closed: false,
 };
 
-/// Why a link was closed.
+/// The reason why a link was closed.
 #[derive(Debug)]
 pub(super) enum CloseReason {
     /// The peer closed it.
     ClosedByPeer,
     /// A read or a write failed.
     Broken,
-    /// The peer sent bytes that are no frame of this fleet.
+    /// The peer sent bytes that are not a valid frame of this fleet.
     InvalidFrame(FrameError),
     /// The queue is full of messages that must not be dropped.
     QueueFull,
@@ -70,18 +71,19 @@
 pub(super) struct Link {
     pub(super) socket: TcpStream,
     session: FrameSession,
-    /// The voter that was dialled; none for an accepted link.
+    /// The number of the voter that was dialled; none for an accepted link.
     pub(super) dialled_voter: Option<u64>,
+    /// Whether the dial is in progress.
     connecting: bool,
-    /// What the poller watches the socket for.
+    /// The events that the poller watches the socket for.
     watched: Interest,
     queue: VecDeque<Message>,
-    /// Since when the peer has accepted none of the unsent bytes; none where there are none.
+    /// Since when the peer has accepted none of the unsent bytes; none without unsent bytes.
     blocked_since: Option<Micros>,
 }
 
 impl Link {
-    /// A link to a voter, whose dial has begun.
+    /// A link to a voter whose dial has begun.
     pub(super) fn dialled(socket: TcpStream, session: FrameSession, voter: u64) -> Link {
         Link {
             dialled_voter: Some(voter),
@@ -112,12 +114,12 @@
         poller.watch(&self.socket, id, None, Some(self.watched))
     }
 
-    /// Whether its dial has not ended yet.
+    /// Whether the dial is in progress.
     pub(super) fn is_connecting(&self) -> bool {
         self.connecting
     }
 
-    /// Ends the dial: the link is connected where the socket is writable and has no error.
+    /// Ends the dial. The link is connected if the socket is writable and has no error.
     pub(super) fn finish_connecting(&mut self, writable: bool) -> Result<(), CloseReason> {
         if !matches!(self.socket.take_error(), Ok(None)) || !writable {
             return Err(CloseReason::Unreachable);
@@ -126,12 +128,12 @@
         Ok(())
     }
 
-    /// Whether the peer has accepted no bytes since that moment or longer.
+    /// Whether the peer has accepted no bytes since this time or longer.
     pub(super) fn is_blocked_since(&self, moment: Micros) -> bool {
         self.blocked_since.is_some_and(|since| since <= moment)
     }
 
-    /// Queues a message. Where the queue is full, the oldest message that a later one replaces is dropped.
+    /// Queues a message. If the queue is full, the oldest replaceable message is dropped.
     pub(super) fn enqueue(&mut self, message: Message) -> Result<(), CloseReason> {
         if self.queue.len() >= MAX_QUEUED_MESSAGES {
             match self.queue.iter().position(Message::replaceable) {
@@ -143,7 +145,7 @@
         Ok(())
     }
 
-    /// Sends queued messages, as far as the session is established and the socket accepts bytes.
+    /// Sends queued messages if the session is established, as far as the socket accepts bytes.
     pub(super) fn flush(
         &mut self,
         poller: &Poller,
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Writes until the socket accepts no more; the number of bytes that it accepted.
+    /// Writes until the socket accepts no more. Returns the number of bytes that it accepted.
     fn write(&mut self) -> Result<usize, CloseReason> {
         let unsent = self.session.outgoing();
         let mut written = 0;
@@ -202,7 +204,8 @@
         Ok(written)
     }
 
-    /// Reads what has arrived; returns the messages in it, without those of types that this build does not know.
+    /// Reads received bytes. Returns the messages in them, without those of types that this build
+    /// does not know.
     pub(super) fn read(&mut self, traffic: &Traffic) -> Result<Vec<Message>, CloseReason> {
         let mut buffer = vec![0; READ_BYTES];
         let received = match (&self.socket).read(&mut buffer) {
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,19 +1,21 @@
-//! The driver of the fleet's control plane. The protocol is [`jaspermoor_control`]'s, without I/O or clock; this module
-//! gives it sockets, the durable ledger and the time, in one thread.
+//! The driver of the fleet's control plane. The protocol is [`jaspermoor_control`]'s, without I/O
+//! or clock; this module gives it sockets, the durable ledger and the time, in one thread.
 //!
-//! Inputs: the operator file's `[fleet]`, messages of the voters and of other relays, results of health checks.
-//! Outputs: the policy and the admission lease, handed to the [`DecisionService`]; messages to the voters; metrics.
-//! Without `[fleet]` there is no thread, no listener and no file.
+//! Inputs: the operator file's `[fleet]`, messages of the voters and of other relays, results of
+//! health checks. Outputs: the policy and the admission lease, handed to the [`DecisionService`];
+//! messages to the voters; metrics. Without `[fleet]` there is no thread, no listener and no file.
 //!
-//! It is a thread of its own because a synced write waits for the disk, and no client may wait for that.
+//! It has its own thread because a synced write waits for the disk, and no client may wait for
+//! that.
 //!
-//! Guards against: a voter that is slow or hostile (bounded frames and queues; replaceable messages are dropped first),
-//! one that stopped without closing its connection (a link that accepts no bytes is closed and dialled again), and a
-//! full or failing disk (this relay stops voting and continues to serve).
+//! Guards against: a voter that is slow or hostile (bounded frames and queues; replaceable messages
+//! are dropped first), one that stopped without closing its connection (a link that accepts no
+//! bytes is closed and dialled again), and a full or failing disk (this relay stops voting and
+//! continues to serve).
 //!
-//! Files: `settings` checks the configuration; `event_loop` is the order of work; `dispatch` hands each message to its
-//! driver (`lease_driver`, `voter_driver`, `job_driver`); `peers` and `link` are the connections; `status` is what
-//! operators see.
+//! Files: `settings` checks the configuration; `event_loop` runs the steps of a tick; `dispatch`
+//! hands each message to its driver (`lease_driver`, `voter_driver`, `job_driver`); `peers` and
+//! `link` are the connections; `status` publishes metrics and log lines.
 
 #![warn(unreachable_pub, rust_2018_idioms)]
 #![warn(clippy::too_many_lines, clippy::many_single_char_names)]
@@ -62,10 +64,10 @@
 
 /// Bytes of a [`random_number`].
 const RANDOM_BYTES: usize = 16;
-/// What errors call the file of a policy that came from the fleet.
+/// The file name in errors of a policy that came from the fleet.
 const POLICY_NAME: &str = "policy";
 
-/// Lets other threads end the work of the fleet's thread.
+/// Ends the work of the fleet's thread from other threads.
 #[derive(Clone)]
 pub struct Handle {
     drain: Arc<AtomicBool>,
@@ -74,13 +76,15 @@
 }
 
 impl Handle {
-    /// Releases the jobs of this relay, so that others take them before it has stopped. The thread goes on.
+    /// Relinquishes the jobs of this relay, so that others get them before it has stopped. The
+    /// thread continues.
     pub fn drain(&self) {
         self.drain.store(true, Relaxed);
         (self.wake)();
     }
 
-    /// Releases the jobs, after which [`Fleet::run`] returns: for processes that outlive the relay.
+    /// Relinquishes the jobs, after which [`Fleet::run`] returns. For processes that outlive the
+    /// relay.
     pub fn shutdown(&self) {
         // In this order: the thread must not see the shutdown without the drain.
         self.drain.store(true, Relaxed);
@@ -93,7 +97,7 @@
 ///
 /// # Panics
 ///
-/// Where the system has no random numbers: nothing could be authenticated.
+/// Where the system has no random numbers: no message could be authenticated.
 pub fn random_number() -> [u8; RANDOM_BYTES] {
     let mut number = [0; RANDOM_BYTES];
     getrandom::fill(&mut number)
@@ -108,7 +112,7 @@
     u64::from_be_bytes(number)
 }
 
-/// A relay's membership in its fleet: state of the thread that [`Fleet::run`] is.
+/// A relay's membership in its fleet: the state of the thread that runs [`Fleet::run`].
 pub struct Fleet {
     settings: FleetSettings,
     relay_name: String,
@@ -124,9 +128,9 @@
     voter_peers: BTreeMap<u64, VoterPeer>,
     /// The latest known membership: the addresses of voters that the operator file does not name.
     membership: Membership,
-    /// None while another process has it open, and where it cannot be used.
+    /// None while another process has the ledger open, and where it cannot be used.
     ledger: Option<Ledger>,
-    /// When to open the ledger again; none where that is pointless.
+    /// When to try to open the ledger again; none if it is open or cannot be used.
     ledger_retry_at: Option<Micros>,
     /// None on a relay that does not vote.
     voter: Option<Voter>,
@@ -134,17 +138,18 @@
     /// None where the operator file enables no jobs.
     jobs: Option<JobRunner>,
     handle: Handle,
-    /// Whether the jobs were released since [`Handle::drain`].
+    /// Whether the jobs were relinquished since [`Handle::drain`].
     jobs_released: bool,
-    /// Whether this build does not understand the policy in force. No client is admitted then, whatever the lease.
+    /// Whether this build does not understand the policy in force. If so, no client is admitted,
+    /// even with a lease.
     policy_unsupported: bool,
-    /// Received messages that wait to be dispatched, with those that this process sent to itself.
+    /// Messages to be dispatched: received ones, and those that this process sent to itself.
     inbox: VecDeque<Inbound>,
     status: Status,
     metrics: Arc<Metrics>,
 }
 
-/// What a start found on the disk.
+/// The state that was read from the disk at the start.
 struct StoredState {
     ledger: Option<Ledger>,
     policy: Policy,
@@ -154,13 +159,14 @@
 impl Fleet {
     /// Opens the ledger and, on a voter, the listener.
     ///
-    /// From here on clients are admitted only under a lease, except by a relay that is configured to serve without a
-    /// leader. `local_rules` are the operator file's own cells and parameters, in force while the fleet has no policy.
+    /// From here on clients are admitted only under a lease, except by a relay that is configured
+    /// to serve without a leader. `local_rules` are the operator file's own cells and parameters,
+    /// in force while the fleet has no policy.
     ///
     /// # Errors
     ///
-    /// A ledger that can be opened and not read, a listener that cannot be opened, no poller. A ledger that cannot be
-    /// opened is logged: the relay follows its fleet, and does not vote.
+    /// Fails if the poller or the listener cannot be opened, or an open ledger cannot be read. A
+    /// ledger that cannot be opened is only logged: the relay follows its fleet and does not vote.
     pub fn open(
         settings: FleetSettings,
         name: &str,
@@ -217,13 +223,14 @@
         Ok(fleet)
     }
 
-    /// Lets other threads end this one's work.
+    /// Returns a handle for other threads.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 }
 
-/// The lease client of this process. Its random incarnation tells it apart from earlier processes of this relay.
+/// The lease client of this process. Its random incarnation distinguishes it from earlier processes
+/// of this relay.
 fn new_lease_client(
     settings: &FleetSettings,
     name: &str,
@@ -262,7 +269,7 @@
             stored.ledger = Some(ledger);
         }
         Err(e) if e.is_in_use() => stored.ledger_retry_at = Some(0),
-        // Without a ledger the relay cannot vote; it follows the fleet all the same.
+        // Without a ledger the relay cannot vote, but still follows the fleet.
         Err(e) => log(&format!("fleet: {e}; this relay does not vote")),
     }
     Ok(stored)
@@ -288,10 +295,10 @@
     }
 }
 
-/// Prepares fail points and the wire format of a later build, once a process.
+/// Enables fail points and the wire format of a later build, once per process.
 #[cfg(feature = "injected-bugs")]
 fn set_up_injection() {
-    // The library holds a lock as long as a scenario lasts: a second one would wait forever.
+    // The library holds a lock for as long as a scenario exists: a second one would block forever.
     static SCENARIO: std::sync::Once = std::sync::Once::new();
     SCENARIO.call_once(|| std::mem::forget(fail::FailScenario::setup()));
     let later_build = std::env::var("JASPERMOOR_BUILD").is_ok_and(|build| build == "later");
--- a/src/net/fleet/peers.rs
+++ b/src/net/fleet/peers.rs
@@ -1,5 +1,5 @@
-//! Links to the voters and, on a voter, from other relays: dialled with a pause between two dials, accepted up to a
-//! limit, read, written and closed.
+//! Links to the voters and, on a voter, from other relays. Voters are dialled with a pause between
+//! two dials; links are accepted up to a limit, read, written and closed.
 
 use super::dispatch::{Inbound, LOCAL};
 use super::link::{CloseReason, Link, LinkId, LISTENER};
@@ -13,7 +13,8 @@
 use jaspermoor_control::wire::message::Message;
 use std::net::{SocketAddr, TcpListener};
 
-/// Links at once, dialled and accepted: a voter of a fleet of hundreds has one from each relay.
+/// The most links at once, dialled and accepted: a voter of a fleet of hundreds has one from each
+/// relay.
 const MAX_LINKS: usize = 2048;
 /// Pause between two dials of one voter.
 const REDIAL_BACKOFF: Micros = 200_000;
@@ -22,14 +23,15 @@
 
 /// A voter that was dialled.
 pub(super) struct VoterPeer {
-    /// The link to it; none while there is none.
+    /// The open link to the voter.
     link: Option<LinkId>,
-    /// When it was dialled last.
+    /// When the voter was last dialled.
     dialled_at: Micros,
 }
 
 impl Fleet {
-    /// Sends a message to a voter, which may be this process. It is dropped where the voter cannot be dialled now.
+    /// Sends a message to a voter, which may be this process. The message is dropped if the voter
+    /// cannot be dialled now.
     pub(super) fn send_to_voter(&mut self, voter: u64, message: Message) {
         if self.settings.fleet.voter == Some(voter) {
             self.inbox.push_back(Inbound {
@@ -43,7 +45,7 @@
         }
     }
 
-    /// The link to a voter. It is dialled where there is none, unless it was dialled a moment ago.
+    /// The link to a voter. Without a link the voter is dialled, unless that was done a moment ago.
     fn link_to_voter(&mut self, voter: u64) -> Option<LinkId> {
         if let Some(peer) = self.voter_peers.get(&voter) {
             if peer.link.is_some() {
@@ -58,7 +60,7 @@
 
     fn dial_voter(&mut self, voter: u64) -> Option<LinkId> {
         let address = self.voter_address(voter)?;
-        // Recorded before the dial: one that fails at once is followed by the pause, too.
+        // Recorded before the dial, so that the pause also follows a dial that fails at once.
         self.record_dial(voter, None);
         let socket = dial(address).ok()?;
         let session = self.new_session(true);
@@ -82,7 +84,8 @@
         )
     }
 
-    /// The address of a voter. That of the operator file goes first: this relay may have a route of its own.
+    /// The address of a voter. That of the operator file has priority, since this relay may have
+    /// its own route to the voter.
     fn voter_address(&self, voter: u64) -> Option<SocketAddr> {
         let configured = self
             .settings
@@ -104,7 +107,7 @@
         Some(id)
     }
 
-    /// Sends a message on a link; it is dropped where the link is closed.
+    /// Sends a message on a link; it is dropped if the link is closed.
     pub(super) fn send(&mut self, id: LinkId, message: Message) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Reads, writes or accepts, as the poller says.
+    /// Handles an event of a link's socket or of the listener.
     pub(super) fn handle_ready_socket(&mut self, ready: Ready) {
         let id = ready.token;
         if id == LISTENER {
@@ -203,7 +206,7 @@
             .map(|message| Inbound { from: id, message });
         self.inbox.extend(received);
         self.process_inbox();
-        // The session may have been established by this read: queued messages can be sent now.
+        // This read may have established the session, so queued messages can be sent now.
         self.flush_link(id);
     }
 }
@@ -213,7 +216,7 @@
     member.address.parse().ok()
 }
 
-/// Logs a peer that sent an invalid frame: it may have other keys, or be of another fleet.
+/// Logs a peer that sent an invalid frame: it may have other keys or belong to another fleet.
 fn log_invalid_frame(link: &Link, reason: &CloseReason) {
     let CloseReason::InvalidFrame(error) = reason else {
         return;
--- a/src/net/fleet/status.rs
+++ b/src/net/fleet/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of a relay in its fleet: metrics, and a log line at each change.
+//! Publishes the state of a relay in its fleet: metrics, and a log line at each change.
 
 use super::Fleet;
 use crate::log::log;
@@ -6,19 +6,20 @@
 use jaspermoor_control::log::voter::Voter;
 use std::sync::atomic::Ordering::Relaxed;
 
-/// What was logged last.
+/// The state that was last logged.
 #[derive(Default)]
 pub(super) struct Status {
     /// Whether clients are admitted.
     admits: bool,
-    /// Founding voters that have not introduced themselves yet; only on a voter of a new fleet.
+    /// Founding voters that have not sent a message yet; only on a voter of a new fleet.
     missing_founders: Vec<u64>,
     /// The term in which this relay's voter leads; none while it does not.
     leader_term: Option<u64>,
 }
 
 impl Fleet {
-    /// Publishes the admission lease, then metrics and log lines that rest on it.
+    /// Hands the admission lease to the decisions, then updates metrics and log lines that depend
+    /// on it.
     pub(super) fn publish_status(&mut self) {
         let now = boottime();
         let admit_until = self.admit_until(now);
@@ -37,12 +38,12 @@
         }
         self.status.admits = admits;
         let epoch = self.lease_client.policy().epoch;
-        let what = if admits {
+        let admission = if admits {
             "clients are admitted"
         } else {
             "no lease: new clients are refused"
         };
-        log(&format!("fleet: {what}, policy of epoch {epoch}"));
+        log(&format!("fleet: {admission}, policy of epoch {epoch}"));
     }
 
     fn log_missing_founders(&mut self) {
@@ -85,7 +86,7 @@
         self.status.leader_term = leader_term;
         match leader_term {
             Some(term) => log(&format!("fleet: leads in term {term}")),
-            None => log("fleet: leads no more"),
+            None => log("fleet: no longer leads"),
         }
     }
 }
--- a/src/net/fleet/tests.rs
+++ b/src/net/fleet/tests.rs
@@ -1,4 +1,5 @@
-//! The fleet's thread without its sockets: which jobs a relay offers to do, and when it may admit clients.
+//! Tests of the fleet's state without sockets: the jobs that a relay can own, and when it may admit
+//! clients.
 
 use super::settings::MIN_KEY_BYTES;
 use super::*;
@@ -33,7 +34,7 @@
     }
 }
 
-/// Decisions without a relay that uses them.
+/// A decision service without a relay that uses it.
 fn decisions() -> Arc<DecisionService> {
     let (check_health, _) = bounded(1);
     let hooks = Hooks {
@@ -47,8 +48,8 @@
     Fleet::open(settings, "n1", Rules::default(), decisions).unwrap()
 }
 
-/// Kinds and names of the jobs that a relay offers, separated by spaces; none where it offers none. Its second zone has
-/// a name that is too long for a job.
+/// Kinds and names of the jobs that a relay offers to own, separated by spaces; none where it
+/// offers none. The name of its second zone is too long for a job.
 fn offered_jobs(jobs: operator::Jobs, may_check_health: bool) -> Option<(String, String)> {
     let dir = tempfile::tempdir().unwrap();
     let mut fleet = open(settings(dir.path(), jobs), decisions());
@@ -110,7 +111,7 @@
     fleet.publish_status();
     assert!(!decisions.may_admit());
 
-    // Nor after a restart with that policy on the disk.
+    // The same after a restart with that policy on the disk.
     drop(fleet);
     let mut fleet = open(settings, decisions.clone());
     assert!(!decisions.may_admit());
--- a/src/net/fleet/voter_driver.rs
+++ b/src/net/fleet/voter_driver.rs
@@ -1,9 +1,11 @@
-//! Drives this relay's voter: gives it messages and ticks, persists its log, and sends what it wants sent.
+//! Drives this relay's voter: passes messages and ticks to it, persists its log, and sends its
+//! messages.
 //!
-//! A relay votes from when its ledger is open, and no longer than its ledger can be written.
+//! A relay votes only while its ledger is open and can be written.
 //!
-//! Guards against: a message that leaves before what it promises is durable, two processes of one relay that vote at
-//! once (during an upgrade the older has the ledger open), and a damaged or lost log.
+//! Guards against: a message that is sent before the state that it promises is durable, two
+//! processes of one relay that vote at the same time (during an upgrade the older one has the
+//! ledger open), and a damaged or lost log.
 
 use super::dispatch::{Inbound, LOCAL};
 use super::error::OpenError;
@@ -21,16 +23,17 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Pause before a ledger that another process has open is tried again.
+/// Pause between two attempts to open a ledger that another process has open.
 const LEDGER_RETRY: Micros = 500_000;
 /// Connections that the system queues before they are accepted.
 const BACKLOG: i32 = 128;
 
 impl Fleet {
-    /// Starts to vote and to listen, where this relay is a voter and its ledger is open.
+    /// Starts voting and listening, if this relay is a voter and its ledger is open.
     ///
-    /// It must not listen earlier: links would reach a process that cannot answer, while its predecessor still votes.
-    /// A log that is damaged, or of a voter that was removed, is logged and ends in no vote.
+    /// It must not listen earlier: links would reach a process that cannot answer, while its
+    /// predecessor still votes. With a log that is damaged, or of a voter that was removed, the
+    /// relay does not vote; this is logged.
     pub(super) fn start_voting(&mut self) -> Result<(), OpenError> {
         let (Some(ledger), Some(number)) = (&self.ledger, self.settings.fleet.voter) else {
             return Ok(());
@@ -58,7 +61,7 @@
         Ok(())
     }
 
-    /// The voter as its ledger has it; none where it cannot vote.
+    /// Restores the voter from its ledger; none if it cannot vote.
     fn restore_voter(&self, ledger: &Ledger, number: u64) -> Result<Option<Voter>, LedgerError> {
         let log_state = ledger.load_log()?;
         let incarnation = ledger.incarnation()?;
@@ -84,7 +87,7 @@
         Ok(Some(voter))
     }
 
-    /// Tries again to open a ledger that the predecessor of this process had open.
+    /// Tries again to open a ledger that this process's predecessor had open.
     pub(super) fn retry_ledger(&mut self, now: Micros) {
         match Ledger::open(&self.settings.directory, &self.settings.ledger_owner()) {
             Ok(ledger) => {
@@ -101,7 +104,8 @@
 
     /// Uses a ledger that was opened after the start.
     fn attach_ledger(&mut self, ledger: Ledger) {
-        // This process followed the fleet without the ledger: its policy may be newer than the stored one.
+        // Meanwhile this process followed the fleet, so its policy may be newer than the stored
+        // one.
         let policy = self.lease_client.policy();
         let stored_is_older = ledger
             .load_policy()
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Gives the voter the time, and learns a membership that its log has committed.
+    /// Ticks the voter, and learns a membership that its log has committed.
     pub(super) fn tick_voter(&mut self, now: Micros) {
         let Some(voter) = &mut self.voter else {
             return;
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Gives the voter a message. A relay that does not vote ignores it.
+    /// Passes a message to the voter. A relay that does not vote ignores it.
     pub(super) fn handle_voter_message(&mut self, from: ReplyAddress, message: Message) {
         let now = boottime();
         let Some(voter) = &mut self.voter else {
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Carries out what the voter wants done: persists, then sends. False where there is nothing to do.
+    /// Persists the voter's log, then sends its messages. False if there is nothing to do.
     pub(super) fn drive_voter(&mut self) -> bool {
         let Some(voter) = &mut self.voter else {
             return false;
@@ -181,7 +185,7 @@
         if ready.is_empty() {
             return false;
         }
-        // Durable before any message: a vote that a crash could undo could be given twice in one term.
+        // Durable before any message: a vote that a crash undoes could be given twice in one term.
         if let Err(e) = self.persist(&ready.persist) {
             self.abandon_ledger(&e.to_string());
             return false;
@@ -217,14 +221,15 @@
         }
     }
 
-    /// Stops to vote and drops a ledger that cannot be relied on. What cannot be stored must not be promised.
+    /// Stops voting and closes a ledger that cannot be relied on: a voter must not promise state
+    /// that it cannot store.
     fn abandon_ledger(&mut self, reason: &str) {
         log(&format!("fleet: {reason}"));
         self.ledger = None;
-        self.stop_voting("its ledger is of no use");
+        self.stop_voting("its ledger cannot be used");
     }
 
-    /// Stops to vote and to listen. The relay serves on, like one that never had a vote.
+    /// Stops voting and listening. The relay continues to serve, like one that is not a voter.
     fn stop_voting(&mut self, reason: &str) {
         log(&format!(
             "fleet: {reason}; {} does not vote",
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Fleets of real processes with faults between them: what must hold does, and injected faults are found.
+//! Fleets of real processes with faults: the fleet's guarantees hold, and the checker finds
+//! injected bugs.
 
 use jaspermoor_lab::discovery::{Discovery, Entry};
 use jaspermoor_lab::faults::harness::{play, Ground, Played};
@@ -28,114 +29,116 @@
     Scenario::read(NAMED.iter().find(|(n, _)| *n == name).unwrap().1).unwrap()
 }
 
-fn sound(name: &str) -> Played {
+fn assert_no_rule_broken(name: &str) -> Played {
     let played = run(&named(name), None);
     assert!(played.broken.is_empty(), "{name}: {}", played.broken[0]);
     played
 }
 
 #[test]
-fn a_change_takes_hold_everywhere_or_nowhere() {
-    let played = sound("change");
-    // Two of the five: one of two at once is refused, and what nobody understands is, too.
+fn a_policy_change_takes_effect_at_all_relays_or_none() {
+    let played = assert_no_rule_broken("change");
+    // Two of the five proposals are refused: one of two at the same time, and one that no relay
+    // understands.
     assert!(played.admitted > 0 && !played.took.is_empty());
 }
 
 #[test]
-fn a_leader_that_wakes_late_does_no_harm() {
-    sound("leader-stopped");
+fn a_leader_that_continues_after_a_stop_does_no_harm() {
+    assert_no_rule_broken("leader-stopped");
 }
 
 #[test]
-fn a_majority_that_was_killed_in_a_change_comes_back_with_it() {
-    sound("majority-killed");
+fn a_majority_that_was_killed_during_a_change_restarts_with_it() {
+    assert_no_rule_broken("majority-killed");
 }
 
 #[test]
-fn a_relay_that_was_away_serves_nobody_before_it_knows_the_policy() {
-    sound("observer-away");
+fn a_relay_that_was_offline_admits_no_client_before_it_knows_the_policy() {
+    assert_no_rule_broken("observer-away");
 }
 
 #[test]
-fn a_link_that_is_cut_one_way_leaves_nobody_behind_under_an_old_policy() {
-    sound("one-way");
+fn with_a_link_cut_one_way_no_relay_admits_clients_under_an_old_policy() {
+    assert_no_rule_broken("one-way");
 }
 
-/// A fault that did not happen proves nothing.
-fn said(played: &Played, relay: usize, words: &str) {
+/// Asserts that a relay's log contains a text: without it the fault did not happen, and the test
+/// shows nothing.
+fn assert_logged(played: &Played, relay: usize, text: &str) {
     let mut lines = played
         .logs
         .iter()
         .filter(|(of, _)| *of == relay)
         .flat_map(|(_, lines)| lines);
     assert!(
-        lines.any(|line| line.contains(words)),
-        "n{relay} never said: {words}"
+        lines.any(|line| line.contains(text)),
+        "n{relay} never logged: {text}"
     );
 }
 
 #[test]
-fn a_voter_whose_disk_was_lost_is_replaced_and_one_that_was_removed_does_no_harm() {
-    let played = sound("voter-replaced");
-    said(&played, 0, "there is no ledger of voter 1");
-    said(&played, 1, "this voter was removed");
+fn a_voter_with_a_lost_disk_is_replaced_and_a_removed_voter_does_no_harm() {
+    let played = assert_no_rule_broken("voter-replaced");
+    assert_logged(&played, 0, "there is no ledger of voter 1");
+    assert_logged(&played, 1, "this voter was removed");
 }
 
 #[test]
-fn voters_whose_disks_were_made_anew_found_no_second_fleet() {
-    let played = sound("voter-remade");
-    said(&played, 0, "or its ledger made anew");
-    said(&played, 1, "or its ledger made anew");
+fn voters_with_new_ledgers_found_no_second_fleet() {
+    let played = assert_no_rule_broken("voter-remade");
+    assert_logged(&played, 0, "or its ledger made anew");
+    assert_logged(&played, 1, "or its ledger made anew");
 }
 
 #[test]
-fn full_and_torn_disks_end_a_vote_and_no_service() {
-    let played = sound("disk-full");
-    said(&played, 0, "no space left on device");
-    said(&played, 3, "no space left on device");
-    said(
-        &sound("torn-tail"),
+fn a_relay_with_a_full_or_damaged_disk_stops_voting_and_continues_to_serve() {
+    let played = assert_no_rule_broken("disk-full");
+    assert_logged(&played, 0, "no space left on device");
+    assert_logged(&played, 3, "no space left on device");
+    assert_logged(
+        &assert_no_rule_broken("torn-tail"),
         1,
         "is damaged, and is left as it is; this relay does not vote",
     );
 }
 
 #[test]
-fn a_process_that_ends_between_two_durable_steps_comes_back_to_one_policy() {
-    let played = sound("between-steps");
+fn processes_that_end_between_two_durable_steps_restart_under_one_policy() {
+    let played = assert_no_rule_broken("between-steps");
     for (relay, point) in [
         (3, "before-prepare"),
         (0, "after-store"),
         (1, "after-adopt"),
         (3, "after-prepare"),
     ] {
-        said(&played, relay, &format!("ends at the fail point {point}"));
+        assert_logged(&played, relay, &format!("ends at the fail point {point}"));
     }
 }
 
 #[test]
-fn links_later_than_a_lease_and_a_change_of_keys_leave_one_policy() {
-    sound("bad-network");
-    sound("key-change");
+fn with_links_slower_than_a_lease_and_with_a_key_change_there_is_one_policy() {
+    assert_no_rule_broken("bad-network");
+    assert_no_rule_broken("key-change");
 }
 
 #[test]
-fn a_change_while_an_upgrade_hands_over_sockets_takes_hold() {
-    sound("upgrades");
+fn a_change_during_an_upgrade_that_hands_over_sockets_takes_effect() {
+    assert_no_rule_broken("upgrades");
 }
 
 #[test]
-fn a_fleet_of_three_builds_agrees_and_the_oldest_refuses_by_name_what_it_does_not_know() {
-    let played = sound("two-builds");
-    let told = |word: &str| {
+fn relays_of_three_builds_agree_and_the_oldest_refuses_unknown_settings_by_name() {
+    let played = assert_no_rule_broken("two-builds");
+    let count = |part: &str| {
         played
             .history
             .iter()
-            .filter(|l| matches!(&l.fact, Fact::Fault { text } if text.contains(word)))
+            .filter(|l| matches!(&l.fact, Fact::Fault { text } if text.contains(part)))
             .count()
     };
     assert_eq!(
-        (told(": refused after"), told(": in-force after")),
+        (count(": refused after"), count(": in-force after")),
         (1, 3),
         "{:?}",
         played.history.last()
@@ -143,25 +146,25 @@
 }
 
 #[test]
-fn a_job_that_its_owner_lost_goes_to_another_and_no_order_of_before_is_obeyed() {
-    let played = sound("owners-harmed");
+fn a_job_that_its_owner_lost_gets_another_and_no_earlier_order_is_obeyed() {
+    let played = assert_no_rule_broken("owners-harmed");
     let harmed: Vec<Harm> = played.taken.iter().map(|(harm, _)| *harm).collect();
-    assert_eq!(harmed, Harm::ALL, "each was somebody's who had the job");
+    assert_eq!(harmed, Harm::ALL, "a fault hit a relay that owned no job");
 }
 
 #[test]
-fn an_owner_that_sleeps_between_its_lease_and_its_order_is_refused_by_voters_and_relays() {
+fn an_owner_stopped_between_its_lease_check_and_its_order_is_refused_by_voters_and_relays() {
     let asleep = named("owner-asleep");
     let played = run(&asleep, None);
     assert!(played.broken.is_empty(), "{}", played.broken[0]);
     let refused = |(_, lines): &(usize, Vec<String>)| {
         lines
             .iter()
-            .any(|line| line.contains("by now: it acts on it no more"))
+            .any(|line| line.contains(": this relay no longer acts on it"))
     };
     assert!(
         played.logs.iter().any(refused),
-        "what it sent when it woke came to nobody"
+        "no voter has answered the order with a newer token"
     );
     let played = run(&asleep, Some("no-fence"));
     assert!(
@@ -172,8 +175,8 @@
 }
 
 #[test]
-fn a_site_is_moved_once_and_at_the_fleets_pace_though_whoever_paces_it_is_killed_and_stopped() {
-    let played = sound("paced-moves");
+fn a_group_migrates_once_at_the_fleets_pace_although_the_pacing_relay_is_killed_and_stopped() {
+    let played = assert_no_rule_broken("paced-moves");
     let moves = played
         .history
         .iter()
@@ -182,9 +185,10 @@
     assert!(moves >= 60, "{moves} of 60 clients and two changes");
 }
 
-/// A relay is cut off all through a change: what keeps it from serving on is taken away, one thing at a time.
+/// A relay is cut off during a whole change. Each injected bug removes one of the rules that keep
+/// it from admitting clients under the old policy, and the checker must find that.
 #[test]
-fn what_is_planted_is_found_in_the_books_of_real_processes() {
+fn injected_bugs_are_found_in_the_histories_of_real_processes() {
     let scenario = |restart: &str| {
         let text = format!(
             "about = 'a relay is cut off through a change'\nvoters = 3\nobservers = 1\n\
@@ -205,14 +209,14 @@
     }
 }
 
-/// A relay of a fleet whose voters cannot be reached, with what its operator wants then.
-fn lonely(dir: &Path, discovery: &Discovery, alone: &str) -> Relay {
+/// A relay of a fleet whose voters cannot be reached, with this value of the setting `alone`.
+fn relay_without_voters(dir: &Path, discovery: &Discovery, alone: &str) -> Relay {
     std::fs::write(
         dir.join("fleet.key"),
         "a key of a test, and long enough to be one of a fleet",
     )
     .unwrap();
-    // Nobody listens at port 1 of the loopback addresses.
+    // Nothing listens on port 1 of the loopback addresses.
     let fleet = format!(
         "[fleet]\nid = 'f'\ndirectory = 'ledger'\nkeys = 'fleet.key'\nalone = '{alone}'\n\
          [[fleet.voters]]\nnumber = 1\naddress = '127.0.0.1:1'\n"
@@ -220,7 +224,7 @@
     let setup = Setup {
         program: PathBuf::from(env!("CARGO_BIN_EXE_jaspermoor")),
         dir: dir.into(),
-        name: format!("lonely-{alone}"),
+        name: format!("alone-{alone}"),
         discovery: discovery.addr,
         known: discovery.entries(),
         operator: Some(fleet),
@@ -236,7 +240,8 @@
     Relay::start(&setup).unwrap()
 }
 
-fn asked(relay: &Relay) -> String {
+/// The answer to a client's request.
+fn request_connection(relay: &Relay) -> String {
     let mut client = TcpStream::connect(relay.addr).unwrap();
     client.write_all(b"OPEN 1 7f c=chat,d=1000\r\n").unwrap();
     let mut answer = String::new();
@@ -245,15 +250,15 @@
 }
 
 #[test]
-fn with_no_voter_left_a_relay_refuses_at_once_and_is_not_ready_or_serves_as_its_operator_wants() {
+fn without_voters_a_relay_rejects_clients_and_is_not_ready_or_serves_as_configured() {
     let dir = tempfile::tempdir().unwrap();
     let backend = Backend::start(None).unwrap();
     let discovery = Discovery::start(None, &[Entry::active("s-1", backend.addr)]).unwrap();
-    let refuses = lonely(dir.path(), &discovery, "refuse");
-    assert_eq!(asked(&refuses), "BUSY 250");
-    assert_eq!(refuses.call("GET", "/control/ready").unwrap().0, 503);
-    drop(refuses);
-    let serves = lonely(dir.path(), &discovery, "serve");
-    assert_eq!(asked(&serves), "UP lab-1");
-    assert_eq!(serves.call("GET", "/control/ready").unwrap().0, 200);
+    let refusing = relay_without_voters(dir.path(), &discovery, "refuse");
+    assert_eq!(request_connection(&refusing), "BUSY 250");
+    assert_eq!(refusing.call("GET", "/control/ready").unwrap().0, 503);
+    drop(refusing);
+    let serving = relay_without_voters(dir.path(), &discovery, "serve");
+    assert_eq!(request_connection(&serving), "UP lab-1");
+    assert_eq!(serving.call("GET", "/control/ready").unwrap().0, 200);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! What many relays do together: their balancers side by side, at virtual time, without a word between them.
+//! Many relays with the same endpoints: their balancers in virtual time, without messages between
+//! them.
 
 mod common;
 
@@ -7,8 +8,8 @@
 use jaspermoor::decisions::random::Random;
 use std::collections::BTreeSet;
 
-/// So many balancers of one fleet, each with the same list and a seed of its own.
-fn fleet(n: u32, servers: u64, settings: &Settings) -> Vec<Proxy> {
+/// `n` balancers of one fleet, with the same endpoint list and different seeds.
+fn fleet(n: u32, endpoints: u64, settings: &Settings) -> Vec<Proxy> {
     let relay = |seed| {
         let number = seed as u32 - 1;
         let mut proxy = Proxy::new(
@@ -19,13 +20,13 @@
             },
             seed,
         );
-        proxy.list(EndpointListKind::Full, (1..=servers).map(ready).collect());
+        proxy.list(EndpointListKind::Full, (1..=endpoints).map(ready).collect());
         proxy
     };
     (1..=u64::from(n)).map(relay).collect()
 }
 
-fn with_probes() -> Settings {
+fn with_health_checks() -> Settings {
     Settings {
         may_check_health: true,
         report_columns: vec![ReportColumn::Active, ReportColumn::Load],
@@ -33,17 +34,17 @@
     }
 }
 
-/// How many probes a balancer that nobody asks anything makes in a time.
-fn probes(settings: Settings, servers: u64, seed: u64, time: Micros) -> usize {
+/// The number of health checks that a balancer without requests makes within a time.
+fn count_health_checks(settings: Settings, endpoints: u64, seed: u64, time: Micros) -> usize {
     let mut proxy = Proxy::new(settings, seed);
-    let mut actions = proxy.list(EndpointListKind::Full, (1..=servers).map(ready).collect());
+    let mut actions = proxy.list(EndpointListKind::Full, (1..=endpoints).map(ready).collect());
     let (end, mut count) = (proxy.now + time, 0);
     loop {
         count += actions
             .iter()
             .filter(|a| matches!(a, Action::CheckHealth(_)))
             .count();
-        // Each probe asks for the timer of the next.
+        // Each health check sets the timer of the next.
         let Some(&(at, token)) = timers(&actions).last() else {
             return count;
         };
@@ -56,73 +57,76 @@
 }
 
 #[test]
-fn a_hundred_relays_probe_no_more_together_than_three() {
-    let sum = |n: u32, servers: u64| -> usize {
+fn a_hundred_relays_together_make_no_more_health_checks_than_three() {
+    let total = |n: u32, endpoints: u64| -> usize {
         let settings = Settings {
             balancer_count: n,
-            ..with_probes()
+            ..with_health_checks()
         };
         (1..=u64::from(n))
-            .map(|seed| probes(settings.clone(), servers, seed, 60 * SECOND))
+            .map(|seed| count_health_checks(settings.clone(), endpoints, seed, 60 * SECOND))
             .sum()
     };
-    let few = sum(3, 9);
+    let few = total(3, 9);
     assert!(
         (950..1200).contains(&few),
-        "each of 9 servers about twice a second, not {few}"
+        "each of 9 endpoints about twice a second, not {few}"
     );
-    for (relays, servers) in [(100, 9), (100, 60)] {
-        // What a relay may probe at once at its start comes on top.
-        let most = few * servers as usize / 9 * 5 / 4 + relays as usize;
-        let many = sum(relays, servers);
+    for (relays, endpoints) in [(100, 9), (100, 60)] {
+        // In addition, each relay may make one health check at its start.
+        let most = few * endpoints as usize / 9 * 5 / 4 + relays as usize;
+        let many = total(relays, endpoints);
         assert!(
             (few / 2..most).contains(&many),
-            "{relays} relays, {servers} servers: {many}, three {few}"
+            "{relays} relays, {endpoints} endpoints: {many}, three {few}"
         );
     }
 }
 
 #[test]
-fn relays_that_see_a_handful_of_requests_agree_on_each_groups_server() {
+fn relays_that_see_few_requests_agree_on_the_home_of_each_group() {
     let mut fleet = fleet(100, 9, &Settings::default());
     let mut homes = vec![BTreeSet::new(); 10];
-    // Each sees four requests, of other groups than its neighbour: shares of so few say nothing.
+    // Each relay sees four requests, of other groups than the next relay. The groups' shares of so
+    // few requests are not meaningful.
     for (n, proxy) in fleet.iter_mut().enumerate() {
         for id in 0..4u32 {
             let group = (n * 7 + id as usize * id as usize) % 10;
-            let server = proxy.connect(request(
+            let endpoint = proxy.connect(request(
                 id + 1,
                 (n * 4) as u64 + u64::from(id),
                 500 + group as u64,
             ));
-            homes[group].insert(server.unwrap());
-            // It ends at once: what is held is not what this is about.
-            proxy.end(id + 1, server.unwrap(), Outcome::Success, true);
+            homes[group].insert(endpoint.unwrap());
+            // The connection ends at once, so that the number of connections has no effect.
+            proxy.end(id + 1, endpoint.unwrap(), Outcome::Success, true);
         }
     }
     assert!(
-        homes.iter().all(|servers| servers.len() == 1),
+        homes.iter().all(|endpoints| endpoints.len() == 1),
         "homes of each group: {homes:?}"
     );
-    // They do not agree by sending all to one.
+    // The groups do not all have the same home.
     assert!(homes.iter().flatten().collect::<BTreeSet<_>>().len() > 4);
 }
 
-/// Six in ten servers cold at once were left idle while the warm ones jammed; too much at once breaks the rule.
+/// A cold endpoint must get neither too many requests at once, which breaks the rule of slow start,
+/// nor too few: with six in ten endpoints cold, those stayed idle while the warm ones were
+/// overloaded.
 #[test]
-fn a_hundred_relays_fill_a_cold_server_within_the_rule_and_no_slower_than_need_be() {
+fn a_hundred_relays_fill_a_cold_endpoint_within_the_limit_and_not_too_slowly() {
     let settings = Settings {
         overload_factor: 2.5,
         overload_window: 3 * SECOND,
-        ..with_probes()
+        ..with_health_checks()
     };
     for n in [3, 100] {
         let mut fleet = fleet(n, 2, &settings);
         let begin = fleet[0].now;
-        let tell = |proxy: &mut Proxy, server: u64, active: f32, load: f32| {
-            let (server, report) = (EndpointId(server), vec![active, load]);
+        let report_load = |proxy: &mut Proxy, endpoint: u64, active: f32, load: f32| {
+            let (endpoint, report) = (EndpointId(endpoint), vec![active, load]);
             proxy.feed(Event::HealthCheck {
-                endpoint: server,
+                endpoint,
                 outcome: Outcome::Success,
                 report,
             })
@@ -137,41 +141,36 @@
             );
         }
         let mut sends = Vec::new();
-        // All clients of the fleet come again and again: 200 requests a second, whoever takes them.
+        // The clients of the whole fleet send 200 requests per second, to the relays in turn.
         for step in 0..1_200u32 {
             let now = begin + u64::from(step) * SECOND / 200;
             let proxy = &mut fleet[(step % n) as usize];
             proxy.now = now;
-            // A hundred connections fill a warm server; the cold one seems to hold nothing all the time.
-            let mut actions = tell(proxy, 1, 95.0, 0.95 + step as f32 / 1e6);
-            actions.extend(tell(proxy, 2, 95.0, 0.95 + step as f32 / 1e6));
-            actions.extend(tell(proxy, 3, 0.0, step as f32 / 1e9));
+            // A hundred connections fill a warm endpoint; the cold one always reports none.
+            let mut actions = report_load(proxy, 1, 95.0, 0.95 + step as f32 / 1e6);
+            actions.extend(report_load(proxy, 2, 95.0, 0.95 + step as f32 / 1e6));
+            actions.extend(report_load(proxy, 3, 0.0, step as f32 / 1e9));
             actions.extend(proxy.request(Request {
                 time_left: SECOND / 4,
                 ..request(step + 1, u64::from(step), 0)
             }));
             for action in actions {
-                let Action::Attempt {
-                    id,
-                    endpoint: server,
-                    ..
-                } = action
-                else {
+                let Action::Attempt { id, endpoint, .. } = action else {
                     continue;
                 };
-                sends.extend((server == EndpointId(3)).then_some(now));
-                proxy.end(id.0, server, Outcome::Success, true);
+                sends.extend((endpoint == EndpointId(3)).then_some(now));
+                proxy.end(id.0, endpoint, Outcome::Success, true);
             }
         }
-        let within = |from: Micros| {
+        let count_in_window = |from: Micros| {
             sends
                 .iter()
                 .filter(|&&at| (from..from + settings.overload_window).contains(&at))
                 .count() as f32
         };
         for second in 0..4 {
-            let (age, count) = (second * SECOND, within(begin + second * SECOND));
-            // The least capacity in that time sets the most that the rule allows.
+            let (age, count) = (second * SECOND, count_in_window(begin + second * SECOND));
+            // The limit is that of the lowest capacity within the window.
             let allowed = allowed_when_cold(&settings, 100.0, age);
             assert!(
                 count < 0.7 * allowed,
@@ -186,20 +185,22 @@
     }
 }
 
-fn cold_rule(relays: u32) -> Settings {
+fn slow_start_settings(relays: u32) -> Settings {
     Settings {
         overload_factor: 2.5,
         overload_window: 3 * SECOND,
         balancer_count: relays,
-        ..with_probes()
+        ..with_health_checks()
     }
 }
 
-/// What a fleet sends to a server that has just started, by the decisions of each relay, in virtual time. Relays hear of
-/// it at different times and see uneven traffic; `quiet` seconds long nobody asks for anything, then everybody does at
-/// once, and goes on. In the middle of that seven in ten start anew with empty memories.
-fn sent_to_a_cold_server(relays: u32, fills: f32, quiet: u64, seed: u64) -> Vec<Micros> {
-    let settings = cold_rule(relays);
+/// The times at which a fleet sends requests to an endpoint that has just started, by the decisions
+/// of each relay in virtual time. `capacity` is the number of connections that fill a warm
+/// endpoint. Relays learn of the endpoint at different times and have uneven traffic. There are no
+/// requests for `quiet` seconds, then requests at all relays at once, which continue. In the middle
+/// of that, seven in ten relays restart without their memory.
+fn sent_to_a_cold_endpoint(relays: u32, capacity: f32, quiet: u64, seed: u64) -> Vec<Micros> {
+    let settings = slow_start_settings(relays);
     let mut random = Random::new(seed);
     let begin = 1_000 * SECOND;
     let start = |now: Micros, number: u32, seed: u64| {
@@ -228,62 +229,63 @@
         })
         .collect();
     let (mut sends, mut next) = (Vec::new(), 0);
-    // Two requests a second for each that the rule allows, in steps of 20 ms.
-    let again = begin + quiet * SECOND;
+    // Two requests per second for each that the limit allows, in steps of 20 ms.
+    let traffic_begin = begin + quiet * SECOND;
     for step in 0..300u64 {
-        let now = again + step * SECOND / 50;
+        let now = traffic_begin + step * SECOND / 50;
         if step == 150 {
             for n in (0..relays as usize).filter(|n| n % 10 < 7) {
                 fleet[n] = start(now, n as u32, random.range(0..u64::MAX));
             }
         }
-        // At once at first, each relay twice; then some relays far more often than others.
-        let asks = if step == 0 {
+        // First two requests at each relay at once; then some relays get far more than others.
+        let requests = if step == 0 {
             2 * relays
         } else {
-            (fills / 4.0).ceil() as u32
+            (capacity / 4.0).ceil() as u32
         };
-        for ask in 0..asks {
+        for index in 0..requests {
             let share = random.float();
             let n = if step == 0 {
-                ask % relays
+                index % relays
             } else {
                 (share * share * relays as f32) as u32
             };
             let proxy = &mut fleet[n as usize];
             proxy.now = proxy.now.max(now);
-            for (server, active, load) in [
-                (1, 0.95 * fills, 0.95),
-                (2, 0.95 * fills, 0.95),
+            for (endpoint, active, load) in [
+                (1, 0.95 * capacity, 0.95),
+                (2, 0.95 * capacity, 0.95),
                 (3, 0.0, 0.0),
             ] {
                 let report = vec![active, load + step as f32 / 1e6];
                 proxy.feed(Event::HealthCheck {
-                    endpoint: EndpointId(server),
+                    endpoint: EndpointId(endpoint),
                     outcome: Outcome::Success,
                     report,
                 });
             }
             next += 1;
-            let asked = request(next, u64::from(next), 0);
-            let Some(server) = sent(&proxy.request(asked)) else {
-                // It has to wait, and goes away.
+            let request = request(next, u64::from(next), 0);
+            let Some(endpoint) = sent(&proxy.request(request)) else {
+                // A request that has to wait is withdrawn.
                 proxy.feed(Event::ClientDisconnected(RequestId(next)));
                 continue;
             };
-            sends.extend((server == EndpointId(3)).then_some(proxy.now));
-            proxy.end(next, server, Outcome::Success, true);
+            sends.extend((endpoint == EndpointId(3)).then_some(proxy.now));
+            proxy.end(next, endpoint, Outcome::Success, true);
         }
     }
     sends.sort_unstable();
     sends
 }
 
-/// Each relay kept what it had earned of a cold server's room until it was asked for something: after some quiet
-/// seconds each of hundreds had a whole call saved up, and all came at once.
+/// Guards against relays that each save up their share of a cold endpoint's capacity while they
+/// have no requests: after some quiet seconds each of hundreds had saved a whole request, and all
+/// were sent at once.
 #[test]
-fn the_sum_of_all_relays_stays_within_the_rule_whatever_each_has_saved_up() {
-    for (relays, fills, seeds) in [
+fn the_requests_of_all_relays_stay_within_the_limit_after_a_quiet_time() {
+    for (relays, capacity, seeds) in [
         (3, 12.0, 10),
         (20, 12.0, 10),
         (30, 12.0, 10),
@@ -293,15 +295,15 @@
             .into_iter()
             .flat_map(|quiet| (0..seeds).map(move |seed| (quiet, seed)))
         {
-            let sends = sent_to_a_cold_server(relays, fills, quiet, seed);
+            let sends = sent_to_a_cold_endpoint(relays, capacity, quiet, seed);
             for (n, &from) in sends.iter().enumerate() {
                 let count = sends[n..]
                     .iter()
                     .take_while(|&&at| at < from + 3 * SECOND)
                     .count() as f32;
-                // The least capacity in that time sets the most that the rule allows.
-                let (settings, age) = (cold_rule(relays), from - 1_000 * SECOND);
-                let allowed = allowed_when_cold(&settings, fills, age);
+                // The limit is that of the lowest capacity within the window.
+                let (settings, age) = (slow_start_settings(relays), from - 1_000 * SECOND);
+                let allowed = allowed_when_cold(&settings, capacity, age);
                 assert!(
                     age >= settings.warm_up_time || count <= allowed,
                     "{relays} relays, {quiet} s, seed {seed}: {count} in 3 s where {allowed} are allowed"
@@ -309,15 +311,16 @@
             }
             assert!(
                 !sends.is_empty(),
-                "{relays} relays, {quiet} s, seed {seed}: left idle"
+                "{relays} relays, {quiet} s, seed {seed}: the endpoint stayed idle"
             );
         }
     }
 }
 
-/// Calls of all at once overbooked the service for good: most relays never had a list again.
+/// Guards against polls of all relays at once, which overload discovery permanently, so that most
+/// relays never get a list again.
 #[test]
-fn a_hundred_relays_that_start_together_call_for_the_list_in_turn() {
+fn a_hundred_relays_that_start_together_poll_for_the_list_in_turn() {
     let settings = Settings {
         balancer_count: 100,
         polls_endpoint_list: true,
@@ -333,7 +336,7 @@
         first.push(at - begin);
         let (next, _) = timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0];
         again.push(next - at);
-        // A request is served from the list that it has, before discovery has said anything.
+        // Requests are placed with the cached list before discovery has answered.
         assert_eq!(proxy.connect(request(1, seed, 0)), Some(EndpointId(1)));
     }
     let most = |times: &[Micros]| {
@@ -343,31 +346,31 @@
     };
     assert!(
         most(&first) <= Some(35),
-        "first calls in one second: {:?}",
+        "first polls in one second: {:?}",
         most(&first)
     );
     assert!(
         most(&again) <= Some(35),
-        "second calls in one second: {:?}",
+        "second polls in one second: {:?}",
         most(&again)
     );
 }
 
-/// With a handful of requests each, a relay's periodic reports are older than the load of a server: before it
-/// places a request it looks, and goes on along the same jumps until it finds room.
+/// With few requests per relay, its periodic load reports are out of date. Before it places a
+/// request, the relay checks endpoints along the group's jumps until one has capacity.
 #[test]
-fn a_relay_looks_along_the_jumps_for_room_before_it_places() {
+fn a_relay_checks_the_load_along_the_jumps_before_it_places_a_request() {
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 100,
-            ..with_probes()
+            ..with_health_checks()
         },
         5,
     );
     proxy.list(EndpointListKind::Full, (1..=9).map(ready).collect());
     let home = proxy.connect(request(1, 1, 7)).unwrap();
     proxy.now += 10 * SECOND;
-    let probes = |actions: &[Action]| -> Vec<EndpointId> {
+    let health_checks = |actions: &[Action]| -> Vec<EndpointId> {
         actions
             .iter()
             .filter_map(|a| {
@@ -379,26 +382,30 @@
             })
             .collect()
     };
-    let (mut asked, mut placed) = (probes(&proxy.feed(Event::Request(request(2, 2, 7)))), None);
+    let actions = proxy.feed(Event::Request(request(2, 2, 7)));
+    let (mut checked, mut placed) = (health_checks(&actions), None);
     for n in 0..9 {
-        let Some(&server) = asked.get(n) else { break };
-        // All but the sixth that it asks are full.
+        let Some(&endpoint) = checked.get(n) else {
+            break;
+        };
+        // All but the sixth endpoint that it checks are full.
         let report = vec![20.0, if n == 5 { 0.1 } else { 1.2 }];
         let actions = proxy.feed(Event::HealthCheck {
-            endpoint: server,
+            endpoint,
             outcome: Outcome::Success,
             report,
         });
-        asked.extend(probes(&actions));
+        checked.extend(health_checks(&actions));
         placed = placed.or(sent(&actions));
     }
-    assert_eq!(asked[0], home, "the home comes first");
-    assert_eq!(placed, asked.get(5).copied(), "{asked:?}");
+    assert_eq!(checked[0], home, "the home is checked first");
+    assert_eq!(placed, checked.get(5).copied(), "{checked:?}");
 }
 
-/// Who has not asked for `ask_within` counts as told of all changes: in a very large fleet a turn took longer.
+/// A relay that has not polled for `ask_within` counts as told of all changes. Guards against turns
+/// that take longer than that in a very large fleet.
 #[test]
-fn no_relay_waits_for_its_turn_longer_than_it_may_go_unasked() {
+fn no_relay_waits_for_its_turn_to_poll_longer_than_the_longest_poll_interval() {
     let settings = Settings {
         balancer_count: 5_000,
         polls_endpoint_list: true,
@@ -417,7 +424,7 @@
                 first - proxy.now,
                 known.len()
             );
-            // After a failure four times as long is allowed.
+            // After a failure the wait may be four times as long.
             for _ in 0..8 {
                 let (again, _) = timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0];
                 assert!(again < proxy.now + 4 * settings.max_poll_interval);
@@ -426,9 +433,10 @@
     }
 }
 
-/// Each answer to a probe lets the waiting requests look again; each such look once set a timer for good.
+/// Each answered health check re-evaluates the waiting requests. Guards against a new timer, never
+/// removed, for each of these evaluations.
 #[test]
-fn a_held_request_has_one_timer_however_many_probes_are_answered() {
+fn a_waiting_request_has_one_timer_however_many_health_checks_are_answered() {
     let cold = ListedEndpoint {
         started_at: Some(1_000 * SECOND),
         ..ready(1)
@@ -436,13 +444,13 @@
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 100,
-            ..with_probes()
+            ..with_health_checks()
         },
         5,
     );
     proxy.list(EndpointListKind::Full, vec![cold]);
-    // Nothing may be sent yet to the one server there is.
-    let mut held = 0;
+    // No request may be sent yet to the only endpoint.
+    let mut timer_count = 0;
     for n in 0..100u64 {
         let actions = match n {
             0 => proxy.feed(Event::Request(request(1, 1, 0))),
@@ -452,10 +460,10 @@
                 report: vec![],
             }),
         };
-        held += timers(&actions)
+        timer_count += timers(&actions)
             .iter()
             .filter(|(_, token)| token >> 32 == 2)
             .count();
     }
-    assert_eq!(held, 1);
+    assert_eq!(timer_count, 1);
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,15 +1,15 @@
-//! Clients that leave before their answer, and dials that go wrong, on real sockets: nothing is begun for nobody, and
-//! nothing is held against a backend that is not its own doing.
+//! Clients that leave before their answer, and dials that fail, on real sockets. No attempt begins
+//! for a client that has left, and no backend is blamed for a failure of the relay's own machine.
 
 #[allow(dead_code)]
 mod peers;
 
 use peers::*;
 
-/// Its end stood behind more than is read ahead, and was never seen: the attempt went on for as long as its client
-/// had said that it would wait.
+/// Guards against an unnoticed close behind more bytes than the relay reads ahead: the attempt
+/// continued until the client's deadline.
 #[test]
-fn a_client_that_sent_much_and_left_is_seen_to_have_left() {
+fn the_close_of_a_client_is_noticed_behind_many_unread_bytes() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
     let mut client = relay.client();
@@ -22,9 +22,10 @@
     relay.wait_for_log("reason=client-gave-up");
 }
 
-/// A dial that is over and the end of its client, in one batch of events: the request was sent on for nobody.
+/// Guards against a request that is sent for a client that has left: the end of the dial and the
+/// client's close are in one batch of events.
 #[test]
-fn nothing_is_sent_for_a_client_that_left_while_the_dial_was_under_way() {
+fn nothing_is_sent_for_a_client_that_left_during_the_dial() {
     let (mut fleet, mut crowded) = (Fleet::new(&["s-1"]), Crowded::new());
     fleet.moves("s-1", crowded.addr());
     let relay = fleet.relay();
@@ -33,16 +34,20 @@
     relay.wait_for_dial(crowded.addr());
     relay.signal("STOP");
     let mut backend = crowded.accept();
-    // Behind the dial, in the order of their coming.
+    // After the end of the dial, so that the relay handles the close second.
     drop(client);
     relay.signal("CONT");
-    assert!(backend.ended(), "its line came for nobody");
+    assert!(
+        backend.ended(),
+        "the request was sent although its client had left"
+    );
     relay.wait_for_log("reason=client-gave-up");
 }
 
-/// An answer that lets the request go elsewhere and the end of its client, in one batch of events.
+/// Guards against a retry for a client that has left: the backend's rejection and the client's
+/// close are in one batch of events.
 #[test]
-fn no_further_attempt_begins_for_a_client_that_left() {
+fn no_retry_begins_for_a_client_that_left() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
     let mut client = relay.client();
@@ -57,16 +62,17 @@
     let other = if at == "s-1" { "s-2" } else { "s-1" };
     assert!(
         fleet.backend(other).unvisited(),
-        "an attempt began for nobody"
+        "a retry began although its client had left"
     );
 }
 
-/// Attempts that did not begin, since their clients had left, once spent the retry budget of those who stayed.
+/// Guards against attempts that did not begin, since their clients had left, but used up the retry
+/// budget of other clients.
 #[test]
-fn clients_that_left_leave_the_retry_budget_to_the_others() {
+fn clients_that_left_do_not_use_up_the_retry_budget() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
-    // Four further attempts are saved, and each request earns 0.3 of one.
+    // The budget begins with four retries, and each request adds 0.3 of one.
     for n in 0..5 {
         let mut client = relay.client();
         client.send(&format!("OPEN left{n} 7f c=chat,d=60000"));
@@ -76,7 +82,7 @@
         backend.send("BUSY");
         drop(client);
         relay.signal("CONT");
-        until("the end of each", || {
+        until("the end of each request", || {
             (relay.times_logged("reason=client-gave-up") == n + 1).then_some(())
         });
     }
@@ -89,9 +95,10 @@
     assert_eq!(stays.line(), "UP r");
 }
 
-/// A dial that came up after its time, while the process was held up, was used all the same.
+/// Guards against the use of a dial that succeeded after its timeout, while the process was
+/// stopped.
 #[test]
-fn a_dial_that_comes_up_after_its_time_is_closed_unused() {
+fn a_dial_that_succeeds_after_its_timeout_is_closed_unused() {
     let (mut fleet, mut crowded) = (Fleet::new(&["s-1"]), Crowded::new());
     fleet.moves("s-1", crowded.addr());
     let short = fleet
@@ -102,23 +109,24 @@
     client.send("OPEN 01 7f c=chat,d=60000");
     relay.wait_for_dial(crowded.addr());
     relay.signal("STOP");
-    // The kernel tries again a second after the first time.
+    // The kernel retries a second after the first packet.
     let mut backend = crowded.accept();
     relay.signal("CONT");
-    assert!(backend.ended(), "a line came on a dial whose time was over");
+    assert!(backend.ended(), "a line was sent after the dial's timeout");
     assert!(client.line().starts_with("BUSY"));
 }
 
-/// A dial that this machine had no descriptor for was once held against the backend, which got nothing for seconds.
+/// Guards against a dial without a free descriptor that counts as a failure of the backend, which
+/// then got no requests for seconds.
 #[test]
-fn a_dial_for_which_there_is_no_descriptor_is_not_the_backends_failure() {
+fn a_dial_without_a_free_descriptor_does_not_count_against_the_backend() {
     let fleet = Fleet::new(&["s-1"]);
     let admin =
         fleet
             .config(fleet.discovery.addr())
             .replacen('{', "{\"admin\":\"127.0.0.1:0\",", 1);
     let relay = Relay::start_with_descriptors(&admin, 32);
-    // Held off, so that the relay's own needs do not change meanwhile.
+    // The watch stays open, so that the relay needs no other descriptors meanwhile.
     let _watch = fleet.watched();
     let mut clients = Vec::new();
     until("the last descriptor", || {
@@ -129,28 +137,30 @@
     asking.send("OPEN 01 7f c=chat,d=60000");
     assert!(asking.line().starts_with("BUSY"));
     clients.clear();
-    until("descriptors", || (relay.descriptors() < 24).then_some(()));
+    until("free descriptors", || {
+        (relay.descriptors() < 24).then_some(())
+    });
     assert_eq!(relay.figure("skipped_backends"), Some(0));
     relay.wait_for_log(": dial of s-1: Too many open files");
     fleet.pair(&relay, "02");
 }
 
-/// The smallest limits, all filled with clients that rest while discovery is down: what the relay needs itself is
-/// kept, and those that rest make room.
+/// With the smallest limits, clients without a request fill the relay while discovery is down. The
+/// relay keeps the descriptors that it needs itself, and dismisses such clients to make room.
 #[test]
-fn idle_clients_that_fill_the_descriptors_keep_neither_the_list_nor_requests_out() {
+fn clients_without_a_request_that_fill_the_limits_block_neither_list_updates_nor_requests() {
     let (fleet, down) = (Fleet::new(&["s-1", "s-2"]), Refusing::new());
     for most in [128, 256] {
         let sockets = format!("\"sockets\":{most}");
         let few = |at| fleet.config(at).replace("\"sockets\":1024", &sockets);
         let relay = Relay::start_with_descriptors(&few(down.addr()), most);
-        let mut crowd = Vec::new();
+        let mut clients = Vec::new();
         for n in 0..2 * most {
-            let mut one = relay.client();
+            let mut client = relay.client();
             if n % 3 == 0 {
-                one.send("PING");
+                client.send("PING");
             }
-            crowd.push(one);
+            clients.push(client);
         }
         relay.wait_for_log("discovery: the watch failed");
         let up = Discovery::new();
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,4 +1,5 @@
-//! The built relay on real sockets: one test for each rule, and one for each way of ending.
+//! The relay's program on real sockets: the rules of the line protocol, and the ways in which a
+//! connection ends.
 
 #[allow(dead_code)]
 mod peers;
@@ -9,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_client_is_served_and_its_lines_pass_unchanged_both_ways() {
+fn a_client_is_served_and_its_lines_are_forwarded_unchanged_both_ways() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
     let mut client = relay.client();
@@ -41,9 +42,9 @@
     relay.wait_for_log("reason=served");
 }
 
-/// Rule 1: one final answer in time, also where no backend answers.
+/// Rule 1: a client gets one final answer in time, even if no backend answers.
 #[test]
-fn a_silent_backend_leads_to_one_answer_before_the_client_gives_up() {
+fn with_a_silent_backend_the_client_gets_one_answer_in_time() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
     let mut client = relay.client();
@@ -53,15 +54,15 @@
     backend.line();
     let answer = client.line();
     let took = began.elapsed();
-    // Two answers, or none, would break the rule; so would one that comes much too late.
+    // Two answers, none, or one that is much too late would break the rule.
     assert!(answer.starts_with("BUSY"), "{answer}");
     assert!(took < Duration::from_secs(5), "{took:?}");
     assert!(client.ended() && backend.ended());
 }
 
-/// Rule 1: what the module has given up on is answered at once, with the time to come again.
+/// Rule 1: a request that the decisions reject is answered at once, with the time of a retry.
 #[test]
-fn a_refusal_is_not_held_back() {
+fn a_rejection_is_sent_at_once() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
     let mut client = relay.client();
@@ -76,7 +77,7 @@
     assert!(began.elapsed() < Duration::from_secs(20));
 }
 
-/// Rule 2: the second attempt begins after the first one's socket is closed.
+/// Rule 2: a retry begins after the socket of the earlier attempt is closed.
 #[test]
 fn an_attempt_is_closed_before_the_next_begins() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
@@ -86,7 +87,7 @@
     let (at, mut first) = fleet.accept_any();
     first.line();
     first.send("BUSY");
-    assert!(first.ended(), "the relay keeps the first attempt open");
+    assert!(first.ended(), "the relay kept the first attempt open");
     let other = if at == "s-1" { "s-2" } else { "s-1" };
     let mut second = fleet.backend(other).accept();
     second.line();
@@ -94,9 +95,9 @@
     assert_eq!(client.line(), "UP r2");
 }
 
-/// A backend that refuses connections never ran the request: it goes elsewhere.
+/// A backend that refuses connections cannot have run the request, so it is retried at another one.
 #[test]
-fn a_refused_dial_goes_on_to_the_next_backend() {
+fn after_a_refused_dial_the_next_backend_is_tried() {
     let (mut fleet, refusing) = (Fleet::new(&["s-1", "s-2"]), Refusing::new());
     fleet.moves("s-1", refusing.addr());
     let relay = fleet.relay();
@@ -110,10 +111,10 @@
     }
 }
 
-/// Rule 3: nothing new goes to a backend that discovery has told to be leaving; what stands there
-/// is moved between two lines.
+/// Rule 3: a backend that discovery lists as leaving gets no new connections, and its established
+/// ones are migrated between two lines.
 #[test]
-fn a_drain_stops_new_connections_and_moves_the_standing_ones() {
+fn a_drain_stops_new_connections_and_migrates_the_established_ones() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
     let mut watch = fleet.watched();
@@ -138,7 +139,7 @@
     relay.wait_for_log("reason=moved");
 }
 
-/// Rule 4: a backend that has just started gets its share little by little, not all that comes.
+/// Rule 4: a backend that has just started gets requests at a limited rate.
 #[test]
 fn a_backend_that_has_just_started_is_not_flooded() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
@@ -168,34 +169,36 @@
     assert!(cold <= 3, "{cold} of 12 went to the cold backend");
 }
 
-/// Loads come by probes: each on a connection of its own, and what it says decides where clients go.
+/// The relay asks backends for load reports with health checks, each on its own connection, and
+/// places clients by them.
 #[test]
-fn a_backend_that_reports_it_is_full_is_passed_over() {
+fn a_backend_that_reports_full_load_gets_no_clients() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
-    let probes = fleet
+    let config = fleet
         .config(fleet.discovery.addr())
         .replace("\"probes\": false", "\"probes\": true")
         .replace(
             "{\"columns\": [], \"via\": \"none\"}",
             "{\"columns\": [\"active\", \"x0\"], \"via\": \"probe\"}",
         );
-    let relay = Relay::start(&probes, None);
-    // Connections are kept: the end of one would count against its backend before all have come.
-    let (mut told, mut open, mut clients) = (0, Vec::new(), Vec::new());
+    let relay = Relay::start(&config, None);
+    // Connections are kept open: the end of one would count against its backend before all have
+    // arrived.
+    let (mut reports, mut open, mut clients) = (0, Vec::new(), Vec::new());
     while open.len() < 6 {
         let (at, mut peer) = fleet.accept_any();
         if peer.line() == "STATS" {
-            told += 1;
+            reports += 1;
             peer.send(if at == "s-1" {
                 "PONG active=50,x0=0.95"
             } else {
                 "PONG active=50,x0=0.2"
             });
-            if told == 4 {
+            if reports == 4 {
                 clients = (0..6).map(|_| relay.client()).collect();
-                let open =
+                let send_request =
                     |(n, c): (usize, &mut Peer)| c.send(&format!("OPEN 0{n} {n}f c=chat,d=60000"));
-                clients.iter_mut().enumerate().for_each(open);
+                clients.iter_mut().enumerate().for_each(send_request);
             }
         } else {
             assert_eq!(at, "s-2");
@@ -208,9 +211,10 @@
         .for_each(|client| assert_eq!(client.line(), "UP r"));
 }
 
-/// A restarted relay brings its connections back to where they were, also where its list is stale.
+/// After a restart of the relay, connections return to their earlier backends, even if its endpoint
+/// list is stale.
 #[test]
-fn a_connection_that_was_open_goes_to_its_backend() {
+fn a_client_that_names_its_earlier_backend_returns_to_it() {
     let fleet = Fleet::new(&["s-1", "s-2", "s-3"]);
     let relay = fleet.relay_that_knows(&["s-1"]);
     let mut client = relay.client();
@@ -227,7 +231,7 @@
 }
 
 #[test]
-fn a_reset_passes_to_the_other_side_as_a_reset() {
+fn a_reset_is_forwarded_as_a_reset() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
     let (mut client, backend) = fleet.pair(&relay, "01");
@@ -250,7 +254,7 @@
     relay.wait_for_log("reason=client-left");
 }
 
-/// A client that leaves before its answer: the attempt is called off.
+/// The attempt is cancelled when its client leaves before the answer.
 #[test]
 fn an_attempt_ends_when_its_client_leaves() {
     let fleet = Fleet::new(&["s-1"]);
@@ -264,8 +268,9 @@
     relay.wait_for_log("reason=client-gave-up");
 }
 
-/// Connections that are up have no threads of their own: a process that is stopped and continued, as the
-/// platform does to one that is over its share, wakes them all each time and never gets below it again.
+/// Guards against threads per established connection. The platform stops and continues a process
+/// over its processor share; that wakes all threads each time, so the process never gets below its
+/// share.
 #[test]
 fn threads_do_not_grow_with_the_connections() {
     let fleet = Fleet::new(&["s-1"]);
@@ -273,13 +278,14 @@
     let pairs: Vec<_> = (0..30)
         .map(|n| fleet.pair(&relay, &format!("0{n}")))
         .collect();
-    until("the threads' end", || (relay.threads() < 15).then_some(()));
+    until("few threads", || (relay.threads() < 15).then_some(()));
     assert_eq!(pairs.len(), 30);
 }
 
-/// A client that takes nothing for a while gets all that its backend sent, in order, once it reads again.
+/// A client that reads nothing for a while gets all lines of its backend, in order, once it reads
+/// again.
 #[test]
-fn what_a_slow_client_does_not_take_at_once_is_not_lost() {
+fn no_line_for_a_slow_client_is_lost() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
     let (mut client, mut backend) = fleet.pair(&relay, "01");
@@ -299,9 +305,10 @@
     }
 }
 
-/// A machine that vanishes says nothing and keeps its connections open.
+/// A machine that vanishes sends nothing and leaves its connections open; an unanswered line shows
+/// it.
 #[test]
-fn a_backend_that_stays_silent_to_a_line_loses_its_client() {
+fn the_client_of_a_backend_that_answers_no_line_is_migrated() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
     let (mut client, _backend) = fleet.pair(&relay, "01");
@@ -312,7 +319,7 @@
 }
 
 #[test]
-fn the_signal_to_stop_moves_what_stands_and_serves_what_still_comes() {
+fn the_signal_to_stop_migrates_established_connections_and_late_clients_are_served() {
     let fleet = Fleet::new(&["s-1"]);
     let mut relay = fleet.relay();
     let mut pairs: Vec<_> = (0..6)
@@ -327,8 +334,9 @@
     assert!(relay.exit().success());
 }
 
-/// A reload follows discovery to where the file now says it is, also where the variable of the start
-/// said otherwise; the list that is held stands until the new place answers. SIGHUP once ended the relay.
+/// After a reload the relay watches discovery at the address in the file, even if the environment
+/// variable at the start named another one. The endpoint list stays until the new address answers.
+/// Also guards against a SIGHUP that ends the relay.
 #[test]
 fn a_reload_moves_the_watch_at_once_and_keeps_the_list() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
@@ -336,7 +344,7 @@
     let mut relay = Relay::start(&fleet.config(third.addr()), Some(fleet.discovery.addr()));
     let mut first = fleet.watched();
     relay.reload(&fleet.config(second.addr()));
-    // Versions of the old place mean nothing at the new one: the whole list is asked for.
+    // Versions of the old address mean nothing at the new one, so the whole list is requested.
     let mut watch = second.watched("GET /v1/endpoints?watch=1 HTTP");
     assert!(first.peer.ended());
     let (client, backend) = fleet.pair(&relay, "01");
@@ -348,23 +356,23 @@
     relay.wait_for_log("discovery: version 9");
     relay.wait_for_log("reason=moved");
     drop((client, backend));
-    // One that cannot be used changes nothing.
+    // A file that cannot be used changes nothing.
     relay.reload("{\"name\":");
     relay.wait_for_log("reload refused: BALANCER_CONFIG: is not valid JSON");
     watch.tell(10, false, &[fleet.entry("s-1", "active")]);
     fleet.pair(&relay, "02");
-    // Several in a row, and one to a place where nothing answers.
+    // Several reloads in a row, one of them to an address where nothing answers.
     relay.reload(&fleet.config(fleet.discovery.addr()));
-    let nowhere = Refusing::new();
-    relay.reload(&fleet.config(nowhere.addr()));
-    relay.wait_for_log(&format!("now at {}", nowhere.addr()));
+    let refusing = Refusing::new();
+    relay.reload(&fleet.config(refusing.addr()));
+    relay.wait_for_log(&format!("now at {}", refusing.addr()));
     fleet.pair(&relay, "03");
     relay.reload(&fleet.config(third.addr()));
     third
         .watched("GET /v1/endpoints?watch=1 HTTP")
         .tell(3, true, &[fleet.entry("s-2", "active")]);
     relay.wait_for_log("discovery: version 3");
-    // A stop and a reload at the same time: the one still works, the other does no harm.
+    // A reload during the shutdown is done and does not disturb it.
     let (mut client, _backend) = fleet.pair(&relay, "04");
     relay.signal("TERM");
     relay.reload(&fleet.config(second.addr()));
@@ -376,7 +384,7 @@
 }
 
 #[test]
-fn what_is_malformed_gets_a_clear_answer() {
+fn a_malformed_request_gets_an_error_with_its_reason() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
     let long = format!("OPEN 01 7f c=chat,x={}", "y".repeat(5000));
@@ -406,9 +414,9 @@
     fleet.pair(&relay, "01");
 }
 
-/// An id is another's while its connection is open: passed on, the backend took two for one.
+/// Guards against two open connections with the same id, which a backend takes for one.
 #[test]
-fn the_id_of_an_open_connection_is_refused() {
+fn a_request_with_the_id_of_an_open_connection_is_rejected() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
     let (client, backend) = fleet.pair(&relay, "01");
@@ -421,10 +429,10 @@
     fleet.pair(&relay, "01");
 }
 
-/// An answer once got lost: closing with input unread resets the connection, and a client that was still
-/// sending saw the reset in place of the answer.
+/// Guards against a lost answer: closing a socket with unread input resets the connection, and a
+/// client that is still sending sees the reset in place of the answer.
 #[test]
-fn a_client_that_sends_on_still_reads_its_answer() {
+fn a_client_that_is_still_sending_can_read_its_answer() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
     let mut client = relay.client();
@@ -437,38 +445,39 @@
     assert_eq!(client.line(), "ERR line-too-long");
 }
 
-/// A connection that says nothing is owed its end, and one that asks whether the relay is there stays.
+/// A silent connection is closed after a while; one that sends `PING` stays open.
 #[test]
-fn a_silent_connection_is_closed_and_a_health_check_is_not() {
+fn a_silent_connection_is_closed_and_one_that_sends_pings_is_not() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
-    let (mut silent, mut check) = (relay.client(), relay.client());
-    check.send("PING");
-    assert_eq!(check.line(), "PONG");
-    // A request may come in the moment in which it is closed: the end has an answer to that before it.
+    let (mut silent, mut pinging) = (relay.client(), relay.client());
+    pinging.send("PING");
+    assert_eq!(pinging.line(), "PONG");
+    // A request may arrive at the moment of the close, so the client is sent an answer before it.
     assert_eq!(silent.line(), "BUSY");
     assert!(silent.ended());
-    check.send("PING");
-    assert_eq!(check.line(), "PONG");
+    pinging.send("PING");
+    assert_eq!(pinging.line(), "PONG");
 }
 
-/// A crowd that asks for nothing once took all descriptors: clients with requests were refused.
+/// Guards against connections without a request that use up all descriptors, so that clients with
+/// requests are rejected.
 #[test]
-fn a_crowd_that_asks_for_nothing_does_not_keep_others_out() {
+fn connections_without_a_request_do_not_keep_others_out() {
     let fleet = Fleet::new(&["s-1"]);
     let few = fleet
         .config(fleet.discovery.addr())
         .replace("\"sockets\":1024", "\"sockets\":128");
     let relay = Relay::start(&few, None);
-    let mut crowd = Vec::new();
+    let mut connections = Vec::new();
     for n in 0..300 {
-        let mut one = relay.client();
+        let mut client = relay.client();
         if n % 2 == 0 {
-            one.send("PING");
+            client.send("PING");
         }
-        crowd.push(one);
+        connections.push(client);
         if n % 50 == 0 {
-            crowd.extend({
+            connections.extend({
                 let (client, backend) = fleet.pair(&relay, &format!("{n}"));
                 [client, backend]
             });
@@ -477,7 +486,7 @@
     fleet.pair(&relay, "last");
 }
 
-/// Discovery that breaks off or talks nonsense is asked again; the list that is held stands.
+/// After a watch that breaks off or sends invalid data, the relay watches again and keeps its list.
 #[test]
 fn a_broken_watch_is_renewed() {
     let fleet = Fleet::new(&["s-1"]);
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! The end of a process, and of connections that rest, on real sockets: whoever has asked has an answer.
+//! The shutdown of a relay and the dismissal of connections without a request, on real sockets.
+//! Each client that has sent a request gets an answer.
 
 #[allow(dead_code)]
 mod peers;
@@ -6,29 +7,30 @@
 use peers::*;
 use std::time::{Duration, Instant};
 
-/// A request whose client waits for longer than the platform does before it kills was once dropped without a word:
-/// its backend had stopped, and the process ended (hobart-exchange, roll+term+brink, seed 3).
+/// Guards against a request without an answer: its client waits longer than the platform does
+/// before it kills the process, and its backend has stopped (seen in hobart-exchange,
+/// roll+term+brink, seed 3).
 #[test]
-fn whoever_waits_when_the_process_is_told_to_end_has_its_answer_before_that() {
+fn pending_requests_are_answered_before_a_stopping_process_ends() {
     let fleet = Fleet::new(&["s-1"]);
     let mut relay = fleet.relay();
-    let (mut standing, mut backend) = fleet.pair(&relay, "standing");
+    let (mut established, mut backend) = fleet.pair(&relay, "established");
     let mut early = relay.client();
     early.send("OPEN early 7f c=chat,d=60000");
-    let mut mute = fleet.backend("s-1").accept();
-    mute.line();
-    let mut rests = relay.client();
-    rests.send("PING");
-    assert_eq!(rests.line(), "PONG");
+    let mut silent = fleet.backend("s-1").accept();
+    silent.line();
+    let mut waiting = relay.client();
+    waiting.send("PING");
+    assert_eq!(waiting.line(), "PONG");
     let mut half = relay.client();
     half.write(b"OPEN half 7f c=ch");
-    // Told twice, and to read its settings again meanwhile.
+    // The signal is sent twice, with a reload in between.
     let since = Instant::now();
     ["TERM", "HUP", "TERM"]
         .iter()
         .for_each(|name| relay.signal(name));
     relay.wait_for_log("signal 15");
-    // Read after the signal: it is sent on, with no more time than there is.
+    // A request after the signal is forwarded, with a deadline before the end of the process.
     let mut late = relay.client();
     late.send("OPEN late 8f c=chat,d=60000");
     let mut second = fleet.backend("s-1").accept();
@@ -40,10 +42,14 @@
         .unwrap();
     assert!(d < 3_700, "{line}");
     assert_eq!(
-        (standing.line().as_str(), standing.ended(), backend.ended()),
+        (
+            established.line().as_str(),
+            established.ended(),
+            backend.ended()
+        ),
         ("MOVE", true, true)
     );
-    // An attempt that comes up when all that stood has been moved is moved in its turn.
+    // A connection that is established after all others were migrated is migrated, too.
     let mut up = relay.client();
     up.send("OPEN up 9f c=chat,d=60000");
     let mut third = fleet.backend("s-1").accept();
@@ -54,7 +60,7 @@
         ("UP r", "MOVE", true)
     );
     for (name, client) in [
-        ("rests", &mut rests),
+        ("waiting", &mut waiting),
         ("half", &mut half),
         ("early", &mut early),
         ("late", &mut late),
@@ -65,7 +71,7 @@
             "{name}: {rest:?}"
         );
     }
-    assert!(mute.ended() && second.ended());
+    assert!(silent.ended() && second.ended());
     assert!(relay.exit().success());
     assert!(
         since.elapsed() < Duration::from_millis(3_700),
@@ -74,40 +80,41 @@
     );
 }
 
-/// A resting connection was once shut both ways: a request that came at this moment was taken by the machine, and
-/// lost. Its client had no answer, or a reset.
+/// Guards against a dismissed connection that is shut both ways: a request that arrived at this
+/// moment was acknowledged by the kernel and lost, so that its client got no answer, or a reset.
 #[test]
-fn a_request_that_comes_as_its_resting_connection_is_ended_has_an_answer_and_goes_nowhere() {
+fn a_request_that_arrives_as_its_connection_is_dismissed_is_rejected_and_not_forwarded() {
     let fleet = Fleet::new(&["s-1"]);
     let few = fleet
         .config(fleet.discovery.addr())
         .replace("\"sockets\":1024", "\"sockets\":128");
     let relay = Relay::start(&few, None);
-    let mut rests = relay.client();
-    rests.send("PING");
-    assert_eq!(rests.line(), "PONG");
-    // A crowd takes its room. Whoever is sent away has read nothing of it yet when its request comes.
-    let mut crowd: Vec<Peer> = Vec::new();
-    let mut sent = rests.stream.try_clone().unwrap();
-    sent.set_nonblocking(true).unwrap();
-    until("the end of the resting one", || {
-        crowd.push(relay.client());
+    let mut waiting = relay.client();
+    waiting.send("PING");
+    assert_eq!(waiting.line(), "PONG");
+    // Other connections use up the limit, so the first one is dismissed. It sends its request
+    // before it has read the answer.
+    let mut others: Vec<Peer> = Vec::new();
+    let mut stream = waiting.stream.try_clone().unwrap();
+    stream.set_nonblocking(true).unwrap();
+    until("the dismissal", || {
+        others.push(relay.client());
         let mut byte = [0];
-        matches!(sent.peek(&mut byte), Ok(1)).then_some(())
+        matches!(stream.peek(&mut byte), Ok(1)).then_some(())
     });
-    sent.set_nonblocking(false).unwrap();
-    std::io::Write::write_all(&mut sent, b"OPEN 01 7f c=chat,d=60000\r\n").unwrap();
-    assert_eq!(rests.rest(), "BUSY\r\n");
-    drop(crowd);
-    // The next one to come there is another's.
+    stream.set_nonblocking(false).unwrap();
+    std::io::Write::write_all(&mut stream, b"OPEN 01 7f c=chat,d=60000\r\n").unwrap();
+    assert_eq!(waiting.rest(), "BUSY\r\n");
+    drop(others);
+    // The next request that the backend receives is of another client.
     let mut client = relay.client();
     client.send("OPEN 02 7f c=chat,d=60000");
     assert!(fleet.backend("s-1").accept().line().starts_with("OPEN 02 "));
 }
 
-/// One that floods while its connection ends cannot keep it open.
+/// A client that sends without pause cannot keep its connection open while the relay closes it.
 #[test]
-fn a_flood_does_not_hold_up_the_end() {
+fn a_client_that_floods_does_not_delay_the_shutdown() {
     let fleet = Fleet::new(&["s-1"]);
     let mut relay = fleet.relay();
     let client = relay.client();
@@ -121,44 +128,45 @@
     flooding.join().unwrap();
 }
 
-/// What discovery does before the signal.
+/// The behavior of discovery before the signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Discovering {
-    /// It takes the call in and never answers.
-    Mute,
-    /// Nobody listens there.
+enum DiscoveryBehavior {
+    /// Accepts the relay's request and never answers.
+    Silent,
+    /// Refuses connections.
     Refusing,
-    /// It answers the call once the relay has heard the signal.
+    /// Answers the relay's request after the relay has received the signal.
     Late,
 }
 
 const MOVED: &str = "UP r\r\nMOVE\r\n";
 const FAILED: &str = "FAILED\r\n";
 
-/// Told to end before its first list: requests that wait for a backend, that are out at one or that look for the one
-/// which they were open at, half a line, and one that comes after the signal each get one final answer in time.
+/// A relay that is stopped before its first endpoint list gives one final answer in time to each
+/// client: to requests that wait for a backend, have an attempt in progress or wait for their
+/// earlier backend, to half a line, and to a request after the signal.
 #[test]
-fn a_relay_that_is_told_to_end_before_its_first_list_answers_everyone() {
+fn a_relay_that_is_stopped_before_its_first_list_answers_all_clients() {
     let cases = [
-        (Discovering::Mute, false),
-        (Discovering::Mute, true),
-        (Discovering::Refusing, false),
-        (Discovering::Refusing, true),
-        (Discovering::Late, false),
-        (Discovering::Late, true),
+        (DiscoveryBehavior::Silent, false),
+        (DiscoveryBehavior::Silent, true),
+        (DiscoveryBehavior::Refusing, false),
+        (DiscoveryBehavior::Refusing, true),
+        (DiscoveryBehavior::Late, false),
+        (DiscoveryBehavior::Late, true),
     ];
     std::thread::scope(|scope| {
-        for (discovering, cached) in cases {
-            scope.spawn(move || end_before_the_first_list(discovering, cached));
+        for (discovery, cached) in cases {
+            scope.spawn(move || stop_before_first_list(discovery, cached));
         }
     });
 }
 
-/// One case; `cached` says that the relay knows a backend from before its start.
-fn end_before_the_first_list(discovering: Discovering, cached: bool) {
-    let case = format!("{discovering:?}, cached: {cached}");
+/// One case. With `cached` the relay knows a backend from its configuration.
+fn stop_before_first_list(discovery: DiscoveryBehavior, cached: bool) {
+    let case = format!("{discovery:?}, cached: {cached}");
     let (fleet, refusing) = (Fleet::new(&["s-1", "s-2"]), Refusing::new());
-    let at = if discovering == Discovering::Refusing {
+    let at = if discovery == DiscoveryBehavior::Refusing {
         refusing.addr()
     } else {
         fleet.discovery.addr()
@@ -169,15 +177,15 @@
         Vec::new()
     };
     let mut relay = Relay::start(&config(at, &known), None);
-    let held_back = match discovering {
-        Discovering::Refusing => {
+    let unanswered_watch = match discovery {
+        DiscoveryBehavior::Refusing => {
             relay.wait_for_log("discovery: the watch failed");
             None
         }
         _ => Some(fleet.discovery.called().0),
     };
 
-    let standing = cached.then(|| fleet.pair(&relay, "standing"));
+    let established = cached.then(|| fleet.pair(&relay, "established"));
     let open = |line: &str| {
         let mut client = relay.client();
         client.send(line);
@@ -185,22 +193,23 @@
     };
     let mut waits = open("OPEN waits 8f c=chat,d=60000");
     let mut returns = open("OPEN returns 9f c=chat,d=60000,at=s-2");
-    let mut rests = open("PING");
-    assert_eq!(rests.line(), "PONG", "{case}");
+    let mut waiting = open("PING");
+    assert_eq!(waiting.line(), "PONG", "{case}");
     let mut half = relay.client();
     half.write(b"OPEN half 7f c=ch");
-    // Out at a backend that never answers, where there is one.
-    let mut mute = cached.then(|| fleet.backend("s-1").accept());
-    mute.iter_mut()
-        .for_each(|mute| assert!(mute.line().starts_with("OPEN waits "), "{case}"));
+    // With a cached backend, the attempt is in progress there and never answered.
+    let mut silent = cached.then(|| fleet.backend("s-1").accept());
+    silent
+        .iter_mut()
+        .for_each(|silent| assert!(silent.line().starts_with("OPEN waits "), "{case}"));
 
     let since = Instant::now();
     ["TERM", "TERM"].iter().for_each(|name| relay.signal(name));
     relay.wait_for_log("signal 15");
     let mut late = relay.client();
     late.send("OPEN late 9f c=chat,d=60000");
-    let list = discovering == Discovering::Late;
-    let mut watch = held_back.map(|peer| Watch { peer });
+    let list = discovery == DiscoveryBehavior::Late;
+    let mut watch = unanswered_watch.map(|peer| Watch { peer });
     if let Some(watch) = watch.as_mut().filter(|_| list) {
         watch.peer.write(WATCHED);
         watch.tell(
@@ -210,23 +219,23 @@
         );
     }
 
-    // Who is sent on, each once, is served and then moved.
-    let sent_on = [
+    // Requests that are forwarded, each once, are served and then migrated.
+    let forwarded = [
         ("waits", list && !cached),
         ("returns", list),
         ("late", list || cached),
     ];
     let mut served: Vec<(String, Peer)> = Vec::new();
-    for _ in sent_on.iter().filter(|(_, sent)| *sent) {
+    for _ in forwarded.iter().filter(|(_, forwarded)| *forwarded) {
         let (_, mut backend) = fleet.accept_any();
         let line = backend.line();
         backend.send("UP r");
         served.push((line.split(' ').nth(1).unwrap().to_string(), backend));
     }
     served.sort_by(|a, b| a.0.cmp(&b.0));
-    let mut expected: Vec<&str> = sent_on
+    let mut expected: Vec<&str> = forwarded
         .iter()
-        .filter(|(_, sent)| *sent)
+        .filter(|(_, forwarded)| *forwarded)
         .map(|(name, _)| *name)
         .collect();
     expected.sort();
@@ -244,24 +253,24 @@
         ("returns", &mut returns),
         ("late", &mut late),
     ];
-    for ((name, client), (_, sent)) in answers.into_iter().zip(sent_on) {
+    for ((name, client), (_, forwarded)) in answers.into_iter().zip(forwarded) {
         let answer = client.rest();
-        match (name, sent) {
+        match (name, forwarded) {
             (_, true) => assert_eq!(answer, MOVED, "{case}: {name}"),
             ("returns", false) => assert_eq!(answer, FAILED, "{case}"),
-            _ => assert_refused(&answer, &format!("{case}: {name}")),
+            _ => assert_rejected(&answer, &format!("{case}: {name}")),
         }
     }
-    assert_refused(&rests.rest(), &case);
-    assert_refused(&half.rest(), &case);
-    if let Some((mut client, mut backend)) = standing {
+    assert_rejected(&waiting.rest(), &case);
+    assert_rejected(&half.rest(), &case);
+    if let Some((mut client, mut backend)) = established {
         assert_eq!(
             (client.rest().as_str(), backend.ended()),
             ("MOVE\r\n", true),
             "{case}"
         );
     }
-    assert!(mute.is_none_or(|mut mute| mute.ended()), "{case}");
+    assert!(silent.is_none_or(|mut silent| silent.ended()), "{case}");
     assert!(
         served.iter_mut().all(|(_, backend)| backend.ended()),
         "{case}"
@@ -289,16 +298,16 @@
     );
 }
 
-/// One refusal, and nothing more.
-fn assert_refused(answer: &str, whose: &str) {
+/// Asserts that an answer is one `BUSY` line, with or without a time.
+fn assert_rejected(answer: &str, case: &str) {
     let line = answer
         .strip_suffix("\r\n")
-        .unwrap_or_else(|| panic!("{whose}: {answer:?}"));
+        .unwrap_or_else(|| panic!("{case}: {answer:?}"));
     let wait = line
         .strip_prefix("BUSY")
-        .unwrap_or_else(|| panic!("{whose}: {answer:?}"));
+        .unwrap_or_else(|| panic!("{case}: {answer:?}"));
     assert!(
         wait.is_empty() || wait.trim_start().parse::<u32>().is_ok(),
-        "{whose}: {answer:?}"
+        "{case}: {answer:?}"
     );
 }
--- a/tests/threads.rs
+++ b/tests/threads.rs
@@ -1,5 +1,5 @@
-//! How many threads the built relay needs, and that nobody who is silent holds up anybody else: openings, dials,
-//! connections from before the start, an upgrade and a stop under load.
+//! The number of the relay's threads under load, and that silent peers delay no others: with many
+//! requests, dials, connections from before the start, an upgrade and a shutdown.
 
 #[allow(dead_code)]
 mod peers;
@@ -7,11 +7,11 @@
 use peers::*;
 use std::collections::BTreeMap;
 
-/// The thread that hears signals, the discovery watch, and the one that serves.
-const AT_REST: usize = 3;
+/// The threads for signals, for the discovery watch and for serving clients.
+const THREADS: usize = 3;
 
-/// Room for the descriptors of both sides, which a usual limit of 1,024 has not.
-fn raise_limit() {
+/// Raises the descriptor limit: a usual one of 1,024 is too low for both sides of the connections.
+fn raise_descriptor_limit() {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let Rlimit { maximum, .. } = getrlimit(Resource::Nofile);
     setrlimit(
@@ -24,25 +24,25 @@
     .unwrap();
 }
 
-/// A relay with room for as many openings as the tests need.
-fn roomy(fleet: &Fleet) -> Relay {
-    raise_limit();
+/// A relay with limits that are high enough for the tests.
+fn relay_with_high_limits(fleet: &Fleet) -> Relay {
+    raise_descriptor_limit();
     let config = fleet
         .config(fleet.discovery.addr())
         .replace("\"sockets\":1024", "\"sockets\":4096");
     Relay::start(&config, None)
 }
 
-/// Each connection that said nothing once had a thread, and so had each first line.
+/// Guards against a thread per silent connection or per first line.
 #[test]
-fn five_hundred_openings_need_no_thread_and_hold_up_nobody() {
+fn five_hundred_silent_connections_need_no_threads_and_delay_no_other_client() {
     let fleet = Fleet::new(&["s-1"]);
-    let relay = roomy(&fleet);
-    until("the threads at rest", || {
-        (relay.threads() == AT_REST).then_some(())
+    let relay = relay_with_high_limits(&fleet);
+    until("all threads of the start", || {
+        (relay.threads() == THREADS).then_some(())
     });
     let mut silent: Vec<Peer> = (0..500).map(|_| relay.client()).collect();
-    // Half of them have begun to speak.
+    // Half of them have sent a part of a line.
     silent
         .iter_mut()
         .step_by(2)
@@ -50,14 +50,15 @@
     let (mut client, mut backend) = fleet.pair(&relay, "01");
     client.send("M 1");
     assert_eq!(backend.line(), "M 1");
-    assert_eq!(relay.threads(), AT_REST);
+    assert_eq!(relay.threads(), THREADS);
 }
 
-/// Connections that wait for backends which never answer hold up neither those that are answered nor new ones.
+/// Adopted connections that wait for silent backends delay neither those that are answered nor new
+/// ones.
 #[test]
-fn two_hundred_connections_from_before_the_start_come_up_while_half_of_the_backends_are_silent() {
+fn two_hundred_connections_are_adopted_while_half_of_the_backends_are_silent() {
     let fleet = Fleet::new(&["s-1", "s-2", "s-3", "s-4"]);
-    let relay = roomy(&fleet);
+    let relay = relay_with_high_limits(&fleet);
     let mut clients = BTreeMap::new();
     for n in 0..200 {
         let mut client = relay.client();
@@ -65,13 +66,14 @@
         client.send(&format!("OPEN {n:x} 7f c=chat,d=2000,at=s-{at}"));
         clients.insert(n, client);
     }
-    // The first two say nothing; the others are told apart by what they are asked.
+    // The first two backends are silent. The id in the request tells the clients of the others
+    // apart.
     for backend in ["s-3", "s-4"] {
         for _ in 0..50 {
             let mut peer = fleet.backend(backend).accept();
-            let asked = peer.line();
-            assert!(asked.ends_with(&format!("at={backend}")), "{asked}");
-            let id = asked.split(' ').nth(1).unwrap().to_string();
+            let request = peer.line();
+            assert!(request.ends_with(&format!("at={backend}")), "{request}");
+            let id = request.split(' ').nth(1).unwrap().to_string();
             peer.send(&format!("UP {id}"));
             let n = u32::from_str_radix(&id, 16).unwrap();
             let client = clients.get_mut(&n).unwrap();
@@ -80,14 +82,15 @@
             assert_eq!(peer.line(), "M 1");
         }
     }
-    assert_eq!(relay.threads(), AT_REST);
+    assert_eq!(relay.threads(), THREADS);
 }
 
-/// Three hundred requests are out when the relay is told to stop: each has one answer, and the relay ends well.
+/// When the relay is stopped, each of three hundred pending requests gets one answer, and the relay
+/// exits without an error.
 #[test]
-fn a_stop_with_three_hundred_openings_under_way_leaves_each_one_answer() {
+fn each_of_three_hundred_pending_requests_gets_one_answer_at_a_shutdown() {
     let fleet = Fleet::new(&["s-1", "s-2", "s-3", "s-4"]);
-    let mut relay = roomy(&fleet);
+    let mut relay = relay_with_high_limits(&fleet);
     let mut clients: Vec<Peer> = (0..300).map(|_| relay.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&format!("OPEN {n:x} {n:x} c=chat,d=1500"));
@@ -96,15 +99,15 @@
     for client in &mut clients {
         let answer = client.line();
         assert!(answer.starts_with("BUSY") || answer == "FAILED", "{answer}");
-        assert!(client.ended(), "one answer and no more");
+        assert!(client.ended(), "the client got more than one answer");
     }
     assert!(relay.exit().success());
 }
 
-/// A request that is out when its process is told to make way for another is answered by its own process, and then
-/// goes on in the other.
+/// A request that is pending when its process is told to make way for a new one is answered by its
+/// own process; then the connection is handed over to the new one.
 #[test]
-fn an_upgrade_with_openings_half_done_loses_none_of_them() {
+fn an_upgrade_with_pending_requests_loses_none_of_them() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let shared = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
@@ -116,29 +119,29 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&format!("OPEN {n:x} {n:x} c=chat,d=60000"));
     }
-    let mut asked = Vec::new();
+    let mut attempts = Vec::new();
     for _ in 0..clients.len() {
         let (_, mut peer) = fleet.accept_any();
         let id = peer.line().split(' ').nth(1).unwrap().to_string();
-        asked.push((usize::from_str_radix(&id, 16).unwrap(), peer));
+        attempts.push((usize::from_str_radix(&id, 16).unwrap(), peer));
     }
-    // All are known to be the old process's, whichever socket of the two would wake first.
+    // The new process starts only now, so that all clients were accepted by the old one.
     let new = Relay::start_shared(&config, &listener, &shared);
     old.signal("TERM");
     old.wait_for_log("moving the standing connections");
-    for (n, peer) in &mut asked {
+    for (n, peer) in &mut attempts {
         peer.send(&format!("UP {n}"));
         assert_eq!(clients[*n].line(), format!("UP {n}"));
     }
     assert!(old.exit().success());
     new.wait_for_log("40 connections taken over");
-    for (n, peer) in &mut asked {
+    for (n, peer) in &mut attempts {
         clients[*n].send("M 1");
         assert_eq!(peer.line(), "M 1");
         peer.send("M 2");
         assert_eq!(clients[*n].line(), "M 2");
     }
-    // Its second address is answered by a thread of its own, and that is all.
-    assert_eq!(new.threads(), AT_REST + 1);
+    // One more thread, for the admin address.
+    assert_eq!(new.threads(), THREADS + 1);
     let _ = std::fs::remove_dir_all(&shared);
 }
