--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -257,9 +257,9 @@
         }
         match (self.phase, side) {
             (Phase::Handshake, _) => self.continue_handshake(),
-            (Phase::Pending, BACKEND) => self.drive_request(true),
+            (Phase::Pending, BACKEND) => self.advance_request(true),
             (_, BACKEND) => self.backend_ready(read, write),
-            (Phase::Pending, _) if peer_closed && !read => self.client_gone(),
+            (Phase::Pending, _) if peer_closed && !read => self.handle_client_gone(),
             _ => self.client_ready(read, write),
         }
     }
@@ -270,7 +270,7 @@
             .iter()
             .for_each(|session| session.clear_notification());
         if self.phase == Phase::Pending {
-            self.drive_request(false);
+            self.advance_request(false);
         }
     }
 
@@ -278,7 +278,7 @@
     pub fn handle_timer(&mut self) {
         match self.phase {
             Phase::Handshake => self.continue_handshake(),
-            Phase::Pending => self.drive_request(false),
+            Phase::Pending => self.advance_request(false),
             _ => self.check_timeouts(),
         }
     }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -100,8 +100,7 @@
 }
 
 /// The state of a relay that stops. `migrated_by`, `kill_after` and `late_client_time` are relative
-/// to
-/// `started_at`.
+/// to `started_at`.
 struct Drain {
     started_at: Micros,
     /// When all established connections have been told to migrate.
@@ -269,7 +268,7 @@
             self.start_health_checks();
             self.handle_list_update();
             self.fire_timers(now);
-            if self.handle.stop.load(Relaxed) && self.drive_drain(now) {
+            if self.handle.stop.load(Relaxed) && self.advance_drain(now) {
                 return;
             }
             self.check_connections(now);
@@ -590,8 +589,9 @@
             .health_checked(endpoint_id, outcome, report);
     }
 
-    // Other processes of this relay.
+    // Takeover from other processes of this relay.
 
+    /// Accepts a link from a process that hands over its connections.
     fn accept_predecessor(&mut self) {
         let Some(takeover_listener) = &self.takeover_listener else {
             return;
@@ -613,18 +613,19 @@
         }
     }
 
+    /// Takes over the connections that have arrived on a link.
     fn receive_handovers(&mut self, n: u64) {
         let Some(mut predecessor) = self.predecessors.remove(&n) else {
             return;
         };
         let mut handovers = Vec::new();
-        let rest = predecessor.receive(MAX_PER_TURN, &mut |p| handovers.push(p));
-        if rest == Rest::Later {
+        let state = predecessor.receive(MAX_PER_TURN, &mut |p| handovers.push(p));
+        if state == Rest::Later {
             self.predecessors.insert(n, predecessor);
         }
         handovers
             .into_iter()
-            .for_each(|handovers| self.adopt_connection(handovers));
+            .for_each(|handover| self.adopt_connection(handover));
     }
 
     /// Takes over a connection that was established in another process of this relay.
@@ -650,12 +651,12 @@
             tally: Some(shared.metrics.begin(&handover.class)),
         };
         let Ok(slot) = waiting.admit_request(&handover.name) else {
-            let whole = handover
+            let whole_lines = handover
                 .down
                 .iter()
                 .rposition(|&b| b == b'\n')
                 .map_or(0, |at| at + 1);
-            conn.last_bytes = [&handover.down[..whole], b"MOVE\r\n"].concat();
+            conn.last_bytes = [&handover.down[..whole_lines], b"MOVE\r\n"].concat();
             conn.waiting = Some(waiting);
             conn.close();
             record.log_end("no-descriptors");
@@ -695,7 +696,7 @@
     /// left, or when the platform is about to kill the process. Where the listening socket is
     /// inherited from the platform, new clients are left to the successor; elsewhere they are
     /// served as long as they arrive.
-    fn drive_drain(&mut self, now: Micros) -> bool {
+    fn advance_drain(&mut self, now: Micros) -> bool {
         let Some(mut drain) = self.drain.take() else {
             self.drain = Some(self.begin_drain(now));
             return false;
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -10,7 +10,7 @@
 use crate::log::log;
 use crate::net::attempt::reset_on_close;
 use crate::net::connection::{BackendSide, Connection, ConnectionEnd, Phase, LINGER};
-use crate::net::poll::peer_closed;
+use crate::net::poll::is_peer_closed;
 use crate::net::session::{ConnectionRecord, Session};
 use crate::platform::takeover::{self, Handover, Successor};
 use crate::protocol::buffer::{Buffer, MAX_LINE};
@@ -160,7 +160,7 @@
             ended => ended,
         };
         match (self.phase, ended) {
-            (Phase::Pending, _) => self.client_gone(),
+            (Phase::Pending, _) => self.handle_client_gone(),
             (_, Err(_)) => {
                 self.client_ended_at = Some(self.now());
                 self.reset_both(ConnectionEnd::new(Outcome::Cancelled, "client-reset"))
@@ -173,16 +173,16 @@
     }
 
     /// Handles a client that left before its answer. The attempt in progress is ended and reported.
-    pub fn client_gone(&mut self) {
+    pub fn handle_client_gone(&mut self) {
         self.client_ended_at = Some(self.now());
         if let Some(id) = self
             .session
             .as_ref()
-            .and_then(|session| session.client_gone())
+            .and_then(|session| session.set_client_gone())
         {
             self.shared.decisions.client_disconnected(id);
         }
-        self.drive_request(false);
+        self.advance_request(false);
     }
 
     /// Checks whether the client of a pending request has left, right before a dial or a first byte
@@ -194,11 +194,11 @@
             match self.client.read_into(&mut self.to_backend) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return,
-                _ => return self.client_gone(),
+                _ => return self.handle_client_gone(),
             }
         }
-        if self.client_ended_at.is_none() && peer_closed(&self.client.socket) {
-            self.client_gone();
+        if self.client_ended_at.is_none() && is_peer_closed(&self.client.socket) {
+            self.handle_client_gone();
         }
     }
 
--- a/src/net/handshake.rs
+++ b/src/net/handshake.rs
@@ -161,7 +161,7 @@
         let Some(mut handshake) = self.handshake.take() else {
             return;
         };
-        if self.drive_handshake(&mut handshake) {
+        if self.advance_handshake(&mut handshake) {
             self.handshake = Some(handshake);
         } else if self.phase != Phase::Closed && self.session.is_none() {
             // A rejected client keeps its slot until the connection is closed.
@@ -170,7 +170,7 @@
     }
 
     /// Continues the handshake; true while it is not complete.
-    fn drive_handshake(&mut self, h: &mut Handshake) -> bool {
+    fn advance_handshake(&mut self, h: &mut Handshake) -> bool {
         // The socket is read once per call, so that a client that sends at full speed does not
         // delay the others.
         let mut has_read = false;
--- a/src/net/placement.rs
+++ b/src/net/placement.rs
@@ -117,7 +117,7 @@
             failure_cause,
             answer_deadline,
         }));
-        self.drive_request(false);
+        self.advance_request(false);
     }
 
     /// Lowers the deadline of its answer, because the process stops.
@@ -135,7 +135,7 @@
     }
 
     /// Continues a pending request; `ready` says whether the socket of its attempt is ready.
-    pub fn drive_request(&mut self, mut ready: bool) {
+    pub fn advance_request(&mut self, mut ready: bool) {
         let Some(session) = self.session.clone() else {
             return;
         };
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -184,7 +184,7 @@
 
 /// Whether the peer has closed its sending side or the connection is broken, even if there are
 /// unread bytes before that.
-pub fn peer_closed(socket: &TcpStream) -> bool {
+pub fn is_peer_closed(socket: &TcpStream) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::RDHUP)];
     poll(&mut fds, 0).is_ok_and(|n| n > 0)
 }
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -210,7 +210,7 @@
 
     /// Records that the client left before its answer, which cancels the attempt in progress.
     /// Returns the request's id if it was submitted.
-    pub fn client_gone(&self) -> Option<RequestId> {
+    pub fn set_client_gone(&self) -> Option<RequestId> {
         let mut state = lock(&self.state);
         state.client_gone = true;
         state.request_id
