--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -13,7 +13,7 @@
 #[test]
 fn what_may_have_run_is_failed_and_neither_refused_nor_repeated() {
     let cases: [(&str, Does); 6] = [
-        ("reset", |b| b.cut()),
+        ("reset", |b| b.close_with_reset()),
         ("ended", |b| b.end()),
         ("half an answer, then the end", |b| {
             b.write(b"BUS");
@@ -41,7 +41,8 @@
         assert!(client.ended(), "{name}: more than one answer");
         let other = if at == "s-1" { "s-2" } else { "s-1" };
         assert!(
-            fleet.backend(other).unvisited() && fleet.backend(&at).unvisited(),
+            fleet.backend(other).has_no_new_connection()
+                && fleet.backend(&at).has_no_new_connection(),
             "{name}: repeated"
         );
     }
@@ -62,7 +63,7 @@
     backend.send("ERR");
     assert_eq!(client.line(), "FAILED");
     let other = if at == "s-1" { "s-2" } else { "s-1" };
-    assert!(fleet.backend(other).unvisited());
+    assert!(fleet.backend(other).has_no_new_connection());
     // The next one comes under the new ones, and is repeated.
     let mut client = relay.client();
     client.send("OPEN 02 7f c=chat,d=60000");
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -38,7 +38,7 @@
     use Fault::{Call, Watch};
     let cases: [(&str, Fault); 10] = [
         ("accepted and mute", Call(|_| {})),
-        ("reset", Call(Peer::cut)),
+        ("reset", Call(Peer::close_with_reset)),
         (
             "503",
             Call(|peer| peer.write(b"HTTP/1.1 503 Service Unavailable\r\n\r\n")),
@@ -56,7 +56,10 @@
             Call(|peer| peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n\n")),
         ),
         ("a watch that falls silent", Watch(|_| {})),
-        ("a watch that is reset", Watch(|watch| watch.peer.cut())),
+        (
+            "a watch that is reset",
+            Watch(|watch| watch.peer.close_with_reset()),
+        ),
         (
             "an object that dribbles",
             Watch(|watch| dribble(&mut watch.peer, b"fff0\r\n{\"version\":\"", b"2")),
@@ -71,16 +74,16 @@
             scope.spawn(move || {
                 let fleet = Fleet::new(&["s-1", "s-2"]);
                 let relay = fleet.relay();
-                let mut peer = fleet.discovery.called().0;
+                let mut peer = fleet.discovery.accept_call().0;
                 let broken = match fault {
                     Call(fault) => {
                         fault(&mut peer);
                         Instant::now()
                     }
                     Watch(fault) => {
-                        peer.write(WATCHED);
+                        peer.write(WATCH_RESPONSE_HEAD);
                         let mut watch = peers::Watch { peer };
-                        watch.say("");
+                        watch.send_line("");
                         let since = Instant::now();
                         fault(&mut watch);
                         // Held open: the relay is to give it up by itself.
@@ -88,13 +91,13 @@
                         since
                     }
                 };
-                let mut watch = fleet.watched();
+                let mut watch = fleet.accept_watch();
                 let took = broken.elapsed();
                 assert!(
                     took + ANSWER < TOLD,
                     "{name}: the next call came after {took:?}"
                 );
-                watch.tell(
+                watch.send_list(
                     2,
                     true,
                     &[fleet.entry("s-1", "leaving"), fleet.entry("s-2", "active")],
@@ -119,16 +122,16 @@
 /// Refused for long enough that the pauses have grown to their most; then it can be reached.
 #[test]
 fn discovery_that_has_refused_is_called_in_time_once_it_can_be_reached() {
-    let (fleet, down) = (Fleet::new(&["s-1"]), Refusing::new());
+    let (fleet, down) = (Fleet::new(&["s-1"]), RefusingPort::new());
     let relay = Relay::start(&fleet.config(down.addr()), None);
     until("six refusals", || {
         (relay.times_logged("discovery: the watch failed") >= 6).then_some(())
     });
     let since = Instant::now();
-    let discovery = down.answers();
+    let discovery = down.listen();
     discovery
-        .watched("GET")
-        .tell(2, true, &[fleet.entry("s-1", "active")]);
+        .accept_watch("GET")
+        .send_list(2, true, &[fleet.entry("s-1", "active")]);
     assert!(since.elapsed() + ANSWER < TOLD, "{:?}", since.elapsed());
     relay.wait_for_log("discovery: version 2");
 }
@@ -138,10 +141,10 @@
 fn a_reload_in_the_midst_of_a_call_is_followed_at_once() {
     let (fleet, new) = (Fleet::new(&["s-1"]), Discovery::new());
     let relay = fleet.relay();
-    let (mut mute, _) = fleet.discovery.called();
+    let (mut mute, _) = fleet.discovery.accept_call();
     let since = Instant::now();
     relay.reload(&fleet.config(new.addr()));
-    new.watched("GET /v1/endpoints?watch=1 HTTP");
+    new.accept_watch("GET /v1/endpoints?watch=1 HTTP");
     assert!(since.elapsed() < CALL, "{:?}", since.elapsed());
     assert!(mute.ended());
 }
@@ -151,19 +154,19 @@
 fn a_relay_that_was_stopped_for_long_reads_what_has_come_before_it_judges_the_watch() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
-    let mut watch = fleet.watched();
-    watch.tell(
+    let mut watch = fleet.accept_watch();
+    watch.send_list(
         2,
         true,
         &[fleet.entry("s-1", "active"), fleet.entry("s-2", "active")],
     );
     relay.wait_for_log("discovery: version 2");
     relay.signal("STOP");
-    watch.tell(3, false, &[fleet.entry("s-1", "leaving")]);
+    watch.send_list(3, false, &[fleet.entry("s-1", "leaving")]);
     std::thread::sleep(SILENT + Duration::from_millis(300));
     relay.signal("CONT");
     relay.wait_for_log("discovery: version 3");
-    watch.tell(4, false, &[fleet.entry("s-2", "leaving")]);
+    watch.send_list(4, false, &[fleet.entry("s-2", "leaving")]);
     relay.wait_for_log("discovery: version 4");
     assert!(!relay.logged("the watch failed"));
 }
@@ -179,9 +182,9 @@
             .replace("\"on_request\"", "\"pushed\"")
     };
     let relay = Relay::start(&pushed(fleet.discovery.addr()), None);
-    let mut watch = fleet.watched();
+    let mut watch = fleet.accept_watch();
     let (mut client, _backend) = fleet.pair(&relay, "01");
-    watch.tell(
+    watch.send_list(
         2,
         false,
         &[fleet.entry("s-1", "leaving"), fleet.entry("s-2", "leaving")],
@@ -189,11 +192,11 @@
     assert_eq!(client.line(), "MOVE");
     // What the agent has counts as told, watch or no watch.
     let since = Instant::now();
-    watch.peer.cut();
+    watch.peer.close_with_reset();
     drop(watch);
     let mut watch = fleet
         .discovery
-        .watched("GET /v1/endpoints?watch=1&after=2 HTTP");
+        .accept_watch("GET /v1/endpoints?watch=1&after=2 HTTP");
     assert!(
         since.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -204,8 +207,8 @@
     relay.reload(&pushed(second.addr()));
     assert!(watch.peer.ended());
     second
-        .watched("GET /v1/endpoints?watch=1 HTTP")
-        .tell(9, true, &[fleet.entry("s-2", "active")]);
+        .accept_watch("GET /v1/endpoints?watch=1 HTTP")
+        .send_list(9, true, &[fleet.entry("s-2", "active")]);
     fleet.pair(&relay, "02");
 }
 
@@ -214,19 +217,19 @@
 fn a_list_may_come_indented_and_an_entry_that_is_none_is_left_out_and_named() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
-    let mut watch = fleet.watched();
+    let mut watch = fleet.accept_watch();
     let entries = [
         fleet.entry("s-1", "leaving"),
         "{\n\"id\": 7\n}".into(),
         fleet.entry("s-2", "active"),
     ];
-    watch.say(&format!(
+    watch.send_line(&format!(
         "{{\n  \"version\": 2,\n  \"full\": true,\n  \"servers\": [\n{}\n]\n}}",
         entries.join(",\n")
     ));
     relay.wait_for_log("an entry was left out: servers[1].id");
     relay.wait_for_log("discovery: version 2, 2 entries");
-    watch.tell(3, false, &[fleet.entry("s-1", "active")]);
+    watch.send_list(3, false, &[fleet.entry("s-1", "active")]);
     relay.wait_for_log("discovery: version 3");
     assert!(!relay.logged("the watch failed"));
 }
@@ -272,12 +275,12 @@
         .run();
     });
     source.order(true);
-    old.watched("GET")
-        .tell(1, true, &[fleet.entry("s-1", "active")]);
+    old.accept_watch("GET")
+        .send_list(1, true, &[fleet.entry("s-1", "active")]);
     list.recv().unwrap();
     assert!(source.relocate(new.addr()));
     decisions.update_endpoints(EndpointListKind::Relocated, Vec::new());
     source.order(true);
     drop(go);
-    new.watched("GET /v1/endpoints?watch=1 HTTP");
+    new.accept_watch("GET /v1/endpoints?watch=1 HTTP");
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -25,8 +25,8 @@
 /// A dial that is over and the end of its client, in one batch of events: the request was sent on for nobody.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_while_the_dial_was_under_way() {
-    let (mut fleet, mut crowded) = (Fleet::new(&["s-1"]), Crowded::new());
-    fleet.moves("s-1", crowded.addr());
+    let (mut fleet, mut crowded) = (Fleet::new(&["s-1"]), FullBacklog::new());
+    fleet.set_backend_addr("s-1", crowded.addr());
     let relay = fleet.relay();
     let mut client = relay.client();
     client.send("OPEN 01 7f c=chat,d=60000");
@@ -56,7 +56,7 @@
     relay.wait_for_log("reason=client-gave-up");
     let other = if at == "s-1" { "s-2" } else { "s-1" };
     assert!(
-        fleet.backend(other).unvisited(),
+        fleet.backend(other).has_no_new_connection(),
         "an attempt began for nobody"
     );
 }
@@ -92,8 +92,8 @@
 /// A dial that came up after its time, while the process was held up, was used all the same.
 #[test]
 fn a_dial_that_comes_up_after_its_time_is_closed_unused() {
-    let (mut fleet, mut crowded) = (Fleet::new(&["s-1"]), Crowded::new());
-    fleet.moves("s-1", crowded.addr());
+    let (mut fleet, mut crowded) = (Fleet::new(&["s-1"]), FullBacklog::new());
+    fleet.set_backend_addr("s-1", crowded.addr());
     let short = fleet
         .config(fleet.discovery.addr())
         .replace("\"dial_timeout\": 10000.0", "\"dial_timeout\": 500.0");
@@ -119,7 +119,7 @@
             .replacen('{', "{\"admin\":\"127.0.0.1:0\",", 1);
     let relay = Relay::start_with_descriptors(&admin, 32);
     // Held off, so that the relay's own needs do not change meanwhile.
-    let _watch = fleet.watched();
+    let _watch = fleet.accept_watch();
     let mut clients = Vec::new();
     until("the last descriptor", || {
         clients.push(relay.client());
@@ -130,7 +130,7 @@
     assert!(asking.line().starts_with("BUSY"));
     clients.clear();
     until("descriptors", || (relay.descriptors() < 24).then_some(()));
-    assert_eq!(relay.figure("skipped_backends"), Some(0));
+    assert_eq!(relay.metric("skipped_backends"), Some(0));
     relay.wait_for_log(": dial of s-1: Too many open files");
     fleet.pair(&relay, "02");
 }
@@ -139,7 +139,7 @@
 /// kept, and those that rest make room.
 #[test]
 fn idle_clients_that_fill_the_descriptors_keep_neither_the_list_nor_requests_out() {
-    let (fleet, down) = (Fleet::new(&["s-1", "s-2"]), Refusing::new());
+    let (fleet, down) = (Fleet::new(&["s-1", "s-2"]), RefusingPort::new());
     for most in [128, 256] {
         let sockets = format!("\"sockets\":{most}");
         let few = |at| fleet.config(at).replace("\"sockets\":1024", &sockets);
@@ -155,8 +155,8 @@
         relay.wait_for_log("discovery: the watch failed");
         let up = Discovery::new();
         relay.reload(&few(up.addr()));
-        let mut watch = up.watched("GET /v1/endpoints?watch=1 HTTP");
-        watch.tell(
+        let mut watch = up.accept_watch("GET /v1/endpoints?watch=1 HTTP");
+        watch.send_list(
             2,
             true,
             &[fleet.entry("s-1", "leaving"), fleet.entry("s-2", "active")],
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -30,7 +30,7 @@
     let relay = Relay::start(&with_admin(&fleet), None);
     let hanging: Vec<_> = (0..40)
         .map(|n| {
-            let mut caller = relay.caller();
+            let mut caller = relay.admin_connection();
             if n % 2 == 0 {
                 caller.write_all(b"GET /control/rea").unwrap();
             }
@@ -43,11 +43,15 @@
         ("POST", "/control/counters", 405),
         ("GET", "/control/nothing", 404),
     ] {
-        assert_eq!(relay.call(method, path).0, status, "{method} {path}");
+        assert_eq!(
+            relay.admin_request(method, path).0,
+            status,
+            "{method} {path}"
+        );
     }
     drop(hanging);
     // One that comes a byte at a time is heard as well.
-    let mut slow = relay.caller();
+    let mut slow = relay.admin_connection();
     slow.set_nodelay(true).unwrap();
     for byte in b"GET /control/ready HTTP/1.1\r\n\r\n" {
         slow.write_all(&[*byte]).unwrap();
@@ -61,12 +65,12 @@
     let relay = Relay::start(&with_admin(&fleet), None);
     for figure in ["passed_total", "dropped_total", "bad_gateway_total"] {
         assert_eq!(
-            relay.figure(&format!("{figure}{{category=\"chat\"}}")),
+            relay.metric(&format!("{figure}{{category=\"chat\"}}")),
             Some(0)
         );
     }
     let (client, backend) = fleet.pair(&relay, "01");
-    assert_eq!(relay.figure("in_progress"), Some(1));
+    assert_eq!(relay.metric("in_progress"), Some(1));
     let mut refused = relay.client();
     refused.send("OPEN 02 7f c=chat,d=60000");
     // Two attempts, and then a refusal.
@@ -83,19 +87,19 @@
         ("known_backends", 2),
         ("skipped_backends", 0),
     ] {
-        relay.wait_for_figure(figure, value);
+        relay.wait_for_metric(figure, value);
     }
     drop((client, backend));
-    relay.wait_for_figure("in_progress", 0);
-    let mut watch = fleet.watched();
-    watch.tell(
+    relay.wait_for_metric("in_progress", 0);
+    let mut watch = fleet.accept_watch();
+    watch.send_list(
         2,
         true,
         &[fleet.entry("s-1", "leaving"), fleet.entry("s-2", "active")],
     );
-    relay.wait_for_figure("skipped_backends", 1);
-    watch.tell(3, false, &[fleet.entry("s-1", "left")]);
-    relay.wait_for_figure("known_backends", 1);
+    relay.wait_for_metric("skipped_backends", 1);
+    watch.send_list(3, false, &[fleet.entry("s-1", "left")]);
+    relay.wait_for_metric("known_backends", 1);
 }
 
 /// An upgrade: a second process takes clients at the same socket, then the first one is stopped. It takes
@@ -114,10 +118,10 @@
     early.send("PING");
     assert_eq!(early.line(), "PONG");
     let new = Relay::start_shared(&config, &held, &shared);
-    assert_eq!(new.call("GET", "/control/ready").0, 200);
+    assert_eq!(new.admin_request("GET", "/control/ready").0, 200);
     old.signal("TERM");
     until("the old process", || {
-        (old.call("GET", "/control/ready").0 == 503).then_some(())
+        (old.admin_request("GET", "/control/ready").0 == 503).then_some(())
     });
     early.send("OPEN 02 7f c=chat,d=60000");
     let mut served = fleet.backend("s-1").accept();
@@ -125,7 +129,7 @@
     served.send("UP r");
     assert_eq!(early.line(), "UP r");
     let pairs: Vec<_> = (3..9).map(|n| fleet.pair(&old, &format!("0{n}"))).collect();
-    assert_eq!(new.figure("passed_total{category=\"chat\"}"), Some(6));
+    assert_eq!(new.metric("passed_total{category=\"chat\"}"), Some(6));
     assert!(old.exit().success());
     old.wait_for_log("id=01 class=chat backend=s-1 attempts=1");
     old.wait_for_log("reason=handed-over");
@@ -136,7 +140,7 @@
     assert_eq!(standing.bytes(), b"M 2 \xff\xfe\r\n");
     served.send("M 3");
     assert_eq!(early.line(), "M 3");
-    assert_eq!(new.figure("in_progress"), Some(8));
+    assert_eq!(new.metric("in_progress"), Some(8));
     // The socket still lets clients in, and the id of one that was taken over is in use.
     fleet.pair(&new, "10");
     let mut again = new.client();
@@ -156,27 +160,33 @@
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = fleet.config(fleet.discovery.addr());
     let mut old = Relay::start_shared(&config, &held, &shared);
-    let mut watch = fleet.watched();
+    let mut watch = fleet.accept_watch();
     let (mut client, backend) = fleet.pair(&old, "01");
-    assert_eq!(old.call("POST", "/control/backends/s-9/offline").0, 404);
+    assert_eq!(
+        old.admin_request("POST", "/control/backends/s-9/offline").0,
+        404
+    );
     for _ in 0..2 {
-        assert_eq!(old.call("POST", "/control/backends/s-1/offline").0, 200);
+        assert_eq!(
+            old.admin_request("POST", "/control/backends/s-1/offline").0,
+            200
+        );
     }
-    old.wait_for_figure("skipped_backends", 1);
+    old.wait_for_metric("skipped_backends", 1);
     // Whatever the list says.
-    watch.tell(2, true, &[fleet.entry("s-2", "active")]);
-    old.wait_for_figure("known_backends", 1);
-    watch.tell(
+    watch.send_list(2, true, &[fleet.entry("s-2", "active")]);
+    old.wait_for_metric("known_backends", 1);
+    watch.send_list(
         3,
         true,
         &[fleet.entry("s-1", "active"), fleet.entry("s-2", "active")],
     );
-    old.wait_for_figure("known_backends", 2);
+    old.wait_for_metric("known_backends", 2);
     let new = Relay::start_shared(&config, &held, &shared);
-    assert_eq!(new.figure("skipped_backends"), Some(1));
+    assert_eq!(new.metric("skipped_backends"), Some(1));
     old.signal("TERM");
     until("the old process", || {
-        (old.call("GET", "/control/ready").0 == 503).then_some(())
+        (old.admin_request("GET", "/control/ready").0 == 503).then_some(())
     });
     for n in 2..10 {
         let mut client = old.client();
@@ -190,9 +200,15 @@
     assert_eq!(client.line(), "MOVE");
     drop((client, backend));
     assert!(old.exit().success());
-    assert_eq!(new.call("POST", "/control/backends/s-1/online").0, 200);
-    new.wait_for_figure("skipped_backends", 0);
-    assert_eq!(new.call("POST", "/control/backends/s-9/online").0, 404);
+    assert_eq!(
+        new.admin_request("POST", "/control/backends/s-1/online").0,
+        200
+    );
+    new.wait_for_metric("skipped_backends", 0);
+    assert_eq!(
+        new.admin_request("POST", "/control/backends/s-9/online").0,
+        404
+    );
     std::fs::remove_dir_all(shared).unwrap();
 }
 
@@ -207,10 +223,19 @@
         Relay::start_shared(&config, &held, &shared),
     );
     for (told, other) in [(&old, &new), (&new, &old)] {
-        assert_eq!(told.call("POST", "/control/backends/s-2/offline").0, 200);
-        other.wait_for_figure("skipped_backends", 1);
-        assert_eq!(other.call("POST", "/control/backends/s-2/online").0, 200);
-        told.wait_for_figure("skipped_backends", 0);
+        assert_eq!(
+            told.admin_request("POST", "/control/backends/s-2/offline")
+                .0,
+            200
+        );
+        other.wait_for_metric("skipped_backends", 1);
+        assert_eq!(
+            other
+                .admin_request("POST", "/control/backends/s-2/online")
+                .0,
+            200
+        );
+        told.wait_for_metric("skipped_backends", 0);
     }
     std::fs::remove_dir_all(shared).unwrap();
 }
@@ -233,9 +258,9 @@
         .replace("\"chat\"", "\"next\"")
         .replace("\"max_attempts\": 6", "\"max_attempts\": 1");
     relay.reload(&changed);
-    relay.wait_for_figure("loads_total", 1);
-    assert_eq!(relay.figure("passed_total{category=\"next\"}"), Some(0));
-    assert_eq!(relay.figure("passed_total{category=\"chat\"}"), Some(1));
+    relay.wait_for_metric("loads_total", 1);
+    assert_eq!(relay.metric("passed_total{category=\"next\"}"), Some(0));
+    assert_eq!(relay.metric("passed_total{category=\"chat\"}"), Some(1));
     let mut client = open("03", "next");
     // One attempt is all there is now.
     fleet.accept_any().1.answer("BUSY");
@@ -250,14 +275,14 @@
     .enumerate()
     {
         relay.reload(broken);
-        relay.wait_for_figure("load_errors_total", n as u64 + 1);
+        relay.wait_for_metric("load_errors_total", n as u64 + 1);
     }
-    assert_eq!(relay.figure("loads_total"), Some(1));
+    assert_eq!(relay.metric("loads_total"), Some(1));
     let _client = open("05", "next");
     let (_, mut backend) = fleet.accept_any();
     backend.line();
     backend.send("UP r");
-    relay.wait_for_figure("passed_total{category=\"next\"}", 1);
+    relay.wait_for_metric("passed_total{category=\"next\"}", 1);
     // The connection from before was never touched.
     let (mut client, mut backend) = standing;
     client.send("M 1 abc");
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 /// The longest wait for anything: far more than it takes, so that a slow machine changes no verdict.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     loop {
         if let Some(found) = look() {
             return found;
@@ -32,7 +32,7 @@
 impl Peer {
     fn new(stream: TcpStream) -> Peer {
         stream.set_nonblocking(false).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let reader = BufReader::new(stream.try_clone().unwrap());
         Peer { stream, reader }
     }
@@ -90,7 +90,7 @@
     }
 
     /// Breaks the connection off by a reset.
-    pub fn cut(&mut self) {
+    pub fn close_with_reset(&mut self) {
         SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
             .unwrap();
@@ -132,22 +132,22 @@
     }
 
     /// Whether nobody has come since the last one that was taken in.
-    pub fn unvisited(&self) -> bool {
+    pub fn has_no_new_connection(&self) -> bool {
         self.try_accept().is_none()
     }
 }
 
 /// A port at which connections are refused. It is held without listening: one that is only let go of is
 /// soon taken by another test, which the relay would then talk to.
-pub struct Refusing(Socket);
+pub struct RefusingPort(Socket);
 
-impl Refusing {
-    pub fn new() -> Refusing {
+impl RefusingPort {
+    pub fn new() -> RefusingPort {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
-        Refusing(socket)
+        RefusingPort(socket)
     }
 
     pub fn addr(&self) -> SocketAddr {
@@ -155,7 +155,7 @@
     }
 
     /// From now on somebody answers there.
-    pub fn answers(self) -> Discovery {
+    pub fn listen(self) -> Discovery {
         self.0.listen(64).unwrap();
         self.0.set_nonblocking(true).unwrap();
         Discovery(self.0.into())
@@ -163,13 +163,13 @@
 }
 
 /// A backend whose queue is full: a dial waits until there is room in it, and comes up about a second later.
-pub struct Crowded {
+pub struct FullBacklog {
     listener: TcpListener,
     crowd: Vec<TcpStream>,
 }
 
-impl Crowded {
-    pub fn new() -> Crowded {
+impl FullBacklog {
+    pub fn new() -> FullBacklog {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -182,7 +182,7 @@
         while let Ok(one) = TcpStream::connect_timeout(&addr, Duration::from_millis(300)) {
             crowd.push(one);
         }
-        Crowded { listener, crowd }
+        FullBacklog { listener, crowd }
     }
 
     pub fn addr(&self) -> SocketAddr {
@@ -210,7 +210,7 @@
 }
 
 /// The head of the answer to a watch.
-pub const WATCHED: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const WATCH_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Discovery at one address.
 pub struct Discovery(TcpListener);
@@ -225,7 +225,7 @@
     }
 
     /// Takes in the relay's next call, which gets no answer yet; its request.
-    pub fn called(&self) -> (Peer, String) {
+    pub fn accept_call(&self) -> (Peer, String) {
         let mut peer = until("a call", || {
             self.0.accept().ok().map(|(stream, _)| Peer::new(stream))
         });
@@ -235,10 +235,10 @@
     }
 
     /// Takes in the relay's watch, which must begin with this request.
-    pub fn watched(&self, request: &str) -> Watch {
-        let (mut peer, line) = self.called();
+    pub fn accept_watch(&self, request: &str) -> Watch {
+        let (mut peer, line) = self.accept_call();
         assert!(line.starts_with(request), "{line}");
-        peer.write(WATCHED);
+        peer.write(WATCH_RESPONSE_HEAD);
         Watch { peer }
     }
 }
@@ -261,7 +261,7 @@
     }
 
     /// The relay that is started next will reach this backend at another address.
-    pub fn moves(&mut self, name: &str, addr: SocketAddr) {
+    pub fn set_backend_addr(&mut self, name: &str, addr: SocketAddr) {
         self.backends
             .iter_mut()
             .filter(|b| b.name == name)
@@ -313,8 +313,8 @@
     }
 
     /// Takes in the relay's watch.
-    pub fn watched(&self) -> Watch {
-        self.discovery.watched("GET /v1/endpoints?watch=1")
+    pub fn accept_watch(&self) -> Watch {
+        self.discovery.accept_watch("GET /v1/endpoints?watch=1")
     }
 
     /// A client and the backend that serves it.
@@ -334,14 +334,14 @@
 }
 
 impl Watch {
-    pub fn say(&mut self, text: &str) {
+    pub fn send_line(&mut self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
         self.peer.stream.write_all(chunk.as_bytes()).unwrap();
     }
 
-    pub fn tell(&mut self, version: u64, full: bool, entries: &[String]) {
+    pub fn send_list(&mut self, version: u64, full: bool, entries: &[String]) {
         let list = entries.join(",");
-        self.say(&format!(
+        self.send_line(&format!(
             "{{\"version\":{version},\"full\":{full},\"servers\":[{list}]}}"
         ));
     }
@@ -388,7 +388,7 @@
 /// Reads an answer of the second address up to its end; the status, and what it says.
 pub fn read_answer(mut caller: TcpStream) -> (u16, String) {
     let mut text = String::new();
-    caller.set_read_timeout(Some(PATIENCE)).unwrap();
+    caller.set_read_timeout(Some(TIMEOUT)).unwrap();
     caller.read_to_string(&mut text).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
     (
@@ -499,8 +499,8 @@
     }
 
     /// Calls the second address; the status, and what it says.
-    pub fn call(&self, method: &str, path: &str) -> (u16, String) {
-        let mut caller = self.caller();
+    pub fn admin_request(&self, method: &str, path: &str) -> (u16, String) {
+        let mut caller = self.admin_connection();
         caller
             .write_all(format!("{method} {path} HTTP/1.1\r\nHost: relay\r\n\r\n").as_bytes())
             .unwrap();
@@ -508,7 +508,7 @@
     }
 
     /// A connection to the second address.
-    pub fn caller(&self) -> TcpStream {
+    pub fn admin_connection(&self) -> TcpStream {
         let log = self.log.lock().unwrap();
         let addr = log.iter().find_map(|l| {
             l.split_once("answers staff on ")
@@ -518,8 +518,8 @@
     }
 
     /// One figure, by its name and label; a line that is missing is none.
-    pub fn figure(&self, name: &str) -> Option<u64> {
-        let (status, text) = self.call("GET", "/control/counters");
+    pub fn metric(&self, name: &str) -> Option<u64> {
+        let (status, text) = self.admin_request("GET", "/control/counters");
         assert_eq!(status, 200);
         let line = text
             .lines()
@@ -528,8 +528,8 @@
     }
 
     /// Waits until a figure has this value.
-    pub fn wait_for_figure(&self, name: &str, value: u64) {
-        until(name, || (self.figure(name) == Some(value)).then_some(()));
+    pub fn wait_for_metric(&self, name: &str, value: u64) {
+        until(name, || (self.metric(name) == Some(value)).then_some(()));
     }
 
     pub fn client(&self) -> Peer {
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -97,8 +97,8 @@
 /// A backend that refuses connections never ran the request: it goes elsewhere.
 #[test]
 fn a_refused_dial_goes_on_to_the_next_backend() {
-    let (mut fleet, refusing) = (Fleet::new(&["s-1", "s-2"]), Refusing::new());
-    fleet.moves("s-1", refusing.addr());
+    let (mut fleet, refusing) = (Fleet::new(&["s-1", "s-2"]), RefusingPort::new());
+    fleet.set_backend_addr("s-1", refusing.addr());
     let relay = fleet.relay();
     for n in 0..8 {
         let mut client = relay.client();
@@ -116,14 +116,14 @@
 fn a_drain_stops_new_connections_and_moves_the_standing_ones() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
-    let mut watch = fleet.watched();
+    let mut watch = fleet.accept_watch();
     let mut client = relay.client();
     client.send("OPEN 01 7f c=chat,d=60000");
     let (at, mut backend) = fleet.accept_any();
     backend.line();
     backend.send("UP r1");
     assert_eq!(client.line(), "UP r1");
-    watch.tell(2, false, &[fleet.entry(&at, "leaving")]);
+    watch.send_list(2, false, &[fleet.entry(&at, "leaving")]);
     assert_eq!(client.line(), "MOVE");
     assert!(client.ended() && backend.ended());
     let other = if at == "s-1" { "s-2" } else { "s-1" };
@@ -143,7 +143,7 @@
 fn a_backend_that_has_just_started_is_not_flooded() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
-    let mut watch = fleet.watched();
+    let mut watch = fleet.accept_watch();
     let started = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap()
@@ -151,7 +151,7 @@
     let cold = fleet
         .entry("s-2", "active")
         .replace("\"started_ms\":0", &format!("\"started_ms\":{started}"));
-    watch.tell(2, false, &[cold]);
+    watch.send_list(2, false, &[cold]);
     relay.wait_for_log("discovery: version 2");
     let mut open = Vec::new();
     let mut cold = 0;
@@ -215,7 +215,7 @@
     let relay = fleet.relay_that_knows(&["s-1"]);
     let mut client = relay.client();
     client.send("OPEN 01 7f c=chat,d=2000,at=s-3");
-    fleet.watched().tell(
+    fleet.accept_watch().send_list(
         2,
         true,
         &[fleet.entry("s-1", "active"), fleet.entry("s-3", "active")],
@@ -334,13 +334,13 @@
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let (second, third) = (Discovery::new(), Discovery::new());
     let mut relay = Relay::start(&fleet.config(third.addr()), Some(fleet.discovery.addr()));
-    let mut first = fleet.watched();
+    let mut first = fleet.accept_watch();
     relay.reload(&fleet.config(second.addr()));
     // Versions of the old place mean nothing at the new one: the whole list is asked for.
-    let mut watch = second.watched("GET /v1/endpoints?watch=1 HTTP");
+    let mut watch = second.accept_watch("GET /v1/endpoints?watch=1 HTTP");
     assert!(first.peer.ended());
     let (client, backend) = fleet.pair(&relay, "01");
-    watch.tell(
+    watch.send_list(
         9,
         true,
         &[fleet.entry("s-1", "leaving"), fleet.entry("s-2", "leaving")],
@@ -351,24 +351,24 @@
     // One that cannot be used changes nothing.
     relay.reload("{\"name\":");
     relay.wait_for_log("reload refused: BALANCER_CONFIG: is not valid JSON");
-    watch.tell(10, false, &[fleet.entry("s-1", "active")]);
+    watch.send_list(10, false, &[fleet.entry("s-1", "active")]);
     fleet.pair(&relay, "02");
     // Several in a row, and one to a place where nothing answers.
     relay.reload(&fleet.config(fleet.discovery.addr()));
-    let nowhere = Refusing::new();
+    let nowhere = RefusingPort::new();
     relay.reload(&fleet.config(nowhere.addr()));
     relay.wait_for_log(&format!("now at {}", nowhere.addr()));
     fleet.pair(&relay, "03");
     relay.reload(&fleet.config(third.addr()));
     third
-        .watched("GET /v1/endpoints?watch=1 HTTP")
-        .tell(3, true, &[fleet.entry("s-2", "active")]);
+        .accept_watch("GET /v1/endpoints?watch=1 HTTP")
+        .send_list(3, true, &[fleet.entry("s-2", "active")]);
     relay.wait_for_log("discovery: version 3");
     // A stop and a reload at the same time: the one still works, the other does no harm.
     let (mut client, _backend) = fleet.pair(&relay, "04");
     relay.signal("TERM");
     relay.reload(&fleet.config(second.addr()));
-    second.watched("GET /v1/endpoints?watch=1 HTTP");
+    second.accept_watch("GET /v1/endpoints?watch=1 HTTP");
     assert_eq!(client.line(), "MOVE");
     assert!(client.ended());
     drop(client);
@@ -482,14 +482,14 @@
 fn a_broken_watch_is_renewed() {
     let fleet = Fleet::new(&["s-1"]);
     let relay = fleet.relay();
-    fleet.watched().say("{\"version\":2,\"full\":");
+    fleet.accept_watch().send_line("{\"version\":2,\"full\":");
     relay.wait_for_log("discovery: the watch failed");
     fleet
-        .watched()
-        .say("[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[");
+        .accept_watch()
+        .send_line("[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[");
     fleet.pair(&relay, "01");
     fleet
-        .watched()
-        .tell(3, true, &[fleet.entry("s-1", "active")]);
+        .accept_watch()
+        .send_list(3, true, &[fleet.entry("s-1", "active")]);
     fleet.pair(&relay, "02");
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -157,7 +157,7 @@
 /// One case; `cached` says that the relay knows a backend from before its start.
 fn end_before_the_first_list(discovering: Discovering, cached: bool) {
     let case = format!("{discovering:?}, cached: {cached}");
-    let (fleet, refusing) = (Fleet::new(&["s-1", "s-2"]), Refusing::new());
+    let (fleet, refusing) = (Fleet::new(&["s-1", "s-2"]), RefusingPort::new());
     let at = if discovering == Discovering::Refusing {
         refusing.addr()
     } else {
@@ -174,7 +174,7 @@
             relay.wait_for_log("discovery: the watch failed");
             None
         }
-        _ => Some(fleet.discovery.called().0),
+        _ => Some(fleet.discovery.accept_call().0),
     };
 
     let standing = cached.then(|| fleet.pair(&relay, "standing"));
@@ -202,8 +202,8 @@
     let list = discovering == Discovering::Late;
     let mut watch = held_back.map(|peer| Watch { peer });
     if let Some(watch) = watch.as_mut().filter(|_| list) {
-        watch.peer.write(WATCHED);
-        watch.tell(
+        watch.peer.write(WATCH_RESPONSE_HEAD);
+        watch.send_list(
             2,
             true,
             &[fleet.entry("s-1", "active"), fleet.entry("s-2", "active")],
@@ -284,7 +284,7 @@
     assert!(
         ["s-1", "s-2"]
             .iter()
-            .all(|name| fleet.backend(name).unvisited()),
+            .all(|name| fleet.backend(name).has_no_new_connection()),
         "{case}"
     );
 }
