--- a/src/protocol/line/messages.rs
+++ b/src/protocol/line/messages.rs
@@ -1,4 +1,4 @@
-//! The words of the line protocol: what is read from lines and written into them.
+//! The messages of the line protocol: parsing of a client's first line and of a backend's lines.
 
 use crate::config::{Classes, Names};
 use crate::decision_service::MAX_REQUEST_DEADLINE;
@@ -6,44 +6,46 @@
 use std::ops::Range;
 
 /// The longest id of a connection.
-const LONGEST_ID: usize = 64;
-/// The longest wait that is believed, in milliseconds: what 32 bits hold. Connections from before the
-/// start ask for more than an hour.
-const LONGEST_WAIT: f64 = u32::MAX as f64;
-/// What a connection's first line asks for.
+const MAX_ID_LENGTH: usize = 64;
+/// The largest deadline accepted, in milliseconds: the largest 32-bit number. Requests for
+/// connections that were open before this process started have deadlines of more than an hour.
+const MAX_DEADLINE_MS: f64 = u32::MAX as f64;
+
+/// A client's first line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FirstLine {
-    /// Whether the relay is there.
+    /// A health check: the relay answers `PONG`.
     Ping,
-    /// A connection.
+    /// A request for a connection.
     Open(OpenRequest),
 }
 
 /// A client's request for a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenRequest {
-    /// The connection's own id, for the log.
+    /// The id of the connection, for the log.
     pub connection_id: String,
-    /// The request as the decisions see it.
+    /// The request in the form of the decisions.
     pub request: Request,
-    /// The backend at which it was open before.
+    /// The backend at which the connection was open before this process started.
     pub adopted_backend: Option<String>,
-    /// Where in the line the value of `d` stands.
+    /// The position in the line of the value of `d`, the deadline.
     deadline_range: Option<Range<usize>>,
-    /// The line without its end.
+    /// The line without its line end.
     line: String,
 }
 
 impl OpenRequest {
-    /// The line for a backend: unchanged, but for how long it will be waited for.
-    pub fn forward(&self, left: Option<Micros>) -> String {
-        match (&self.deadline_range, left) {
-            (Some(d), Some(left)) => {
+    /// The line to forward to a backend: as received, with the deadline replaced by the time left,
+    /// if given.
+    pub fn for_backend(&self, time_left: Option<Micros>) -> String {
+        match (&self.deadline_range, time_left) {
+            (Some(deadline), Some(time_left)) => {
                 format!(
                     "{}{}{}\r\n",
-                    &self.line[..d.start],
-                    left / 1000,
-                    &self.line[d.end..]
+                    &self.line[..deadline.start],
+                    time_left / 1000,
+                    &self.line[deadline.end..]
                 )
             }
             _ => format!("{}\r\n", self.line),
@@ -51,7 +53,8 @@
     }
 }
 
-/// Reads a connection's first line (without its end); what is wrong with it is one word.
+/// Parses a client's first line (without its line end). The error is a word that is sent to the
+/// client after `ERR`.
 pub fn parse_first_line(line: &[u8], classes: &Classes) -> Result<FirstLine, &'static str> {
     let line = std::str::from_utf8(line).map_err(|_| "not-utf8")?;
     if line.chars().any(char::is_control) {
@@ -62,36 +65,36 @@
     }
     let rest = line.strip_prefix("OPEN ").ok_or("unknown-command")?;
     let mut words = rest.split(' ');
-    let (Some(name), Some(key), Some(list), None) =
+    let (Some(id), Some(key), Some(fields), None) =
         (words.next(), words.next(), words.next(), words.next())
     else {
         return Err("wrong-number-of-words");
     };
-    if name.is_empty() {
+    if id.is_empty() {
         return Err("no-id");
     }
-    if name.len() > LONGEST_ID
-        || !name
+    if id.len() > MAX_ID_LENGTH
+        || !id
             .bytes()
             .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
     {
         return Err("bad-id");
     }
     let mut open = OpenRequest {
-        connection_id: name.to_string(),
+        connection_id: id.to_string(),
         request: Request {
-            client_key: word64(key).ok_or("bad-key")?,
+            client_key: parse_hex_u64(key).ok_or("bad-key")?,
             ..Request::default()
         },
         adopted_backend: None,
         deadline_range: None,
         line: line.to_string(),
     };
-    let q = &mut open.request;
+    let request = &mut open.request;
     let mut class = None;
-    let mut at = line.len() - list.len();
+    let mut position = line.len() - fields.len();
     let mut keys = Vec::new();
-    for field in list.split(',') {
+    for field in fields.split(',') {
         let (key, value) = field.split_once('=').ok_or("bad-field")?;
         if keys.contains(&key) {
             return Err("doubled-field");
@@ -100,68 +103,68 @@
         match key {
             "c" => class = Some(classes.find(value).ok_or("unknown-class")?),
             "d" => {
-                let ms = decimal(value)
-                    .filter(|ms| *ms <= LONGEST_WAIT)
+                let ms = parse_decimal(value)
+                    .filter(|ms| *ms <= MAX_DEADLINE_MS)
                     .ok_or("bad-wait")?;
-                q.time_left = crate::wire::micros(ms)
+                request.time_left = crate::wire::micros(ms)
                     .ok_or("bad-wait")?
                     .min(MAX_REQUEST_DEADLINE);
-                open.deadline_range = Some(at + 2..at + field.len());
+                open.deadline_range = Some(position + 2..position + field.len());
             }
-            "g" => q.group = word64(value).ok_or("bad-group")?,
+            "g" => request.group = parse_hex_u64(value).ok_or("bad-group")?,
             "r" | "again" => match value {
                 "0" => {}
-                "1" => q.returning = true,
+                "1" => request.returning = true,
                 _ => return Err("bad-flag"),
             },
-            "h" if decimal(value).is_none() => return Err("bad-hint"),
+            "h" if parse_decimal(value).is_none() => return Err("bad-hint"),
             "at" if value.is_empty() => return Err("bad-backend"),
             "at" => open.adopted_backend = Some(value.to_string()),
             _ => {}
         }
-        at += field.len() + 1;
+        position += field.len() + 1;
     }
-    q.class = class.ok_or("no-class")?;
+    request.class = class.ok_or("no-class")?;
     if open.deadline_range.is_none() {
-        q.time_left = classes.deadline(q.class);
+        request.time_left = classes.deadline(request.class);
     }
     Ok(FirstLine::Open(open))
 }
 
-fn word64(text: &str) -> Option<u64> {
+fn parse_hex_u64(text: &str) -> Option<u64> {
     u64::from_str_radix(text, 16)
         .ok()
         .filter(|_| text.len() <= 16 && !text.starts_with('+'))
 }
 
-/// A plain number without a sign or an exponent, as clients write them: what a backend could read
-/// otherwise than the relay does must not be passed on.
-fn decimal(text: &str) -> Option<f64> {
+/// Parses a decimal number without a sign or an exponent. Other forms are refused because a backend
+/// could read them differently than the relay does.
+fn parse_decimal(text: &str) -> Option<f64> {
     let plain = text.len() <= 32 && text.starts_with(|c: char| c.is_ascii_digit());
     let plain = plain && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     text.parse().ok().filter(|x: &f64| plain && x.is_finite())
 }
 
-/// What a backend's line means to the relay.
+/// A backend's line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendLine {
-    /// The connection stands.
+    /// `UP`: the connection is established.
     Up,
-    /// Served to its end.
+    /// `BYE`: the connection was served to its end, with a load report.
     Bye(Vec<f32>),
-    /// The client is sent away.
+    /// `MOVE`: the client is asked to reconnect.
     Move,
-    /// An error.
+    /// `ERR`: an error, with a load report.
     Err(Vec<f32>),
-    /// Turned away unseen.
+    /// `BUSY`: rejected without having run, with a load report.
     Busy(Vec<f32>),
-    /// The connection's load, or how long messages take: see [`super::note`].
+    /// `LOAD`: the load of the connection or the message delay, see [`super::load_samples`].
     Load(f32),
-    /// Anything else: a line for the client alone.
+    /// Any other line: only the client uses it.
     Other,
 }
 
-/// Reads a backend's line (without its end).
+/// Parses a backend's line (without its line end).
 pub fn parse_backend_line(line: &[u8], names: &Names) -> BackendLine {
     let Ok(text) = std::str::from_utf8(line) else {
         return BackendLine::Other;
@@ -181,7 +184,7 @@
     }
 }
 
-/// Reads a load report, in the order of the settings' columns; empty if a column is missing.
+/// Parses a load report into the order of the settings' columns; empty if a column is missing.
 pub fn parse_load_report(text: &str, names: &Names) -> Vec<f32> {
     let value = |column: &String| {
         let field = text
@@ -219,14 +222,14 @@
     }
 
     #[test]
-    fn a_first_line_is_read_or_refused_with_a_word() {
-        let request = |class, key, group, left, again| {
+    fn a_first_line_is_parsed_or_refused_with_an_error_word() {
+        let request = |class, key, group, time_left, returning| {
             Ok(Request {
                 class,
                 client_key: key,
                 group,
-                time_left: left,
-                returning: again,
+                time_left,
+                returning,
                 ..Request::default()
             })
         };
@@ -292,17 +295,17 @@
             (b"\xff\xfe", Err("not-utf8")),
         ];
         for (line, expected) in cases {
-            let read = parse_first_line(line, &classes()).map(|o| match o {
+            let parsed = parse_first_line(line, &classes()).map(|first| match first {
                 FirstLine::Open(open) => open.request,
-                FirstLine::Ping => panic!("a ping"),
+                FirstLine::Ping => panic!("parsed as PING"),
             });
-            assert_eq!(&read, expected, "{}", String::from_utf8_lossy(line));
+            assert_eq!(&parsed, expected, "{}", String::from_utf8_lossy(line));
         }
         assert_eq!(parse_first_line(b"PING", &classes()), Ok(FirstLine::Ping));
     }
 
     #[test]
-    fn a_line_goes_on_unchanged_but_for_the_wait() {
+    fn a_line_is_forwarded_unchanged_but_for_the_deadline() {
         let cases = [
             (
                 "OPEN 9b 7f c=chat,d=2000,g=5",
@@ -319,13 +322,13 @@
             let Ok(FirstLine::Open(open)) = parse_first_line(line.as_bytes(), &classes()) else {
                 panic!("{line}")
             };
-            assert_eq!(open.forward(Some(1_499_999)), forwarded);
-            assert_eq!(open.forward(None), format!("{line}\r\n"));
+            assert_eq!(open.for_backend(Some(1_499_999)), forwarded);
+            assert_eq!(open.for_backend(None), format!("{line}\r\n"));
         }
     }
 
     #[test]
-    fn a_backend_s_lines_are_told_apart() {
+    fn the_lines_of_a_backend_are_parsed() {
         let report = vec![7.0, 0.5];
         let cases: &[(&[u8], BackendLine)] = &[
             (b"UP r1", BackendLine::Up),
--- a/src/protocol/line/mod.rs
+++ b/src/protocol/line/mod.rs
@@ -1,4 +1,5 @@
-//! The line protocol: lines of text, one request a connection, `MOVE` between two lines.
+//! The line protocol: lines of text, one request per connection, and `MOVE` between two lines to
+//! migrate.
 
 pub mod load_samples;
 pub mod messages;
@@ -13,40 +14,43 @@
 use messages::{parse_backend_line, parse_first_line, BackendLine, FirstLine, OpenRequest};
 use std::sync::Arc;
 
-/// A connection must ask for something within this, and a line that has begun must end. Less than the
-/// three seconds that a client is owed, so that the answer also arrives.
-const HEARD: Micros = 2_000_000;
-/// One that has asked whether the relay is there, and then for nothing, is closed after this.
-const IDLE: Micros = 60_000_000;
-/// A backend that leaves a client's line unanswered for so long counts as lost: a crowded backend may take about
-/// 3 s.
-const SILENT: Micros = 5_000_000;
-/// Clients give up on a connection that has brought nothing back for 7 s. They send a line every 2 s, so one that
-/// stops right after an answer is asked only 2 s later, and `SILENT` alone ended it at 7.2 s. Less than 7 s by two
-/// looks at what is up, and the way of the last words.
-const UNHEARD: Micros = 6_400_000;
-/// So long a line has been unanswered before `UNHEARD` counts: a client may have been quiet for longer than that.
-const ASKED_FOR: Micros = 4_000_000;
-/// The last words to a client that is asked to come again.
+/// The longest wait for a client's request, and for the end of a line that has begun. Less than the
+/// three seconds within which a client must have an answer, so that the answer also arrives.
+const REQUEST_TIMEOUT: Micros = 2_000_000;
+/// The longest wait for the next line of a client that has sent a `PING`.
+const IDLE_TIMEOUT: Micros = 60_000_000;
+/// A backend that leaves a client's line unanswered for longer is lost: an overloaded backend may
+/// take about 3 s.
+const RESPONSE_TIMEOUT: Micros = 5_000_000;
+/// A backend that has sent no response for longer is lost, too, once a line has been unanswered for
+/// [`SILENCE_MIN_UNANSWERED`]. Clients give up on a connection after 7 s without a response, and
+/// they send a line every 2 s: if a backend stops right after a response, the next line follows
+/// only 2 s later, and `RESPONSE_TIMEOUT` alone closed the connection at 7.2 s. This is 7 s less
+/// two of the periodic checks of established connections and the transit time of the final message.
+const SILENCE_TIMEOUT: Micros = 6_400_000;
+/// How long a line must have been unanswered before [`SILENCE_TIMEOUT`] applies: the backend may
+/// have been silent only because the client was.
+const SILENCE_MIN_UNANSWERED: Micros = 4_000_000;
+/// The final message to a client that is asked to reconnect.
 const MOVE: &[u8] = b"MOVE\r\n";
 
-fn line(text: &str) -> Vec<u8> {
+fn encode_line(text: &str) -> Vec<u8> {
     format!("{text}\r\n").into_bytes()
 }
 
-/// Hears a client up to its first line that asks for something.
+/// Reads a client's lines up to its request.
 pub struct LineRequestReader {
-    until: Micros,
-    /// Whether a line has begun.
-    half: bool,
+    deadline: Micros,
+    /// Whether part of a line has been received.
+    line_started: bool,
 }
 
 impl LineRequestReader {
-    /// For a client that has come at `now`.
+    /// A reader for a client that has connected at `now`.
     pub fn new(now: Micros) -> LineRequestReader {
         LineRequestReader {
-            until: now + HEARD,
-            half: false,
+            deadline: now + REQUEST_TIMEOUT,
+            line_started: false,
         }
     }
 }
@@ -56,58 +60,59 @@
         &mut self,
         inbox: &mut Buffer,
         now: Micros,
-        rules: &Arc<FrontSettings>,
+        settings: &Arc<FrontSettings>,
     ) -> ReaderAction {
-        let refused = match inbox.take_line() {
+        let error = match inbox.take_line() {
             Ok(Some(range)) => {
-                match parse_first_line(trim_line_end(inbox.slice(range)), &rules.classes) {
-                    // A client waits for its answer: what sends on at once is no client's, and no backend
-                    // could make sense of it.
+                match parse_first_line(trim_line_end(inbox.slice(range)), &settings.classes) {
+                    // A client waits for its answer. Data sent right after a request does not come
+                    // from a proper client, and no backend expects it.
                     Ok(FirstLine::Open(_)) if !inbox.unread().is_empty() => "sent-on",
                     Ok(FirstLine::Open(open)) => {
                         return ReaderAction::Request(Box::new(LineRequest {
                             open,
-                            rules: rules.clone(),
+                            settings: settings.clone(),
                         }))
                     }
                     Ok(FirstLine::Ping) => {
-                        (self.until, self.half) = (now + IDLE, false);
-                        return ReaderAction::Send(line("PONG"));
+                        (self.deadline, self.line_started) = (now + IDLE_TIMEOUT, false);
+                        return ReaderAction::Send(encode_line("PONG"));
                     }
-                    Err(what) => what,
+                    Err(error) => error,
                 }
             }
             Ok(None) => {
-                // A line has begun: it has as long as one at the start has.
-                if !self.half && !inbox.unread().is_empty() {
-                    (self.until, self.half) = (self.until.min(now + HEARD), true);
+                // A line that begins later has the same time as the first one.
+                if !self.line_started && !inbox.unread().is_empty() {
+                    (self.deadline, self.line_started) =
+                        (self.deadline.min(now + REQUEST_TIMEOUT), true);
                 }
                 return ReaderAction::Read;
             }
             Err(TooLong) => "line-too-long",
         };
-        ReaderAction::Close(line(&format!("ERR {refused}")), refused)
+        ReaderAction::Close(encode_line(&format!("ERR {error}")), error)
     }
 
     fn deadline(&self) -> Micros {
-        self.until
+        self.deadline
     }
 
     fn interrupt(&mut self, inbox: &Buffer, why: Interruption) -> (Vec<u8>, &'static str) {
         match (inbox.unread().is_empty(), why) {
-            (_, Interruption::Dismissed) => (line("BUSY"), ""),
-            // The health checks of the front come and go; they are no connections.
+            (_, Interruption::Dismissed) => (encode_line("BUSY"), ""),
+            // Health checks of the front connect and disconnect without a request: not logged.
             (true, _) => (Vec::new(), ""),
-            (false, Interruption::TimedOut) => (line("ERR half-a-line"), "half-a-line"),
+            (false, Interruption::TimedOut) => (encode_line("ERR half-a-line"), "half-a-line"),
             (false, Interruption::Disconnected) => (Vec::new(), "half-a-line"),
         }
     }
 }
 
-/// A request that was read.
+/// A complete request.
 struct LineRequest {
     open: OpenRequest,
-    rules: Arc<FrontSettings>,
+    settings: Arc<FrontSettings>,
 }
 
 impl ClientRequest for LineRequest {
@@ -130,43 +135,43 @@
     fn start_attempt(&self) -> Box<dyn AttemptProtocol> {
         Box::new(LineAttempt {
             open: self.open.clone(),
-            rules: self.rules.clone(),
-            asked: false,
+            settings: self.settings.clone(),
+            request_sent: false,
         })
     }
 
     fn encode_answer(&self, answer: FinalAnswer) -> Vec<u8> {
         match answer {
-            FinalAnswer::Rejected(0) => line("BUSY"),
-            FinalAnswer::Rejected(wait) => line(&format!("BUSY {}", wait.div_ceil(1000))),
-            FinalAnswer::Failed(_) => line("FAILED"),
-            FinalAnswer::IdInUse => line("ERR id-in-use"),
+            FinalAnswer::Rejected(0) => encode_line("BUSY"),
+            FinalAnswer::Rejected(wait) => encode_line(&format!("BUSY {}", wait.div_ceil(1000))),
+            FinalAnswer::Failed(_) => encode_line("FAILED"),
+            FinalAnswer::IdInUse => encode_line("ERR id-in-use"),
         }
     }
 }
 
-/// One attempt: the first line, and the line that answers it.
+/// One attempt: sends the request line and reads the backend's reply to it.
 struct LineAttempt {
     open: OpenRequest,
-    rules: Arc<FrontSettings>,
-    asked: bool,
+    settings: Arc<FrontSettings>,
+    request_sent: bool,
 }
 
 impl AttemptProtocol for LineAttempt {
     fn next_action(&mut self, inbox: &mut Buffer, left: Micros) -> AttemptAction {
-        if !std::mem::replace(&mut self.asked, true) {
-            // One that was open before the start is waited for as long as it takes, not as long as its
-            // client said then.
-            let left = self.open.adopted_backend.is_none().then_some(left);
-            return AttemptAction::SendRequest(self.open.forward(left).into_bytes());
+        if !std::mem::replace(&mut self.request_sent, true) {
+            // A connection that was open before this process started keeps the deadline in its
+            // line: it may take longer than the client's deadline at that time.
+            let time_left = self.open.adopted_backend.is_none().then_some(left);
+            return AttemptAction::SendRequest(self.open.for_backend(time_left).into_bytes());
         }
-        let Ok(answer) = inbox.peek_line() else {
+        let Ok(reply) = inbox.peek_line() else {
             return AttemptAction::Failed(Outcome::Error, Vec::new());
         };
-        let Some(answer) = answer else {
+        let Some(reply) = reply else {
             return AttemptAction::Read;
         };
-        match parse_backend_line(trim_line_end(answer), &self.rules.names) {
+        match parse_backend_line(trim_line_end(reply), &self.settings.names) {
             BackendLine::Up => AttemptAction::Established,
             BackendLine::Busy(report) => AttemptAction::Failed(Outcome::Rejected, report),
             BackendLine::Err(report) => AttemptAction::Failed(Outcome::Error, report),
@@ -180,18 +185,18 @@
     }
 }
 
-/// A connection that is up: whole lines, both ways.
+/// An established connection: forwards complete lines in both directions.
 pub struct LineForwarder;
 
-/// How many bytes the whole lines at the front have, their ends included. What comes before a line that is
-/// too long is sound.
-fn whole(bytes: &[u8]) -> Result<usize, TooLong> {
-    let mut whole = 0;
+/// The length of the complete lines at the front, line ends included. Lines before one that is too
+/// long count; it is an error only as the first.
+fn complete_lines_len(bytes: &[u8]) -> Result<usize, TooLong> {
+    let mut len = 0;
     loop {
-        match bytes[whole..].iter().position(|&b| b == b'\n') {
-            Some(at) if at < MAX_LINE => whole += at + 1,
-            None if bytes.len() - whole < MAX_LINE => return Ok(whole),
-            _ if whole > 0 => return Ok(whole),
+        match bytes[len..].iter().position(|&b| b == b'\n') {
+            Some(at) if at < MAX_LINE => len += at + 1,
+            None if bytes.len() - len < MAX_LINE => return Ok(len),
+            _ if len > 0 => return Ok(len),
             _ => return Err(TooLong),
         }
     }
@@ -199,12 +204,13 @@
 
 impl Forwarder for LineForwarder {
     fn on_client_data(&mut self, fresh: &[u8]) -> Result<Forwardable, ProtocolViolation> {
-        match whole(fresh) {
+        match complete_lines_len(fresh) {
             Ok(bytes) => Ok(Forwardable {
                 bytes,
                 expects_response: bytes > 0,
             }),
-            // What follows may begin inside that line: none of it may reach the backend.
+            // Later reads may begin in the middle of this line, so nothing more may reach the
+            // backend.
             Err(TooLong) => Err(ProtocolViolation {
                 description: "a line is longer than allowed",
                 reason: "moved",
@@ -216,10 +222,10 @@
     fn on_backend_data(
         &mut self,
         fresh: &[u8],
-        rules: &FrontSettings,
-        news: &mut Vec<BackendEvent>,
+        settings: &FrontSettings,
+        events: &mut Vec<BackendEvent>,
     ) -> Result<usize, ProtocolViolation> {
-        let Ok(whole) = whole(fresh) else {
+        let Ok(len) = complete_lines_len(fresh) else {
             let description = "the backend's line is longer than allowed";
             return Err(ProtocolViolation {
                 description,
@@ -227,19 +233,19 @@
                 closing_message: MOVE.to_vec(),
             });
         };
-        let mut heard = false;
-        for line in fresh[..whole].split_inclusive(|&b| b == b'\n') {
-            let told = parse_backend_line(trim_line_end(line), &rules.names);
-            // A note of the load answers nobody: a stream that has stopped may still bring them.
-            heard |= !matches!(told, BackendLine::Load(_));
-            match told {
-                BackendLine::Load(x) => news.push(BackendEvent::LoadSample(x)),
-                BackendLine::Bye(report) => news.push(BackendEvent::EndAnnounced(
+        let mut has_response = false;
+        for line in fresh[..len].split_inclusive(|&b| b == b'\n') {
+            let message = parse_backend_line(trim_line_end(line), &settings.names);
+            // A load sample is no response: a backend whose connections hang may still send them.
+            has_response |= !matches!(message, BackendLine::Load(_));
+            match message {
+                BackendLine::Load(value) => events.push(BackendEvent::LoadSample(value)),
+                BackendLine::Bye(report) => events.push(BackendEvent::EndAnnounced(
                     Outcome::Success,
                     report,
                     "served",
                 )),
-                BackendLine::Move => news.push(BackendEvent::EndAnnounced(
+                BackendLine::Move => events.push(BackendEvent::EndAnnounced(
                     Outcome::Cancelled,
                     Vec::new(),
                     "sent-away",
@@ -247,8 +253,8 @@
                 _ => {}
             }
         }
-        news.extend(heard.then_some(BackendEvent::Response));
-        Ok(whole)
+        events.extend(has_response.then_some(BackendEvent::Response));
+        Ok(len)
     }
 
     fn closing_message(&self, _why: CloseReason) -> Vec<u8> {
@@ -256,7 +262,8 @@
     }
 
     fn is_backend_lost(&self, unanswered: Micros, unheard: Micros) -> bool {
-        unanswered > SILENT || (unanswered > ASKED_FOR && unheard > UNHEARD)
+        unanswered > RESPONSE_TIMEOUT
+            || (unanswered > SILENCE_MIN_UNANSWERED && unheard > SILENCE_TIMEOUT)
     }
 
     fn reports_responses(&self) -> bool {
@@ -269,39 +276,44 @@
     use super::*;
 
     #[test]
-    fn sound_lines_go_on_and_one_that_is_too_long_does_not() {
+    fn complete_lines_are_forwarded_and_a_line_that_is_too_long_is_not() {
         let text = [b"sound\r\n".to_vec(), vec![b'x'; MAX_LINE]].concat();
-        let mut lines = LineForwarder;
+        let mut forwarder = LineForwarder;
         assert_eq!(
-            lines.on_client_data(&text),
+            forwarder.on_client_data(&text),
             Ok(Forwardable {
                 bytes: 7,
                 expects_response: true
             })
         );
         assert_eq!(
-            lines
+            forwarder
                 .on_client_data(&text[7..])
                 .unwrap_err()
                 .closing_message,
             MOVE
         );
-        assert_eq!(lines.on_client_data(b"half"), Ok(Forwardable::default()));
+        assert_eq!(
+            forwarder.on_client_data(b"half"),
+            Ok(Forwardable::default())
+        );
     }
 
-    /// One that stopped right after an answer was once ended 7.2 s later, when its client had given up on it.
+    /// Guards against a loss that is noticed too late: the connection of a backend that stopped
+    /// right after a response was closed 7.2 s later, after its client had given up at 7 s.
     #[test]
     fn a_backend_that_stops_is_lost_before_its_client_gives_up_and_a_slow_one_is_not() {
         let ms = |x: u64| x * 1_000;
-        // (unanswered, unheard, whether it is lost)
+        // (time since the oldest unanswered line, time since the last response, whether the backend
+        // is lost)
         let cases = [
             (ms(0), ms(60_000), false),
-            // A line each 2 s, the first of them 2 s after the last answer.
+            // A line every 2 s, the first of them 2 s after the last response.
             (ms(4_300), ms(6_300), false),
             (ms(4_500), ms(6_500), true),
             (ms(4_800), ms(4_900), false),
             (ms(5_100), ms(5_100), true),
-            // A client that was quiet, and a backend that is crowded.
+            // A client that was silent, and an overloaded backend.
             (ms(3_000), ms(40_000), false),
             (ms(4_100), ms(40_000), true),
         ];
@@ -314,15 +326,16 @@
         }
     }
 
-    /// Notes of the load once passed for answers: a stream that had stopped was kept for as long as they came.
+    /// Guards against load samples that count as responses: a connection that hung was kept for as
+    /// long as samples came.
     #[test]
-    fn a_note_of_the_load_is_no_answer() {
+    fn a_load_sample_is_no_response() {
         let events = |text: &str| {
-            let mut news = Vec::new();
+            let mut events = Vec::new();
             LineForwarder
-                .on_backend_data(text.as_bytes(), &FrontSettings::default(), &mut news)
+                .on_backend_data(text.as_bytes(), &FrontSettings::default(), &mut events)
                 .unwrap();
-            news
+            events
         };
         assert_eq!(events("LOAD 2.5\r\n"), [BackendEvent::LoadSample(2.5)]);
         assert_eq!(
@@ -332,27 +345,27 @@
         assert_eq!(events("half a li"), []);
     }
 
-    /// A client that asked for a ping and then began a line once had the long wait of an idle one for it.
+    /// Guards against a partial line that is waited for as long as an idle client after its `PING`.
     #[test]
     fn a_line_that_has_begun_must_end_soon() {
-        let rules = Arc::new(FrontSettings::default());
-        let mut greeting = LineRequestReader::new(0);
+        let settings = Arc::new(FrontSettings::default());
+        let mut reader = LineRequestReader::new(0);
         let mut inbox = Buffer::from_bytes(b"PING\r\nOPE".to_vec());
         assert!(
-            matches!(greeting.next_action(&mut inbox, 5, &rules), ReaderAction::Send(pong) if pong == b"PONG\r\n")
+            matches!(reader.next_action(&mut inbox, 5, &settings), ReaderAction::Send(pong) if pong == b"PONG\r\n")
         );
-        assert_eq!(greeting.deadline(), 5 + IDLE);
+        assert_eq!(reader.deadline(), 5 + IDLE_TIMEOUT);
         assert!(matches!(
-            greeting.next_action(&mut inbox, 6, &rules),
+            reader.next_action(&mut inbox, 6, &settings),
             ReaderAction::Read
         ));
-        assert_eq!(greeting.deadline(), 6 + HEARD);
+        assert_eq!(reader.deadline(), 6 + REQUEST_TIMEOUT);
         assert_eq!(
-            greeting.interrupt(&inbox, Interruption::TimedOut).0,
+            reader.interrupt(&inbox, Interruption::TimedOut).0,
             b"ERR half-a-line\r\n"
         );
         assert_eq!(
-            greeting.interrupt(&Buffer::default(), Interruption::TimedOut),
+            reader.interrupt(&Buffer::default(), Interruption::TimedOut),
             (Vec::new(), "")
         );
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,17 +1,19 @@
-//! What clients and backends speak, as machines that do no I/O and read no clock: bytes and time go in;
-//! bytes, requests, answers and the places where a connection may be cut come out. What stands outside
-//! (sockets, threads, epoll) is the same for every protocol and lives in [`crate::net`].
+//! The protocols that clients and backends speak, as state machines that do no I/O and read no
+//! clock: they are given bytes and the time, and return bytes to send, requests, answers and the
+//! positions at which a connection may be cut. Sockets, threads and epoll are the same for every
+//! protocol and live in [`crate::net`].
 //!
-//! A connection passes through three machines, each made by the one before it:
+//! A connection passes through three state machines, each created by the one before it:
 //!
-//! 1. a [`RequestReader`] hears a client up to its request;
-//! 2. the request is an [`ClientRequest`]; the decisions place it, and each attempt at a backend is an [`AttemptProtocol`],
-//!    made anew for every attempt;
-//! 3. an exchange that came up turns into a [`Forwarder`], which says how far what comes may go on and between
-//!    which bytes the connection may end or move.
+//! 1. A [`RequestReader`] reads the client's input up to its request.
+//! 2. The request is a [`ClientRequest`]. The decisions place it, and each attempt at a backend
+//!    runs an [`AttemptProtocol`] of its own.
+//! 3. An attempt that has established its connection turns into a [`Forwarder`], which says how
+//!    many of the received bytes may be forwarded and between which of them the connection may end
+//!    or migrate.
 //!
-//! The shape is that of `quinn-proto` and `rustls`: the protocol drives nothing and is driven by tables in its
-//! tests.
+//! The shape is that of `quinn-proto` and `rustls`: the caller drives the protocol, and so do
+//! tables in its tests.
 
 pub mod buffer;
 pub mod line;
@@ -22,255 +24,267 @@
 use buffer::Buffer;
 use std::sync::Arc;
 
-/// What the settings in force say to the fronts, all of it at once.
+/// The settings in force that the fronts need, replaced as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct FrontSettings {
     /// The classes of requests.
     pub classes: Classes,
-    /// Names of zones and columns.
+    /// Names of zones and of the columns of load reports.
     pub names: Names,
 }
 
-/// What a greeter wants done next.
+/// The next step that a [`RequestReader`] asks of its caller.
 pub enum ReaderAction {
-    /// Wait for more bytes, up to [`RequestReader::until`].
+    /// Wait for more bytes, up to [`RequestReader::deadline`].
     Read,
-    /// Send this and go on.
+    /// Send these bytes and continue.
     Send(Vec<u8>),
-    /// Put the link under TLS with the certificate of this domain; then [`RequestReader::secured`].
+    /// Start TLS with the certificate of this domain, then call [`RequestReader::tls_established`].
     StartTls(String),
-    /// Have this placed. What is left in the buffer came after it.
+    /// The request is complete and is to be placed. Bytes left in the buffer were received after
+    /// it.
     Request(Box<dyn ClientRequest>),
-    /// End the connection with these last words, for the reason that the log names.
+    /// Send this final message and close the connection; the log gives the reason.
     Close(Vec<u8>, &'static str),
 }
 
-/// Why a client is heard no further.
+/// The event that ends the reading of a client's request early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interruption {
-    /// Its time is up.
+    /// The client has not sent its next input by the deadline.
     TimedOut,
-    /// It has ended its sending, or the connection broke.
+    /// The client has ended its sending, or the connection broke.
     Disconnected,
-    /// The relay ends a connection that rests: its room is needed, it has rested for too long, or the process stops. A
-    /// request may be on its way at this moment, so the last words must do as its answer.
+    /// The relay closes a connection without a request: its place is needed, it has been idle for
+    /// too long, or the process stops. A request may be in flight at this moment, so the final
+    /// message must also be a valid answer to one.
     Dismissed,
 }
 
-/// Hears a client up to its request.
+/// Reads a client's input up to its request.
 pub trait RequestReader: Send {
-    /// Goes on with what has come.
+    /// Continues with the bytes received.
     fn next_action(
         &mut self,
         inbox: &mut Buffer,
         now: Micros,
-        rules: &Arc<FrontSettings>,
+        settings: &Arc<FrontSettings>,
     ) -> ReaderAction;
 
-    /// TLS stands.
+    /// The TLS handshake that [`ReaderAction::StartTls`] asked for is complete.
     fn tls_established(&mut self, now: Micros) {
         let _ = now;
     }
 
-    /// When the client must have said what comes next.
+    /// The time by which the client must have sent its next input.
     fn deadline(&self) -> Micros;
 
-    /// The last words and the reason for the log where no more comes; no reason where the log need not know.
+    /// The final message and the reason for the log when reading ends early. An empty reason means
+    /// that the connection is not logged.
     fn interrupt(&mut self, inbox: &Buffer, why: Interruption) -> (Vec<u8>, &'static str);
 }
 
-/// What a request has failed of.
+/// The cause of a failed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
     /// A backend did not answer in time.
     Timeout,
-    /// A backend could not be reached, broke off, or answered with an error.
+    /// A backend could not be reached, closed the connection, or answered with an error.
     BackendFailed,
 }
 
-/// A final answer that is no connection.
+/// The final answer to a request that gets no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// A further try is harmless after this wait (0: no advice).
+    /// It is safe to retry after this time (0: no advice).
     Rejected(Micros),
-    /// Nothing is promised.
+    /// Nothing is promised: the request may have run.
     Failed(FailureCause),
-    /// Another open connection has its id.
+    /// Another open connection has the same id.
     IdInUse,
 }
 
 /// A client's request for a connection.
 pub trait ClientRequest: Send + Sync {
-    /// The name of its protocol, for the log.
+    /// The name of the front, for the log.
     fn front(&self) -> &'static str;
 
-    /// The connection's own id, which no other open connection may have.
+    /// The id of the connection, which no other open connection may have.
     fn connection_id(&self) -> &str;
 
-    /// The request as the decisions see it.
+    /// The request in the form of the decisions.
     fn request(&self) -> &Request;
 
-    /// The backend at which the connection was open before the start, if it was.
+    /// The backend at which the connection was open before this process started, if it was.
     fn adopted_backend(&self) -> Option<&str>;
 
-    /// Whether its backend finishes what it sends before the connection is moved ([`Forwarder::part`]).
+    /// Whether the backend finishes its output before the connection migrates
+    /// ([`Forwarder::prepare_migration`]).
     fn backend_finishes_first(&self) -> bool {
         false
     }
 
-    /// The machine of one attempt.
+    /// Starts the protocol of one attempt.
     fn start_attempt(&self) -> Box<dyn AttemptProtocol>;
 
-    /// The words of a final answer.
+    /// Encodes a final answer for the client.
     fn encode_answer(&self, answer: FinalAnswer) -> Vec<u8>;
 }
 
-/// What an exchange wants done next.
+/// The next step that an [`AttemptProtocol`] asks of its caller.
 #[derive(Debug, PartialEq)]
 pub enum AttemptAction {
     /// Wait for more bytes.
     Read,
-    /// Send this; nothing can have run by it.
+    /// Send these bytes; the backend cannot have run the request because of them.
     Send(Vec<u8>),
-    /// Put the link under TLS with a server of this name.
+    /// Start TLS with a server of this name.
     StartTls(String),
-    /// Send the request: once its last byte is out it may have run.
+    /// Send the request: from its last byte on the backend may have run it.
     SendRequest(Vec<u8>),
-    /// The connection is up. What is left in the buffer is for the client.
+    /// The connection is established. Bytes left in the buffer are for the client.
     Established,
-    /// It will not come up: the outcome, and a load report where one came.
+    /// The attempt has failed with this outcome, and with a load report if the backend sent one.
     Failed(Outcome, Vec<f32>),
-    /// What came is no answer: for the log.
+    /// The backend's reply is not valid here: a description for the log.
     UnexpectedReply(String),
 }
 
-/// One attempt at a backend.
+/// The protocol of one attempt to open a connection at a backend.
 pub trait AttemptProtocol: Send {
-    /// Goes on with what has come; the attempt is given up after `left`.
+    /// Continues with the bytes received; the attempt is abandoned after `left`.
     fn next_action(&mut self, inbox: &mut Buffer, left: Micros) -> AttemptAction;
 
-    /// The passage of the connection that came up.
+    /// The forwarder of the connection, once it is established.
     fn into_forwarder(self: Box<Self>) -> Box<dyn Forwarder>;
 }
 
-/// News in what a backend sends.
+/// An event in the data that a backend sends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendEvent {
-    /// `LOAD X`: see [`line::load_samples`].
+    /// The value of a `LOAD` line: see [`line::load_samples`].
     LoadSample(f32),
-    /// Something came back for the client; told by a passage that [marks answers](Passage::marks_answers).
+    /// A response for the client; only from a forwarder that [reports
+    /// them](Forwarder::reports_responses).
     Response,
-    /// The client has its final answer: it is served (true), or its backend has said no.
+    /// The client has its final answer: accepted (true), or rejected by the backend.
     Answered(bool),
-    /// How the connection ends, once the backend ends it: the outcome, a load report where one came, and the
-    /// reason for the log.
+    /// The backend has announced the end of the connection: the outcome, a load report if it sent
+    /// one, and the reason for the log. It takes effect once the backend closes.
     EndAnnounced(Outcome, Vec<f32>, &'static str),
-    /// It is over once what may go on has gone on, with these words to the client.
+    /// Close the connection once the forwardable bytes are sent, with this final message to the
+    /// client.
     CloseAfterForwarding(Vec<u8>, Outcome, &'static str),
-    /// A backend that was asked to finish has done so.
+    /// A backend that was asked to finish its output has done so.
     Finished,
 }
 
-/// How a connection may be moved.
+/// When a connection can migrate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MigrationReadiness {
-    /// At once: all that has come is whole.
+    /// At once: everything forwarded so far ends at a unit boundary.
     Now,
-    /// The backend gets these words and so long to finish what it sends.
+    /// After the backend has finished its output.
     AfterBackendFinishes {
-        /// The words.
+        /// The message that asks the backend to finish.
         message: Vec<u8>,
-        /// How long it may take.
+        /// The longest wait for it.
         timeout: Micros,
     },
-    /// Not yet; after so long at once.
+    /// Not yet: ask again, and after this time migrate in any case.
     Later(Micros),
 }
 
-/// Why a client is sent away.
+/// Why the relay closes an established connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It is to come again: its backend leaves, or the relay does.
+    /// The client is asked to reconnect, because the connection migrates or this relay drains.
     Migrated,
-    /// Its backend has gone without a word, or answers nothing.
+    /// The backend has closed without a final message, or does not respond.
     BackendLost,
-    /// Its final answer is due.
+    /// The final answer has not come by its deadline.
     AnswerTimeout,
-    /// There is no memory for what it sends or is sent.
+    /// There is no memory left to buffer data of this connection.
     OutOfMemory,
 }
 
-/// What comes cannot go on, and the connection is ended by the relay.
+/// Received data that cannot be forwarded, for which the relay closes the connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProtocolViolation {
-    /// What is wrong, for the log.
+    /// A description for the log.
     pub description: &'static str,
-    /// The reason for the log line of the connection's end.
+    /// The reason in the log line of the connection's end.
     pub reason: &'static str,
-    /// The last words to the client.
+    /// The final message to the client.
     pub closing_message: Vec<u8>,
 }
 
-/// What may go on of a client's bytes.
+/// The part of a client's bytes that may be forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Forwardable {
-    /// How many of the bytes.
+    /// How many bytes.
     pub bytes: usize,
-    /// Whether the backend owes an answer to them at once: one that gives none is lost.
+    /// Whether the backend has to respond to them at once: one that does not is considered lost.
     pub expects_response: bool,
 }
 
-/// A connection that is up. Each call of [`up`](Passage::up) and [`down`](Passage::down) is given the bytes
-/// behind those that were let through before: the same as in the last call, and what has come since.
+/// The protocol of an established connection. Each call of
+/// [`on_client_data`](Forwarder::on_client_data) and
+/// [`on_backend_data`](Forwarder::on_backend_data) is given all bytes after those that earlier
+/// calls allowed to be forwarded: the rest of the last call, and the bytes received since.
 pub trait Forwarder: Send {
-    /// How many bytes of the client may go on to the backend.
+    /// How many bytes from the client may be forwarded to the backend.
     fn on_client_data(&mut self, fresh: &[u8]) -> Result<Forwardable, ProtocolViolation>;
 
-    /// How many bytes of the backend may go on to the client, and what they mean.
+    /// How many bytes from the backend may be forwarded to the client, and the events in them.
     fn on_backend_data(
         &mut self,
         fresh: &[u8],
-        rules: &FrontSettings,
-        news: &mut Vec<BackendEvent>,
+        settings: &FrontSettings,
+        events: &mut Vec<BackendEvent>,
     ) -> Result<usize, ProtocolViolation>;
 
-    /// The last words to a client that is sent away.
+    /// The final message to a client whose connection the relay closes.
     fn closing_message(&self, why: CloseReason) -> Vec<u8>;
 
-    /// Whether the client has its final answer once the backend's first words have gone on to it.
+    /// Whether the establishment of the connection is the client's final answer. If not,
+    /// [`BackendEvent::Answered`] reports it.
     fn established_is_final_answer(&self) -> bool {
         true
     }
 
-    /// Whether the connection may go on in another process, as an adopted one of [`line::LineForwarder`].
+    /// Whether another process can take over the connection; it continues there as a
+    /// [`line::LineForwarder`].
     fn supports_takeover(&self) -> bool {
         true
     }
 
-    /// Whether a client is shown the end of its backend as it was: what came last, whole or not, and a reset for
-    /// a reset. Where not, it gets whole units and last words.
+    /// Whether the end of the backend's stream is passed on to the client as it is: with the last
+    /// bytes, complete or not, and a reset for a reset. If not, the client gets whole units and a
+    /// final message.
     fn mirrors_end(&self) -> bool {
         true
     }
 
-    /// Whether a backend counts as lost that has left what asks for an answer unanswered for so long, and has
-    /// brought nothing back for so long.
+    /// Whether the backend counts as lost: a request for a response has been unanswered for
+    /// `unanswered`, and the backend has sent no response at all for `unheard`.
     fn is_backend_lost(&self, unanswered: Micros, unheard: Micros) -> bool;
 
-    /// Whether [`BackendEvent::Response`] tells what comes back. Where not, any byte is a sign of life.
+    /// Whether [`BackendEvent::Response`] reports responses. If not, any byte from the backend
+    /// counts as one.
     fn reports_responses(&self) -> bool {
         false
     }
 
-    /// The connection is to be moved.
+    /// Prepares for a migration of the connection.
     fn prepare_migration(&mut self) -> MigrationReadiness {
         MigrationReadiness::Now
     }
 
-    /// Nothing has come for a while: memory that is needed only meanwhile can go.
+    /// Frees memory that is needed only while data arrives; called while the connection is idle.
     fn release_idle_memory(&mut self) {}
 
-    /// Whether half a unit has come from the backend.
+    /// Whether part of a unit has been received from the backend.
     fn has_partial_unit(&self) -> bool {
         false
     }
