--- a/src/protocol/xmpp/client_negotiation.rs
+++ b/src/protocol/xmpp/client_negotiation.rs
@@ -1,13 +1,15 @@
-//! A client up to its `<auth/>`: header, STARTTLS, header again, the choice of a mechanism.
+//! Stream negotiation with a client up to its `<auth/>`: stream header, STARTTLS, stream restart,
+//! choice of a SASL mechanism (RFC 6120, 4.3, 5.4 and 6.4).
 //!
-//! Guards against: clear text that a third party puts behind `<starttls/>` and that would be taken for
-//! protected; a client that says each step a byte at a time; bytes sent on behind `<auth/>`.
+//! Guards against: clear text that a third party injects after `<starttls/>` and that would be
+//! treated as protected by TLS; a client that sends each step one byte at a time; bytes sent after
+//! `<auth/>` without waiting for the reply.
 
 use super::frame::{Condition, Element, Framer, Header, Unit, NS_CLIENT, NS_SASL, NS_TLS};
 use super::jid::{self, Jid};
 use super::server_negotiation::ServerNegotiation;
 use super::settings::XmppSettings;
-use super::{error, header, stream_error, NS_RELAY, TAG};
+use super::{stream_error, stream_error_with, stream_header, NS_RELAY, STREAM_TAG};
 use crate::decisions::api::{Micros, Request};
 use crate::protocol::buffer::Buffer;
 use crate::protocol::{
@@ -17,96 +19,110 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use std::sync::Arc;
 
-/// The most `<auth/>` elements that name a mechanism which is not offered.
-const MISTAKES: u32 = 3;
-/// The longest unit of negotiation: what RFC 6120 has as the least for a stanza.
-const NEGOTIATION: usize = 10_000;
+/// The number of SASL failures after which the stream is closed (RFC 6120, 6.4.5): mechanisms that
+/// are not offered, and aborted exchanges.
+const MAX_SASL_FAILURES: u32 = 3;
+/// The longest element during negotiation, in bytes: the size that RFC 6120, 13.12, requires to be
+/// accepted.
+const MAX_NEGOTIATION_ELEMENT: usize = 10_000;
 
-/// Three numbers that nobody can guess: the ids of two streams, and the session's own.
+/// Three unpredictable numbers: the ids of the two streams, and the id of the session.
 pub type SessionIds = [u64; 3];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
-    /// Its first header.
-    ClearHeader,
-    /// `<starttls/>`.
-    StartTls,
-    /// `<proceed/>` has been said: the link is to be secured.
-    Proceed,
-    /// Its header under TLS.
-    Header,
-    /// `<auth/>`.
-    Auth,
-    /// The first response of a mechanism whose `<auth/>` came without one.
-    Response,
+enum State {
+    /// Waits for the stream header before TLS.
+    AwaitInitialHeader,
+    /// Waits for `<starttls/>`.
+    AwaitStartTls,
+    /// `<proceed/>` is sent: the TLS handshake is next.
+    ProceedSent,
+    /// Waits for the stream header under TLS.
+    AwaitHeader,
+    /// Waits for `<auth/>`.
+    AwaitAuth,
+    /// Waits for the initial response of a mechanism whose `<auth/>` had none.
+    AwaitInitialResponse,
 }
 
-/// Hears a client up to its request.
+/// Negotiates a stream with a client up to its request.
 pub struct ClientNegotiation {
-    terms: Arc<XmppSettings>,
+    settings: Arc<XmppSettings>,
     ids: SessionIds,
-    at: At,
+    state: State,
     framer: Framer,
-    /// Whether a header of the relay's own stands.
-    opened: bool,
-    until: Micros,
-    /// The end of all negotiation.
-    end: Micros,
+    /// Whether the relay has sent its header of the current stream.
+    header_sent: bool,
+    step_deadline: Micros,
+    /// The deadline of the whole negotiation.
+    negotiation_deadline: Micros,
     domain: String,
-    /// The address that the header under TLS names.
+    /// The JID in the `from` of the header under TLS.
     from: Option<Jid>,
     mechanism: String,
-    mistakes: u32,
+    sasl_failures: u32,
 }
 
 impl ClientNegotiation {
-    /// For a client that has come at `now`; `direct` where TLS stands from the first byte (XEP-0368).
+    /// Negotiation with a client that has connected at `now`. `direct` says that TLS is used from
+    /// the first byte (XEP-0368).
     pub fn new(
-        terms: Arc<XmppSettings>,
+        settings: Arc<XmppSettings>,
         ids: SessionIds,
         direct: bool,
         now: Micros,
     ) -> ClientNegotiation {
-        let at = if direct { At::Header } else { At::ClearHeader };
+        let state = if direct {
+            State::AwaitHeader
+        } else {
+            State::AwaitInitialHeader
+        };
         ClientNegotiation {
-            framer: fresh(&terms),
+            framer: new_framer(&settings),
             ids,
-            at,
-            opened: false,
-            until: now + terms.step_timeout,
-            end: now + terms.negotiation_timeout,
+            state,
+            header_sent: false,
+            step_deadline: now + settings.step_timeout,
+            negotiation_deadline: now + settings.negotiation_timeout,
             domain: String::new(),
             from: None,
             mechanism: String::new(),
-            mistakes: 0,
-            terms,
+            sasl_failures: 0,
+            settings,
         }
     }
 
-    fn step(&mut self, at: At, now: Micros) {
-        self.at = at;
-        self.until = (now + self.terms.step_timeout).min(self.end);
+    /// Enters a state and starts the timeout of its step.
+    fn enter(&mut self, state: State, now: Micros) {
+        self.state = state;
+        self.step_deadline = (now + self.settings.step_timeout).min(self.negotiation_deadline);
     }
 
-    fn fail(&mut self, condition: Condition) -> ReaderAction {
-        ReaderAction::Close(self.words(&error(TAG, condition)), condition.reason())
+    /// Closes the stream with this stream error.
+    fn close_with_error(&mut self, condition: Condition) -> ReaderAction {
+        ReaderAction::Close(
+            self.within_stream(&stream_error(STREAM_TAG, condition)),
+            condition.reason(),
+        )
     }
 
-    /// An error stands inside a stream, also where the client's own header could not be read.
-    fn words(&mut self, words: &str) -> Vec<u8> {
-        let head = if self.opened {
+    /// A message within the relay's stream: after its header if that is not sent yet, also if the
+    /// client's header is not valid (RFC 6120, 4.9.1.2).
+    fn within_stream(&mut self, message: &str) -> Vec<u8> {
+        let header = if self.header_sent {
             String::new()
         } else {
-            self.own_header()
+            self.response_header()
         };
-        (head + words).into_bytes()
+        (header + message).into_bytes()
     }
 
-    fn own_header(&mut self) -> String {
-        self.opened = true;
+    /// The relay's header of the current stream (RFC 6120, 4.7).
+    fn response_header(&mut self) -> String {
+        self.header_sent = true;
         let id = format!(
             "{:016x}",
-            if self.at == At::ClearHeader {
+            if self.state == State::AwaitInitialHeader {
                 self.ids[0]
             } else {
                 self.ids[1]
@@ -120,11 +136,11 @@
         if let Some(to) = &to {
             attributes.push(("to", to));
         }
-        header(&attributes)
+        stream_header(&attributes)
     }
 
-    /// The client's header: whom it is for, and whether that is here.
-    fn hear_header(&mut self, header: &Header) -> Result<(), Condition> {
+    /// Checks the client's header and takes its domain, and under TLS its JID.
+    fn check_header(&mut self, header: &Header) -> Result<(), Condition> {
         if header.default_namespace.as_deref() != Some(NS_CLIENT) {
             return Err(Condition::InvalidNamespace);
         }
@@ -138,19 +154,20 @@
         let to = header
             .to
             .as_deref()
-            .and_then(jid::domain)
+            .and_then(jid::prepare_domain)
             .ok_or(Condition::ImproperAddressing)?;
-        if !self.terms.domains.contains(&to) {
+        if !self.settings.domains.contains(&to) {
             return Err(Condition::HostUnknown);
         }
         if !self.domain.is_empty() && self.domain != to {
-            // The certificate was chosen for another: the stream goes on for the one it began with.
+            // The certificate was chosen for the domain of the first header, so the second must
+            // name the same.
             return Err(Condition::HostUnknown);
         }
         self.domain = to;
         self.from = None;
-        // In clear an address says who is there to whoever listens: it is not asked for and not believed.
-        if let (At::Header, Some(from)) = (self.at, &header.from) {
+        // A JID sent in clear is neither confidential nor authentic, so it is ignored before TLS.
+        if let (State::AwaitHeader, Some(from)) = (self.state, &header.from) {
             let from =
                 Jid::parse(from).filter(|jid| jid.local.is_some() && jid.domain == self.domain);
             self.from = Some(from.ok_or(Condition::ImproperAddressing)?);
@@ -158,146 +175,168 @@
         Ok(())
     }
 
-    fn hear(
+    /// Handles a unit from the client; `None` if there is nothing to do.
+    fn on_unit(
         &mut self,
         unit: Unit,
         now: Micros,
-        rules: &Arc<FrontSettings>,
+        front_settings: &Arc<FrontSettings>,
     ) -> Option<ReaderAction> {
-        match (self.at, unit) {
+        match (self.state, unit) {
             (_, Unit::Whitespace) => None,
             (_, Unit::End) => {
-                let words = if self.opened {
-                    format!("</{TAG}>")
+                let message = if self.header_sent {
+                    format!("</{STREAM_TAG}>")
                 } else {
                     String::new()
                 };
-                Some(ReaderAction::Close(words.into_bytes(), "client-left"))
+                Some(ReaderAction::Close(message.into_bytes(), "client-left"))
             }
-            (At::ClearHeader, Unit::Header(head)) => Some(match self.hear_header(&head) {
-                Ok(()) => {
-                    let features =
+            (State::AwaitInitialHeader, Unit::Header(client_header)) => {
+                Some(match self.check_header(&client_header) {
+                    Ok(()) => {
+                        let features =
                         format!("<stream:features><starttls xmlns='{NS_TLS}'><required/></starttls></stream:features>");
-                    let words = self.own_header() + &features;
-                    self.step(At::StartTls, now);
-                    ReaderAction::Send(words.into_bytes())
-                }
-                Err(condition) => self.fail(condition),
-            }),
-            (At::Header, Unit::Header(head)) => Some(match self.hear_header(&head) {
-                Ok(()) => {
-                    let list: String = self
-                        .terms
-                        .mechanisms
-                        .iter()
-                        .map(|m| format!("<mechanism>{m}</mechanism>"))
-                        .collect();
-                    let features = format!(
+                        let message = self.response_header() + &features;
+                        self.enter(State::AwaitStartTls, now);
+                        ReaderAction::Send(message.into_bytes())
+                    }
+                    Err(condition) => self.close_with_error(condition),
+                })
+            }
+            (State::AwaitHeader, Unit::Header(client_header)) => {
+                Some(match self.check_header(&client_header) {
+                    Ok(()) => {
+                        let list: String = self
+                            .settings
+                            .mechanisms
+                            .iter()
+                            .map(|m| format!("<mechanism>{m}</mechanism>"))
+                            .collect();
+                        let features = format!(
                         "<stream:features><mechanisms xmlns='{NS_SASL}'>{list}</mechanisms></stream:features>"
                     );
-                    let words = self.own_header() + &features;
-                    self.step(At::Auth, now);
-                    ReaderAction::Send(words.into_bytes())
-                }
-                Err(condition) => self.fail(condition),
-            }),
-            (At::StartTls, Unit::Element(e)) if e.is(NS_TLS, "starttls") => {
-                self.step(At::Proceed, now);
+                        let message = self.response_header() + &features;
+                        self.enter(State::AwaitAuth, now);
+                        ReaderAction::Send(message.into_bytes())
+                    }
+                    Err(condition) => self.close_with_error(condition),
+                })
+            }
+            (State::AwaitStartTls, Unit::Element(e)) if e.is(NS_TLS, "starttls") => {
+                self.enter(State::ProceedSent, now);
                 Some(ReaderAction::Send(
                     format!("<proceed xmlns='{NS_TLS}'/>").into_bytes(),
                 ))
             }
-            (At::Auth, Unit::Element(e)) if e.is(NS_SASL, "auth") => {
-                Some(self.auth(&e, now, rules))
+            (State::AwaitAuth, Unit::Element(e)) if e.is(NS_SASL, "auth") => {
+                Some(self.on_auth(&e, now, front_settings))
             }
-            (At::Response, Unit::Element(e)) if e.is(NS_SASL, "response") => {
-                Some(self.place(e.text.trim(), rules))
+            (State::AwaitInitialResponse, Unit::Element(e)) if e.is(NS_SASL, "response") => {
+                Some(self.request_session(e.text.trim(), front_settings))
             }
-            (At::Auth | At::Response, Unit::Element(e)) if e.is(NS_SASL, "abort") => {
-                Some(self.sasl_failure("aborted", now))
+            (State::AwaitAuth | State::AwaitInitialResponse, Unit::Element(e))
+                if e.is(NS_SASL, "abort") =>
+            {
+                Some(self.reject_sasl("aborted", now))
             }
-            // A stanza, or anything else, before its time.
-            (..) => Some(self.fail(Condition::PolicyViolation)),
+            // A stanza or another element that is not allowed in this state.
+            (..) => Some(self.close_with_error(Condition::PolicyViolation)),
         }
     }
 
-    fn auth(&mut self, e: &Element, now: Micros, rules: &Arc<FrontSettings>) -> ReaderAction {
+    /// Handles `<auth/>`.
+    fn on_auth(
+        &mut self,
+        e: &Element,
+        now: Micros,
+        front_settings: &Arc<FrontSettings>,
+    ) -> ReaderAction {
         let mechanism = e.get("mechanism").unwrap_or_default();
-        if !self.terms.mechanisms.iter().any(|m| m == mechanism) {
-            return self.sasl_failure("invalid-mechanism", now);
+        if !self.settings.mechanisms.iter().any(|m| m == mechanism) {
+            return self.reject_sasl("invalid-mechanism", now);
         }
         self.mechanism = mechanism.to_string();
         match e.text.trim() {
-            // All mechanisms offered begin with the client: an empty challenge asks for it.
+            // All mechanisms offered are client-first: an empty challenge asks for the initial
+            // response (RFC 6120, 6.4.2).
             "" => {
-                self.step(At::Response, now);
+                self.enter(State::AwaitInitialResponse, now);
                 ReaderAction::Send(format!("<challenge xmlns='{NS_SASL}'/>").into_bytes())
             }
-            payload => self.place(payload, rules),
+            payload => self.request_session(payload, front_settings),
         }
     }
 
-    /// A mistake of the client's, which may try once more.
-    fn sasl_failure(&mut self, condition: &str, now: Micros) -> ReaderAction {
-        self.mistakes += 1;
-        let words = format!("<failure xmlns='{NS_SASL}'><{condition}/></failure>");
-        if self.mistakes >= MISTAKES {
+    /// Answers with a SASL failure. The client may try again, up to [`MAX_SASL_FAILURES`] times.
+    fn reject_sasl(&mut self, condition: &str, now: Micros) -> ReaderAction {
+        self.sasl_failures += 1;
+        let message = format!("<failure xmlns='{NS_SASL}'><{condition}/></failure>");
+        if self.sasl_failures >= MAX_SASL_FAILURES {
             return ReaderAction::Close(
-                (words + &error(TAG, Condition::PolicyViolation)).into_bytes(),
+                (message + &stream_error(STREAM_TAG, Condition::PolicyViolation)).into_bytes(),
                 "sasl-failure",
             );
         }
-        self.step(At::Auth, now);
-        ReaderAction::Send(words.into_bytes())
+        self.enter(State::AwaitAuth, now);
+        ReaderAction::Send(message.into_bytes())
     }
 
-    fn place(&mut self, payload: &str, rules: &Arc<FrontSettings>) -> ReaderAction {
-        let Some(user) = user(&self.mechanism, payload) else {
-            let words =
-                format!("<failure xmlns='{NS_SASL}'><malformed-request/></failure></{TAG}>");
-            return ReaderAction::Close(words.into_bytes(), "sasl-failure");
+    /// Requests a session with the initial response `payload`: the client's `from`, or else the
+    /// user that the response names, is its JID.
+    fn request_session(
+        &mut self,
+        payload: &str,
+        front_settings: &Arc<FrontSettings>,
+    ) -> ReaderAction {
+        let Some(user) = sasl_user(&self.mechanism, payload) else {
+            let message =
+                format!("<failure xmlns='{NS_SASL}'><malformed-request/></failure></{STREAM_TAG}>");
+            return ReaderAction::Close(message.into_bytes(), "sasl-failure");
         };
-        let named = || {
+        let sasl_jid = || {
             Some(Jid {
-                local: Some(jid::local(&user)?),
+                local: Some(jid::prepare_local(&user)?),
                 domain: self.domain.clone(),
                 resource: None,
             })
         };
-        let Some(jid) = self.from.clone().or_else(named) else {
-            let words = format!("<failure xmlns='{NS_SASL}'><not-authorized/></failure></{TAG}>");
-            return ReaderAction::Close(words.into_bytes(), "sasl-failure");
+        let Some(jid) = self.from.clone().or_else(sasl_jid) else {
+            let message =
+                format!("<failure xmlns='{NS_SASL}'><not-authorized/></failure></{STREAM_TAG}>");
+            return ReaderAction::Close(message.into_bytes(), "sasl-failure");
         };
-        let Some(request) = self.terms.request(&jid, &rules.classes) else {
-            return self.fail(Condition::InternalServerError);
+        let Some(request) = self.settings.request(&jid, &front_settings.classes) else {
+            return self.close_with_error(Condition::InternalServerError);
         };
         ReaderAction::Request(Box::new(SessionRequest {
-            name: format!("{:016x}", self.ids[2]),
+            connection_id: format!("{:016x}", self.ids[2]),
             request,
             domain: self.domain.clone(),
-            from: jid,
+            jid,
             auth: format!(
                 "<auth xmlns='{NS_SASL}' mechanism='{}'>{payload}</auth>",
                 self.mechanism
             ),
-            terms: self.terms.clone(),
+            settings: self.settings.clone(),
         }))
     }
 }
 
-fn fresh(terms: &XmppSettings) -> Framer {
+fn new_framer(settings: &XmppSettings) -> Framer {
     Framer::new(
         super::frame::Bounds {
-            stanza: NEGOTIATION.min(terms.bounds.stanza),
-            ..terms.bounds
+            stanza: MAX_NEGOTIATION_ELEMENT.min(settings.bounds.stanza),
+            ..settings.bounds
         },
         true,
     )
 }
 
-/// The user whom an initial response names (RFC 4616, RFC 5802); none where it cannot be read, or asks for a
-/// channel binding, which cannot reach through TLS that ends here.
-fn user(mechanism: &str, payload: &str) -> Option<String> {
+/// The user that an initial response names (PLAIN: RFC 4616, SCRAM: RFC 5802). `None` if it is
+/// malformed, or if it asks for channel binding, which is not possible because TLS ends at the
+/// relay.
+fn sasl_user(mechanism: &str, payload: &str) -> Option<String> {
     let bytes = if payload == "=" {
         Vec::new()
     } else {
@@ -314,7 +353,8 @@
         .or_else(|| text.strip_prefix("y,"))?;
     let (_, bare) = rest.split_once(',')?;
     let name = bare.split(',').next()?.strip_prefix("n=")?;
-    // `=2C` and `=3D` stand for a comma and an equals sign; no other equals sign may be there.
+    // `=2C` and `=3D` encode a comma and an equals sign; another equals sign is an error (RFC 5802,
+    // 5.1).
     let name = name.replace("=2C", ",").replace("=3D", "\0");
     (!name.is_empty() && !name.contains('=')).then(|| name.replace('\0', "="))
 }
@@ -324,53 +364,57 @@
         &mut self,
         inbox: &mut Buffer,
         now: Micros,
-        rules: &Arc<FrontSettings>,
+        front_settings: &Arc<FrontSettings>,
     ) -> ReaderAction {
-        if self.at == At::Proceed {
+        if self.state == State::ProceedSent {
             return ReaderAction::StartTls(self.domain.clone());
         }
         loop {
             let (n, unit) = match self.framer.feed(inbox.unread()) {
                 Ok(read) => read,
-                Err(condition) => return self.fail(condition),
+                Err(condition) => return self.close_with_error(condition),
             };
             inbox.consume(n);
             let Some(unit) = unit else {
                 return ReaderAction::Read;
             };
-            let Some(next) = self.hear(unit, now, rules) else {
+            let Some(next) = self.on_unit(unit, now, front_settings) else {
                 continue;
             };
-            // Whoever waits for its answer has sent nothing behind what is answered: it is refused, and
-            // nothing of it can be read as protected later.
-            let sent_on = !inbox.unread().is_empty();
-            if sent_on && (self.at == At::Proceed || matches!(next, ReaderAction::Request(_))) {
-                return self.fail(Condition::PolicyViolation);
+            // A client must wait for the reply to `<starttls/>` and `<auth/>`. Data sent after them
+            // is refused, so that clear text is never read as protected by TLS.
+            let has_data_after = !inbox.unread().is_empty();
+            if has_data_after
+                && (self.state == State::ProceedSent || matches!(next, ReaderAction::Request(_)))
+            {
+                return self.close_with_error(Condition::PolicyViolation);
             }
             return next;
         }
     }
 
     fn tls_established(&mut self, now: Micros) {
-        (self.framer, self.opened) = (fresh(&self.terms), false);
-        self.step(At::Header, now);
+        (self.framer, self.header_sent) = (new_framer(&self.settings), false);
+        self.enter(State::AwaitHeader, now);
     }
 
     fn deadline(&self) -> Micros {
-        self.until
+        self.step_deadline
     }
 
     fn interrupt(&mut self, _inbox: &Buffer, why: Interruption) -> (Vec<u8>, &'static str) {
-        let silent = !self.opened && self.framer.at_unit_boundary() && self.at == At::ClearHeader;
+        let silent = !self.header_sent
+            && self.framer.at_unit_boundary()
+            && self.state == State::AwaitInitialHeader;
         match why {
-            // Whoever has said nothing is a health check.
+            // A client that has sent nothing is a health check.
             _ if silent => (Vec::new(), ""),
             Interruption::Dismissed => (
-                self.words(&error(TAG, Condition::SystemShutdown)),
+                self.within_stream(&stream_error(STREAM_TAG, Condition::SystemShutdown)),
                 "dismissed",
             ),
             Interruption::TimedOut => (
-                self.words(&error(TAG, Condition::ConnectionTimeout)),
+                self.within_stream(&stream_error(STREAM_TAG, Condition::ConnectionTimeout)),
                 "negotiation-late",
             ),
             Interruption::Disconnected => (Vec::new(), "client-left"),
@@ -378,14 +422,14 @@
     }
 }
 
-/// A session that was asked for.
+/// A request for a session.
 pub struct SessionRequest {
-    name: String,
+    connection_id: String,
     request: Request,
     domain: String,
-    from: Jid,
+    jid: Jid,
     auth: String,
-    terms: Arc<XmppSettings>,
+    settings: Arc<XmppSettings>,
 }
 
 impl ClientRequest for SessionRequest {
@@ -394,7 +438,7 @@
     }
 
     fn connection_id(&self) -> &str {
-        &self.name
+        &self.connection_id
     }
 
     fn request(&self) -> &Request {
@@ -411,9 +455,9 @@
 
     fn start_attempt(&self) -> Box<dyn AttemptProtocol> {
         Box::new(ServerNegotiation::new(
-            self.terms.clone(),
+            self.settings.clone(),
             &self.domain,
-            &self.from,
+            &self.jid,
             self.auth.clone().into_bytes(),
         ))
     }
@@ -430,13 +474,13 @@
                     )
                 };
                 let name = Condition::ResourceConstraint.name();
-                return stream_error(TAG, name, "", &more).into_bytes();
+                return stream_error_with(STREAM_TAG, name, "", &more).into_bytes();
             }
             FinalAnswer::Failed(FailureCause::Timeout) => Condition::ConnectionTimeout,
             FinalAnswer::Failed(FailureCause::BackendFailed) => Condition::RemoteConnectionFailed,
             FinalAnswer::IdInUse => Condition::InternalServerError,
         };
-        error(TAG, condition).into_bytes()
+        stream_error(STREAM_TAG, condition).into_bytes()
     }
 }
 
@@ -446,7 +490,7 @@
     use super::*;
     use crate::config::{Classes, Names};
 
-    fn terms() -> Arc<XmppSettings> {
+    fn settings() -> Arc<XmppSettings> {
         let rule = ClassRule {
             domain: None,
             local: None,
@@ -469,47 +513,49 @@
         })
     }
 
-    fn head(more: &str) -> String {
-        super::super::header(&[("to", "a.example")])
+    fn header_with(more: &str) -> String {
+        super::super::stream_header(&[("to", "a.example")])
             .replace(" version='1.0'>", &format!("{more} version='1.0'>"))
     }
 
-    /// What a greeting says to these inputs, each in pieces of that many bytes; `!` where the link is secured,
-    /// `+` where the session is placed, and the reason where it ends.
+    /// What a negotiation sends for these inputs, each in chunks of `step` bytes; `!` for the TLS
+    /// handshake, `+` for the request of a session, and the reason in brackets for a close.
     fn talk(
         direct: bool,
         inputs: &[&str],
         step: usize,
     ) -> (String, Option<Box<dyn ClientRequest>>) {
-        let (mut greeting, rules) = (
-            ClientNegotiation::new(terms(), [1, 2, 3], direct, 0),
+        let (mut negotiation, front_settings) = (
+            ClientNegotiation::new(settings(), [1, 2, 3], direct, 0),
             rules(),
         );
-        let (mut said, mut inbox) = (String::new(), Buffer::default());
+        let (mut output, mut inbox) = (String::new(), Buffer::default());
         for input in inputs {
-            for mut piece in input.as_bytes().chunks(step) {
-                while !piece.is_empty() {
-                    inbox.fill(&mut piece).unwrap();
+            for mut chunk in input.as_bytes().chunks(step) {
+                while !chunk.is_empty() {
+                    inbox.fill(&mut chunk).unwrap();
                 }
                 loop {
-                    match greeting.next_action(&mut inbox, 0, &rules) {
+                    match negotiation.next_action(&mut inbox, 0, &front_settings) {
                         ReaderAction::Read => break,
-                        ReaderAction::Send(words) => said += &String::from_utf8(words).unwrap(),
+                        ReaderAction::Send(message) => {
+                            output += &String::from_utf8(message).unwrap()
+                        }
                         ReaderAction::StartTls(domain) => {
                             assert!(domain == "a.example" && inbox.unread().is_empty());
-                            said.push('!');
-                            greeting.tls_established(0);
+                            output.push('!');
+                            negotiation.tls_established(0);
                         }
-                        ReaderAction::Request(order) => return (said + "+", Some(order)),
-                        ReaderAction::Close(words, reason) => {
-                            said += &String::from_utf8(words).unwrap();
-                            return (format!("{said}[{reason}]"), None);
+                        ReaderAction::Request(request) => return (output + "+", Some(request)),
+                        ReaderAction::Close(message, reason) => {
+                            output += &String::from_utf8(message).unwrap();
+                            return (format!("{output}[{reason}]"), None);
                         }
                     }
                 }
             }
         }
-        (said, None)
+        (output, None)
     }
 
     const STARTTLS: &str = "<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>";
@@ -520,8 +566,8 @@
     }
 
     #[test]
-    fn a_session_is_negotiated_however_its_bytes_are_cut() {
-        let (clear, secure) = (head(""), head(" from='Ali@a.example'"));
+    fn a_session_is_negotiated_for_every_split_of_the_input() {
+        let (clear, secure) = (header_with(""), header_with(" from='Ali@a.example'"));
         let auth = auth("SCRAM-SHA-256", "n,,n=someone,r=nonce");
         let inputs = [clear.as_str(), STARTTLS, &secure, &auth];
         let (whole, _) = talk(false, &inputs, 4096);
@@ -535,42 +581,45 @@
         );
         assert!(!after.contains("PLUS") && after.contains("to='ali@a.example'"));
         for step in 1..clear.len() {
-            let (said, order) = talk(false, &inputs, step);
-            assert_eq!(said, whole, "pieces of {step} bytes");
-            // The home is that of the header's address.
+            let (output, request) = talk(false, &inputs, step);
+            assert_eq!(output, whole, "chunks of {step} bytes");
+            // The home is that of the JID in the header.
             let home = Jid::parse("ali@a.example").unwrap();
-            let expected = terms().request(&home, &rules().classes);
-            assert_eq!(Some(order.unwrap().request().clone()), expected);
+            let expected = settings().request(&home, &rules().classes);
+            assert_eq!(Some(request.unwrap().request().clone()), expected);
         }
         assert_eq!(talk(true, &inputs[2..], 64).0, after);
     }
 
     #[test]
-    fn without_an_address_in_the_header_the_sasl_user_is_the_home() {
-        let head = head("");
+    fn without_a_jid_in_the_header_the_sasl_user_chooses_the_home() {
+        let client_header = header_with("");
         for (mechanism, payload) in [
             ("PLAIN", "\0ali\0secret"),
             ("SCRAM-SHA-1", "y,a=zia,n=ali,r=x"),
         ] {
-            let (_, order) = talk(true, &[&head, &auth(mechanism, payload)], 4096);
+            let (_, request) = talk(true, &[&client_header, &auth(mechanism, payload)], 4096);
             let home = Jid::parse("ali@a.example").unwrap();
             assert_eq!(
-                Some(order.unwrap().request().clone()),
-                terms().request(&home, &rules().classes)
+                Some(request.unwrap().request().clone()),
+                settings().request(&home, &rules().classes)
             );
         }
-        // The initial response may come on its own.
+        // The initial response may follow in an element of its own.
         let alone = format!(
             "<response xmlns='{NS_SASL}'>{}</response>",
             BASE64_STANDARD.encode("\0ali\0x")
         );
-        let (said, order) = talk(true, &[&head, &auth("PLAIN", ""), &alone], 4096);
-        assert!(said.contains("<challenge ") && order.is_some(), "{said}");
+        let (output, request) = talk(true, &[&client_header, &auth("PLAIN", ""), &alone], 4096);
+        assert!(
+            output.contains("<challenge ") && request.is_some(),
+            "{output}"
+        );
     }
 
     #[test]
-    fn what_is_out_of_order_is_answered_with_its_condition() {
-        let (clear, from) = (head(""), head(" from='ali@b.example'"));
+    fn input_out_of_order_is_answered_with_its_condition() {
+        let (clear, from) = (header_with(""), header_with(" from='ali@b.example'"));
         let (other, old) = (
             clear.replace("a.example", "b.example"),
             clear.replace("version='1.0'>", ">"),
@@ -580,7 +629,7 @@
         let on = auth("PLAIN", "\0a\0b") + "<presence/>";
         let bound = auth("SCRAM-SHA-256", "p=tls-exporter,,n=a,r=b");
         let wrong = auth("EXTERNAL", "x");
-        // (TLS from the start, what is sent, what the answer ends with)
+        // (TLS from the first byte, the client's input, the end of the relay's output)
         let cases: &[(bool, &[&str], &str)] = &[
             (false, &[&other], "[host-unknown]"),
             (false, &[&old], "[unsupported-version]"),
@@ -610,39 +659,39 @@
             (true, &[&clear, &wrong, &wrong, &wrong], "[sasl-failure]"),
         ];
         for (direct, inputs, ending) in cases {
-            let (said, order) = talk(*direct, inputs, 4096);
+            let (output, request) = talk(*direct, inputs, 4096);
             assert!(
-                said.ends_with(ending) && order.is_none(),
-                "{inputs:?}: {said}"
+                output.ends_with(ending) && request.is_none(),
+                "{inputs:?}: {output}"
             );
-            // Each answer is a stream that ends, inside a header.
+            // Each answer is a complete stream, with a header and a closing tag.
             assert!(
-                said.contains("<stream:stream ") && said.contains("</stream:stream>["),
-                "{said}"
+                output.contains("<stream:stream ") && output.contains("</stream:stream>["),
+                "{output}"
             );
         }
         assert!(!talk(false, &[&clear, &behind], 4096).0.contains("proceed"));
     }
 
     #[test]
-    fn a_step_has_its_time_and_all_of_them_have_theirs() {
-        let terms = terms();
-        let mut greeting = ClientNegotiation::new(terms.clone(), [1, 2, 3], false, 100);
-        assert_eq!(greeting.deadline(), 100 + terms.step_timeout);
+    fn each_step_and_the_whole_negotiation_have_a_timeout() {
+        let settings = settings();
+        let mut negotiation = ClientNegotiation::new(settings.clone(), [1, 2, 3], false, 100);
+        assert_eq!(negotiation.deadline(), 100 + settings.step_timeout);
         assert_eq!(
-            greeting.interrupt(&Buffer::default(), Interruption::TimedOut),
+            negotiation.interrupt(&Buffer::default(), Interruption::TimedOut),
             (Vec::new(), "")
         );
-        let mut inbox = Buffer::from_bytes(head("").into_bytes());
-        let now = terms.negotiation_timeout - 10;
+        let mut inbox = Buffer::from_bytes(header_with("").into_bytes());
+        let now = settings.negotiation_timeout - 10;
         assert!(matches!(
-            greeting.next_action(&mut inbox, now, &rules()),
+            negotiation.next_action(&mut inbox, now, &rules()),
             ReaderAction::Send(_)
         ));
-        assert_eq!(greeting.deadline(), 100 + terms.negotiation_timeout);
-        let (words, reason) = greeting.interrupt(&inbox, Interruption::TimedOut);
+        assert_eq!(negotiation.deadline(), 100 + settings.negotiation_timeout);
+        let (message, reason) = negotiation.interrupt(&inbox, Interruption::TimedOut);
         assert!(
-            String::from_utf8(words)
+            String::from_utf8(message)
                 .unwrap()
                 .contains("connection-timeout")
                 && reason == "negotiation-late"
@@ -650,17 +699,19 @@
     }
 
     #[test]
-    fn refusals_say_when_to_come_again() {
-        let (_, order) = talk(true, &[&head(""), &auth("PLAIN", "\0ali\0x")], 4096);
-        let order = order.unwrap();
-        let words = |answer| String::from_utf8(order.encode_answer(answer)).unwrap();
-        let refused = words(FinalAnswer::Rejected(400_000));
+    fn a_rejection_says_when_to_retry() {
+        let (_, request) = talk(true, &[&header_with(""), &auth("PLAIN", "\0ali\0x")], 4096);
+        let request = request.unwrap();
+        let message = |answer| String::from_utf8(request.encode_answer(answer)).unwrap();
+        let refused = message(FinalAnswer::Rejected(400_000));
         assert!(
             refused.contains("<resource-constraint ") && refused.contains("after-ms='400'"),
             "{refused}"
         );
-        assert!(words(FinalAnswer::Failed(FailureCause::Timeout)).contains("<connection-timeout "));
-        assert!(words(FinalAnswer::Failed(FailureCause::BackendFailed))
+        assert!(
+            message(FinalAnswer::Failed(FailureCause::Timeout)).contains("<connection-timeout ")
+        );
+        assert!(message(FinalAnswer::Failed(FailureCause::BackendFailed))
             .contains("<remote-connection-failed "));
     }
 }
--- a/src/protocol/xmpp/frame.rs
+++ b/src/protocol/xmpp/frame.rs
@@ -1,12 +1,13 @@
-//! Framing of an XML stream: where its header, its stanzas and its end begin and stop.
+//! Framing of an XML stream: finds the ends of its header, of its stanzas and of the stream.
 //!
-//! The parser is `rxml`, made for XMPP's restricted XML: no DTD, entity, comment or processing instruction gets
-//! past it, names and namespaces are checked, and no token is longer than stated. What is added here are the
-//! bounds that RFC 6120 leaves to the deployment: depth, attributes, the size of a header and of a stanza. All
-//! of them are checked as bytes come, so that nothing large is held before it is refused.
+//! The parser is `rxml`, made for XMPP's restricted XML (RFC 6120, 11.1): it refuses DTDs,
+//! entities, comments and processing instructions, checks names and namespaces, and limits the
+//! length of a token. The framer adds the bounds that RFC 6120 leaves to the deployment (13.12):
+//! depth, attributes, and the sizes of a header and of a stanza. All of them are checked as bytes
+//! arrive, so that nothing large is buffered before it is refused.
 //!
-//! Guards against: a unit cut in the middle, a peer that nests without end or sends an attribute of 60 MB, text
-//! where none may stand.
+//! Guards against: a unit cut in the middle, a peer that nests elements without end or sends an
+//! attribute of 60 MB, and text where none is allowed.
 
 use super::fast_path;
 use rxml::error::EndOrError;
@@ -17,7 +18,7 @@
 pub const NS_STREAMS: &str = "http://etherx.jabber.org/streams";
 /// The namespace of stanzas between clients and servers.
 pub const NS_CLIENT: &str = "jabber:client";
-/// The namespace of stream errors' conditions.
+/// The namespace of the conditions of stream errors.
 pub const NS_ERRORS: &str = "urn:ietf:params:xml:ns:xmpp-streams";
 /// The namespace of STARTTLS.
 pub const NS_TLS: &str = "urn:ietf:params:xml:ns:xmpp-tls";
@@ -26,14 +27,14 @@
 /// The namespace of stream management, XEP-0198.
 pub const NS_SM: &str = "urn:xmpp:sm:3";
 
-/// Bounds of what is read of one stream.
+/// The bounds of one stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// The longest header, in bytes: the XML declaration and the stream's start tag.
     pub header: usize,
-    /// The longest unit below the stream, in bytes.
+    /// The longest child element of the stream, in bytes: a stanza, for example.
     pub stanza: usize,
-    /// The deepest nesting, the stream itself counted.
+    /// The deepest nesting, the stream element included.
     pub depth: usize,
     /// The most attributes of an element.
     pub attributes: usize,
@@ -43,9 +44,10 @@
 
 impl Default for Bounds {
     fn default() -> Self {
-        // Header and stanza: the figures that the operators gave. RFC 6120, 13.12, has 10,000 bytes as the
-        // least that must be taken of a stanza. Avatars and file offers are the longest attributes and texts
-        // in use; text is bounded by the stanza, so 8 KiB is enough for a token.
+        // Header and stanza: the sizes that the operators gave. RFC 6120, 13.12, requires that
+        // stanzas of up to 10,000 bytes are accepted. Avatars and file offers are the longest
+        // attributes and texts in use; text is limited by the stanza's size only, so 8 KiB is
+        // enough for a token.
         Bounds {
             header: 4 * 1024,
             stanza: 256 * 1024,
@@ -56,34 +58,34 @@
     }
 }
 
-/// The conditions of stream errors in use here (RFC 6120, 4.9.3).
+/// The stream error conditions that the relay sends (RFC 6120, 4.9.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
     /// Not XML, or not namespace-well-formed.
     NotWellFormed,
-    /// XML that streams may not have: comments, DTDs, entities, processing instructions.
+    /// XML that is not allowed in streams: comments, DTDs, entities, processing instructions.
     RestrictedXml,
-    /// The stream's or its content's namespace is another.
+    /// The namespace of the stream or of its content is not the expected one.
     InvalidNamespace,
     /// The version of the stream is not 1.x.
     UnsupportedVersion,
-    /// The domain is not served here.
+    /// The domain is not served by this relay.
     HostUnknown,
-    /// `to` or `from` cannot be read.
+    /// `to` is missing, or `to` or `from` is not a valid JID.
     ImproperAddressing,
-    /// A rule of this relay is broken: sizes, order of steps.
+    /// A bound of this relay is exceeded, or a step is out of order.
     PolicyViolation,
-    /// Something that is not known at this point.
+    /// An element that is not supported at this point.
     UnsupportedStanzaType,
-    /// The peer has taken too long.
+    /// The peer, or a server, has not responded in time.
     ConnectionTimeout,
-    /// No server could be reached, or it has gone.
+    /// No server could be reached, or the connection to it is lost.
     RemoteConnectionFailed,
-    /// Refused for now.
+    /// Rejected for now, because of overload or missing memory.
     ResourceConstraint,
-    /// The server, or this relay, goes away.
+    /// The server or this relay shuts down, or the session migrates.
     SystemShutdown,
-    /// The relay's own settings do not allow an answer.
+    /// A fault of the relay's own settings or state.
     InternalServerError,
 }
 
@@ -107,34 +109,34 @@
         }
     }
 
-    /// The reason for the log of a connection that ends by it.
+    /// The reason in the log of a connection that ends with this condition.
     pub fn reason(self) -> &'static str {
         self.name()
     }
 }
 
-/// An element, as far as negotiation needs it.
+/// An XML element, as far as stream negotiation needs it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Element {
     /// Its namespace.
     pub ns: String,
     /// Its local name.
     pub name: String,
-    /// Its attributes that have no namespace, in order of their names.
+    /// Its attributes without a namespace, in the order of their names.
     pub attributes: Vec<(String, String)>,
-    /// Its text, that of its children left out.
+    /// Its text, without that of its children.
     pub text: String,
-    /// Its children; none are kept where the framer keeps no content.
+    /// Its children; empty if the framer does not keep content.
     pub children: Vec<Element>,
 }
 
 impl Element {
-    /// Whether it is that element.
+    /// Whether it has this namespace and name.
     pub fn is(&self, ns: &str, name: &str) -> bool {
         self.ns == ns && self.name == name
     }
 
-    /// An attribute's value.
+    /// The value of an attribute.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.attributes
             .iter()
@@ -142,72 +144,76 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The first child of that name.
+    /// The first child with this namespace and name.
     pub fn child(&self, ns: &str, name: &str) -> Option<&Element> {
         self.children.iter().find(|c| c.is(ns, name))
     }
 }
 
-/// A stream's header.
+/// A stream header.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Header {
-    /// Whom it is for.
+    /// The `to` attribute.
     pub to: Option<String>,
-    /// Whom it is from.
+    /// The `from` attribute.
     pub from: Option<String>,
-    /// The version that it says.
+    /// The `version` attribute.
     pub version: Option<String>,
-    /// The name of its tag as it is written: the closing tag has to be the same.
+    /// The qualified name of its tag as received: the closing tag must have the same prefix.
     pub tag: String,
     /// The default namespace that it declares.
     pub default_namespace: Option<String>,
 }
 
-/// A part of a stream that may not be cut.
+/// A part of a stream that must not be cut.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Unit {
-    /// The stream's start.
+    /// The stream header.
     Header(Header),
-    /// A whole element below it. Where no content is kept it has its names and attributes only, and a stanza of the
-    /// client's namespace has not even those.
+    /// A complete child element of the stream. If the framer does not keep content, it has its name
+    /// and attributes only, and a stanza of `jabber:client` not even those.
     Element(Element),
-    /// White space between elements: a sign of life.
+    /// White space between elements, used as a keepalive (RFC 6120, 4.6.1).
     Whitespace,
-    /// The stream's end.
+    /// The closing stream tag.
     End,
 }
 
-/// Reads one stream of one direction.
+/// Finds the units of one direction of a stream.
 pub struct Framer {
     parser: Parser,
     bounds: Bounds,
-    /// Whether elements are kept with what is in them.
-    keep: bool,
+    /// Whether elements are returned with their content.
+    keep_content: bool,
     depth: usize,
-    /// Bytes of the unit that is being read.
-    unit: usize,
-    /// Bytes that the parser has taken since its last event, and beyond it.
-    taken: usize,
-    /// Bytes of the next call that the parser has taken already: behind text it takes the `<` as well.
-    skip: usize,
-    /// The header's bytes, until it is whole: its namespaces are read from them.
-    head: Vec<u8>,
-    /// The elements that are open, outermost first, without the stream.
-    open: Vec<Element>,
-    /// Whether the content of the one below the stream is kept. That of the stream's own always is: an error's
-    /// condition stands there.
-    keeps: bool,
-    /// Whether stanzas of the plainest form may pass the parser by: their namespace is known.
-    quick: bool,
-    /// Whether the parser has just taken a tag and nothing behind it: text may pass it by.
-    fresh: bool,
-    /// The last byte that the parser has taken.
-    last: u8,
-    /// The first bytes of a character of such text whose others have not come.
-    split: Vec<u8>,
-    /// What ended the reading.
-    dead: Option<Condition>,
-    over: bool,
+    /// Bytes of the current unit so far.
+    unit_bytes: usize,
+    /// Bytes that the parser has consumed since its last event, and beyond that event.
+    parser_ahead: usize,
+    /// Bytes of the next call that the parser has already consumed: after text it consumes the `<`,
+    /// too.
+    already_parsed: usize,
+    /// The bytes of the header until it is complete: its namespace declarations are read from them.
+    header_bytes: Vec<u8>,
+    /// The open elements, outermost first, without the stream.
+    open_elements: Vec<Element>,
+    /// Whether the content of the current child of the stream is kept. That of elements in the
+    /// namespace of streams always is, because it has the condition of a stream error.
+    keeping: bool,
+    /// Whether the fast path may be used for plain stanzas: the default namespace is
+    /// `jabber:client`.
+    use_fast_path: bool,
+    /// Whether the parser has consumed a tag and nothing after it: text that follows can skip the
+    /// parser.
+    after_tag: bool,
+    /// The last byte that the parser has consumed.
+    last_byte: u8,
+    /// The first bytes of a character in such text whose other bytes have not arrived.
+    partial_char: Vec<u8>,
+    /// The error that has ended the framing.
+    error: Option<Condition>,
+    /// Whether the closing stream tag was read.
+    ended: bool,
 }
 
 impl std::fmt::Debug for Framer {
@@ -215,67 +221,68 @@
         write!(
             f,
             "Framer at depth {}, {} bytes of a unit",
-            self.depth, self.unit
+            self.depth, self.unit_bytes
         )
     }
 }
 
 impl Framer {
-    /// For a stream that has not begun; `keep` has elements kept with what is in them.
-    pub fn new(bounds: Bounds, keep: bool) -> Framer {
+    /// A framer for a stream that has not begun. With `keep_content`, elements are returned with
+    /// their content.
+    pub fn new(bounds: Bounds, keep_content: bool) -> Framer {
         let options = Options {
             max_token_length: bounds.token,
             ..Options::default()
         };
         let mut parser = Parser::with_options(options);
-        // A sign of life must go on at once, not with the next stanza.
+        // A white space keepalive must be forwarded at once, not with the next stanza.
         parser.set_text_buffering(false);
-        let (head, open) = (Vec::new(), Vec::new());
         Framer {
             parser,
             bounds,
-            keep,
+            keep_content,
             depth: 0,
-            unit: 0,
-            taken: 0,
-            skip: 0,
-            head,
-            open,
-            keeps: keep,
-            quick: false,
-            fresh: false,
-            last: 0,
-            split: Vec::new(),
-            dead: None,
-            over: false,
+            unit_bytes: 0,
+            parser_ahead: 0,
+            already_parsed: 0,
+            header_bytes: Vec::new(),
+            open_elements: Vec::new(),
+            keeping: keep_content,
+            use_fast_path: false,
+            after_tag: false,
+            last_byte: 0,
+            partial_char: Vec::new(),
+            error: None,
+            ended: false,
         }
     }
 
-    /// Whether no unit has begun that has not ended.
+    /// Whether no unit is incomplete.
     pub fn at_unit_boundary(&self) -> bool {
-        self.unit == 0
+        self.unit_bytes == 0
     }
 
-    /// Reads on, up to the end of the next unit: how many bytes were read, and the unit if it is whole. All
-    /// bytes are read where none is. The next call is given what follows. An error stays.
+    /// Reads up to the end of the next unit. Returns the number of bytes read, and the unit if it
+    /// is complete; if it is not, all bytes were read. The next call takes the bytes that follow.
+    /// After an error, each call returns the same error.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(usize, Option<Unit>), Condition> {
-        if let Some(dead) = self.dead {
-            return Err(dead);
+        if let Some(error) = self.error {
+            return Err(error);
         }
-        let result = self.read(bytes);
+        let result = self.read_unit(bytes);
         if let Err(condition) = result {
-            self.dead = Some(condition);
-            self.open = Vec::new();
+            self.error = Some(condition);
+            self.open_elements = Vec::new();
         }
         result
     }
 
-    fn read(&mut self, bytes: &[u8]) -> Result<(usize, Option<Unit>), Condition> {
+    fn read_unit(&mut self, bytes: &[u8]) -> Result<(usize, Option<Unit>), Condition> {
         if bytes.is_empty() {
             return Ok((0, None));
         }
-        if self.over {
-            // Behind its end a stream has nothing but white space.
+        if self.ended {
+            // Only white space is allowed after the closing stream tag.
             let space = bytes.iter().all(|b| b.is_ascii_whitespace());
             return if space {
                 Ok((bytes.len(), Some(Unit::Whitespace)))
@@ -283,21 +290,22 @@
                 Err(Condition::NotWellFormed)
             };
         }
-        let ordinary = self.quick && self.depth == 1 && self.unit == 0 && bytes[0] == b'<';
-        if let Some(n) = ordinary
-            .then(|| fast_path::element(bytes, &self.bounds))
+        let plain_stanza_possible =
+            self.use_fast_path && self.depth == 1 && self.unit_bytes == 0 && bytes[0] == b'<';
+        if let Some(n) = plain_stanza_possible
+            .then(|| fast_path::element_len(bytes, &self.bounds))
             .flatten()
         {
             return Ok((n, Some(Unit::Element(Element::default()))));
         }
-        let skip = std::mem::take(&mut self.skip).min(bytes.len());
+        let skip = std::mem::take(&mut self.already_parsed).min(bytes.len());
         let mut rest = &bytes[skip..];
         loop {
-            if self.fresh && self.depth > 1 && !self.keeps {
-                let n = self.plain(rest)?;
-                self.unit += n;
+            if self.after_tag && self.depth > 1 && !self.keeping {
+                let n = self.plain_text_len(rest)?;
+                self.unit_bytes += n;
                 rest = &rest[n..];
-                if self.unit > self.bounds.stanza {
+                if self.unit_bytes > self.bounds.stanza {
                     return Err(Condition::PolicyViolation);
                 }
                 if rest.is_empty() {
@@ -308,115 +316,119 @@
             let event = self.parser.parse(&mut rest, false);
             let used = before - rest.len();
             let at = bytes.len() - before;
-            let empty = self.ends_empty(&bytes[at..at + used]);
-            (self.unit, self.taken) = (self.unit + used, self.taken + used);
+            let empty = self.ends_empty_tag(&bytes[at..at + used]);
+            (self.unit_bytes, self.parser_ahead) =
+                (self.unit_bytes + used, self.parser_ahead + used);
             if self.depth == 0 {
-                self.head.extend_from_slice(&bytes[at..at + used]);
+                self.header_bytes.extend_from_slice(&bytes[at..at + used]);
             }
             let most = if self.depth == 0 {
                 self.bounds.header
             } else {
                 self.bounds.stanza
             };
-            if self.unit > most {
+            if self.unit_bytes > most {
                 return Err(Condition::PolicyViolation);
             }
             let unit = match event {
                 Ok(Some(event)) => {
-                    // Tags end with their last byte. Between units text is white space, a byte a character; of
-                    // other text the parser counts a character that came in two parts too low.
-                    self.taken = match &event {
+                    // The event of a tag comes with its last byte. Text between units is white
+                    // space, one byte per character, so the lengths that the parser reports are
+                    // exact there; in other text it counts too few bytes for a character that
+                    // arrived in two parts.
+                    self.parser_ahead = match &event {
                         Event::Text(metrics, _) if self.depth == 1 => {
-                            self.taken.saturating_sub(metrics.len())
+                            self.parser_ahead.saturating_sub(metrics.len())
                         }
                         _ => 0,
                     };
-                    // Behind `<a/>` the parser has the end still to tell.
-                    self.fresh = match &event {
+                    // After `<a/>` the parser still has to report the end of the element.
+                    self.after_tag = match &event {
                         Event::StartElement(..) => !empty,
                         Event::EndElement(_) => true,
                         _ => false,
                     };
-                    self.event(event)?
+                    self.on_event(event)?
                 }
                 Ok(None) => return Err(Condition::NotWellFormed),
                 Err(EndOrError::NeedMoreData) if rest.is_empty() => return Ok((bytes.len(), None)),
                 Err(EndOrError::NeedMoreData) if used == 0 => return Err(Condition::NotWellFormed),
                 Err(EndOrError::NeedMoreData) => continue,
-                Err(EndOrError::Error(e)) => return Err(condition(&e)),
+                Err(EndOrError::Error(e)) => return Err(condition_for(&e)),
             };
             if let Some(unit) = unit {
-                // What the parser has taken of the next unit is that one's.
-                (self.unit, self.skip) = (self.taken, self.taken);
-                return Ok((bytes.len() - rest.len() - self.taken, Some(unit)));
+                // The parser may have consumed bytes of the next unit already.
+                (self.unit_bytes, self.already_parsed) = (self.parser_ahead, self.parser_ahead);
+                return Ok((bytes.len() - rest.len() - self.parser_ahead, Some(unit)));
             }
         }
     }
 
-    /// Lets go of memory that is needed only while units come.
+    /// Frees memory that is needed only while a unit is being read.
     pub fn release_idle_memory(&mut self) {
-        if self.unit == 0 {
+        if self.unit_bytes == 0 {
             self.parser.release_temporaries();
         }
     }
 
-    /// Whether the bytes that the parser has just taken end a tag that is its own end.
-    fn ends_empty(&mut self, taken: &[u8]) -> bool {
-        let [.., last] = taken else { return false };
-        let before = if let [.., before, _] = taken {
+    /// Whether the bytes that the parser has just consumed end with an empty-element tag (`<a/>`).
+    fn ends_empty_tag(&mut self, consumed: &[u8]) -> bool {
+        let [.., last] = consumed else { return false };
+        let before = if let [.., before, _] = consumed {
             *before
         } else {
-            self.last
+            self.last_byte
         };
-        self.last = *last;
+        self.last_byte = *last;
         (before, *last) == (b'/', b'>')
     }
 
-    /// How many bytes at the front are plain text, which needs no parser: all up to a `<`, or up to what only the
-    /// parser can judge (`&`, and `]`, which may begin `]]>`). Most bytes of long stanzas are such.
-    fn plain(&mut self, bytes: &[u8]) -> Result<usize, Condition> {
+    /// The length of the plain text at the front, which can skip the parser: all bytes up to a `<`,
+    /// or up to a character that only the parser can check (`&`, and `]`, which may begin `]]>`).
+    /// Most bytes of long stanzas are plain text.
+    fn plain_text_len(&mut self, bytes: &[u8]) -> Result<usize, Condition> {
         let found = memchr::memchr3(b'<', b'&', b']', bytes);
         let text = &bytes[..found.unwrap_or(bytes.len())];
-        let bad = Err(Condition::NotWellFormed);
-        if !plain(text) {
-            return bad;
+        let not_well_formed = Err(Condition::NotWellFormed);
+        if !has_no_control_chars(text) {
+            return not_well_formed;
         }
         let mut rest = text;
-        while !self.split.is_empty() && !rest.is_empty() {
-            self.split.push(rest[0]);
+        while !self.partial_char.is_empty() && !rest.is_empty() {
+            self.partial_char.push(rest[0]);
             rest = &rest[1..];
-            match std::str::from_utf8(&self.split) {
-                Ok(c) if !allowed(c) => return bad,
-                Ok(_) => self.split.clear(),
-                Err(e) if e.error_len().is_some() => return bad,
+            match std::str::from_utf8(&self.partial_char) {
+                Ok(c) if !has_no_noncharacters(c) => return not_well_formed,
+                Ok(_) => self.partial_char.clear(),
+                Err(e) if e.error_len().is_some() => return not_well_formed,
                 Err(_) => {}
             }
         }
         match std::str::from_utf8(rest) {
-            Ok(text) if allowed(text) => {}
-            Ok(_) => return bad,
-            Err(e) if e.error_len().is_some() => return bad,
+            Ok(text) if has_no_noncharacters(text) => {}
+            Ok(_) => return not_well_formed,
+            Err(e) if e.error_len().is_some() => return not_well_formed,
             Err(e) => {
                 let (whole, split) = rest.split_at(e.valid_up_to());
-                if !std::str::from_utf8(whole).is_ok_and(allowed) {
-                    return bad;
+                if !std::str::from_utf8(whole).is_ok_and(has_no_noncharacters) {
+                    return not_well_formed;
                 }
-                self.split.extend_from_slice(split);
+                self.partial_char.extend_from_slice(split);
             }
         }
         match found {
-            // A character that does not end before a tag does not end.
-            Some(_) if !self.split.is_empty() => bad,
+            // A character that is incomplete before a tag stays incomplete.
+            Some(_) if !self.partial_char.is_empty() => not_well_formed,
             Some(at) => {
-                // The parser reads on up to the next tag.
-                self.fresh = false;
+                // The parser continues from here up to the next tag.
+                self.after_tag = false;
                 Ok(at)
             }
             None => Ok(text.len()),
         }
     }
 
-    fn event(&mut self, event: Event) -> Result<Option<Unit>, Condition> {
+    fn on_event(&mut self, event: Event) -> Result<Option<Unit>, Condition> {
         match event {
             Event::XmlDeclaration(..) => Ok(None),
             Event::StartElement(_, (ns, name), attributes) => {
@@ -433,9 +445,12 @@
                         all.find(|((ns, name), _)| ns.is_empty() && name.as_str() == key)
                             .map(|(_, v)| v.to_string())
                     };
-                    let (tag, default_namespace) =
-                        declared(&std::mem::take(&mut self.head), self.bounds.token);
-                    self.quick = !self.keep && default_namespace.as_deref() == Some(NS_CLIENT);
+                    let (tag, default_namespace) = header_declarations(
+                        &std::mem::take(&mut self.header_bytes),
+                        self.bounds.token,
+                    );
+                    self.use_fast_path =
+                        !self.keep_content && default_namespace.as_deref() == Some(NS_CLIENT);
                     let header = Header {
                         to: get("to"),
                         from: get("from"),
@@ -446,18 +461,18 @@
                     return Ok(Some(Unit::Header(header)));
                 }
                 if self.depth == 2 {
-                    self.keeps = self.keep || ns.as_str() == NS_STREAMS;
+                    self.keeping = self.keep_content || ns.as_str() == NS_STREAMS;
                 }
-                if self.depth == 2 && !self.keeps && ns.as_str() == NS_CLIENT {
-                    // An ordinary stanza: nobody asks more of it.
-                    self.open.push(Element::default());
-                } else if self.depth == 2 || self.keeps {
+                if self.depth == 2 && !self.keeping && ns.as_str() == NS_CLIENT {
+                    // A stanza: only its boundaries are needed.
+                    self.open_elements.push(Element::default());
+                } else if self.depth == 2 || self.keeping {
                     let plain = attributes.iter().filter(|((ns, _), _)| ns.is_empty());
                     let attributes = plain
                         .map(|((_, n), v)| (n.to_string(), v.to_string()))
                         .collect();
                     let (ns, name) = (ns.to_string(), name.to_string());
-                    self.open.push(Element {
+                    self.open_elements.push(Element {
                         ns,
                         name,
                         attributes,
@@ -470,12 +485,13 @@
                 self.depth -= 1;
                 match self.depth {
                     0 => {
-                        self.over = true;
+                        self.ended = true;
                         Ok(Some(Unit::End))
                     }
-                    1 => Ok(self.open.pop().map(Unit::Element)),
-                    _ if self.keeps => {
-                        if let (Some(child), Some(parent)) = (self.open.pop(), self.open.last_mut())
+                    1 => Ok(self.open_elements.pop().map(Unit::Element)),
+                    _ if self.keeping => {
+                        if let (Some(child), Some(parent)) =
+                            (self.open_elements.pop(), self.open_elements.last_mut())
                         {
                             parent.children.push(child);
                         }
@@ -493,7 +509,7 @@
                         Err(Condition::NotWellFormed)
                     };
                 }
-                if let (true, Some(element)) = (self.keeps, self.open.last_mut()) {
+                if let (true, Some(element)) = (self.keeping, self.open_elements.last_mut()) {
                     element.text.push_str(&text);
                 }
                 Ok(None)
@@ -502,24 +518,24 @@
     }
 }
 
-/// Whether a text has no control character that XML forbids.
-pub(super) fn plain(text: &[u8]) -> bool {
+/// Whether a text is free of the control characters that XML forbids.
+pub(super) fn has_no_control_chars(text: &[u8]) -> bool {
     !text.iter().fold(false, |bad, &b| {
         bad | (b < b' ' && b != b'\t' && b != b'\n' && b != b'\r')
     })
 }
 
-/// Whether a text has none of the two characters beyond control characters that XML forbids.
-pub(super) fn allowed(text: &str) -> bool {
+/// Whether a text is free of the other two characters that XML forbids, U+FFFE and U+FFFF.
+pub(super) fn has_no_noncharacters(text: &str) -> bool {
     memchr::memchr(0xef, text.as_bytes()).is_none() || !text.contains(['\u{fffe}', '\u{ffff}'])
 }
 
-/// The stream error that a fault of the XML is answered with.
-fn condition(e: &rxml::Error) -> Condition {
+/// The stream error condition for an error of the parser.
+fn condition_for(e: &rxml::Error) -> Condition {
     match e {
         rxml::Error::RestrictedXml(what) if what.contains("long") => Condition::PolicyViolation,
         rxml::Error::RestrictedXml(_) | rxml::Error::UndeclaredEntity => Condition::RestrictedXml,
-        // `<!` and neither CDATA nor a comment: a DTD.
+        // `<!` that begins neither CDATA nor a comment: a DTD.
         rxml::Error::InvalidSyntax(what) if what.contains("section start") => {
             Condition::RestrictedXml
         }
@@ -527,28 +543,28 @@
     }
 }
 
-/// The tag of a header as it is written, and the default namespace that it declares. `rxml` resolves names and
-/// keeps neither.
-fn declared(mut head: &[u8], token: usize) -> (String, Option<String>) {
+/// The qualified name of a header's tag as received, and the default namespace that it declares.
+/// `rxml` resolves names and keeps neither.
+fn header_declarations(mut header: &[u8], token: usize) -> (String, Option<String>) {
     let options = Options {
         max_token_length: token,
         ..Options::default()
     };
     let mut parser = RawParser::with_options(options);
-    let (mut tag, mut content) = (String::new(), None);
-    while let Ok(Some(event)) = parser.parse(&mut head, false) {
+    let (mut tag, mut default_namespace) = (String::new(), None);
+    while let Ok(Some(event)) = parser.parse(&mut header, false) {
         match event {
             RawEvent::ElementHeadOpen(_, (prefix, name)) => {
                 tag = prefix.map(|p| format!("{p}:")).unwrap_or_default() + &name;
             }
             RawEvent::Attribute(_, (None, name), value) if name.as_str() == "xmlns" => {
-                content = Some(value)
+                default_namespace = Some(value)
             }
             RawEvent::ElementHeadClose(_) => break,
             _ => {}
         }
     }
-    (tag, content)
+    (tag, default_namespace)
 }
 
 #[cfg(test)]
@@ -558,23 +574,23 @@
     const HEADER: &str = "<?xml version='1.0'?><stream:stream xmlns='jabber:client' \
         xmlns:stream='http://etherx.jabber.org/streams' to='a.example' version='1.0'>";
 
-    /// All units of a text that comes in pieces of that many bytes, each with the offset of its end.
+    /// All units of a text that arrives in chunks of `step` bytes, each with the offset of its end.
     fn units(text: &[u8], step: usize, bounds: Bounds) -> Result<Vec<(usize, Unit)>, Condition> {
         let (mut framer, mut units, mut at) = (Framer::new(bounds, true), Vec::new(), 0);
-        for piece in text.chunks(step.max(1)) {
-            let mut piece = piece;
-            while !piece.is_empty() {
-                let (n, unit) = framer.feed(piece)?;
+        for chunk in text.chunks(step.max(1)) {
+            let mut chunk = chunk;
+            while !chunk.is_empty() {
+                let (n, unit) = framer.feed(chunk)?;
                 at += n;
                 units.extend(unit.map(|unit| (at, unit)));
-                piece = &piece[n..];
+                chunk = &chunk[n..];
             }
         }
         Ok(units)
     }
 
     #[test]
-    fn units_end_at_the_same_bytes_however_the_stream_is_cut() {
+    fn units_end_at_the_same_bytes_for_every_split_of_the_stream() {
         let text = format!(
             "{HEADER} \n<message to='b'><body>x &lt; y<![CDATA[</message>]]></body></message><r xmlns='{NS_SM}'/>\
              <iq id='é'><a><b c=\">\"/></a></iq></stream:stream>"
@@ -590,19 +606,19 @@
         ] {
             assert!(
                 ends.iter().any(|e| e.ends_with(end)),
-                "nothing ends behind {end}: {ends:?}"
+                "no unit ends after {end}: {ends:?}"
             );
         }
-        let solid = |all: Vec<(usize, Unit)>| -> Vec<(usize, Unit)> {
+        let without_whitespace = |all: Vec<(usize, Unit)>| -> Vec<(usize, Unit)> {
             all.into_iter()
                 .filter(|(_, unit)| *unit != Unit::Whitespace)
                 .collect()
         };
-        let whole = solid(whole);
+        let whole = without_whitespace(whole);
         assert_eq!(whole.len(), 5);
         for step in 1..text.len() {
             let cut = units(text.as_bytes(), step, Bounds::default()).unwrap();
-            assert_eq!(solid(cut), whole, "pieces of {step} bytes");
+            assert_eq!(without_whitespace(cut), whole, "chunks of {step} bytes");
         }
         let (_, Unit::Header(header)) = &whole[0] else {
             panic!()
@@ -619,19 +635,19 @@
     }
 
     #[test]
-    fn what_streams_may_not_have_is_named() {
+    fn input_that_streams_may_not_have_is_refused_with_its_condition() {
         let deep = "<a>".repeat(100);
         let wide: String = (0..100).map(|n| format!(" a{n}=''")).collect();
         let long = format!("<a b='{}", "x".repeat(9_000));
         let text = format!("<a>{}", "x".repeat(300 * 1024));
-        let laughs = "<!DOCTYPE a [<!ENTITY b 'ha'>]>";
+        let entity_bomb = "<!DOCTYPE a [<!ENTITY b 'ha'>]>";
         use Condition::*;
         let cases: &[(&str, &str, Condition)] = &[
             (HEADER, "<!-- a -->", RestrictedXml),
             (HEADER, "<?php ?>", RestrictedXml),
             (HEADER, "<a>&lol;</a>", RestrictedXml),
-            ("", laughs, RestrictedXml),
-            (HEADER, laughs, RestrictedXml),
+            ("", entity_bomb, RestrictedXml),
+            (HEADER, entity_bomb, RestrictedXml),
             (HEADER, "<a><b></a>", NotWellFormed),
             (HEADER, "text", NotWellFormed),
             (HEADER, "<a b='\0'/>", NotWellFormed),
@@ -664,9 +680,9 @@
         }
     }
 
-    /// Text that passes the parser by is judged as the parser would.
+    /// Text that skips the parser must be accepted and refused as by the parser.
     #[test]
-    fn plain_text_is_held_to_the_same_rules() {
+    fn text_that_skips_the_parser_is_held_to_the_same_rules() {
         let read = |text: &str, tail: &[u8], keep: bool, step: usize| {
             let all = [HEADER.as_bytes(), text.as_bytes(), tail].concat();
             let (mut framer, mut ends, mut at) =
@@ -700,25 +716,25 @@
             ("<a>x<!-- --></a>", b""),
         ];
         for (text, tail) in cases {
-            let judged = read(text, tail, true, 1 << 20);
+            let by_parser = read(text, tail, true, 1 << 20);
             for step in 1..40 {
                 assert_eq!(
                     read(text, tail, false, step),
-                    judged,
-                    "{text} {tail:?} in pieces of {step}"
+                    by_parser,
+                    "{text} {tail:?} in chunks of {step} bytes"
                 );
             }
         }
     }
 
-    /// An attribute of 60 MB is refused long before it has come.
+    /// An attribute of 60 MB is refused long before all of it has arrived.
     #[test]
-    fn nothing_large_is_held_before_it_is_refused() {
+    fn nothing_large_is_buffered_before_it_is_refused() {
         let mut framer = Framer::new(Bounds::default(), false);
         assert!(framer.feed(HEADER.as_bytes()).is_ok() && framer.feed(b"<a b='").is_ok());
-        let piece = [b'x'; 1024];
+        let chunk = [b'x'; 1024];
         let taken = (0..60 * 1024)
-            .take_while(|_| framer.feed(&piece).is_ok())
+            .take_while(|_| framer.feed(&chunk).is_ok())
             .count();
         assert!(taken <= 8, "{taken} KiB");
         assert_eq!(framer.feed(b"'/>"), Err(Condition::PolicyViolation));
--- a/src/protocol/xmpp/jid.rs
+++ b/src/protocol/xmpp/jid.rs
@@ -1,60 +1,61 @@
-//! Addresses (RFC 6122), as far as placement needs them: two spellings of one bare JID must find one home. The
-//! relay grants nothing by an address; who may log in is the server's to say.
+//! JIDs (RFC 6122), as far as placement needs them: all spellings of one bare JID must have the
+//! same home. The relay grants no rights by a JID; the server authenticates the user.
 
 use std::fmt;
 
-/// The longest part of an address, in bytes.
-const LONGEST: usize = 1023;
+/// The longest part of a JID, in bytes (RFC 6122, 2.1).
+const MAX_PART_BYTES: usize = 1023;
 
-/// An address in its prepared form.
+/// A JID with its parts prepared by their stringprep profiles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Jid {
-    /// The local part; none in the address of a server.
+    /// The localpart; a server's JID has none.
     pub local: Option<String>,
-    /// The domain.
+    /// The domainpart.
     pub domain: String,
-    /// The resource.
+    /// The resourcepart, as received.
     pub resource: Option<String>,
 }
 
-fn bounded(part: &str) -> Option<&str> {
-    (!part.is_empty() && part.len() <= LONGEST).then_some(part)
+/// The part, if it is not empty and not too long.
+fn checked(part: &str) -> Option<&str> {
+    (!part.is_empty() && part.len() <= MAX_PART_BYTES).then_some(part)
 }
 
-/// A domain in its prepared form: lower case, without the final dot. Internationalised names are taken as they
-/// are written, ASCII or not, after `nameprep`.
-pub fn domain(text: &str) -> Option<String> {
-    let text = bounded(text.strip_suffix('.').unwrap_or(text))?;
+/// Prepares a domainpart: lower case, without the final dot. Internationalized names are kept in
+/// the form received, ASCII-compatible or Unicode, after `nameprep`.
+pub fn prepare_domain(text: &str) -> Option<String> {
+    let text = checked(text.strip_suffix('.').unwrap_or(text))?;
     let name = stringprep::nameprep(text).ok()?.to_lowercase();
-    let sound = |c: char| c.is_alphanumeric() || matches!(c, '.' | '-' | ':' | '[' | ']');
-    (bounded(&name).is_some() && name.chars().all(sound)).then_some(name)
+    let allowed = |c: char| c.is_alphanumeric() || matches!(c, '.' | '-' | ':' | '[' | ']');
+    (checked(&name).is_some() && name.chars().all(allowed)).then_some(name)
 }
 
-/// A local part in its prepared form.
-pub fn local(text: &str) -> Option<String> {
-    let name = stringprep::nodeprep(bounded(text)?).ok()?.into_owned();
-    bounded(&name).is_some().then_some(name)
+/// Prepares a localpart with `nodeprep`.
+pub fn prepare_local(text: &str) -> Option<String> {
+    let name = stringprep::nodeprep(checked(text)?).ok()?.into_owned();
+    checked(&name).is_some().then_some(name)
 }
 
 impl Jid {
-    /// Reads an address; none where it is no address.
+    /// Parses a JID; `None` if it is not valid.
     pub fn parse(text: &str) -> Option<Jid> {
         let (bare, resource) = match text.split_once('/') {
-            Some((bare, resource)) => (bare, Some(bounded(resource)?.to_string())),
+            Some((bare, resource)) => (bare, Some(checked(resource)?.to_string())),
             None => (text, None),
         };
-        let (name, host) = match bare.split_once('@') {
-            Some((name, host)) => (Some(local(name)?), host),
+        let (local, domain) = match bare.split_once('@') {
+            Some((local, domain)) => (Some(prepare_local(local)?), domain),
             None => (None, bare),
         };
         Some(Jid {
-            local: name,
-            domain: domain(host)?,
+            local,
+            domain: prepare_domain(domain)?,
             resource,
         })
     }
 
-    /// The address without its resource.
+    /// The bare JID: without the resourcepart.
     pub fn bare(&self) -> String {
         match &self.local {
             Some(local) => format!("{local}@{}", self.domain),
@@ -75,7 +76,7 @@
     use super::*;
 
     #[test]
-    fn one_person_has_one_bare_address_however_it_is_written() {
+    fn all_spellings_of_a_jid_have_one_bare_form() {
         for text in [
             "Ali.Site7@HAZRI1.example.org",
             "ali.site7@hazri1.example.org./Phone",
@@ -92,7 +93,7 @@
     }
 
     #[test]
-    fn what_is_no_address_is_refused() {
+    fn invalid_jids_are_refused() {
         let long = format!("{}@b", "x".repeat(1024));
         for text in [
             "", "@b", "a@", "a@b/", "a b@c", "a@b c", "a\"@b", "a@b<c", "/r", &long,
--- a/src/protocol/xmpp/mod.rs
+++ b/src/protocol/xmpp/mod.rs
@@ -1,10 +1,17 @@
-//! XMPP (RFC 6120) before the same decisions: a session is one request, placed by its bare address at the moment
-//! its client authenticates; SASL goes through to the placed server unchanged, and from the server's success on
-//! all bytes do. Whole stanzas only, both ways: neither side ever sees half of one.
+//! The XMPP front (RFC 6120), placed by the same decisions as the line protocol: a session is one
+//! request, with the client's bare JID as its key, placed when the client authenticates. The SASL
+//! exchange is forwarded to the chosen server unchanged, and after the server's `<success/>` all
+//! bytes are. Only whole stanzas are forwarded, so that neither side ever receives part of one.
 //!
-//! - [`client_negotiation`]: the client up to its `<auth/>`, STARTTLS and the restart of the stream included.
-//! - [`server_negotiation`]: one attempt, a stream of the relay's own to a server, up to the first answer to `<auth/>`.
-//! - [`stanza_forwarder`]: what passes then, and between which stanzas it may end.
+//! - [`client_negotiation`]: stream negotiation with the client up to its `<auth/>`, STARTTLS and
+//!   the stream restart included.
+//! - [`server_negotiation`]: one attempt: a stream of the relay to a server, up to the first reply
+//!   to `<auth/>`.
+//! - [`stanza_forwarder`]: forwarding after that, and the stanza boundaries at which a session may
+//!   end.
+//!
+//! [`frame`] finds the boundaries, and [`fast_path`] finds them sooner in plain stanzas. [`jid`]
+//! prepares addresses, and [`settings`] holds what the operator sets.
 
 pub mod client_negotiation;
 pub mod fast_path;
@@ -16,13 +23,13 @@
 
 use frame::{Condition, NS_CLIENT, NS_ERRORS, NS_STREAMS};
 
-/// The namespace of the relay's own words.
+/// The namespace of the relay's own elements.
 pub const NS_RELAY: &str = "urn:jaspermoor:relay:0";
-/// The tag of the streams that the relay opens.
-const TAG: &str = "stream:stream";
+/// The tag of the streams that the relay opens, with its prefix.
+const STREAM_TAG: &str = "stream:stream";
 
-/// A text as it may stand in an attribute.
-fn escaped(text: &str) -> String {
+/// Escapes a text for use in an attribute.
+fn escape(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for c in text.chars() {
         match c {
@@ -37,32 +44,34 @@
     out
 }
 
-/// A header of the relay's own, with these attributes.
-fn header(attributes: &[(&str, &str)]) -> String {
-    let mut text =
-        format!("<?xml version='1.0'?><{TAG} xmlns='{NS_CLIENT}' xmlns:stream='{NS_STREAMS}'");
+/// The relay's own stream header with these attributes.
+fn stream_header(attributes: &[(&str, &str)]) -> String {
+    let mut text = format!(
+        "<?xml version='1.0'?><{STREAM_TAG} xmlns='{NS_CLIENT}' xmlns:stream='{NS_STREAMS}'"
+    );
     for (name, value) in attributes {
-        text.push_str(&format!(" {name}='{}'", escaped(value)));
+        text.push_str(&format!(" {name}='{}'", escape(value)));
     }
     text + " version='1.0'>"
 }
 
-/// A stream error and the stream's end, as the stream's tag is written. `more` is what stands beside the
-/// condition.
-fn stream_error(tag: &str, condition: &str, value: &str, more: &str) -> String {
+/// A stream error and the closing tag of a stream whose tag is `tag` (RFC 6120, 4.9). `value` is
+/// the content of the condition's element, `more` an application-specific condition beside it.
+fn stream_error_with(tag: &str, condition: &str, value: &str, more: &str) -> String {
     let prefix = tag.strip_suffix(":stream").unwrap_or("stream");
-    // Valid also where the stream's own header has another prefix, or none.
-    let declared = if tag == TAG {
+    // Declared here because the peer's header may use another prefix, or none.
+    let declared = if tag == STREAM_TAG {
         String::new()
     } else {
         format!(" xmlns:{prefix}='{NS_STREAMS}'")
     };
-    let value = escaped(value);
+    let value = escape(value);
     format!(
         "<{prefix}:error{declared}><{condition} xmlns='{NS_ERRORS}'>{value}</{condition}>{more}</{prefix}:error></{tag}>"
     )
 }
 
-fn error(tag: &str, condition: Condition) -> String {
-    stream_error(tag, condition.name(), "", "")
+/// A stream error that has only a condition, and the closing tag.
+fn stream_error(tag: &str, condition: Condition) -> String {
+    stream_error_with(tag, condition.name(), "", "")
 }
--- a/src/protocol/xmpp/server_negotiation.rs
+++ b/src/protocol/xmpp/server_negotiation.rs
@@ -1,118 +1,124 @@
-//! One attempt: a stream of the relay's own to a server, up to the server's first answer to `<auth/>`.
+//! One attempt: stream negotiation of the relay with a server, up to the server's first reply to
+//! `<auth/>` (RFC 6120, 5.4 and 6.4).
 //!
-//! That answer, a challenge, a success or a failure, is what `UP` is on the line: the server has taken the
-//! session, and it alone can go on with it, since a challenge holds for the server that made it. All before the
-//! last byte of `<auth/>` never ran; what a server says in refusal at that point is its `BUSY`.
+//! That reply, a challenge, a success or a failure, corresponds to `UP` of the line protocol: the
+//! server has accepted the session, and only this server can continue it, since a challenge is
+//! valid only at the server that issued it. Before the last byte of `<auth/>` is sent nothing can
+//! have run; a refusal by the server up to its reply corresponds to `BUSY`.
 
 use super::frame::{Bounds, Condition, Element, Framer, Unit, NS_SASL, NS_STREAMS, NS_TLS};
-use super::header;
 use super::jid::Jid;
 use super::settings::{Security, XmppSettings};
 use super::stanza_forwarder::StanzaForwarder;
+use super::stream_header;
 use crate::decisions::api::{Micros, Outcome};
 use crate::protocol::buffer::Buffer;
 use crate::protocol::{AttemptAction, AttemptProtocol, Forwarder};
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
-    /// Nothing is said yet.
+enum State {
+    /// Nothing is sent yet.
     Start,
-    /// The server's header and features before TLS.
-    Clear,
-    /// `<proceed/>`.
-    Proceed,
-    /// TLS stands; nothing is said on it yet.
-    Secured,
-    /// The server's header and features.
-    Features,
-    /// The answer to `<auth/>`.
+    /// The first stream is open; waits for the server's header and its features with STARTTLS.
+    AwaitStartTlsFeature,
+    /// Waits for `<proceed/>`.
+    AwaitProceed,
+    /// TLS is established, or not needed; the stream for SASL is not open yet.
+    TlsEstablished,
+    /// The stream is open; waits for the server's header and its features with SASL.
+    AwaitSaslFeature,
+    /// Waits for the reply to `<auth/>`.
     AwaitSaslReply,
 }
 
-/// The machine of one attempt.
+/// The state machine of one attempt.
 pub struct ServerNegotiation {
-    terms: Arc<XmppSettings>,
+    settings: Arc<XmppSettings>,
     domain: String,
     from: String,
     auth: Vec<u8>,
-    at: At,
+    state: State,
     framer: Framer,
-    /// Bytes of the answer, which stays in the buffer: it is for the client.
-    answer: usize,
-    answered: Element,
+    /// The length of the reply to `<auth/>`, which stays in the buffer because it is for the
+    /// client.
+    sasl_reply_len: usize,
+    sasl_reply: Element,
 }
 
 impl ServerNegotiation {
-    /// An attempt at a session of that address, with this `<auth/>`.
+    /// An attempt at a session of this JID, with the client's `<auth/>`.
     pub fn new(
-        terms: Arc<XmppSettings>,
+        settings: Arc<XmppSettings>,
         domain: &str,
         from: &Jid,
         auth: Vec<u8>,
     ) -> ServerNegotiation {
-        let at = if terms.security == Security::Direct {
-            At::Start
+        let state = if settings.security == Security::Direct {
+            State::Start
         } else {
-            At::Secured
+            State::TlsEstablished
         };
-        let at = if terms.security == Security::StartTls {
-            At::Start
+        let state = if settings.security == Security::StartTls {
+            State::Start
         } else {
-            at
+            state
         };
         let (domain, from) = (domain.to_string(), from.bare());
         ServerNegotiation {
-            framer: fresh(&terms),
-            terms,
+            framer: new_framer(&settings),
+            settings,
             domain,
             from,
             auth,
-            at,
-            answer: 0,
-            answered: Element::default(),
+            state,
+            sasl_reply_len: 0,
+            sasl_reply: Element::default(),
         }
     }
 
-    fn hello(&mut self, at: At) -> AttemptAction {
-        self.at = at;
-        self.framer = fresh(&self.terms);
-        // In clear the address is nobody's business.
-        let from = (at == At::Features).then_some(("from", self.from.as_str()));
+    /// Opens a stream to the server.
+    fn open_stream(&mut self, state: State) -> AttemptAction {
+        self.state = state;
+        self.framer = new_framer(&self.settings);
+        // The JID is not sent before STARTTLS (RFC 6120, 4.7.1).
+        let from = (state == State::AwaitSaslFeature).then_some(("from", self.from.as_str()));
         let attributes: Vec<_> = from
             .into_iter()
             .chain([("to", self.domain.as_str())])
             .collect();
-        AttemptAction::Send(header(&attributes).into_bytes())
+        AttemptAction::Send(stream_header(&attributes).into_bytes())
     }
 
-    fn hear(&mut self, e: &Element) -> AttemptAction {
+    /// Handles an element from the server.
+    fn on_element(&mut self, e: &Element) -> AttemptAction {
         if e.is(NS_STREAMS, "error") {
-            return turned_away(e);
+            return attempt_outcome(e);
         }
-        match self.at {
-            At::Clear if e.is(NS_STREAMS, "features") => {
+        match self.state {
+            State::AwaitStartTlsFeature if e.is(NS_STREAMS, "features") => {
                 if e.child(NS_TLS, "starttls").is_none() {
                     return AttemptAction::UnexpectedReply(
-                        "a server that offers no STARTTLS".into(),
+                        "stream features without STARTTLS".into(),
                     );
                 }
-                self.at = At::Proceed;
+                self.state = State::AwaitProceed;
                 AttemptAction::Send(format!("<starttls xmlns='{NS_TLS}'/>").into_bytes())
             }
-            At::Proceed if e.is(NS_TLS, "proceed") => {
-                self.at = At::Secured;
+            State::AwaitProceed if e.is(NS_TLS, "proceed") => {
+                self.state = State::TlsEstablished;
                 AttemptAction::StartTls(self.domain.clone())
             }
-            At::Features if e.is(NS_STREAMS, "features") => {
+            State::AwaitSaslFeature if e.is(NS_STREAMS, "features") => {
                 if e.child(NS_SASL, "mechanisms").is_none() {
-                    return AttemptAction::UnexpectedReply("a server that offers no SASL".into());
+                    return AttemptAction::UnexpectedReply("stream features without SASL".into());
                 }
-                self.at = At::AwaitSaslReply;
+                self.state = State::AwaitSaslReply;
                 AttemptAction::SendRequest(self.auth.clone())
             }
-            At::AwaitSaslReply if e.ns == NS_SASL => match e.name.as_str() {
-                // "Try again later", RFC 6120, 6.5.13: the server did not look at it, so another may.
+            State::AwaitSaslReply if e.ns == NS_SASL => match e.name.as_str() {
+                // RFC 6120, 6.5.13: the server has not checked the credentials, so another server
+                // can.
                 "failure" if e.child(NS_SASL, "temporary-auth-failure").is_some() => {
                     AttemptAction::Failed(Outcome::Rejected, Vec::new())
                 }
@@ -124,8 +130,8 @@
     }
 }
 
-/// What a stream error says of an attempt.
-fn turned_away(e: &Element) -> AttemptAction {
+/// The outcome of an attempt that ends with a stream error (RFC 6120, 4.9.3).
+fn attempt_outcome(e: &Element) -> AttemptAction {
     let condition = e.children.first().map_or("", |c| c.name.as_str());
     match condition {
         "resource-constraint" | "system-shutdown" | "see-other-host" => {
@@ -135,12 +141,12 @@
     }
 }
 
-fn fresh(terms: &XmppSettings) -> Framer {
-    // Features are a list of anything; a server is trusted with as much as a stanza may have.
+fn new_framer(settings: &XmppSettings) -> Framer {
+    // Stream features can list anything, so a server may send as much as in a stanza.
     Framer::new(
         Bounds {
-            header: terms.bounds.header,
-            ..terms.bounds
+            header: settings.bounds.header,
+            ..settings.bounds
         },
         true,
     )
@@ -148,43 +154,43 @@
 
 impl AttemptProtocol for ServerNegotiation {
     fn next_action(&mut self, inbox: &mut Buffer, _left: Micros) -> AttemptAction {
-        match (self.at, self.terms.security) {
-            (At::Start, Security::Direct) => {
-                self.at = At::Secured;
+        match (self.state, self.settings.security) {
+            (State::Start, Security::Direct) => {
+                self.state = State::TlsEstablished;
                 return AttemptAction::StartTls(self.domain.clone());
             }
-            (At::Start, _) => return self.hello(At::Clear),
-            (At::Secured, _) => return self.hello(At::Features),
+            (State::Start, _) => return self.open_stream(State::AwaitStartTlsFeature),
+            (State::TlsEstablished, _) => return self.open_stream(State::AwaitSaslFeature),
             _ => {}
         }
         loop {
-            let (n, unit) = match self.framer.feed(&inbox.unread()[self.answer..]) {
+            let (n, unit) = match self.framer.feed(&inbox.unread()[self.sasl_reply_len..]) {
                 Ok(read) => read,
                 Err(condition) => return AttemptAction::UnexpectedReply(condition.name().into()),
             };
-            if self.at == At::AwaitSaslReply {
-                self.answer += n;
+            if self.state == State::AwaitSaslReply {
+                self.sasl_reply_len += n;
             } else {
                 inbox.consume(n);
             }
             let step = match unit {
                 None => return AttemptAction::Read,
                 Some(Unit::Whitespace | Unit::Header(_)) => {
-                    if self.at == At::AwaitSaslReply {
-                        // White space before the answer is for nobody.
-                        inbox.consume(std::mem::take(&mut self.answer));
+                    if self.state == State::AwaitSaslReply {
+                        // White space before the reply is not forwarded.
+                        inbox.consume(std::mem::take(&mut self.sasl_reply_len));
                     }
                     continue;
                 }
                 Some(Unit::End) => return AttemptAction::Failed(Outcome::Reset, Vec::new()),
                 Some(Unit::Element(e)) => {
-                    let step = self.hear(&e);
-                    self.answered = e;
+                    let step = self.on_element(&e);
+                    self.sasl_reply = e;
                     step
                 }
             };
             if matches!(step, AttemptAction::StartTls(_)) && !inbox.unread().is_empty() {
-                return AttemptAction::UnexpectedReply("clear text behind <proceed/>".into());
+                return AttemptAction::UnexpectedReply("clear text after <proceed/>".into());
             }
             return step;
         }
@@ -192,49 +198,51 @@
 
     fn into_forwarder(self: Box<Self>) -> Box<dyn Forwarder> {
         Box::new(StanzaForwarder::new(
-            self.terms,
+            self.settings,
             self.framer,
-            self.answer,
-            self.answered,
+            self.sasl_reply_len,
+            self.sasl_reply,
         ))
     }
 }
 
-/// The condition by which a session that was up is ended by its server: what it means for the decisions.
-pub(super) fn ended_by(condition: &str) -> (Outcome, &'static str) {
+/// The outcome and the reason of an established session that its server ends with this stream error
+/// condition.
+pub(super) fn session_outcome(condition: &str) -> (Outcome, &'static str) {
     match condition {
         "system-shutdown" | "see-other-host" | "resource-constraint" => {
             (Outcome::Cancelled, "sent-away")
         }
         c if c == Condition::InternalServerError.name() => (Outcome::Error, "server-error"),
-        // A second session of the same address, a policy, ...: the server has served it as it meant to.
+        // `conflict`, `policy-violation` and others: the server has served the session as it
+        // intended.
         _ => (Outcome::Success, "served"),
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::super::header;
+    use super::super::stream_header;
     use super::*;
 
     fn attempt(security: Security) -> ServerNegotiation {
-        let terms = Arc::new(XmppSettings {
+        let settings = Arc::new(XmppSettings {
             security,
             ..XmppSettings::default()
         });
         ServerNegotiation::new(
-            terms,
+            settings,
             "a.example",
             &Jid::parse("ali@a.example").unwrap(),
             b"<auth>x</auth>".to_vec(),
         )
     }
 
-    /// What an attempt says when its server says these, each in pieces of that many bytes.
+    /// The actions of an attempt whose server sends these inputs, each in chunks of `step` bytes.
     fn talk(security: Security, inputs: &[&str], step: usize) -> Vec<AttemptAction> {
         let (mut attempt, mut inbox, mut steps) =
             (attempt(security), Buffer::default(), Vec::new());
-        let mut go_on = |inbox: &mut Buffer| loop {
+        let mut advance = |inbox: &mut Buffer| loop {
             match attempt.next_action(inbox, 1_000) {
                 AttemptAction::Read => return false,
                 done @ (AttemptAction::Established
@@ -246,13 +254,13 @@
                 step => steps.push(step),
             }
         };
-        let mut over = go_on(&mut inbox);
+        let mut over = advance(&mut inbox);
         for input in inputs {
-            for mut piece in input.as_bytes().chunks(step) {
-                while !piece.is_empty() && !over {
-                    inbox.fill(&mut piece).unwrap();
+            for mut chunk in input.as_bytes().chunks(step) {
+                while !chunk.is_empty() && !over {
+                    inbox.fill(&mut chunk).unwrap();
                 }
-                over = over || go_on(&mut inbox);
+                over = over || advance(&mut inbox);
             }
         }
         steps
@@ -273,20 +281,20 @@
     }
 
     #[test]
-    fn auth_goes_out_once_the_server_offers_sasl_and_its_first_answer_is_up() {
-        let head = header(&[("id", "7")]);
+    fn auth_is_sent_once_sasl_is_offered_and_its_first_reply_establishes_the_session() {
+        let head = stream_header(&[("id", "7")]);
         let challenge = sasl("challenge|eA==</challenge>");
         for step in 1..head.len() {
             let steps = talk(Security::Plain, &[&head, OFFER, " ", &challenge], step);
-            let [AttemptAction::Send(hello), AttemptAction::SendRequest(auth), AttemptAction::Established] =
+            let [AttemptAction::Send(header), AttemptAction::SendRequest(auth), AttemptAction::Established] =
                 &steps[..]
             else {
                 panic!("{steps:?}")
             };
-            let hello = String::from_utf8(hello.clone()).unwrap();
+            let header = String::from_utf8(header.clone()).unwrap();
             assert!(
-                hello.contains(" to='a.example'") && hello.contains(" from='ali@a.example'"),
-                "{hello}"
+                header.contains(" to='a.example'") && header.contains(" from='ali@a.example'"),
+                "{header}"
             );
             assert_eq!(auth, b"<auth>x</auth>");
         }
@@ -317,9 +325,9 @@
     }
 
     #[test]
-    fn only_a_server_s_own_refusal_counts_as_never_run() {
-        let head = header(&[]);
-        let error = |c: &str| super::super::stream_error("stream:stream", c, "", "");
+    fn only_a_refusal_by_the_server_is_a_rejection() {
+        let head = stream_header(&[]);
+        let error = |c: &str| super::super::stream_error_with("stream:stream", c, "", "");
         let (full, later, wrong) = (
             AttemptAction::Failed(Outcome::Rejected, Vec::new()),
             sasl("failure|<temporary-auth-failure/></failure>"),
@@ -349,7 +357,7 @@
             ),
             (
                 vec![head.clone() + TLS],
-                AttemptAction::UnexpectedReply("a server that offers no SASL".into()),
+                AttemptAction::UnexpectedReply("stream features without SASL".into()),
             ),
             (
                 vec![head.clone() + "<!-- -->"],
@@ -369,7 +377,11 @@
             );
         }
         let behind = format!("{PROCEED}<message/>");
-        let steps = talk(Security::StartTls, &[&header(&[]), TLS, &behind], 4096);
+        let steps = talk(
+            Security::StartTls,
+            &[&stream_header(&[]), TLS, &behind],
+            4096,
+        );
         assert!(
             matches!(steps.last(), Some(AttemptAction::UnexpectedReply(_))),
             "{steps:?}"
--- a/src/protocol/xmpp/settings.rs
+++ b/src/protocol/xmpp/settings.rs
@@ -1,5 +1,5 @@
-//! What an install says of its XMPP front: domains, classes, bounds and times. Read-only while a stream lives:
-//! one that was admitted under these goes on under them.
+//! The settings of the XMPP front in an operator file: domains, classes, bounds and timeouts. A
+//! stream keeps the settings under which it was admitted.
 
 use super::frame::Bounds;
 use super::jid::{self, Jid};
@@ -8,28 +8,28 @@
 use crate::config::Classes;
 use crate::decisions::api::{Micros, Request, SECOND};
 
-/// What a session's group is: the sessions of one group are kept together, since a server pays for each group
-/// that it holds any of.
+/// How a session's group is chosen. The sessions of one group are kept together, because a server
+/// has a cost for each group of which it holds any session.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Group {
-    /// The domain.
+    /// The domain is the group.
     #[default]
     Domain,
-    /// None: each session has a home of its own.
+    /// No group: each session has its own home.
     None,
-    /// The part of the local part behind the last of these, such as the site in `ali.site7`; the whole of it
-    /// where there is none.
+    /// The part of the localpart after the last such character, for example the site in
+    /// `ali.site7`; all of it if there is no such character.
     LocalAfter(char),
-    /// The part of the local part before the first of these.
+    /// The part of the localpart before the first such character.
     LocalBefore(char),
 }
 
-/// A pattern of texts: `*` stands for any run of characters.
+/// A pattern in which `*` matches any number of characters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern(pub String);
 
 impl Pattern {
-    /// Whether a text is of this pattern.
+    /// Whether the whole text matches.
     pub fn matches(&self, text: &str) -> bool {
         let mut parts = self.0.split('*');
         let first = parts.next().unwrap_or_default();
@@ -50,19 +50,18 @@
     }
 }
 
-/// Which class the sessions of some addresses have, and how long their clients wait. The first rule that fits
-/// counts.
+/// The class and the deadline of the sessions of some JIDs. The first rule that matches applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassRule {
-    /// The domain; any where none is named.
+    /// The domainpart; any if not set.
     pub domain: Option<String>,
-    /// The local part.
+    /// The localpart; any if not set.
     pub local: Option<Pattern>,
-    /// The resource, where the client names one in its header.
+    /// The resourcepart, if the client names one in its stream header; any if not set.
     pub resource: Option<Pattern>,
-    /// The class.
+    /// The name of the class.
     pub class: String,
-    /// How long the client waits; the class's own time where none is said.
+    /// The deadline of the request; that of the class if not set.
     pub deadline: Option<Micros>,
 }
 
@@ -79,42 +78,44 @@
     }
 }
 
-/// How servers are spoken to.
+/// How connections to servers are secured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Security {
-    /// In clear, inside a network that is trusted.
+    /// Not at all: for servers within a trusted network.
     #[default]
     Plain,
-    /// TLS after STARTTLS; a server that does not offer it gets nothing.
+    /// STARTTLS; nothing else is sent to a server that does not offer it.
     StartTls,
-    /// TLS from the first byte.
+    /// TLS from the first byte (XEP-0368).
     Direct,
 }
 
-/// The terms of the XMPP front.
+/// The settings of the XMPP front.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct XmppSettings {
-    /// The domains served, in their prepared form.
+    /// The domains served, in prepared form.
     pub domains: Vec<String>,
-    /// The mechanisms offered, the preferred one first.
+    /// The SASL mechanisms offered, the preferred one first.
     pub mechanisms: Vec<String>,
-    /// Bounds of what is read.
+    /// Bounds of the streams read.
     pub bounds: Bounds,
-    /// The longest time for one step of negotiation.
+    /// The longest wait for one step of a client's stream negotiation.
     pub step_timeout: Micros,
-    /// The longest time for all steps up to the request.
+    /// The longest time for a client's whole stream negotiation.
     pub negotiation_timeout: Micros,
-    /// How long a server that drains may take to finish what it sends, once its session is to be moved.
+    /// How long a server may take to finish its output before its session migrates.
     pub finish_timeout: Micros,
-    /// A server that leaves a request for acknowledgement (XEP-0198) unanswered for so long is lost.
-    pub ack_timeout: Micros,
-    /// What a session's group is.
+    /// A server is lost that leaves a request for acknowledgement (`<r/>`, XEP-0198), a SASL
+    /// response or a stream header unanswered for longer.
+    pub response_timeout: Micros,
+    /// How a session's group is chosen.
     pub group: Group,
-    /// Classes and deadlines.
+    /// Classes and deadlines of sessions.
     pub class_rules: Vec<ClassRule>,
-    /// How servers are spoken to.
+    /// How connections to servers are secured.
     pub security: Security,
-    /// Where a client that is moved is to go in place of coming again by itself.
+    /// The host in the `<see-other-host/>` that a client gets at a migration, in place of
+    /// `<system-shutdown/>`.
     pub see_other_host: Option<String>,
 }
 
@@ -129,7 +130,7 @@
             step_timeout: 5 * SECOND,
             negotiation_timeout: 15 * SECOND,
             finish_timeout: SECOND / 2,
-            ack_timeout: 10 * SECOND,
+            response_timeout: 10 * SECOND,
             group: Group::Domain,
             class_rules: Vec::new(),
             security: Security::Plain,
@@ -138,8 +139,8 @@
     }
 }
 
-/// A number of the file's, within its bounds.
-fn within(
+/// A number of the operator file, checked against its range.
+fn check_range(
     file: &OperatorFile,
     key: &str,
     set: Option<u64>,
@@ -155,74 +156,78 @@
     }
 }
 
-/// Mechanisms whose credentials go through unchanged where TLS ends here: none that binds to the channel.
-const MECHANISMS: [&str; 3] = ["SCRAM-SHA-256", "SCRAM-SHA-1", "PLAIN"];
+/// Mechanisms whose credentials can be forwarded unchanged although TLS ends at the relay: none
+/// with channel binding.
+const SUPPORTED_MECHANISMS: [&str; 3] = ["SCRAM-SHA-256", "SCRAM-SHA-1", "PLAIN"];
 
 impl XmppSettings {
-    /// The terms that `[xmpp]` sets, checked; `classes` are those of the platform's settings.
+    /// Checks `[xmpp]` of an operator file; `classes` are those of the platform's settings.
     pub fn from_operator_file(
         file: &OperatorFile,
         x: &Xmpp,
         classes: &Classes,
     ) -> Result<XmppSettings, OperatorError> {
-        let mut terms = XmppSettings::default();
+        let mut settings = XmppSettings::default();
         let error = |key: &str, what: String| Err(file.error(&format!("xmpp.{key}"), what));
         if x.listen.is_none() && x.listen_tls.is_none() {
             return error(
                 "listen",
-                "nothing is listened at: neither listen nor listen_tls is set".into(),
+                "there is no address to listen on: neither listen nor listen_tls is set".into(),
             );
         }
         for (n, domain) in x.domain.iter().enumerate() {
-            match jid::domain(&domain.name) {
+            match jid::prepare_domain(&domain.name) {
                 None => {
                     return error(
                         &format!("domain[{n}].name"),
                         format!("'{}' is no domain", domain.name),
                     )
                 }
-                Some(name) if terms.domains.contains(&name) => {
+                Some(name) if settings.domains.contains(&name) => {
                     return error(
                         &format!("domain[{n}].name"),
                         format!("'{name}' is there twice"),
                     )
                 }
-                Some(name) => terms.domains.push(name),
+                Some(name) => settings.domains.push(name),
             }
         }
-        if terms.domains.is_empty() {
+        if settings.domains.is_empty() {
             return error("domain", "no domain is served".into());
         }
         if let Some(list) = &x.mechanisms {
-            if let Some(other) = list.iter().find(|m| !MECHANISMS.contains(&m.as_str())) {
-                let known = MECHANISMS.join(", ");
+            if let Some(other) = list
+                .iter()
+                .find(|m| !SUPPORTED_MECHANISMS.contains(&m.as_str()))
+            {
+                let known = SUPPORTED_MECHANISMS.join(", ");
                 return error(
                     "mechanisms",
-                    format!("'{other}' cannot go through here; {known} can"),
+                    format!("'{other}' cannot be forwarded; the mechanisms {known} can"),
                 );
             }
             if list.is_empty() {
                 return error("mechanisms", "is empty: nobody could log in".into());
             }
-            terms.mechanisms.clone_from(list);
+            settings.mechanisms.clone_from(list);
         }
-        let one = |text: &str| {
+        let separator = |text: &str| {
             let mut chars = text.chars();
             chars
                 .next()
                 .filter(|c| chars.next().is_none() && !c.is_whitespace() && !c.is_alphanumeric())
         };
-        terms.group = match x.group.split_once(':') {
+        settings.group = match x.group.split_once(':') {
             None if x.group == "domain" => Group::Domain,
             None if x.group == "none" => Group::None,
-            Some(("local-after", c)) if one(c).is_some() => {
-                Group::LocalAfter(one(c).unwrap_or('.'))
+            Some(("local-after", c)) if separator(c).is_some() => {
+                Group::LocalAfter(separator(c).unwrap_or('.'))
             }
-            Some(("local-before", c)) if one(c).is_some() => {
-                Group::LocalBefore(one(c).unwrap_or('.'))
+            Some(("local-before", c)) if separator(c).is_some() => {
+                Group::LocalBefore(separator(c).unwrap_or('.'))
             }
             _ => {
-                let known = "domain, none, local-after:C or local-before:C with one sign for C";
+                let known = "domain, none, local-after:C or local-before:C with one punctuation character for C";
                 return error("group", format!("'{}' is none of {known}", x.group));
             }
         };
@@ -240,23 +245,24 @@
                     format!("'{}' is none of {known}", rule.class),
                 );
             }
-            let domain = rule.domain.as_deref().map(jid::domain);
+            let domain = rule.domain.as_deref().map(jid::prepare_domain);
             if domain
                 .as_ref()
-                .is_some_and(|d| d.as_ref().is_none_or(|d| !terms.domains.contains(d)))
+                .is_some_and(|d| d.as_ref().is_none_or(|d| !settings.domains.contains(d)))
             {
                 return error(
                     &format!("class[{n}].domain"),
-                    "is no domain that is served here".into(),
+                    "is none of the domains served".into(),
                 );
             }
             let key = format!("class[{n}].deadline_ms");
-            terms.class_rules.push(ClassRule {
+            settings.class_rules.push(ClassRule {
                 domain: domain.flatten(),
                 local: rule.local.clone().map(Pattern),
                 resource: rule.resource.clone().map(Pattern),
                 class: rule.class.clone(),
-                deadline: within(file, &key, rule.deadline_ms, 1, 3_600_000)?.map(|ms| ms * 1_000),
+                deadline: check_range(file, &key, rule.deadline_ms, 1, 3_600_000)?
+                    .map(|ms| ms * 1_000),
             });
         }
         let last = x.class.len() - 1;
@@ -266,7 +272,7 @@
             return error(&format!("class[{last}]"), what.into());
         }
         let bound = |key: &str, set: Option<usize>, default: usize, least: u64, most: u64| {
-            let set = within(
+            let set = check_range(
                 file,
                 &format!("limits.{key}"),
                 set.map(|n| n as u64),
@@ -276,9 +282,9 @@
             Ok::<usize, OperatorError>(set.map_or(default, |n| n as usize))
         };
         let d = Bounds::default();
-        terms.bounds = Bounds {
+        settings.bounds = Bounds {
             header: bound("header_bytes", x.limits.header_bytes, d.header, 512, 65_536)?,
-            // RFC 6120, 13.12: no less than 10,000 bytes may be refused.
+            // RFC 6120, 13.12: stanzas of up to 10,000 bytes must be accepted.
             stanza: bound(
                 "stanza_bytes",
                 x.limits.stanza_bytes,
@@ -291,28 +297,38 @@
             attributes: bound("attributes", x.limits.attributes, d.attributes, 4, 1_024)?,
         };
         let time = |key: &str, set: Option<u64>, default: Micros, most: u64| {
-            let set = within(file, &format!("times.{key}"), set, 10, most)?;
+            let set = check_range(file, &format!("times.{key}"), set, 10, most)?;
             Ok::<Micros, OperatorError>(set.map_or(default, |ms| ms * 1_000))
         };
-        terms.step_timeout = time("step_ms", x.times.step_ms, terms.step_timeout, 120_000)?;
-        terms.negotiation_timeout = time(
+        settings.step_timeout = time("step_ms", x.times.step_ms, settings.step_timeout, 120_000)?;
+        settings.negotiation_timeout = time(
             "negotiation_ms",
             x.times.negotiation_ms,
-            terms.negotiation_timeout,
+            settings.negotiation_timeout,
+            600_000,
+        )?;
+        settings.finish_timeout = time(
+            "finish_ms",
+            x.times.finish_ms,
+            settings.finish_timeout,
+            60_000,
+        )?;
+        settings.response_timeout = time(
+            "silent_ms",
+            x.times.silent_ms,
+            settings.response_timeout,
             600_000,
         )?;
-        terms.finish_timeout = time("finish_ms", x.times.finish_ms, terms.finish_timeout, 60_000)?;
-        terms.ack_timeout = time("silent_ms", x.times.silent_ms, terms.ack_timeout, 600_000)?;
-        terms.security = match x.servers.security {
+        settings.security = match x.servers.security {
             operator::Security::Plain => Security::Plain,
             operator::Security::StartTls => Security::StartTls,
             operator::Security::Tls => Security::Direct,
         };
-        terms.see_other_host.clone_from(&x.see_other_host);
-        Ok(terms)
+        settings.see_other_host.clone_from(&x.see_other_host);
+        Ok(settings)
     }
 
-    /// The request of that address; none where its class is not in force.
+    /// The request of a session of this JID; `None` if its class is not in force.
     pub fn request(&self, jid: &Jid, classes: &Classes) -> Option<Request> {
         let rule = self.class_rules.iter().find(|rule| rule.matches(jid))?;
         let class = classes.find(&rule.class)?;
@@ -320,7 +336,7 @@
         let group = match self.group {
             Group::None => None,
             Group::Domain => Some(jid.domain.clone()),
-            // One site of two domains is two groups.
+            // The same site in two domains is two groups.
             Group::LocalAfter(c) => Some(format!("{}@{}", local.rsplit(c).next()?, jid.domain)),
             Group::LocalBefore(c) => Some(format!("{}@{}", local.split(c).next()?, jid.domain)),
         };
@@ -342,8 +358,8 @@
     use super::*;
 
     #[test]
-    fn patterns_fit_whole_texts() {
-        for (pattern, text, fits) in [
+    fn patterns_match_whole_texts() {
+        for (pattern, text, matches) in [
             ("phone-*", "phone-7", true),
             ("phone-*", "a phone-7", false),
             ("*", "", true),
@@ -355,14 +371,14 @@
         ] {
             assert_eq!(
                 Pattern(pattern.into()).matches(text),
-                fits,
+                matches,
                 "{pattern} {text}"
             );
         }
     }
 
     #[test]
-    fn the_first_rule_that_fits_gives_class_and_deadline() {
+    fn the_first_rule_that_matches_gives_class_and_deadline() {
         let classes = Classes::new([
             ("view".to_string(), 3_000_000),
             ("fix".to_string(), 1_800_000),
@@ -375,7 +391,7 @@
                 class: class.into(),
                 deadline,
             };
-        let terms = XmppSettings {
+        let settings = XmppSettings {
             class_rules: vec![
                 rule(Some("b.example"), None, "none", None),
                 rule(None, Some("fix*"), "fix", Some(900_000)),
@@ -384,7 +400,7 @@
             group: Group::LocalAfter('.'),
             ..XmppSettings::default()
         };
-        let request = |jid: &str| terms.request(&Jid::parse(jid).unwrap(), &classes);
+        let request = |jid: &str| settings.request(&Jid::parse(jid).unwrap(), &classes);
         let (one, two) = (
             request("ali.site7@a.example/fix1").unwrap(),
             request("zia.site7@A.example").unwrap(),
@@ -394,7 +410,7 @@
         assert_eq!(one.group, two.group);
         assert_ne!(one.client_key, two.client_key);
         assert_ne!(request("ali.site7@c.example").unwrap().group, one.group);
-        // A class that the settings do not have.
+        // A class that is not in force.
         assert_eq!(request("ali@b.example"), None);
     }
 }
--- a/src/protocol/xmpp/stanza_forwarder.rs
+++ b/src/protocol/xmpp/stanza_forwarder.rs
@@ -1,14 +1,16 @@
-//! A session that its server has taken: the rest of SASL, then all bytes as they are, whole stanzas only.
+//! A session that its server has accepted: forwards the rest of the SASL exchange, then all bytes
+//! unchanged, in whole stanzas only.
 //!
-//! Guards against: half a stanza at a client or a server; a session with two final answers, or none; a stanza of
-//! a client's that it believes lost while the server has it. Before a session is moved the server is asked for
-//! its count (XEP-0198) and then told that the stream ends: it finishes what it sends and ends its own, so that
-//! nothing on its way to the client is lost, and a client that counts knows to the stanza what has arrived.
+//! Guards against: part of a stanza at a client or a server; a session with two final answers, or
+//! none; a stanza that the client believes lost although the server has it. Before a session
+//! migrates, the server gets a request for acknowledgement (`<r/>`, XEP-0198) and then the closing
+//! stream tag. It finishes its output and closes its stream, so that nothing in flight to the
+//! client is lost, and a client with stream management knows which of its stanzas have arrived.
 
 use super::frame::{Bounds, Condition, Element, Framer, Unit, NS_SASL, NS_SM, NS_STREAMS};
-use super::server_negotiation::ended_by;
+use super::server_negotiation::session_outcome;
 use super::settings::XmppSettings;
-use super::{error, header, stream_error, NS_RELAY, TAG};
+use super::{stream_error, stream_error_with, stream_header, NS_RELAY, STREAM_TAG};
 use crate::decisions::api::{Micros, Outcome};
 use crate::protocol::{
     BackendEvent, CloseReason, Forwardable, Forwarder, FrontSettings, MigrationReadiness,
@@ -17,103 +19,108 @@
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
-    /// The server has not said whether the client may come in.
+enum State {
+    /// The SASL exchange: the client has no final answer yet.
     Sasl,
-    /// It may; both open a new stream.
+    /// SASL has succeeded; both sides restart the stream (RFC 6120, 6.4.6).
     Open,
-    /// The relay has ended the stream to the server, which finishes.
+    /// The relay has closed its stream to the server, and the server finishes its output.
     ServerFinishing,
-    /// Nothing more may go on.
+    /// Nothing more is forwarded.
     Closed,
 }
 
-/// What passes between a client and its server.
+/// Forwards stanzas between a client and its server.
 pub struct StanzaForwarder {
-    terms: Arc<XmppSettings>,
-    stage: Stage,
-    up: Framer,
-    down: Framer,
-    /// How many bytes behind those let through the framers have read already.
-    up_read: usize,
-    down_read: usize,
-    /// The server's first answer, which its attempt has read: how many bytes, and what.
-    first: Option<(usize, Element)>,
-    /// Whether something of the server's was held back: nothing behind it goes on.
-    held: bool,
-    /// The tags of both streams as they are written; none before their headers have passed.
-    up_tag: Option<String>,
-    down_tag: Option<String>,
-    /// Whether the client counts stanzas (XEP-0198).
-    counts: bool,
+    settings: Arc<XmppSettings>,
+    state: State,
+    client_framer: Framer,
+    server_framer: Framer,
+    /// How many bytes after those allowed to be forwarded the framers have read already.
+    client_framed: usize,
+    server_framed: usize,
+    /// The server's first reply to `<auth/>`, which the attempt has read: its length and the
+    /// element.
+    sasl_reply: Option<(usize, Element)>,
+    /// Whether a unit from the server was withheld: nothing after it is forwarded.
+    withheld: bool,
+    /// The qualified names of both streams' tags; `None` until the header of the restarted stream
+    /// is forwarded.
+    client_tag: Option<String>,
+    server_tag: Option<String>,
+    /// Whether stream management is enabled (XEP-0198).
+    acks_enabled: bool,
 }
 
 impl StanzaForwarder {
-    /// Behind an attempt: its framer of the server's stream, and the server's first answer, whose bytes are the
-    /// first that [`Forwarder::down`] is given.
+    /// Continues an attempt with its framer of the server's stream and the server's first reply to
+    /// `<auth/>`. The bytes of the reply are the first that [`Forwarder::on_backend_data`] gets.
     pub fn new(
-        terms: Arc<XmppSettings>,
-        down: Framer,
-        bytes: usize,
-        answer: Element,
+        settings: Arc<XmppSettings>,
+        server_framer: Framer,
+        reply_len: usize,
+        reply: Element,
     ) -> StanzaForwarder {
-        // The client's stream stands; it goes on with elements below a header of the same form.
-        let mut up = Framer::new(
+        // The client's stream is already open: the framer gets a header of the same form, then the
+        // elements.
+        let mut client_framer = Framer::new(
             Bounds {
                 stanza: 10_000,
-                ..terms.bounds
+                ..settings.bounds
             },
             true,
         );
-        let _ = up.feed(header(&[]).as_bytes());
+        let _ = client_framer.feed(stream_header(&[]).as_bytes());
         StanzaForwarder {
-            terms,
-            stage: Stage::Sasl,
-            up,
-            down,
-            up_read: 0,
-            down_read: 0,
-            first: Some((bytes, answer)),
-            held: false,
-            up_tag: None,
-            down_tag: None,
-            counts: false,
+            settings,
+            state: State::Sasl,
+            client_framer,
+            server_framer,
+            client_framed: 0,
+            server_framed: 0,
+            sasl_reply: Some((reply_len, reply)),
+            withheld: false,
+            client_tag: None,
+            server_tag: None,
+            acks_enabled: false,
         }
     }
 
-    fn fault(&self, condition: Condition, description: &'static str) -> ProtocolViolation {
-        let words = self.with_header(|tag| error(tag, condition));
+    fn violation(&self, condition: Condition, description: &'static str) -> ProtocolViolation {
+        let message = self.within_stream(|tag| stream_error(tag, condition));
         ProtocolViolation {
             description,
             reason: condition.reason(),
-            closing_message: words.into_bytes(),
+            closing_message: message.into_bytes(),
         }
     }
 
-    /// Words in the client's stream. Between the success and the server's header none stands: words need one.
-    fn with_header(&self, words: impl Fn(&str) -> String) -> String {
-        match (&self.down_tag, self.stage) {
-            (Some(tag), _) => words(tag),
-            (None, Stage::Sasl) => words(TAG),
-            (None, _) => header(&[]) + &words(TAG),
+    /// A message within the client's stream. Between `<success/>` and the server's header no stream
+    /// is open, so the message needs a header of its own.
+    fn within_stream(&self, message: impl Fn(&str) -> String) -> String {
+        match (&self.server_tag, self.state) {
+            (Some(tag), _) => message(tag),
+            (None, State::Sasl) => message(STREAM_TAG),
+            (None, _) => stream_header(&[]) + &message(STREAM_TAG),
         }
     }
 
-    /// The server's word on SASL.
-    fn sasl(
+    /// Handles an element from the server during SASL; returns whether it may be forwarded.
+    fn on_sasl_element(
         &mut self,
         e: &Element,
         raw: &[u8],
-        news: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) -> Result<bool, ProtocolViolation> {
-        // A prefix of the server's own stream means nothing in the client's.
-        let plain = raw
+        // A namespace prefix declared in the server's stream header is not declared in the client's
+        // stream.
+        let unprefixed = raw
             .trim_ascii_start()
             .strip_prefix(b"<")
             .is_some_and(|r| r.starts_with(e.name.as_bytes()));
-        if e.ns != NS_SASL || !plain {
-            // It ends here; its condition is told in words that hold in the client's stream.
-            return Err(self.fault(
+        if e.ns != NS_SASL || !unprefixed {
+            // The session ends: the client gets a stream error that is valid in its own stream.
+            return Err(self.violation(
                 Condition::RemoteConnectionFailed,
                 "the server has ended the negotiation",
             ));
@@ -121,66 +128,66 @@
         match e.name.as_str() {
             "challenge" => Ok(true),
             "success" => {
-                self.stage = Stage::Open;
-                (self.up, self.down) = (
-                    Framer::new(self.terms.bounds, false),
-                    Framer::new(self.terms.bounds, false),
+                self.state = State::Open;
+                (self.client_framer, self.server_framer) = (
+                    Framer::new(self.settings.bounds, false),
+                    Framer::new(self.settings.bounds, false),
                 );
-                news.push(BackendEvent::Answered(true));
+                events.push(BackendEvent::Answered(true));
                 Ok(true)
             }
             "failure" => {
-                self.stage = Stage::Closed;
-                news.push(BackendEvent::Answered(false));
-                news.push(BackendEvent::CloseAfterForwarding(
-                    format!("</{TAG}>").into_bytes(),
+                self.state = State::Closed;
+                events.push(BackendEvent::Answered(false));
+                events.push(BackendEvent::CloseAfterForwarding(
+                    format!("</{STREAM_TAG}>").into_bytes(),
                     Outcome::Success,
                     "sasl-failure",
                 ));
                 Ok(true)
             }
-            _ => Err(self.fault(
+            _ => Err(self.violation(
                 Condition::RemoteConnectionFailed,
-                "the server's negotiation is out of order",
+                "unexpected SASL element from the server",
             )),
         }
     }
 
-    /// A unit of the server's; whether it may go on.
-    fn hear(
+    /// Handles a unit from the server; returns whether it may be forwarded.
+    fn on_server_unit(
         &mut self,
         unit: Unit,
         raw: &[u8],
-        news: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) -> Result<bool, ProtocolViolation> {
         match unit {
             Unit::Whitespace => Ok(true),
-            Unit::Element(e) if self.stage == Stage::Sasl => self.sasl(&e, raw, news),
+            Unit::Element(e) if self.state == State::Sasl => self.on_sasl_element(&e, raw, events),
             Unit::Header(header) => {
-                self.down_tag = Some(header.tag);
+                self.server_tag = Some(header.tag);
                 Ok(true)
             }
             Unit::Element(e) if e.is(NS_STREAMS, "error") => {
                 let (outcome, reason) = match e.children.first() {
-                    Some(c) => ended_by(&c.name),
+                    Some(c) => session_outcome(&c.name),
                     None => (Outcome::Cancelled, "sent-away"),
                 };
-                news.push(BackendEvent::EndAnnounced(outcome, Vec::new(), reason));
-                Ok(self.stage != Stage::ServerFinishing)
+                events.push(BackendEvent::EndAnnounced(outcome, Vec::new(), reason));
+                Ok(self.state != State::ServerFinishing)
             }
             Unit::Element(e) => {
-                self.counts |= e.is(NS_SM, "enabled") || e.is(NS_SM, "resumed");
+                self.acks_enabled |= e.is(NS_SM, "enabled") || e.is(NS_SM, "resumed");
                 Ok(true)
             }
             Unit::End => {
-                if self.stage == Stage::ServerFinishing {
-                    // The client is told the reason first.
-                    news.push(BackendEvent::Finished);
-                    self.stage = Stage::Closed;
+                if self.state == State::ServerFinishing {
+                    // Withheld: the client gets a stream error first.
+                    events.push(BackendEvent::Finished);
+                    self.state = State::Closed;
                     return Ok(false);
                 }
-                self.stage = Stage::Closed;
-                news.push(BackendEvent::EndAnnounced(
+                self.state = State::Closed;
+                events.push(BackendEvent::EndAnnounced(
                     Outcome::Success,
                     Vec::new(),
                     "served",
@@ -193,79 +200,90 @@
 
 impl Forwarder for StanzaForwarder {
     fn on_client_data(&mut self, fresh: &[u8]) -> Result<Forwardable, ProtocolViolation> {
-        let mut passed = Forwardable::default();
-        // What is still unread when the stream to the server has ended is not on its way: the client counts.
-        if matches!(self.stage, Stage::ServerFinishing | Stage::Closed) {
-            return Ok(passed);
+        let mut allowed = Forwardable::default();
+        // After the stream to the server is closed, input is not forwarded: a client with stream
+        // management learns that these stanzas have not arrived.
+        if matches!(self.state, State::ServerFinishing | State::Closed) {
+            return Ok(allowed);
         }
         loop {
-            let unread = &fresh[passed.bytes + self.up_read..];
-            let (n, unit) = match self.up.feed(unread) {
+            let unread = &fresh[allowed.bytes + self.client_framed..];
+            let (n, unit) = match self.client_framer.feed(unread) {
                 Ok(read) => read,
-                Err(_) if passed.bytes > 0 => return Ok(passed),
-                Err(condition) => return Err(self.fault(condition, "the client's XML is refused")),
+                Err(_) if allowed.bytes > 0 => return Ok(allowed),
+                Err(condition) => {
+                    return Err(self.violation(condition, "the client's XML is refused"))
+                }
             };
-            self.up_read += n;
-            let Some(unit) = unit else { return Ok(passed) };
+            self.client_framed += n;
+            let Some(unit) = unit else { return Ok(allowed) };
             match &unit {
-                Unit::Element(e) if self.stage == Stage::Sasl => {
+                Unit::Element(e) if self.state == State::Sasl => {
                     let known = e.ns == NS_SASL && matches!(e.name.as_str(), "response" | "abort");
                     if !known {
-                        return Err(
-                            self.fault(Condition::PolicyViolation, "a stanza before its time")
-                        );
+                        return Err(self.violation(
+                            Condition::PolicyViolation,
+                            "a stanza before authentication",
+                        ));
                     }
-                    passed.expects_response = true;
+                    allowed.expects_response = true;
                 }
-                // A request for acknowledgement is answered by the server itself, at once.
-                Unit::Element(e) => passed.expects_response |= e.is(NS_SM, "r"),
+                // The server answers a request for acknowledgement at once (XEP-0198).
+                Unit::Element(e) => allowed.expects_response |= e.is(NS_SM, "r"),
                 Unit::Header(header) => {
-                    self.up_tag = Some(header.tag.clone());
-                    passed.expects_response = true;
+                    self.client_tag = Some(header.tag.clone());
+                    allowed.expects_response = true;
                 }
                 Unit::Whitespace | Unit::End => {}
             }
-            passed.bytes += std::mem::take(&mut self.up_read);
+            allowed.bytes += std::mem::take(&mut self.client_framed);
         }
     }
 
     fn on_backend_data(
         &mut self,
         fresh: &[u8],
-        _rules: &FrontSettings,
-        news: &mut Vec<BackendEvent>,
+        _settings: &FrontSettings,
+        events: &mut Vec<BackendEvent>,
     ) -> Result<usize, ProtocolViolation> {
-        let mut passed = 0;
+        let mut allowed = 0;
         if self
-            .first
+            .sasl_reply
             .as_ref()
-            .is_some_and(|(bytes, _)| *bytes > fresh.len())
+            .is_some_and(|(len, _)| *len > fresh.len())
         {
             return Ok(0);
         }
-        if let Some((bytes, answer)) = self.first.take() {
-            self.hear(Unit::Element(answer), &fresh[..bytes], news)?;
-            passed = bytes;
+        if let Some((len, reply)) = self.sasl_reply.take() {
+            self.on_server_unit(Unit::Element(reply), &fresh[..len], events)?;
+            allowed = len;
         }
-        while self.stage != Stage::Closed {
-            let (n, unit) = match self.down.feed(&fresh[passed + self.down_read..]) {
+        while self.state != State::Closed {
+            let (n, unit) = match self
+                .server_framer
+                .feed(&fresh[allowed + self.server_framed..])
+            {
                 Ok(read) => read,
-                Err(_) if passed > 0 => return Ok(passed),
+                Err(_) if allowed > 0 => return Ok(allowed),
                 Err(_) => {
-                    return Err(self.fault(
+                    return Err(self.violation(
                         Condition::RemoteConnectionFailed,
                         "the server's XML is refused",
                     ))
                 }
             };
-            self.down_read += n;
+            self.server_framed += n;
             let Some(unit) = unit else { break };
-            self.held |= !self.hear(unit, &fresh[passed..passed + self.down_read], news)?;
-            if !self.held {
-                passed += std::mem::take(&mut self.down_read);
+            self.withheld |= !self.on_server_unit(
+                unit,
+                &fresh[allowed..allowed + self.server_framed],
+                events,
+            )?;
+            if !self.withheld {
+                allowed += std::mem::take(&mut self.server_framed);
             }
         }
-        Ok(passed)
+        Ok(allowed)
     }
 
     fn closing_message(&self, why: CloseReason) -> Vec<u8> {
@@ -276,13 +294,13 @@
             CloseReason::OutOfMemory => Condition::ResourceConstraint,
         };
         let host = self
-            .terms
+            .settings
             .see_other_host
             .as_deref()
             .filter(|_| why == CloseReason::Migrated);
-        let text = self.with_header(|tag| match host {
-            Some(host) => stream_error(tag, "see-other-host", host, ""),
-            None => stream_error(
+        let text = self.within_stream(|tag| match host {
+            Some(host) => stream_error_with(tag, "see-other-host", host, ""),
+            None => stream_error_with(
                 tag,
                 condition.name(),
                 "",
@@ -305,36 +323,38 @@
     }
 
     fn is_backend_lost(&self, unanswered: Micros, _unheard: Micros) -> bool {
-        unanswered > self.terms.ack_timeout
+        unanswered > self.settings.response_timeout
     }
 
     fn prepare_migration(&mut self) -> MigrationReadiness {
-        match (self.stage, &self.up_tag) {
-            (Stage::Open, Some(tag)) => {
-                self.stage = Stage::ServerFinishing;
-                let count = if self.counts {
+        match (self.state, &self.client_tag) {
+            (State::Open, Some(tag)) => {
+                self.state = State::ServerFinishing;
+                let ack_request = if self.acks_enabled {
                     format!("<r xmlns='{NS_SM}'/>")
                 } else {
                     String::new()
                 };
                 MigrationReadiness::AfterBackendFinishes {
-                    message: format!("{count}</{tag}>").into_bytes(),
-                    timeout: self.terms.finish_timeout,
+                    message: format!("{ack_request}</{tag}>").into_bytes(),
+                    timeout: self.settings.finish_timeout,
                 }
             }
-            // SASL, or the first header: it has its answer soon.
-            (Stage::Sasl | Stage::Open, _) => MigrationReadiness::Later(self.terms.finish_timeout),
-            (Stage::ServerFinishing | Stage::Closed, _) => MigrationReadiness::Now,
+            // During SASL, or before the header of the restarted stream: both end soon.
+            (State::Sasl | State::Open, _) => {
+                MigrationReadiness::Later(self.settings.finish_timeout)
+            }
+            (State::ServerFinishing | State::Closed, _) => MigrationReadiness::Now,
         }
     }
 
     fn release_idle_memory(&mut self) {
-        self.up.release_idle_memory();
-        self.down.release_idle_memory();
+        self.client_framer.release_idle_memory();
+        self.server_framer.release_idle_memory();
     }
 
     fn has_partial_unit(&self) -> bool {
-        !self.down.at_unit_boundary()
+        !self.server_framer.at_unit_boundary()
     }
 }
 
@@ -352,8 +372,8 @@
     const CHALLENGE: &str = "<challenge xmlns='urn:ietf:params:xml:ns:xmpp-sasl'>eA==</challenge>";
     const RESPONSE: &str = "<response xmlns='urn:ietf:params:xml:ns:xmpp-sasl'>eA==</response>";
 
-    /// The passage behind a server whose first answer is this.
-    fn passage(answer: &str) -> (Box<dyn Forwarder>, Vec<u8>) {
+    /// The forwarder of a session whose server sends this as its first reply.
+    fn session_forwarder(answer: &str) -> (Box<dyn Forwarder>, Vec<u8>) {
         let from = Jid::parse("ali@a.example").unwrap();
         let mut attempt = Box::new(ServerNegotiation::new(
             Arc::default(),
@@ -361,65 +381,74 @@
             &from,
             b"<auth/>".to_vec(),
         ));
-        let mut inbox = Buffer::from_bytes((header(&[("id", "1")]) + OFFER + answer).into_bytes());
+        let mut inbox =
+            Buffer::from_bytes((stream_header(&[("id", "1")]) + OFFER + answer).into_bytes());
         while attempt.next_action(&mut inbox, 1_000) != AttemptAction::Established {}
         (attempt.into_forwarder(), inbox.unread().to_vec())
     }
 
-    /// What goes on of these bytes of the server's, in pieces; the words of a fault where there is one.
-    fn down(
-        p: &mut dyn Forwarder,
+    /// The part of the server's bytes that is forwarded, given in chunks of `step` bytes; the final
+    /// message if they are a violation.
+    fn to_client(
+        forwarder: &mut dyn Forwarder,
         text: &[u8],
         step: usize,
-        news: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) -> Result<String, String> {
-        let (mut out, mut passed) = (Vec::new(), 0);
+        let (mut out, mut forwarded) = (Vec::new(), 0);
         for end in (0..text.len()).step_by(step).skip(1).chain([text.len()]) {
-            let result = p.on_backend_data(&text[passed..end], &FrontSettings::default(), news);
-            let n = result.map_err(|fault| String::from_utf8(fault.closing_message).unwrap())?;
-            out.extend_from_slice(&text[passed..passed + n]);
-            passed += n;
+            let result =
+                forwarder.on_backend_data(&text[forwarded..end], &FrontSettings::default(), events);
+            let n = result
+                .map_err(|violation| String::from_utf8(violation.closing_message).unwrap())?;
+            out.extend_from_slice(&text[forwarded..forwarded + n]);
+            forwarded += n;
         }
         Ok(String::from_utf8(out).unwrap())
     }
 
-    fn up(p: &mut dyn Forwarder, text: &str) -> Result<usize, String> {
-        p.on_client_data(text.as_bytes())
-            .map(|p| p.bytes)
-            .map_err(|fault| String::from_utf8(fault.closing_message).unwrap())
+    /// How many of the client's bytes are forwarded; the final message if they are a violation.
+    fn to_server(forwarder: &mut dyn Forwarder, text: &str) -> Result<usize, String> {
+        forwarder
+            .on_client_data(text.as_bytes())
+            .map(|allowed| allowed.bytes)
+            .map_err(|violation| String::from_utf8(violation.closing_message).unwrap())
     }
 
-    /// A passage that is open, with streams that both sides have begun.
+    /// The forwarder of an open session, after both sides have restarted their streams.
     fn open(step: usize) -> Box<dyn Forwarder> {
-        let (mut p, answer) = passage(SUCCESS);
-        let mut news = Vec::new();
+        let (mut forwarder, answer) = session_forwarder(SUCCESS);
+        let mut events = Vec::new();
         assert_eq!(
-            down(&mut *p, &answer, answer.len(), &mut news).unwrap(),
+            to_client(&mut *forwarder, &answer, answer.len(), &mut events).unwrap(),
             SUCCESS
         );
-        assert_eq!(news, [BackendEvent::Answered(true)]);
-        let head = header(&[])
+        assert_eq!(events, [BackendEvent::Answered(true)]);
+        let head = stream_header(&[])
             .replace("stream:", "s:")
             .replace("xmlns:stream", "xmlns:s");
-        assert_eq!(up(&mut *p, &header(&[])), Ok(header(&[]).len()));
         assert_eq!(
-            down(&mut *p, head.as_bytes(), step, &mut news).unwrap(),
+            to_server(&mut *forwarder, &stream_header(&[])),
+            Ok(stream_header(&[]).len())
+        );
+        assert_eq!(
+            to_client(&mut *forwarder, head.as_bytes(), step, &mut events).unwrap(),
             head
         );
-        p
+        forwarder
     }
 
     #[test]
-    fn a_session_has_one_answer_the_success_or_the_server_s_own_failure() {
-        let (mut p, answer) = passage(CHALLENGE);
-        let mut news = Vec::new();
+    fn a_session_has_one_final_answer_success_or_the_server_s_failure() {
+        let (mut forwarder, answer) = session_forwarder(CHALLENGE);
+        let mut events = Vec::new();
         assert_eq!(
-            down(&mut *p, &answer, answer.len(), &mut news).unwrap(),
+            to_client(&mut *forwarder, &answer, answer.len(), &mut events).unwrap(),
             CHALLENGE
         );
-        assert!(news.is_empty() && !p.established_is_final_answer());
+        assert!(events.is_empty() && !forwarder.established_is_final_answer());
         assert_eq!(
-            p.on_client_data(RESPONSE.as_bytes()),
+            forwarder.on_client_data(RESPONSE.as_bytes()),
             Ok(Forwardable {
                 bytes: RESPONSE.len(),
                 expects_response: true
@@ -429,59 +458,63 @@
             "<failure xmlns='urn:ietf:params:xml:ns:xmpp-sasl'><not-authorized/></failure>";
         let more = format!("{failure}<message/>");
         assert_eq!(
-            down(&mut *p, more.as_bytes(), 9, &mut news).unwrap(),
+            to_client(&mut *forwarder, more.as_bytes(), 9, &mut events).unwrap(),
             failure
         );
         assert!(matches!(
-            &news[..],
+            &events[..],
             [
                 BackendEvent::Answered(false),
                 BackendEvent::CloseAfterForwarding(_, Outcome::Success, "sasl-failure")
             ]
         ));
-        // A server that breaks the negotiation off has not answered: the relay does.
+        // If the server breaks off the SASL exchange, the relay gives the final answer.
         for text in [
             "<message xmlns='jabber:client'/>",
             "<stream:error/>",
             "<!-- -->",
             "</stream:stream>",
         ] {
-            let (mut p, answer) = passage(CHALLENGE);
-            let mut news = Vec::new();
+            let (mut forwarder, answer) = session_forwarder(CHALLENGE);
+            let mut events = Vec::new();
             let first = answer.len();
             let all = [answer, text.as_bytes().to_vec()].concat();
-            let said = down(&mut *p, &all[..first], first, &mut news)
-                .and_then(|_| down(&mut *p, &all[first..], 4, &mut news));
+            let result = to_client(&mut *forwarder, &all[..first], first, &mut events)
+                .and_then(|_| to_client(&mut *forwarder, &all[first..], 4, &mut events));
             if text.starts_with("</") {
                 assert!(
-                    matches!(&news[..], [BackendEvent::EndAnnounced(..)]),
-                    "{news:?}"
+                    matches!(&events[..], [BackendEvent::EndAnnounced(..)]),
+                    "{events:?}"
                 );
             } else {
                 assert!(
-                    said.unwrap_err().contains("<remote-connection-failed "),
+                    result.unwrap_err().contains("<remote-connection-failed "),
                     "{text}"
                 );
             }
-            assert!(!news.iter().any(|n| matches!(n, BackendEvent::Answered(_))));
+            assert!(!events
+                .iter()
+                .any(|n| matches!(n, BackendEvent::Answered(_))));
         }
-        let (mut p, _) = passage(CHALLENGE);
-        assert!(up(&mut *p, "<message xmlns='jabber:client'/>")
-            .unwrap_err()
-            .contains("policy-violation"));
+        let (mut forwarder, _) = session_forwarder(CHALLENGE);
+        assert!(
+            to_server(&mut *forwarder, "<message xmlns='jabber:client'/>")
+                .unwrap_err()
+                .contains("policy-violation")
+        );
     }
 
     #[test]
-    fn only_whole_stanzas_go_on_and_all_of_their_bytes_do() {
+    fn only_whole_stanzas_are_forwarded_and_all_their_bytes_are() {
         let text = "<a xmlns='x'/> \n<message><body>é</body></message><r xmlns='urn:xmpp:sm:3'/></s:stream>";
         for step in 1..text.len() {
-            let (mut p, mut news) = (open(step), Vec::new());
+            let (mut forwarder, mut events) = (open(step), Vec::new());
             assert_eq!(
-                down(&mut *p, text.as_bytes(), step, &mut news).unwrap(),
+                to_client(&mut *forwarder, text.as_bytes(), step, &mut events).unwrap(),
                 text
             );
             assert_eq!(
-                news,
+                events,
                 [BackendEvent::EndAnnounced(
                     Outcome::Success,
                     Vec::new(),
@@ -490,63 +523,75 @@
             );
         }
         for half in 1..text.find("</s:").unwrap() {
-            let (mut p, mut news) = (open(7), Vec::new());
-            let passed = down(&mut *p, &text.as_bytes()[..half], 5, &mut news).unwrap();
+            let (mut forwarder, mut events) = (open(7), Vec::new());
+            let forwarded =
+                to_client(&mut *forwarder, &text.as_bytes()[..half], 5, &mut events).unwrap();
             let whole = ["", "<a xmlns='x'/>", " ", "\n", "</message>", "</r>", "/>"];
-            assert!(whole.iter().any(|end| passed.ends_with(end)), "{passed}");
             assert!(
-                passed.is_empty() || !passed.ends_with("</message"),
-                "{passed}"
+                whole.iter().any(|end| forwarded.ends_with(end)),
+                "{forwarded}"
+            );
+            assert!(
+                forwarded.is_empty() || !forwarded.ends_with("</message"),
+                "{forwarded}"
             );
             assert_eq!(
-                p.has_partial_unit(),
-                passed.len() < half,
-                "{passed:?} of {half}"
+                forwarder.has_partial_unit(),
+                forwarded.len() < half,
+                "{forwarded:?} of {half}"
             );
         }
-        let mut p = open(9);
+        let mut forwarder = open(9);
         assert_eq!(
-            up(
-                &mut *p,
+            to_server(
+                &mut *forwarder,
                 "<r xmlns='urn:xmpp:sm:3'/><message xmlns='jabber:cl"
             ),
             Ok(26)
         );
-        assert!(up(&mut *p, "<message xmlns='jabber:cl'><!-- ").is_err());
+        assert!(to_server(&mut *forwarder, "<message xmlns='jabber:cl'><!-- ").is_err());
     }
 
     #[test]
-    fn a_server_finishes_before_its_client_is_moved() {
-        let mut p = open(50);
-        let mut news = Vec::new();
+    fn a_server_finishes_before_its_session_migrates() {
+        let mut forwarder = open(50);
+        let mut events = Vec::new();
         let enabled = "<enabled xmlns='urn:xmpp:sm:3'/>";
         assert_eq!(
-            down(&mut *p, enabled.as_bytes(), 7, &mut news).unwrap(),
+            to_client(&mut *forwarder, enabled.as_bytes(), 7, &mut events).unwrap(),
             enabled
         );
         let half = "<message><body>x";
-        assert_eq!(down(&mut *p, half.as_bytes(), 50, &mut news).unwrap(), "");
-        assert!(p.has_partial_unit());
-        let MigrationReadiness::AfterBackendFinishes { message, .. } = p.prepare_migration() else {
+        assert_eq!(
+            to_client(&mut *forwarder, half.as_bytes(), 50, &mut events).unwrap(),
+            ""
+        );
+        assert!(forwarder.has_partial_unit());
+        let MigrationReadiness::AfterBackendFinishes { message, .. } =
+            forwarder.prepare_migration()
+        else {
             panic!()
         };
         assert_eq!(
             String::from_utf8(message).unwrap(),
             "<r xmlns='urn:xmpp:sm:3'/></stream:stream>"
         );
-        assert_eq!(up(&mut *p, "<message xmlns='jabber:client'/>"), Ok(0));
+        assert_eq!(
+            to_server(&mut *forwarder, "<message xmlns='jabber:client'/>"),
+            Ok(0)
+        );
         let whole = format!("{half}</body></message><a xmlns='urn:xmpp:sm:3' h='7'/>");
-        let n = p
+        let n = forwarder
             .on_backend_data(
                 format!("{whole}</s:stream>").as_bytes(),
                 &FrontSettings::default(),
-                &mut news,
+                &mut events,
             )
             .unwrap();
         assert_eq!(n, whole.len());
-        assert_eq!(news, [BackendEvent::Finished]);
-        // In the words of the client's own stream, whose tag is the server's.
-        let words = String::from_utf8(p.closing_message(CloseReason::Migrated)).unwrap();
+        assert_eq!(events, [BackendEvent::Finished]);
+        // The message uses the tag of the stream that the client receives, which is the server's.
+        let words = String::from_utf8(forwarder.closing_message(CloseReason::Migrated)).unwrap();
         assert!(
             words.starts_with("<s:error xmlns:s=") && words.ends_with("</s:error></s:stream>"),
             "{words}"
@@ -555,47 +600,52 @@
     }
 
     #[test]
-    fn a_session_that_has_no_answer_yet_is_not_moved_at_once() {
-        let (mut p, _) = passage(CHALLENGE);
+    fn a_session_without_a_final_answer_does_not_migrate_at_once() {
+        let (mut forwarder, _) = session_forwarder(CHALLENGE);
         assert!(matches!(
-            p.prepare_migration(),
+            forwarder.prepare_migration(),
             MigrationReadiness::Later(_)
         ));
         let host = Arc::new(XmppSettings {
             see_other_host: Some("b.example:5222".into()),
             ..XmppSettings::default()
         });
-        let p = StanzaForwarder::new(
+        let forwarder = StanzaForwarder::new(
             host,
             Framer::new(Bounds::default(), true),
             0,
             Element::default(),
         );
-        assert!(String::from_utf8(p.closing_message(CloseReason::Migrated))
-            .unwrap()
-            .contains(">b.example:5222</see-other-host>"));
         assert!(
-            !String::from_utf8(p.closing_message(CloseReason::BackendLost))
+            String::from_utf8(forwarder.closing_message(CloseReason::Migrated))
+                .unwrap()
+                .contains(">b.example:5222</see-other-host>")
+        );
+        assert!(
+            !String::from_utf8(forwarder.closing_message(CloseReason::BackendLost))
                 .unwrap()
                 .contains("see-other-host")
         );
     }
 
     #[test]
-    fn the_server_s_last_words_say_how_it_ended() {
+    fn the_server_s_stream_error_gives_the_outcome() {
         for (condition, outcome) in [
             ("system-shutdown", Outcome::Cancelled),
             ("conflict", Outcome::Success),
             ("internal-server-error", Outcome::Error),
         ] {
-            let (mut p, mut news) = (open(30), Vec::new());
+            let (mut forwarder, mut events) = (open(30), Vec::new());
             let text = format!(
                 "<s:error><{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/></s:error>"
             );
-            assert_eq!(down(&mut *p, text.as_bytes(), 11, &mut news).unwrap(), text);
+            assert_eq!(
+                to_client(&mut *forwarder, text.as_bytes(), 11, &mut events).unwrap(),
+                text
+            );
             assert!(
-                matches!(&news[..], [BackendEvent::EndAnnounced(o, ..)] if *o == outcome),
-                "{condition}: {news:?}"
+                matches!(&events[..], [BackendEvent::EndAnnounced(o, ..)] if *o == outcome),
+                "{condition}: {events:?}"
             );
         }
     }
