--- a/crates/control/src/broadcast/broadcaster/tests/mod.rs
+++ b/crates/control/src/broadcast/broadcaster/tests/mod.rs
@@ -1,9 +1,9 @@
-//! Tests of the broadcaster, with a fleet that has one load watch.
+//! Tests of the broadcaster in a fleet that has one load watch.
 
 use super::*;
-use crate::broadcast::message::{Allowance, Delivered, Poll, Submission, VERSION};
+use crate::broadcast::message::{Allowance, DeliveredUpdate, Poll, Submission, VERSION};
 use crate::broadcast::table::{LoadReport, Table};
-use crate::jobs::assignment::{Assignment, FencingToken, Jobs};
+use crate::jobs::assignment::{FencingToken, JobChange, Jobs};
 use crate::jobs::moves;
 use crate::wire::message::{Message, Publish, RelayId, Report, Subscribe, Update, Updates};
 
@@ -17,16 +17,17 @@
     }
 }
 
+/// Jobs of a fleet whose load watch was assigned this many times, to another relay each time.
 fn jobs(tokens: u64) -> Jobs {
     let mut jobs = Jobs::default();
-    jobs.apply(Assignment::Open(vec!["load/a".into()]));
+    jobs.apply(JobChange::Open(vec!["load/a".into()]));
     for token in 1..=tokens {
-        jobs.apply(Assignment::Assign(vec![(
+        jobs.apply(JobChange::Assign(vec![(
             "load/a".into(),
             relay(&format!("n{token}")),
         )]));
         if token < tokens {
-            jobs.apply(Assignment::Release(vec![("load/a".into(), token)]));
+            jobs.apply(JobChange::Release(vec![("load/a".into(), token)]));
         }
     }
     jobs
@@ -82,7 +83,7 @@
     }
 }
 
-/// A subscription of this build, in that zone and with these versions of the table.
+/// A subscription of a relay of this build, in this zone and with these versions of the table.
 fn subscribe(name: &str, sequence: u64, zone: &str, tables: &[(FencingToken, u64)]) -> Subscribe {
     let tables = tables
         .iter()
@@ -139,11 +140,11 @@
     }
 }
 
-fn versions_of(delivered: &Delivered) -> (u64, u64) {
+fn versions_of(delivered: &DeliveredUpdate) -> (u64, u64) {
     crate::broadcast::table::versions(delivered.changes.as_ref().unwrap()).unwrap()
 }
 
-/// For each delivery: the address, and the versions that its changes lead from and to.
+/// For each delivery: the address, and the versions from and to which its changes lead.
 fn delivered_versions(
     messages: Vec<(ReplyAddress, Message)>,
 ) -> Vec<(ReplyAddress, Vec<(u64, u64)>)> {
--- a/crates/control/src/broadcast/table/apply.rs
+++ b/crates/control/src/broadcast/table/apply.rs
@@ -1,21 +1,22 @@
-//! Applies received changes to a table, after checking that they fit it.
+//! Application of received changes to a table, after checks that they fit it.
 
 use super::changes::{decode_seen_at, has_bit, Changes};
 use super::{Row, Table, MAX_COLUMNS, MAX_ROWS};
 use crate::Micros;
 
-/// Why changes could not be applied.
+/// Error when changes cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TableError {
-    /// The receiver has that version or a newer one.
+    /// The receiver already has the version that the changes lead to, or a newer one.
     Old,
-    /// The receiver lacks the version that the changes start from, and must request the whole table.
+    /// The receiver lacks the version that the changes start from. It must report its version to be
+    /// sent other changes.
     Gap,
     /// The changes cannot be decoded or do not fit the table.
     Damaged,
 }
 
-/// Which versions are checked before changes are applied. Only tests of the checkers leave a check out.
+/// Checks of versions before changes are applied. Only injected bugs leave a check out.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::broadcast) struct Checks {
     /// Reject changes that lead to no newer version.
@@ -33,13 +34,13 @@
 }
 
 impl Table {
-    /// Applies changes that were sent at `sent_at` at the earliest, by the local clock. After an error the table is the
-    /// same as before.
+    /// Applies changes. `sent_at` is the earliest time, by the local clock, at which they were
+    /// sent. After an error the table is unchanged.
     pub fn apply(&mut self, sent_at: Micros, bytes: &[u8]) -> Result<(), TableError> {
         self.apply_checked(sent_at, bytes, Checks::ALL)
     }
 
-    /// [`Table::apply`] with only some checks.
+    /// Like [`Table::apply`], with only some of the checks.
     pub(in crate::broadcast) fn apply_checked(
         &mut self,
         sent_at: Micros,
@@ -67,14 +68,14 @@
         self.rows
             .extend(changes.added.iter().skip(already_added).map(new_row));
         self.version = changes.to;
-        self.at = sent_at;
+        self.updated_at = sent_at;
         self.encoded.clear();
         self.apply_confirmations(&changes, &changed_indexes);
         self.apply_levels(&changes, &changed_indexes);
         Ok(())
     }
 
-    /// Whether the changes can be changes of this table.
+    /// Whether the changes are consistent with this table.
     fn fits(&self, changes: &Changes, changed_indexes: &[usize]) -> bool {
         let (row_count, column_count) = if changes.is_whole() {
             (0, changes.columns.len())
@@ -103,9 +104,10 @@
         has_same_endpoints && has_all_levels && new_rows_have_levels && is_in_range
     }
 
-    /// Updates the rows that the new version saw: their time if they did not change, and whether a report was new.
+    /// Updates the rows that the new version confirms: the time of unchanged rows, and whether the
+    /// endpoint made a new report.
     fn apply_confirmations(&mut self, changes: &Changes, changed_indexes: &[usize]) {
-        let unchanged_seen_at = decode_seen_at(self.at, changes.unchanged_age);
+        let unchanged_seen_at = decode_seen_at(self.updated_at, changes.unchanged_age);
         let mut changed = changed_indexes.iter().copied().peekable();
         for (index, row) in self.rows.iter_mut().enumerate() {
             let is_changed = changed.next_if_eq(&index).is_some();
@@ -118,7 +120,7 @@
             }
             if has_bit(&changes.renewed, index) {
                 row.renewed_in = changes.to;
-                row.is_odd = !row.is_odd;
+                row.is_offset = !row.is_offset;
             }
         }
     }
@@ -134,8 +136,8 @@
             row.levels = changes.levels[first_level..first_level + column_count].to_vec();
             row.changed_in = changes.to;
             row.renewed_in = changes.to;
-            row.is_odd = false;
-            row.seen_at = decode_seen_at(self.at, changes.ages[position]);
+            row.is_offset = false;
+            row.seen_at = decode_seen_at(self.updated_at, changes.ages[position]);
         }
     }
 }
--- a/crates/control/src/broadcast/table/encode.rs
+++ b/crates/control/src/broadcast/table/encode.rs
@@ -1,4 +1,4 @@
-//! Writes the changes of a table that a receiver lacks.
+//! Encoding of the changes of a table that a receiver lacks.
 
 use super::changes::{encode_age, set_bit, Changes};
 use super::{Table, Version};
@@ -7,15 +7,17 @@
 pub(super) const MAX_CACHED_CHANGES: usize = 16;
 
 impl Table {
-    /// Changes from the version that a receiver has to the current one; the whole table if that version is 0 or too old.
-    /// The bytes are the same for all receivers: their ages count back from [`Table::at`], which is sent beside them.
+    /// Encoded changes from a receiver's version to the current one; the whole table if the
+    /// receiver's version is 0 or too old. The bytes are the same for all receivers: ages in them
+    /// count back from [`Table::updated_at`], whose age is sent with them.
     pub fn changes(&mut self, from: Version) -> &[u8] {
         let is_available = from >= self.base.max(1) && from <= self.version;
         let wanted = if is_available { from } else { 0 };
         let start = if self.encoded.len() < MAX_CACHED_CHANGES {
             wanted
         } else {
-            // The cache is full: send more than the receiver lacks instead of encoding again.
+            // The cache is full. Changes from an older version contain more than the receiver
+            // lacks, but need not be encoded again.
             self.encoded
                 .range(..=wanted)
                 .next_back()
@@ -49,12 +51,12 @@
             .map(|row| row.endpoint)
             .collect();
         let mut next_index = 0;
-        let mut oldest_unchanged = self.at;
+        let mut oldest_unchanged = self.updated_at;
         for (index, row) in self.rows.iter().enumerate() {
             let is_confirmed = row.confirmed_in == self.version;
             if is_whole || row.changed_in > from {
                 changes.index_gaps.push((index - next_index) as u16);
-                changes.ages.push(encode_age(self.at, row.seen_at));
+                changes.ages.push(encode_age(self.updated_at, row.seen_at));
                 changes.levels.extend(&row.levels);
                 next_index = index + 1;
             } else if is_confirmed {
@@ -67,7 +69,7 @@
                 set_bit(&mut changes.renewed, index);
             }
         }
-        changes.unchanged_age = encode_age(self.at, oldest_unchanged);
+        changes.unchanged_age = encode_age(self.updated_at, oldest_unchanged);
         postcard::to_allocvec(&changes).unwrap_or_default()
     }
 }
--- a/crates/control/src/injected_bugs.rs
+++ b/crates/control/src/injected_bugs.rs
@@ -1,67 +1,69 @@
-//! Bugs that tests inject, to show that the checkers find them. A build without the feature `injected-bugs` has none.
+//! Bugs that tests inject to prove that the checkers find them. A build without the feature
+//! `injected-bugs` cannot inject any.
 
-/// A bug that is injected to show that a checker finds it.
+/// A bug that tests can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// A relay admits clients though its lease has run out.
+    /// A relay admits clients after its lease has expired.
     IgnoreLease,
-    /// A relay counts its lease from when it was granted, not from when it was requested.
+    /// A relay counts its lease from when the grant arrived instead of when it was requested.
     LeaseFromGrant,
-    /// A relay continues to admit under the old policy after it has confirmed that it stopped.
-    KeepAfterYield,
-    /// A restarted relay takes over the lease of its previous process.
+    /// A relay continues to admit clients under the old policy after it has confirmed that it
+    /// stopped.
+    AdmitAfterStop,
+    /// A restarted relay continues to use the lease of its previous process.
     LeaseSurvivesRestart,
-    /// A leader puts a policy in force without waiting for leases that may still run.
-    SkipWait,
-    /// A new leader does not wait for leases that its predecessor granted.
-    ForgetPredecessor,
-    /// A leader grants leases without a majority's confirmation that it still leads.
-    GrantAlone,
+    /// A leader puts a policy in force while leases on the old one may still be valid.
+    SkipLeaseWait,
+    /// A new leader does not wait for leases that its predecessor granted to expire.
+    SkipPredecessorWait,
+    /// A leader grants leases before a majority has confirmed that it still leads.
+    GrantUnconfirmed,
     /// A leader grants leases on the old policy after the proposal is sealed.
-    GrantClosed,
-    /// A voter sends messages before its log is durable, and loses it in a crash.
-    SkipStore,
-    /// Voters accept a voter with a replaced disk as the one that they knew.
-    TrustReborn,
-    /// An owner continues to act on its jobs though its lease has run out.
-    OwnForever,
-    /// A leader releases a job while its owner's lease may still run.
-    GiveEarly,
+    GrantAfterSeal,
+    /// A voter sends messages without storing its log first, and loses those entries in a crash.
+    SendBeforePersist,
+    /// Voters accept a voter whose disk was replaced as the original member.
+    TrustReplacedDisk,
+    /// An owner continues to act on its jobs after its lease has expired.
+    ActAfterLease,
+    /// A leader releases a job while its owner's lease may still be valid.
+    ReleaseEarly,
     /// An owner acts on a job after it has confirmed that it stopped.
-    KeepJob,
-    /// Receivers accept any fencing token.
+    ActAfterStop,
+    /// Receivers accept stale fencing tokens.
     NoFence,
-    /// A restarted receiver accepts commands before it knows the fencing tokens.
-    TrustFirst,
-    /// Relays apply changes to a table though earlier ones are missing.
-    LostChange,
-    /// A relay applies changes that lead to an older version of a table than it has.
-    VersionBack,
+    /// A restarted receiver accepts commands before it knows the current fencing tokens.
+    AcceptBeforeTokens,
+    /// Relays apply changes of a table although earlier changes are missing.
+    ApplyWithGap,
+    /// Relays apply changes that lead to an older version of a table than they have.
+    ApplyOlderVersion,
 }
 
 impl InjectedBug {
-    /// All bugs, with their names on the command line.
+    /// All bugs with their names in settings and on the command line.
     pub const ALL: [(&'static str, InjectedBug); 17] = [
         ("ignore-lease", InjectedBug::IgnoreLease),
         ("lease-from-grant", InjectedBug::LeaseFromGrant),
-        ("keep-after-yield", InjectedBug::KeepAfterYield),
+        ("keep-after-yield", InjectedBug::AdmitAfterStop),
         ("lease-survives-restart", InjectedBug::LeaseSurvivesRestart),
-        ("skip-wait", InjectedBug::SkipWait),
-        ("forget-predecessor", InjectedBug::ForgetPredecessor),
-        ("grant-alone", InjectedBug::GrantAlone),
-        ("grant-closed", InjectedBug::GrantClosed),
-        ("skip-store", InjectedBug::SkipStore),
-        ("trust-reborn", InjectedBug::TrustReborn),
-        ("own-forever", InjectedBug::OwnForever),
-        ("give-early", InjectedBug::GiveEarly),
-        ("keep-job", InjectedBug::KeepJob),
+        ("skip-wait", InjectedBug::SkipLeaseWait),
+        ("forget-predecessor", InjectedBug::SkipPredecessorWait),
+        ("grant-alone", InjectedBug::GrantUnconfirmed),
+        ("grant-closed", InjectedBug::GrantAfterSeal),
+        ("skip-store", InjectedBug::SendBeforePersist),
+        ("trust-reborn", InjectedBug::TrustReplacedDisk),
+        ("own-forever", InjectedBug::ActAfterLease),
+        ("give-early", InjectedBug::ReleaseEarly),
+        ("keep-job", InjectedBug::ActAfterStop),
         ("no-fence", InjectedBug::NoFence),
-        ("trust-first", InjectedBug::TrustFirst),
-        ("lost-change", InjectedBug::LostChange),
-        ("version-back", InjectedBug::VersionBack),
+        ("trust-first", InjectedBug::AcceptBeforeTokens),
+        ("lost-change", InjectedBug::ApplyWithGap),
+        ("version-back", InjectedBug::ApplyOlderVersion),
     ];
 
-    /// The bug of this name.
+    /// Returns the bug with this name.
     pub fn by_name(name: &str) -> Option<InjectedBug> {
         InjectedBug::ALL
             .iter()
@@ -70,7 +72,7 @@
     }
 }
 
-/// The bug that is injected here. Always none without the feature `injected-bugs`.
+/// The injected bug of a component, if any. Always none without the feature `injected-bugs`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InjectedBugs(#[cfg(feature = "injected-bugs")] pub Option<InjectedBug>);
 
--- a/crates/control/tests/wire_names.rs
+++ b/crates/control/tests/wire_names.rs
@@ -1,8 +1,9 @@
-//! Names on the wire and in stored files that differ from the code's: builds of before the names changed have to understand
-//! them, and the ledgers that they wrote have to stay readable.
+//! Names on the wire and in stored files that differ from the names in the code. Builds from before
+//! the renaming must still understand messages, and the ledgers that they wrote must remain
+//! readable.
 
 use ciborium::Value;
-use jaspermoor_control::jobs::assignment::{Assignment, Job, Jobs};
+use jaspermoor_control::jobs::assignment::{Job, JobChange, Jobs};
 use jaspermoor_control::log::membership::{Membership, MembershipChange};
 use jaspermoor_control::log::state::{Command, FleetState, Proposal, ProposalPhase};
 use jaspermoor_control::wire::message::{
@@ -11,7 +12,7 @@
 };
 use serde::Serialize;
 
-/// All keys of maps and all texts in an encoded value.
+/// All keys of maps and all texts in a serialized value.
 fn names(value: &impl Serialize) -> Vec<String> {
     fn collect(value: &Value, names: &mut Vec<String>) {
         match value {
@@ -31,14 +32,14 @@
 
 #[test]
 fn serialized_names_stay_as_builds_before_the_renaming_wrote_them() {
-    // Fields with their default may be left out, so these have another value.
+    // Fields with their default value may be left out, so these have other values.
     let renew = RenewRequest {
-        revoked: Some(1),
+        stopped_for: Some(1),
         membership_version: 1,
         ..RenewRequest::default()
     };
     let reply = RenewResponse {
-        revoke: Some(1),
+        sealed: Some(1),
         membership: Some(Membership::default()),
         ..RenewResponse::default()
     };
@@ -63,11 +64,11 @@
             vec!["Seat"],
         ),
         (names(&OperatorResponse::Member(Ok(()))), vec!["Seat"]),
-        (names(&Assignment::Assign(Vec::new())), vec!["Give"]),
-        (names(&Assignment::Revoke(Vec::new())), vec!["Yield"]),
-        (names(&Assignment::Release(Vec::new())), vec!["Free"]),
+        (names(&JobChange::Assign(Vec::new())), vec!["Give"]),
+        (names(&JobChange::Revoke(Vec::new())), vec!["Yield"]),
+        (names(&JobChange::Release(Vec::new())), vec!["Free"]),
         (
-            names(&Command::Assignment(Assignment::Open(Vec::new()))),
+            names(&Command::ChangeJobs(JobChange::Open(Vec::new()))),
             vec!["Deal", "Open"],
         ),
         (names(&Command::Seal(1)), vec!["Close"]),
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -5,8 +5,8 @@
 //! the descriptors of those that do.
 
 use crate::config::Limits;
-use crate::ops::admin::CALLERS;
-use crate::platform::probe::PROBES;
+use crate::ops::admin::MAX_CALLERS;
+use crate::platform::health_check::MAX_HEALTH_CHECKS;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,7 +15,7 @@
 
 /// Descriptors that no client may use: standard streams, listener, signals, discovery, the
 /// configuration while it is read, and the health checks that may be in progress.
-const RESERVED_DESCRIPTORS: usize = 15 + PROBES;
+const RESERVED_DESCRIPTORS: usize = 15 + MAX_HEALTH_CHECKS;
 /// Memory for a connection with a request: the used part of two stacks, and two buffers.
 const BYTES_PER_REQUEST: usize = 48 * 1024;
 /// Memory for a connection without a request: the used part of one stack, and one buffer.
@@ -73,7 +73,7 @@
             limits.memory_mb as usize * 1024 * 1024,
         );
         let processes = if inherited { 2 } else { 1 };
-        let reserved = RESERVED_DESCRIPTORS + if admin { CALLERS + 1 } else { 0 };
+        let reserved = RESERVED_DESCRIPTORS + if admin { MAX_CALLERS + 1 } else { 0 };
         let left = sockets.saturating_sub(processes * (reserved + MIN_WAITING));
         let max_requests = sockets
             .div_ceil(3)
@@ -264,7 +264,8 @@
             };
             for (inherited, processes) in [(false, 1), (true, 2)] {
                 let (requests, waiting) = Admission::new(&limits, true, inherited).limits();
-                let all = 2 * requests + processes * (waiting + RESERVED_DESCRIPTORS + CALLERS + 1);
+                let all =
+                    2 * requests + processes * (waiting + RESERVED_DESCRIPTORS + MAX_CALLERS + 1);
                 assert!(
                     all <= sockets as usize,
                     "{sockets} sockets, inherited {inherited}: {requests}, {waiting}"
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -6,7 +6,7 @@
 //! outcome is reported), a first byte to a backend that has left the endpoint list meanwhile, and a
 //! silent backend that delays all others.
 
-use crate::config::listing::Endpoint;
+use crate::config::endpoint_list::BackendAddress;
 use crate::decisions::api::{EndpointId, Micros, Outcome, RequestId};
 use crate::log::log;
 use crate::net::link::Link;
@@ -14,7 +14,7 @@
 use crate::net::session::Session;
 use crate::net::shared::SharedState;
 use crate::protocol::buffer::Buffer;
-use crate::protocol::{Exchange, Order, Passage, Step};
+use crate::protocol::{AttemptAction, AttemptProtocol, ClientRequest, Forwarder};
 use crate::sys::timed_out;
 use socket2::SockRef;
 use std::net::TcpStream;
@@ -41,7 +41,7 @@
     /// Received bytes that are for the client.
     pub inbox: Buffer,
     /// The protocol's state machine of the established connection.
-    pub passage: Box<dyn Passage>,
+    pub passage: Box<dyn Forwarder>,
 }
 
 /// The request that an attempt belongs to, and the state that it needs.
@@ -52,7 +52,7 @@
     /// The client's session.
     pub session: &'a Session,
     /// The client's request.
-    pub order: &'a dyn Order,
+    pub order: &'a dyn ClientRequest,
     /// The id of the request for the decisions.
     pub id: RequestId,
 }
@@ -81,10 +81,10 @@
     /// The time at which the attempt was created.
     pub started_at: Micros,
     /// The backend's name and address; none until it is dialled.
-    backend: Option<Endpoint>,
+    backend: Option<BackendAddress>,
     state: AttemptState,
     link: Option<Link>,
-    exchange: Option<Box<dyn Exchange>>,
+    exchange: Option<Box<dyn AttemptProtocol>>,
     inbox: Buffer,
     /// Bytes that are still to be sent.
     unsent: Vec<u8>,
@@ -101,7 +101,7 @@
 impl Attempt {
     /// An attempt that was not dialled yet.
     pub fn new(
-        order: &dyn Order,
+        order: &dyn ClientRequest,
         endpoint_id: EndpointId,
         deadline: Micros,
         number: u16,
@@ -115,7 +115,7 @@
             backend: None,
             state: AttemptState::AwaitingAddress,
             link: None,
-            exchange: Some(order.exchange()),
+            exchange: Some(order.start_attempt()),
             inbox: Buffer::default(),
             unsent: Vec::new(),
             blocked: false,
@@ -238,8 +238,8 @@
         context: AttemptContext<'_>,
         now: Micros,
     ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
-        let adopted = context.order.at().is_some();
-        let Some(endpoint) = context.shared.directory.endpoint(self.endpoint_id) else {
+        let adopted = context.order.adopted_backend().is_some();
+        let Some(endpoint) = context.shared.directory.backend_address(self.endpoint_id) else {
             // The endpoint list that a relay starts with may be stale, so an adopted connection
             // waits for the next one. A backend that was just chosen and is not listed has left.
             return if adopted && now < self.deadline {
@@ -303,7 +303,7 @@
         context: AttemptContext<'_>,
     ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
         let AttemptContext { shared, order, .. } = context;
-        let adopted = order.at().is_some();
+        let adopted = order.adopted_backend().is_some();
         loop {
             let now = shared.decisions.now();
             if now >= self.deadline {
@@ -337,36 +337,39 @@
                     return None;
                 }
                 if std::mem::take(&mut self.sending_request) {
-                    shared.metrics.tries.fetch_add(1, Relaxed);
+                    shared.metrics.attempts.fetch_add(1, Relaxed);
                     self.request_sent = true;
                 }
             }
-            let step = self
+            let action = self
                 .exchange
                 .as_mut()?
-                .step(&mut self.inbox, self.deadline - now);
+                .next_action(&mut self.inbox, self.deadline - now);
             // While the dial or a negotiation was in progress, the backend may have left or the
             // request may have been answered. Checked again right before each new message.
-            let sends_message = matches!(step, Step::Ask(_) | Step::Say(_) | Step::Secure(_));
+            let sends_message = matches!(
+                action,
+                AttemptAction::SendRequest(_) | AttemptAction::Send(_) | AttemptAction::StartTls(_)
+            );
             let may_send = || {
-                shared.directory.takes_new(self.endpoint_id)
+                shared.directory.is_available(self.endpoint_id)
                     && shared.decisions.awaits_answer(context.id)
                     && shared.decisions.may_admit()
             };
             if sends_message && !adopted && !may_send() {
                 return failed(Outcome::NotAttempted);
             }
-            match step {
-                Step::Read => {}
-                Step::Say(bytes) => {
+            match action {
+                AttemptAction::Read => {}
+                AttemptAction::Send(bytes) => {
                     (self.anything_sent, self.unsent) = (true, bytes);
                     continue;
                 }
-                Step::Ask(bytes) => {
+                AttemptAction::SendRequest(bytes) => {
                     (self.sending_request, self.unsent) = (true, bytes);
                     continue;
                 }
-                Step::Secure(domain) => {
+                AttemptAction::StartTls(domain) => {
                     let Some(tls) = shared
                         .xmpp()
                         .and_then(|xmpp| xmpp.tls.client_connection(&domain))
@@ -378,19 +381,20 @@
                     self.state = AttemptState::TlsHandshake;
                     continue;
                 }
-                Step::Up => {
-                    let (link, passage) = (self.link.take()?, self.exchange.take()?.passage());
+                AttemptAction::Established => {
+                    let (link, passage) =
+                        (self.link.take()?, self.exchange.take()?.into_forwarder());
                     return Some(Ok(EstablishedBackend {
                         link,
                         inbox: std::mem::take(&mut self.inbox),
                         passage,
                     }));
                 }
-                Step::Not(Outcome::Error | Outcome::Reset, _) if !self.request_sent => {
+                AttemptAction::Failed(Outcome::Error | Outcome::Reset, _) if !self.request_sent => {
                     return self.link_broken(context)
                 }
-                Step::Not(outcome, report) => return Some(Err((outcome, report))),
-                Step::Nonsense(what) => {
+                AttemptAction::Failed(outcome, report) => return Some(Err((outcome, report))),
+                AttemptAction::UnexpectedReply(what) => {
                     log(&format!(
                         "backend {}: {what} in place of an answer",
                         self.backend_name()
@@ -428,8 +432,8 @@
     use crate::decisions::api::{EndpointState, ListedEndpoint};
     use crate::net::poll::{Events, Poller};
     use crate::platform::directory::Directory;
-    use crate::protocol::line::Greeting;
-    use crate::protocol::{Greeter, Next};
+    use crate::protocol::line::LineRequestReader;
+    use crate::protocol::{ReaderAction, RequestReader};
     use crossbeam_channel::bounded;
     use std::io::Read;
     use std::net::{SocketAddr, TcpListener};
@@ -441,7 +445,7 @@
     struct Setup {
         shared: Arc<SharedState>,
         session: Arc<Session>,
-        order: Box<dyn Order>,
+        order: Box<dyn ClientRequest>,
         _client: TcpStream,
     }
 
@@ -479,7 +483,7 @@
         directory.update(
             true,
             &[(
-                Endpoint {
+                BackendAddress {
                     name: "s-1".into(),
                     addr,
                 },
@@ -491,9 +495,11 @@
         let idle = shared
             .admission
             .register(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
-        let mut inbox = Buffer::holding(format!("OPEN 1 7f c=one,d=60000{at}\r\n").into_bytes());
+        let mut inbox = Buffer::from_bytes(format!("OPEN 1 7f c=one,d=60000{at}\r\n").into_bytes());
         let rules = shared.settings().rules.clone();
-        let Next::Place(order) = Greeting::new(0).next(&mut inbox, 0, &rules) else {
+        let ReaderAction::Request(order) =
+            LineRequestReader::new(0).next_action(&mut inbox, 0, &rules)
+        else {
             panic!()
         };
         let place = idle.admit_request("1").unwrap();
@@ -623,7 +629,7 @@
         s.shared.directory.update(
             false,
             &[(
-                Endpoint {
+                BackendAddress {
                     name: "s-1".into(),
                     addr,
                 },
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -14,7 +14,7 @@
 use crate::net::session::{ConnectionRecord, Session};
 use crate::net::shared::SharedState;
 use crate::protocol::buffer::{Buffer, MAX_LINE};
-use crate::protocol::{Cause, Greeter, Order, Passage};
+use crate::protocol::{ClientRequest, FailureCause, Forwarder, RequestReader};
 use std::net::TcpStream;
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
     /// The connection's id for the decisions.
     pub id: RequestId,
     pub endpoint_id: EndpointId,
-    pub passage: Box<dyn Passage>,
+    pub passage: Box<dyn Forwarder>,
 }
 
 /// The end of an established connection: its outcome, the backend's last load report, and the
@@ -71,10 +71,10 @@
 /// The state of a connection in [`Phase::Handshake`].
 pub(super) struct Handshake {
     pub waiting: WaitingConnection,
-    pub greeter: Box<dyn Greeter>,
+    pub reader: Box<dyn RequestReader>,
     /// Whether a TLS handshake is in progress.
     pub in_tls_handshake: bool,
-    /// Whether the greeter is told when the TLS handshake is complete.
+    /// Whether the reader is told when the TLS handshake is complete.
     pub reports_tls: bool,
     /// Bytes that are still to be sent to the client.
     pub unsent: Vec<u8>,
@@ -84,7 +84,7 @@
 
 /// The state of a connection in [`Phase::Pending`].
 pub(super) struct PendingRequest {
-    pub order: Box<dyn Order>,
+    pub order: Box<dyn ClientRequest>,
     pub id: RequestId,
     /// The stream of decisions; none where the connection was established before this process
     /// started.
@@ -94,7 +94,7 @@
     /// The endpoint of the latest attempt.
     pub endpoint_id: EndpointId,
     /// Why the latest attempt failed.
-    pub failure_cause: Cause,
+    pub failure_cause: FailureCause,
     /// The time by which the client must have its final answer.
     pub answer_deadline: Micros,
 }
@@ -296,7 +296,7 @@
             .is_none_or(|record| record.started_at.elapsed() >= DISMISS_GRACE);
         grace_over
             && handshake.is_some_and(|h| {
-                self.to_backend.rest().is_empty() && h.unsent.is_empty() && !h.in_tls_handshake
+                self.to_backend.unread().is_empty() && h.unsent.is_empty() && !h.in_tls_handshake
             })
     }
 
@@ -390,7 +390,7 @@
                     .handshake
                     .as_ref()
                     .is_some_and(|h| h.blocked_since.is_none()),
-                Phase::Pending => self.to_backend.rest().len() < MAX_LINE,
+                Phase::Pending => self.to_backend.unread().len() < MAX_LINE,
                 Phase::Established => !self.to_backend_blocked,
                 Phase::Closing(..) => !self.discard_paused,
                 Phase::Closed => false,
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -11,7 +11,7 @@
 //! that delays established ones (the number accepted per turn is limited), and an event that is
 //! taken for one of another socket (see the tokens in `connection`).
 
-use crate::config::listing::server_id;
+use crate::config::endpoint_list::endpoint_id;
 use crate::config::Names;
 use crate::decisions::api::{EndpointId, Micros, Outcome};
 use crate::load::LoadReportCache;
@@ -24,9 +24,9 @@
 use crate::net::poll::{dial, is_local_failure, Events, Interest, Poller, Ready};
 use crate::net::session::{ConnectionRecord, Session};
 use crate::net::shared::SharedState;
-use crate::platform::probe::{self, Probe, PROBES};
-use crate::platform::takeover::{HandoverListener, Older, Passed, Rest, Successor};
-use crate::protocol::line::Lines;
+use crate::platform::health_check::{self, HealthCheck, MAX_HEALTH_CHECKS};
+use crate::platform::takeover::{HandedOver, HandoverListener, LinkState, Predecessor, Successor};
+use crate::protocol::line::LineForwarder;
 use crate::sys::{boottime, timed_out, Wake};
 use crossbeam_channel::Receiver;
 use std::collections::{BTreeMap, BTreeSet};
@@ -148,7 +148,7 @@
     accept_failed: bool,
     /// Accepts links from other processes of this relay that hand over their connections.
     takeover_listener: Option<HandoverListener>,
-    predecessors: BTreeMap<u64, Older>,
+    predecessors: BTreeMap<u64, Predecessor>,
     next_predecessor: u64,
     /// Endpoints whose health the decisions want checked.
     check_requests: Receiver<EndpointId>,
@@ -156,7 +156,7 @@
     /// enabled.
     load_reports: Option<Arc<LoadReportCache>>,
     names: Names,
-    health_checks: BTreeMap<u64, Probe>,
+    health_checks: BTreeMap<u64, HealthCheck>,
     next_check_number: u64,
     health_check_timeout: Micros,
     /// The directory where the processes of this relay find each other.
@@ -177,7 +177,7 @@
         let poller = Poller::new()?;
         let wake = poller.waker();
         shared.decisions.set_waker(wake.clone());
-        shared.directory.wakes(wake.clone());
+        shared.directory.on_change(wake.clone());
         shared.wake_queue.set_waker(wake.clone());
         let last_check = shared.decisions.now();
         Ok(EventLoop {
@@ -202,7 +202,7 @@
             names,
             health_checks: BTreeMap::new(),
             next_check_number: 0,
-            health_check_timeout: probe::LIMIT,
+            health_check_timeout: health_check::STEP_TIMEOUT_US,
             takeover_dir: None,
             drain: None,
             last_check,
@@ -486,7 +486,7 @@
             let load_reports = self
                 .load_reports
                 .as_ref()
-                .filter(|_| directory.takes_new(endpoint_id));
+                .filter(|_| directory.is_available(endpoint_id));
             match load_reports
                 .and_then(|load_reports| load_reports.fresh_report(endpoint_id, boottime()))
             {
@@ -503,15 +503,15 @@
     }
 
     fn start_health_checks(&mut self) {
-        while self.health_checks.len() < PROBES {
+        while self.health_checks.len() < MAX_HEALTH_CHECKS {
             let Some((endpoint_id, watch)) = self.next_health_check() else {
                 return;
             };
             // It may have begun to leave since the health check was requested.
             let directory = &self.shared.directory;
             let Some(endpoint) = directory
-                .endpoint(endpoint_id)
-                .filter(|_| directory.takes_new(endpoint_id))
+                .backend_address(endpoint_id)
+                .filter(|_| directory.is_available(endpoint_id))
             else {
                 self.finish_health_check(endpoint_id, watch, Outcome::NotAttempted, Vec::new());
                 continue;
@@ -523,7 +523,7 @@
             );
             let begun = dial(endpoint.addr).and_then(|stream| {
                 self.poller.watch(&stream, token, None, Some(WRITE))?;
-                Ok(Probe::new(
+                Ok(HealthCheck::new(
                     endpoint_id,
                     watch,
                     stream,
@@ -532,10 +532,10 @@
                 ))
             });
             match begun {
-                Ok(probe) => {
+                Ok(check) => {
                     self.next_check_number += 1;
-                    self.timers.insert((probe.by, token));
-                    self.health_checks.insert(n, probe);
+                    self.timers.insert((check.step_deadline, token));
+                    self.health_checks.insert(n, check);
                 }
                 // For lack of a descriptor or a port, which says nothing about the backend.
                 Err(e) if is_local_failure(&e) => {
@@ -549,22 +549,26 @@
     }
 
     fn advance_health_check(&mut self, n: u64, ready: bool) {
-        let Some(probe) = self.health_checks.get_mut(&n) else {
+        let Some(check) = self.health_checks.get_mut(&n) else {
             return;
         };
-        let (before, dialled, token) = (probe.by, probe.dials(), n << NUMBER_SHIFT | HEALTH_CHECK);
-        let found = probe.go(self.shared.decisions.now(), ready, &self.names);
+        let (before, dialled, token) = (
+            check.step_deadline,
+            check.is_connecting(),
+            n << NUMBER_SHIFT | HEALTH_CHECK,
+        );
+        let found = check.advance(self.shared.decisions.now(), ready, &self.names);
         self.timers.remove(&(before, token));
         let Some((outcome, report)) = found else {
-            self.timers.insert((probe.by, token));
-            if dialled != probe.dials() {
+            self.timers.insert((check.step_deadline, token));
+            if dialled != check.is_connecting() {
                 let _ = self
                     .poller
-                    .watch(&probe.stream, token, Some(WRITE), Some(READ));
+                    .watch(&check.stream, token, Some(WRITE), Some(READ));
             }
             return;
         };
-        let (endpoint_id, watch) = (probe.server, probe.watch);
+        let (endpoint_id, watch) = (check.endpoint, check.for_load_watch);
         self.health_checks.remove(&n);
         self.finish_health_check(endpoint_id, watch, outcome, report);
     }
@@ -596,7 +600,7 @@
         let Some(takeover_listener) = &self.takeover_listener else {
             return;
         };
-        match takeover_listener.next() {
+        match takeover_listener.accept() {
             Ok(predecessor) => {
                 let n = self.next_predecessor;
                 self.next_predecessor += 1;
@@ -620,7 +624,7 @@
         };
         let mut handovers = Vec::new();
         let state = predecessor.receive(MAX_PER_TURN, &mut |p| handovers.push(p));
-        if state == Rest::Later {
+        if state == LinkState::Open {
             self.predecessors.insert(n, predecessor);
         }
         handovers
@@ -629,7 +633,7 @@
     }
 
     /// Takes over a connection that was established in another process of this relay.
-    fn adopt_connection(&mut self, (handover, client, backend): Passed) {
+    fn adopt_connection(&mut self, (handover, client, backend): HandedOver) {
         let shared = self.shared.clone();
         let set = client
             .set_nonblocking(true)
@@ -648,7 +652,7 @@
             started_at: Instant::now()
                 .checked_sub(Duration::from_millis(handover.age_ms))
                 .unwrap_or_else(Instant::now),
-            tally: Some(shared.metrics.begin(&handover.class)),
+            tally: Some(shared.metrics.begin_request(&handover.class)),
         };
         let Ok(slot) = waiting.admit_request(&handover.name) else {
             let whole_lines = handover
@@ -671,9 +675,9 @@
             .settings()
             .rules
             .classes
-            .index(&handover.class)
+            .find_including_removed(&handover.class)
             .unwrap_or(0);
-        let endpoint_id = server_id(&handover.backend);
+        let endpoint_id = endpoint_id(&handover.backend);
         let id = shared.decisions.adopt_connection(
             Connection::request_of_established(class, keys),
             endpoint_id,
@@ -684,7 +688,7 @@
             link: Link::plain(backend),
             id,
             endpoint_id,
-            passage: Box::new(Lines),
+            passage: Box::new(LineForwarder),
         };
         conn.take_over(record, session, backend, handover);
         self.add_connection(conn);
@@ -726,7 +730,7 @@
             }
         }
         self.watch_listeners(self.paused_until.is_none());
-        let longest = self.shared.settings().rules.classes.longest();
+        let longest = self.shared.settings().rules.classes.longest_deadline();
         let kill_after = longest.min(MAX_KILL_DEADLINE) + KILL_DELAY;
         let answer_deadline = now + kill_after - KILL_MARGIN - ANSWER_MARGIN;
         self.shared.answer_deadline.store(answer_deadline, Relaxed);
@@ -848,7 +852,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::config::listing::Endpoint;
+    use crate::config::endpoint_list::BackendAddress;
     use crate::config::Config;
     use crate::decision_service::{DecisionService, Hooks};
     use crate::decisions::api::{EndpointState, ListedEndpoint};
@@ -889,7 +893,7 @@
         let config = Config::parse(text.into_bytes(), &|_| None).unwrap();
         let listed = |(n, listener): (usize, &TcpListener)| {
             let endpoint_id = EndpointId(n as u64);
-            let endpoint = Endpoint {
+            let endpoint = BackendAddress {
                 name: format!("s-{n}"),
                 addr: listener.local_addr().unwrap(),
             };
@@ -911,14 +915,14 @@
             true,
             &listeners.iter().enumerate().map(listed).collect::<Vec<_>>(),
         );
-        let (watch, (probe, _)) = (Box::new(|_| ()), bounded(1));
+        let (watch, (check_health, _)) = (Box::new(|_| ()), bounded(1));
         let decisions = DecisionService::new(
             config.settings.clone(),
             1,
             Vec::new(),
             Hooks {
                 watch_endpoint_list: watch,
-                check_health: probe,
+                check_health,
             },
         );
         let (requests, check_requests) = bounded(16);
--- a/src/net/fleet/job_driver.rs
+++ b/src/net/fleet/job_driver.rs
@@ -46,7 +46,7 @@
             return Vec::new();
         };
         self.directory
-            .of_zone(index as u16)
+            .available_in_zone(index as u16)
             .into_iter()
             .map(|endpoint| endpoint.0)
             .collect()
@@ -132,7 +132,7 @@
         if jobs.compact_updates {
             subscriber
         } else {
-            subscriber.with_whole_updates()
+            subscriber.with_full_updates()
         }
     }
 
@@ -142,7 +142,7 @@
             return;
         }
         self.jobs_released = true;
-        let renewal = self.lease_client.release_jobs(now);
+        let renewal = self.lease_client.relinquish_jobs(now);
         self.apply_lease_actions(renewal);
     }
 
@@ -171,15 +171,19 @@
         let Some(JobRunner { worker, resources }) = &self.jobs else {
             return;
         };
-        let metrics = &self.metrics.control;
+        let metrics = &self.metrics.fleet;
         let checks_avoided = resources.load_reports.checks_avoided.load(Relaxed);
         let checks_sent = resources.load_reports.checks_sent.load(Relaxed);
-        metrics.works.store(true, Relaxed);
-        metrics.obeyed.store(worker.updates_accepted, Relaxed);
-        metrics.refused.store(worker.updates_rejected, Relaxed);
-        metrics.spared.store(checks_avoided, Relaxed);
-        metrics.made.store(checks_sent, Relaxed);
-        let mut published_jobs = crate::sys::lock(&metrics.jobs);
+        metrics.takes_jobs.store(true, Relaxed);
+        metrics
+            .updates_accepted
+            .store(worker.updates_accepted, Relaxed);
+        metrics
+            .updates_rejected
+            .store(worker.updates_rejected, Relaxed);
+        metrics.checks_avoided.store(checks_avoided, Relaxed);
+        metrics.checks_sent.store(checks_sent, Relaxed);
+        let mut published_jobs = crate::sys::lock(&metrics.owned_jobs);
         let published = published_jobs
             .iter()
             .map(|(name, token)| (name.as_str(), *token));
@@ -278,7 +282,7 @@
 
 /// Inserts received load reports, after evicting those of endpoints that are no longer listed.
 fn insert_load_reports(resources: &JobResources, reports: impl Iterator<Item = LoadReport>) {
-    let is_listed = |endpoint| resources.directory.endpoint(endpoint).is_some();
+    let is_listed = |endpoint| resources.directory.backend_address(endpoint).is_some();
     resources.load_reports.evict(boottime(), is_listed);
     resources.load_reports.insert(reports);
 }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -38,7 +38,7 @@
 pub use settings::FleetSettings;
 
 use crate::config::operator;
-use crate::config::policy::{self, Rules};
+use crate::config::policy::{self, PolicyRules};
 use crate::decision_service::DecisionService;
 use crate::decisions::api::Micros;
 use crate::log::log;
@@ -117,7 +117,7 @@
     settings: FleetSettings,
     relay_name: String,
     /// The operator file's own cells and parameters, in force while the fleet has no policy.
-    local_rules: Rules,
+    local_rules: PolicyRules,
     decisions: Arc<DecisionService>,
     poller: Poller,
     /// Open while this relay votes.
@@ -170,7 +170,7 @@
     pub fn open(
         settings: FleetSettings,
         name: &str,
-        local_rules: Rules,
+        local_rules: PolicyRules,
         decisions: Arc<DecisionService>,
     ) -> Result<Fleet, OpenError> {
         #[cfg(feature = "injected-bugs")]
@@ -280,7 +280,7 @@
     if policy.epoch == 0 {
         return true;
     }
-    match policy::read(Path::new(POLICY_NAME), &policy.text) {
+    match policy::parse(Path::new(POLICY_NAME), &policy.text) {
         Ok(rules) => {
             decisions.apply_policy(rules.cells, rules.parameters);
             true
@@ -302,7 +302,7 @@
     static SCENARIO: std::sync::Once = std::sync::Once::new();
     SCENARIO.call_once(|| std::mem::forget(fail::FailScenario::setup()));
     let later_build = std::env::var("JASPERMOOR_BUILD").is_ok_and(|build| build == "later");
-    jaspermoor_control::wire::LATER.store(later_build, Relaxed);
+    jaspermoor_control::wire::ENCODE_AS_LATER_BUILD.store(later_build, Relaxed);
 }
 
 /// The bug that a test has injected into this process.
--- a/src/net/fleet/peers.rs
+++ b/src/net/fleet/peers.rs
@@ -9,7 +9,7 @@
 use crate::net::poll::{dial, Ready};
 use crate::sys::boottime;
 use jaspermoor_control::log::membership::Membership;
-use jaspermoor_control::wire::mac::FrameSession;
+use jaspermoor_control::wire::frame::FrameSession;
 use jaspermoor_control::wire::message::Message;
 use std::net::{SocketAddr, TcpListener};
 
@@ -122,7 +122,7 @@
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        if let Err(reason) = link.flush(&self.poller, id, &self.metrics.control.traffic) {
+        if let Err(reason) = link.flush(&self.poller, id, &self.metrics.fleet.traffic) {
             self.close_link(id, &reason);
         }
     }
@@ -194,7 +194,7 @@
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        let messages = match link.read(&self.metrics.control.traffic) {
+        let messages = match link.read(&self.metrics.fleet.traffic) {
             Ok(messages) => messages,
             Err(reason) => {
                 log_invalid_frame(link, &reason);
--- a/src/net/fleet/voter_driver.rs
+++ b/src/net/fleet/voter_driver.rs
@@ -64,9 +64,9 @@
     /// Restores the voter from its ledger; none if it cannot vote.
     fn restore_voter(&self, ledger: &Ledger, number: u64) -> Result<Option<Voter>, LedgerError> {
         let log_state = ledger.load_log()?;
-        let incarnation = ledger.incarnation()?;
+        let disk_id = ledger.incarnation()?;
         let timing = self.settings.timing();
-        let restored = Voter::new(number, incarnation, &log_state, timing, boottime());
+        let restored = Voter::new(number, disk_id, &log_state, timing, boottime());
         let voter = match restored {
             Ok(voter) => voter,
             Err(corrupt) => {
@@ -142,19 +142,17 @@
             return;
         };
         match message {
-            Message::Founding(number, incarnation) => {
-                voter.handle_founding(now, from, number, incarnation)
-            }
-            Message::NotAMember(number, incarnation)
-                if number == voter.id() && incarnation == voter.incarnation() =>
+            Message::Founding(number, disk_id) => voter.handle_founding(now, from, number, disk_id),
+            Message::NotAMember(number, disk_id)
+                if number == voter.id() && disk_id == voter.disk_id() =>
             {
                 let remedy = "another under a new number may take its place";
                 self.stop_voting(&format!(
                     "this voter was removed, or its ledger made anew: {remedy}"
                 ));
             }
-            Message::Log(incarnation, bytes) => {
-                if let Err(corrupt) = voter.step(now, from, incarnation, &bytes) {
+            Message::Log(disk_id, bytes) => {
+                if let Err(corrupt) = voter.step(now, from, disk_id, &bytes) {
                     let remedy =
                         "its disk must be replaced, and a voter of a new number take its place";
                     self.abandon_ledger(&format!("the ledger: {}: {remedy}", corrupt));
@@ -201,7 +199,7 @@
 
     fn persist(&self, batch: &PersistBatch) -> Result<(), LedgerError> {
         #[cfg(feature = "injected-bugs")]
-        if super::injected_bugs().is(jaspermoor_control::InjectedBug::SkipStore) {
+        if super::injected_bugs().is(jaspermoor_control::InjectedBug::SendBeforePersist) {
             return Ok(());
         }
         match &self.ledger {
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -14,7 +14,7 @@
 use crate::net::session::{ConnectionRecord, Session};
 use crate::platform::takeover::{self, Handover, Successor};
 use crate::protocol::buffer::{Buffer, MAX_LINE};
-use crate::protocol::{Away, News, Parting};
+use crate::protocol::{BackendEvent, CloseReason, MigrationReadiness};
 use crate::sys::timed_out;
 use std::io::{self, ErrorKind, Read};
 use std::net::Shutdown;
@@ -34,15 +34,21 @@
     /// Updates the memory that its buffers hold in the budget of all connections. A connection that
     /// exceeds the budget is ended. Buffers of the line protocol are small and not counted.
     pub fn update_memory_budget(&mut self) {
-        let is_uncounted = self.backend.as_ref().is_none_or(|b| b.passage.portable());
+        let is_uncounted = self
+            .backend
+            .as_ref()
+            .is_none_or(|b| b.passage.supports_takeover());
         let now = if is_uncounted {
             0
         } else {
-            self.to_backend.room() + self.to_client.room()
+            self.to_backend.allocated() + self.to_client.allocated()
         };
         let before = std::mem::replace(&mut self.counted_memory, now);
         if !self.shared.long_unit_memory.replace(before, now) && self.phase == Phase::Established {
-            let words = self.backend.as_ref().map(|b| b.passage.words(Away::NoRoom));
+            let words = self
+                .backend
+                .as_ref()
+                .map(|b| b.passage.closing_message(CloseReason::OutOfMemory));
             self.close_with(
                 words.unwrap_or_default(),
                 ConnectionEnd::new(Outcome::Cancelled, "no-memory"),
@@ -64,14 +70,18 @@
             return Ok(());
         };
         let (backend, id) = (backend.link.socket.clone(), backend.id);
-        if !self.backend.as_ref().is_some_and(|b| b.passage.portable()) {
+        if !self
+            .backend
+            .as_ref()
+            .is_some_and(|b| b.passage.supports_takeover())
+        {
             return Ok(());
         }
         let Some(session) = &self.session else {
             return Ok(());
         };
-        let bytes = self.to_backend.rest().len() + self.to_client.rest().len();
-        if bytes > takeover::MAX_BYTES || !session.begin_handover() {
+        let bytes = self.to_backend.unread().len() + self.to_client.unread().len();
+        if bytes > takeover::MAX_BUFFERED_BYTES || !session.begin_handover() {
             return Ok(());
         }
         let now = self.now();
@@ -87,8 +97,8 @@
                 .unanswered_since
                 .map(|at| now.saturating_sub(at) / 1_000),
             seen: self.to_client_ready,
-            up: self.to_backend.rest().to_vec(),
-            down: self.to_client.rest().to_vec(),
+            up: self.to_backend.unread().to_vec(),
+            down: self.to_client.unread().to_vec(),
         };
         if let Err(e) = to.send(&handover, &self.client.socket, &backend) {
             session.undo_handover(&backend);
@@ -116,8 +126,8 @@
         let now = self.now();
         self.unanswered_since = handover.asked_ms.map(|ms| now.saturating_sub(ms * 1_000));
         self.last_heard = self.unanswered_since.unwrap_or(now);
-        self.to_backend = Buffer::holding(handover.up);
-        (self.to_client, self.to_client_ready) = (Buffer::holding(handover.down), handover.seen);
+        self.to_backend = Buffer::from_bytes(handover.up);
+        (self.to_client, self.to_client_ready) = (Buffer::from_bytes(handover.down), handover.seen);
         (self.session, self.record) = (Some(session), Some(record));
         (self.backend, self.phase) = (Some(backend), Phase::Established);
         self.flush_to_client();
@@ -190,7 +200,7 @@
     /// events, or behind the timer that woke this connection. If the client has sent as much as is
     /// read ahead, the close is behind unread bytes.
     pub fn check_client_gone(&mut self) {
-        while self.client_ended_at.is_none() && self.to_backend.rest().len() < MAX_LINE {
+        while self.client_ended_at.is_none() && self.to_backend.unread().len() < MAX_LINE {
             match self.client.read_into(&mut self.to_backend) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return,
@@ -209,7 +219,7 @@
         match backend.link.read_into(&mut self.to_client) {
             Ok(0) => self.backend_ended(),
             Ok(_) => {
-                if !backend.passage.marks_answers() {
+                if !backend.passage.reports_responses() {
                     self.record_backend_activity();
                 }
                 self.flush_to_client();
@@ -239,7 +249,7 @@
             Some(announced) if !self.finishing => self.end_backend(announced, true),
             _ if self.finishing || self.is_migrating() => self.migrate_now(),
             None if !mirrors && self.client_ended_at.is_none() => {
-                let words = backend.passage.words(Away::Gone);
+                let words = backend.passage.closing_message(CloseReason::BackendLost);
                 self.close_with(words, unannounced);
             }
             announced => self.end_backend(announced.unwrap_or(unannounced), true),
@@ -256,19 +266,23 @@
             let mut fresh = 0;
             match backend
                 .passage
-                .up(&self.to_backend.rest()[self.to_backend_ready..])
+                .on_client_data(&self.to_backend.unread()[self.to_backend_ready..])
             {
                 Ok(passed) => {
                     fresh = passed.bytes;
-                    self.expects_answer |= passed.asks;
+                    self.expects_answer |= passed.expects_response;
                 }
                 // The bytes before the invalid ones are forwarded first.
                 Err(_) if self.to_backend_ready > 0 => {}
-                Err(fault) => {
-                    log(&format!("client {}: {}", self.connection_id(), fault.what));
+                Err(violation) => {
+                    log(&format!(
+                        "client {}: {}",
+                        self.connection_id(),
+                        violation.description
+                    ));
                     return self.close_with(
-                        fault.words,
-                        ConnectionEnd::new(Outcome::Cancelled, fault.reason),
+                        violation.closing_message,
+                        ConnectionEnd::new(Outcome::Cancelled, violation.reason),
                     );
                 }
             }
@@ -282,7 +296,7 @@
             }
             match backend
                 .link
-                .write_available(&self.to_backend.rest()[..self.to_backend_ready])
+                .write_available(&self.to_backend.unread()[..self.to_backend_ready])
             {
                 Ok((n, is_blocked)) => {
                     self.to_backend.consume(n);
@@ -291,7 +305,7 @@
                 }
                 // A backend that is gone is handled when its socket is read.
                 Err(_) => {
-                    self.to_backend.discard();
+                    self.to_backend.clear();
                     (self.to_backend_ready, blocked) = (0, false);
                 }
             }
@@ -329,31 +343,32 @@
                 return;
             };
             let (id, endpoint_id) = (backend.id, backend.endpoint_id);
-            let (mut fresh, mut news) = (0, Vec::new());
-            let unread = &self.to_client.rest()[self.to_client_ready..];
-            match backend
-                .passage
-                .down(unread, &self.shared.settings().rules, &mut news)
-            {
+            let (mut fresh, mut events) = (0, Vec::new());
+            let unread = &self.to_client.unread()[self.to_client_ready..];
+            match backend.passage.on_backend_data(
+                unread,
+                &self.shared.settings().rules,
+                &mut events,
+            ) {
                 Ok(n) => fresh = n,
                 Err(_) if self.to_client_ready > 0 => {}
-                Err(fault) => {
+                Err(violation) => {
                     log(&format!(
                         "backend of {}: {}",
                         self.connection_id(),
-                        fault.what
+                        violation.description
                     ));
                     return self.close_with(
-                        fault.words,
-                        ConnectionEnd::new(Outcome::Reset, fault.reason),
+                        violation.closing_message,
+                        ConnectionEnd::new(Outcome::Reset, violation.reason),
                     );
                 }
             }
             self.to_client_ready += fresh;
-            for news in news {
-                match news {
-                    News::Load(x) => {
-                        let sample = self.shared.load_samples.read(
+            for event in events {
+                match event {
+                    BackendEvent::LoadSample(x) => {
+                        let sample = self.shared.load_samples.classify(
                             endpoint_id,
                             id,
                             self.shared.decisions.now(),
@@ -361,25 +376,25 @@
                         );
                         self.shared.decisions.record_sample(id, sample);
                     }
-                    News::Heard => self.record_backend_activity(),
-                    News::Farewell(outcome, report, reason) => {
+                    BackendEvent::Response => self.record_backend_activity(),
+                    BackendEvent::EndAnnounced(outcome, report, reason) => {
                         self.announced_end = Some(ConnectionEnd {
                             outcome,
                             report,
                             reason,
                         });
                     }
-                    News::Answered(served) => self.count_final_answer(served),
-                    News::Over(words, outcome, reason) => {
+                    BackendEvent::Answered(served) => self.count_final_answer(served),
+                    BackendEvent::CloseAfterForwarding(words, outcome, reason) => {
                         self.end_after_flush = Some((words, ConnectionEnd::new(outcome, reason)))
                     }
-                    News::Finished => finished = true,
+                    BackendEvent::Finished => finished = true,
                 }
             }
             let now = self.shared.decisions.now();
             match self
                 .client
-                .write_available(&self.to_client.rest()[..self.to_client_ready])
+                .write_available(&self.to_client.unread()[..self.to_client_ready])
             {
                 Ok((n, blocked)) => {
                     self.to_client.consume(n);
@@ -412,7 +427,7 @@
                     tally: Some(tally), ..
                 }),
                 true,
-            ) => tally.passed(),
+            ) => tally.connected(),
             (_, true) => {}
             (_, false) => drop(self.shared.metrics.xmpp.sasl_failures.fetch_add(1, Relaxed)),
         }
@@ -422,14 +437,14 @@
     fn migrate_now(&mut self) {
         let Some(backend) = &self.backend else { return };
         let metrics = &self.shared.metrics.xmpp;
-        if backend.passage.half() {
-            metrics.cut.fetch_add(1, Relaxed);
+        if backend.passage.has_partial_unit() {
+            metrics.truncated_stanzas.fetch_add(1, Relaxed);
         }
-        if !backend.passage.portable() {
-            metrics.moved.fetch_add(1, Relaxed);
+        if !backend.passage.supports_takeover() {
+            metrics.migrated.fetch_add(1, Relaxed);
         }
         self.close_with(
-            backend.passage.words(Away::Moved),
+            backend.passage.closing_message(CloseReason::Migrated),
             ConnectionEnd::new(Outcome::Cancelled, "moved"),
         );
     }
@@ -448,14 +463,17 @@
             }
             return;
         }
-        match backend.passage.part() {
-            Parting::Now => self.migrate_now(),
-            Parting::Later(within) => drop(self.finish_deadline.get_or_insert(now + within)),
-            Parting::Finish { words, within } => {
+        match backend.passage.prepare_migration() {
+            MigrationReadiness::Now => self.migrate_now(),
+            MigrationReadiness::Later(timeout) => {
+                _ = self.finish_deadline.get_or_insert(now + timeout);
+            }
+            MigrationReadiness::AfterBackendFinishes { message, timeout } => {
                 // A partial unit of the client is replaced: none of its bytes were forwarded.
-                self.to_backend.replace_tail(self.to_backend_ready, &words);
-                self.to_backend_ready += words.len();
-                (self.finishing, self.finish_deadline) = (true, Some(now + within));
+                self.to_backend
+                    .truncate_and_append(self.to_backend_ready, &message);
+                self.to_backend_ready += message.len();
+                (self.finishing, self.finish_deadline) = (true, Some(now + timeout));
                 self.flush_to_backend();
             }
         }
@@ -477,11 +495,11 @@
                 .as_ref()
                 .is_some_and(|b| b.passage.mirrors_end());
         let length = if partial_unit {
-            self.to_client.rest().len()
+            self.to_client.unread().len()
         } else {
             self.to_client_ready
         };
-        let mut bytes = self.to_client.rest()[..length].to_vec();
+        let mut bytes = self.to_client.unread()[..length].to_vec();
         bytes.append(&mut self.last_bytes);
         self.last_bytes = bytes;
         if let Some(backend) = &self.backend {
@@ -522,7 +540,7 @@
                 .iter()
                 .for_each(|session| session.detach_backend());
             drop(link);
-            if !passage.portable() {
+            if !passage.supports_takeover() {
                 self.shared.metrics.xmpp.sessions.fetch_sub(1, Relaxed);
             }
             self.shared
@@ -553,7 +571,7 @@
         let (Some(unanswered_since), Some(backend)) = (self.unanswered_since, &self.backend) else {
             return false;
         };
-        backend.passage.lost(
+        backend.passage.is_backend_lost(
             now.saturating_sub(unanswered_since),
             now.saturating_sub(self.last_heard),
         )
@@ -568,10 +586,14 @@
     /// periodically.
     pub fn check_timeouts(&mut self) {
         let now = self.shared.decisions.now();
-        if let Some(backend) = self.backend.as_mut().filter(|b| !b.passage.portable()) {
-            self.to_backend.rest_room();
-            self.to_client.rest_room();
-            backend.passage.rest();
+        if let Some(backend) = self
+            .backend
+            .as_mut()
+            .filter(|b| !b.passage.supports_takeover())
+        {
+            self.to_backend.shrink_if_empty();
+            self.to_client.shrink_if_empty();
+            backend.passage.release_idle_memory();
         }
         let past = |since: Micros, limit: Micros| now > since + limit;
         let stuck = self
@@ -593,7 +615,10 @@
             // A machine that vanished sends nothing and leaves its connections open. Only
             // unanswered lines show it.
             Phase::Established if self.backend_is_silent(now) => {
-                let words = self.backend.as_ref().map(|b| b.passage.words(Away::Gone));
+                let words = self
+                    .backend
+                    .as_ref()
+                    .map(|b| b.passage.closing_message(CloseReason::BackendLost));
                 self.close_with(
                     words.unwrap_or_default(),
                     ConnectionEnd::new(Outcome::Reset, "backend-silent"),
@@ -610,7 +635,10 @@
                 } else {
                     Outcome::Cancelled
                 };
-                let words = self.backend.as_ref().map(|b| b.passage.words(Away::Late));
+                let words = self
+                    .backend
+                    .as_ref()
+                    .map(|b| b.passage.closing_message(CloseReason::AnswerTimeout));
                 self.close_with(
                     words.unwrap_or_default(),
                     ConnectionEnd::new(late, "answer-late"),
--- a/src/net/handshake.rs
+++ b/src/net/handshake.rs
@@ -9,9 +9,9 @@
 use crate::net::connection::{Connection, Handshake, Phase, DISMISSED_LINGER};
 use crate::net::session::ConnectionRecord;
 use crate::net::shared::SharedState;
-use crate::protocol::line::Greeting;
-use crate::protocol::xmpp::greeting;
-use crate::protocol::{Greeter, Next, Short};
+use crate::protocol::line::LineRequestReader;
+use crate::protocol::xmpp::client_negotiation;
+use crate::protocol::{Interruption, ReaderAction, RequestReader};
 use crate::sys::timed_out;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
@@ -43,10 +43,10 @@
 
 /// The protocol's state machine for a client of this listener; none where a reload has removed the
 /// front meanwhile.
-fn new_greeter(shared: &SharedState, protocol: ListenerProtocol) -> Option<Box<dyn Greeter>> {
+fn new_reader(shared: &SharedState, protocol: ListenerProtocol) -> Option<Box<dyn RequestReader>> {
     let now = shared.decisions.now();
     if protocol == ListenerProtocol::Line {
-        return Some(Box::new(Greeting::new(now)));
+        return Some(Box::new(LineRequestReader::new(now)));
     }
     let mut ids = [0; 3];
     for id in &mut ids {
@@ -54,9 +54,9 @@
             .inspect_err(|e| log(&format!("xmpp: no random numbers: {e}")))
             .ok()?;
     }
-    let terms = shared.xmpp()?.terms.clone();
-    Some(Box::new(greeting::Greeting::new(
-        terms,
+    let settings = shared.xmpp()?.settings.clone();
+    Some(Box::new(client_negotiation::ClientNegotiation::new(
+        settings,
         ids,
         protocol == ListenerProtocol::XmppTls,
         now,
@@ -66,7 +66,7 @@
 impl Handshake {
     /// The time at which it must be called even if nothing was received.
     pub fn next_timer(&self) -> Micros {
-        let deadline = self.greeter.until();
+        let deadline = self.reader.deadline();
         self.blocked_since
             .map_or(deadline, |since| deadline.min(since + WRITE_TIMEOUT))
     }
@@ -80,7 +80,7 @@
         waiting: WaitingConnection,
         protocol: ListenerProtocol,
     ) -> Option<Connection> {
-        let greeter = new_greeter(shared, protocol)?;
+        let reader = new_reader(shared, protocol)?;
         waiting
             .stream
             .set_nonblocking(true)
@@ -91,7 +91,7 @@
         let (unsent, blocked_since) = (Vec::new(), None);
         let mut handshake = Handshake {
             waiting,
-            greeter,
+            reader,
             in_tls_handshake: false,
             reports_tls: false,
             unsent,
@@ -138,8 +138,8 @@
             return;
         };
         let (last_bytes, reason) = handshake
-            .greeter
-            .cut_short(&self.to_backend, Short::Dismissed);
+            .reader
+            .interrupt(&self.to_backend, Interruption::Dismissed);
         self.waiting = Some(handshake.waiting);
         self.linger = DISMISSED_LINGER;
         // Where earlier bytes were sent in part, or TLS is not established, an answer would be
@@ -183,10 +183,10 @@
                         // no socket event reports them: read again.
                         (h.in_tls_handshake, has_read) = (false, false);
                         if h.reports_tls {
-                            h.greeter.secured(self.now());
+                            h.reader.tls_established(self.now());
                         }
                     }
-                    Ok(false) if now < h.greeter.until() => return true,
+                    Ok(false) if now < h.reader.deadline() => return true,
                     failed => {
                         self.shared.metrics.xmpp.tls_failures.fetch_add(1, Relaxed);
                         self.close_silently(if failed.is_ok() {
@@ -216,35 +216,37 @@
                 }
             }
             let rules = self.shared.settings().rules.clone();
-            match h.greeter.next(&mut self.to_backend, now, &rules) {
-                Next::Read => {}
-                Next::Say(bytes) => {
+            match h.reader.next_action(&mut self.to_backend, now, &rules) {
+                ReaderAction::Read => {}
+                ReaderAction::Send(bytes) => {
                     h.waiting.record_activity();
                     h.unsent = bytes;
                     continue;
                 }
-                Next::Secure(domain) => {
+                ReaderAction::StartTls(domain) => {
                     if !self.start_client_tls(h, Some(&domain), true) {
                         return false;
                     }
                     continue;
                 }
-                Next::Place(order) => {
+                ReaderAction::Request(order) => {
                     self.admit(&h.waiting, order);
                     return false;
                 }
-                Next::End(last_bytes, reason) => {
+                ReaderAction::Close(last_bytes, reason) => {
                     self.reject(last_bytes, reason);
                     return false;
                 }
             }
-            if now >= h.greeter.until() {
+            if now >= h.reader.deadline() {
                 let (mut last_bytes, mut reason) =
-                    h.greeter.cut_short(&self.to_backend, Short::Late);
+                    h.reader.interrupt(&self.to_backend, Interruption::TimedOut);
                 if last_bytes.is_empty() && reason.is_empty() {
                     // The client was silent for too long. Its request may be on the way just now,
                     // so it is sent an answer.
-                    (last_bytes, reason) = h.greeter.cut_short(&self.to_backend, Short::Dismissed);
+                    (last_bytes, reason) = h
+                        .reader
+                        .interrupt(&self.to_backend, Interruption::Dismissed);
                     self.linger = DISMISSED_LINGER;
                 }
                 self.reject(last_bytes, reason);
@@ -257,7 +259,10 @@
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return true,
                 _ => {
-                    let reason = h.greeter.cut_short(&self.to_backend, Short::Ended).1;
+                    let reason = h
+                        .reader
+                        .interrupt(&self.to_backend, Interruption::Disconnected)
+                        .1;
                     self.close_silently(reason);
                     return false;
                 }
--- a/src/net/placement.rs
+++ b/src/net/placement.rs
@@ -1,7 +1,7 @@
 //! Placement of a request: it is admitted and submitted to the decisions, their verdicts are
 //! carried out, and the client gets its final answer or its connection.
 
-use crate::config::listing::server_id;
+use crate::config::endpoint_list::endpoint_id;
 use crate::decision_service::{Decision, RequestHandle};
 use crate::decisions::api::{Micros, Outcome, Request};
 use crate::net::admission::{AdmissionError, WaitingConnection};
@@ -10,54 +10,54 @@
 };
 use crate::net::connection::{BackendSide, Connection, PendingRequest, Phase};
 use crate::net::session::{ConnectionRecord, Session};
-use crate::protocol::{Answer, Cause, Order};
+use crate::protocol::{ClientRequest, FailureCause, FinalAnswer};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
 /// Counts a request's final answer in the metrics.
-fn count_answer(record: &ConnectionRecord, answer: Answer) {
+fn count_answer(record: &ConnectionRecord, answer: FinalAnswer) {
     match (&record.tally, answer) {
-        (Some(tally), Answer::Refused(_)) => tally.dropped(),
-        (Some(tally), Answer::Failed(_) | Answer::IdInUse) => tally.failed(),
+        (Some(tally), FinalAnswer::Rejected(_)) => tally.rejected(),
+        (Some(tally), FinalAnswer::Failed(_) | FinalAnswer::IdInUse) => tally.failed(),
         (None, _) => {}
     }
 }
 
 impl Connection {
     /// Admits a client's request, or rejects it.
-    pub fn admit(&mut self, waiting: &WaitingConnection, order: Box<dyn Order>) {
+    pub fn admit(&mut self, waiting: &WaitingConnection, order: Box<dyn ClientRequest>) {
         let shared = self.shared.clone();
         if let Some(record) = &mut self.record {
-            record.id = order.name().to_string();
+            record.id = order.connection_id().to_string();
             record.class = shared
                 .settings()
                 .rules
                 .classes
                 .name(order.request().class)
                 .to_string();
-            record.tally = Some(shared.metrics.begin(&record.class));
+            record.tally = Some(shared.metrics.begin_request(&record.class));
         }
-        let (answer, reason) = match waiting.admit_request(order.name()) {
+        let (answer, reason) = match waiting.admit_request(order.connection_id()) {
             Ok(slot) => {
                 let keys = (order.request().client_key, order.request().group);
-                let finishes = order.finishes();
+                let finishes = order.backend_finishes_first();
                 self.session = Some(Session::new(&shared.wake_queue, keys, slot, finishes, None));
                 self.phase = Phase::Pending;
                 return self.submit(order);
             }
             // Nothing was sent to a backend, so the client may safely retry.
             Err(AdmissionError::NoCapacity) => (
-                Answer::Refused(shared.settings().max_retry_after / 2),
+                FinalAnswer::Rejected(shared.settings().max_retry_after / 2),
                 "no-descriptors",
             ),
-            Err(AdmissionError::IdInUse) => (Answer::IdInUse, "id-in-use"),
+            Err(AdmissionError::IdInUse) => (FinalAnswer::IdInUse, "id-in-use"),
         };
-        self.answer_and_close(Some(answer), order.words(answer), reason);
+        self.answer_and_close(Some(answer), order.encode_answer(answer), reason);
     }
 
     /// Submits a request to the decisions. A connection that was established before this process
     /// started goes to its earlier backend instead.
-    fn submit(&mut self, order: Box<dyn Order>) {
+    fn submit(&mut self, order: Box<dyn ClientRequest>) {
         let Some(session) = self.session.clone() else {
             return;
         };
@@ -74,9 +74,9 @@
         let handle: Arc<dyn RequestHandle> = session.clone();
         let id = session.connection_id();
         tracing::debug!(%id, group = request.group, key = request.client_key, again = request.returning, "request");
-        let (id, decision, attempt, endpoint_id, answer_deadline) = match order.at() {
+        let (id, decision, attempt, endpoint_id, answer_deadline) = match order.adopted_backend() {
             Some(at) => {
-                let endpoint_id = server_id(at);
+                let endpoint_id = endpoint_id(at);
                 let id = shared
                     .decisions
                     .adopt_connection(request.clone(), endpoint_id, handle);
@@ -107,7 +107,7 @@
                 )
             }
         };
-        let failure_cause = Cause::Broke;
+        let failure_cause = FailureCause::BackendFailed;
         self.pending = Some(Box::new(PendingRequest {
             order,
             id,
@@ -184,7 +184,7 @@
                         record.backend = self
                             .shared
                             .directory
-                            .endpoint(endpoint_id)
+                            .backend_address(endpoint_id)
                             .map_or(String::new(), |e| e.name);
                     }
                     p.attempt = Some(Attempt::new(
@@ -199,16 +199,16 @@
                     continue;
                 }
                 Some(Decision::Reject(wait)) => (
-                    Some(Answer::Refused(
+                    Some(FinalAnswer::Rejected(
                         wait.min(self.shared.settings().max_retry_after),
                     )),
                     "refused",
                 ),
-                Some(Decision::Fail) => (Some(Answer::Failed(p.failure_cause)), "failed"),
+                Some(Decision::Fail) => (Some(FinalAnswer::Failed(p.failure_cause)), "failed"),
                 Some(Decision::Withdrawn) => (None, "client-gave-up"),
             };
             self.shared.decisions.remove(p.id);
-            let words = answer.map_or(Vec::new(), |answer| p.order.words(answer));
+            let words = answer.map_or(Vec::new(), |answer| p.order.encode_answer(answer));
             self.answer_and_close(answer, words, reason);
         }
     }
@@ -241,16 +241,20 @@
             }
             (Err((outcome, report)), true) => {
                 p.failure_cause = if outcome == Outcome::Timeout {
-                    Cause::Late
+                    FailureCause::Timeout
                 } else {
-                    Cause::Broke
+                    FailureCause::BackendFailed
                 };
                 decisions.attempt_failed(p.id, outcome, report);
             }
             (Err((outcome, report)), false) => {
                 decisions.connection_ended(p.id, outcome, report);
-                let answer = Answer::Failed(Cause::Broke);
-                return self.answer_and_close(Some(answer), p.order.words(answer), "not-adopted");
+                let answer = FinalAnswer::Failed(FailureCause::BackendFailed);
+                return self.answer_and_close(
+                    Some(answer),
+                    p.order.encode_answer(answer),
+                    "not-adopted",
+                );
             }
         }
         self.pending = Some(p);
@@ -258,7 +262,12 @@
 
     /// Sends the client a final answer other than a connection, and closes; no answer where the
     /// client is gone.
-    fn answer_and_close(&mut self, answer: Option<Answer>, words: Vec<u8>, reason: &'static str) {
+    fn answer_and_close(
+        &mut self,
+        answer: Option<FinalAnswer>,
+        words: Vec<u8>,
+        reason: &'static str,
+    ) {
         if let Some(record) = self.record.take() {
             answer
                 .iter()
@@ -276,21 +285,21 @@
             inbox,
             passage,
         } = established;
-        if passage.answered() {
+        if passage.established_is_final_answer() {
             self.record
                 .iter()
                 .filter_map(|record| record.tally.as_ref())
-                .for_each(|tally| tally.passed());
+                .for_each(|tally| tally.connected());
         } else {
             self.answer_deadline = Some(p.answer_deadline);
         }
-        if !passage.portable() {
+        if !passage.supports_takeover() {
             self.shared.metrics.xmpp.sessions.fetch_add(1, Relaxed);
-            self.to_backend.make_roomy();
+            self.to_backend.enable_large_reads();
         }
         self.to_client = inbox;
-        if !passage.portable() {
-            self.to_client.make_roomy();
+        if !passage.supports_takeover() {
+            self.to_client.enable_large_reads();
         }
         self.backend = Some(BackendSide {
             link,
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -4,7 +4,7 @@
 use crate::decision_service::RequestHandle;
 use crate::decisions::api::RequestId;
 use crate::net::admission::RequestSlot;
-use crate::ops::metrics::Tally;
+use crate::ops::metrics::RequestCounter;
 use crate::sys::{lock, Wake};
 use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering::AcqRel};
@@ -237,7 +237,7 @@
     /// The time of the accept.
     pub started_at: Instant,
     /// The connection's part in the metrics; none before its class is known.
-    pub tally: Option<Tally>,
+    pub tally: Option<RequestCounter>,
 }
 
 impl ConnectionRecord {
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -9,9 +9,9 @@
 use crate::net::tls::TlsConfig;
 use crate::ops::metrics::Metrics;
 use crate::platform::directory::Directory;
-use crate::protocol::line::note::Notes;
-use crate::protocol::xmpp::terms;
-use crate::protocol::Rules;
+use crate::protocol::line::load_samples::SampleClassifier;
+use crate::protocol::xmpp::settings::XmppSettings;
+use crate::protocol::FrontSettings;
 use crate::sys::lock;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
 /// The part of the settings that connections need. Replaced as a whole at a reload.
 pub struct NetSettings {
     /// The part that the client protocols need.
-    pub rules: Arc<Rules>,
+    pub rules: Arc<FrontSettings>,
     /// The longest dial of a backend.
     pub dial_timeout: Duration,
     /// The longest time after which a rejected client may be told to retry.
@@ -30,7 +30,7 @@
 impl NetSettings {
     fn from_config(config: &Config) -> NetSettings {
         NetSettings {
-            rules: Arc::new(Rules {
+            rules: Arc::new(FrontSettings {
                 classes: config.classes.clone(),
                 names: config.names.clone(),
             }),
@@ -43,7 +43,7 @@
 /// The configuration of the XMPP front.
 pub struct XmppFront {
     /// The part that the XMPP protocol needs.
-    pub terms: Arc<terms::Terms>,
+    pub settings: Arc<XmppSettings>,
     /// The TLS configurations with their certificates.
     pub tls: TlsConfig,
     /// The port of XMPP servers, if it is not the one that discovery gives.
@@ -60,9 +60,9 @@
         let Some(x) = &file.operator.xmpp else {
             return Ok(None);
         };
-        let terms = Arc::new(terms::Terms::of(file, x, &config.classes)?);
+        let settings = Arc::new(XmppSettings::from_operator_file(file, x, &config.classes)?);
         Ok(Some(Arc::new(XmppFront {
-            terms,
+            settings,
             tls: TlsConfig::load(file, x)?,
             port: x.servers.port,
         })))
@@ -110,7 +110,7 @@
     settings: Mutex<Arc<NetSettings>>,
     xmpp: Mutex<Option<Arc<XmppFront>>>,
     /// Recent load samples of backends.
-    pub load_samples: Notes,
+    pub load_samples: SampleClassifier,
     /// The limits of connections and requests.
     pub admission: Arc<Admission>,
     /// The metrics of this process.
@@ -134,13 +134,13 @@
         directory: Arc<Directory>,
     ) -> Arc<SharedState> {
         let metrics = Arc::new(Metrics::default());
-        metrics.show(&config.classes.names());
+        metrics.add_classes(&config.classes.names());
         Arc::new(SharedState {
             decisions,
             directory,
             settings: Mutex::new(Arc::new(NetSettings::from_config(config))),
             xmpp: Mutex::default(),
-            load_samples: Notes::default(),
+            load_samples: SampleClassifier::default(),
             admission: Admission::new(
                 &config.limits,
                 config.admin.is_some(),
@@ -162,7 +162,7 @@
     /// Puts new settings in force. The decisions get them first, since they must know a class
     /// before a client can request it.
     pub fn adopt_settings(&self, config: &Config) {
-        self.metrics.show(&config.classes.names());
+        self.metrics.add_classes(&config.classes.names());
         self.decisions.update_settings(config.settings.clone());
         *lock(&self.settings) = Arc::new(NetSettings::from_config(config));
     }
@@ -174,7 +174,7 @@
 
     /// Replaces the XMPP front. Existing sessions keep the configuration that they began with.
     pub fn adopt_xmpp(&self, xmpp: Option<Arc<XmppFront>>) {
-        self.metrics.xmpp.on.store(xmpp.is_some(), Relaxed);
+        self.metrics.xmpp.enabled.store(xmpp.is_some(), Relaxed);
         *lock(&self.xmpp) = xmpp;
     }
 
--- a/src/protocol/line/mod.rs
+++ b/src/protocol/line/mod.rs
@@ -1,245 +1,272 @@
-//! The line protocol: lines of text, one request a connection, `MOVE` between two lines.
+//! The line protocol: lines of text, one request per connection, and `MOVE` between two lines to
+//! migrate.
 
-pub mod note;
-pub mod words;
+pub mod load_samples;
+pub mod messages;
 
 use crate::decisions::api::{Micros, Outcome, Request};
-use crate::protocol::buffer::{trim, Buffer, TooLong, MAX_LINE};
+use crate::protocol::buffer::{trim_line_end, Buffer, TooLong, MAX_LINE};
 use crate::protocol::{
-    Answer, Away, Exchange, Fault, Greeter, News, Next, Order, Passage, Passed, Rules, Short, Step,
+    AttemptAction, AttemptProtocol, BackendEvent, ClientRequest, CloseReason, FinalAnswer,
+    Forwardable, Forwarder, FrontSettings, Interruption, ProtocolViolation, ReaderAction,
+    RequestReader,
 };
+use messages::{parse_backend_line, parse_first_line, BackendLine, FirstLine, OpenRequest};
 use std::sync::Arc;
-use words::{opening, told, Open, Opening, Told};
 
-/// A connection must ask for something within this, and a line that has begun must end. Less than the
-/// three seconds that a client is owed, so that the answer also arrives.
-const HEARD: Micros = 2_000_000;
-/// One that has asked whether the relay is there, and then for nothing, is closed after this.
-const IDLE: Micros = 60_000_000;
-/// A backend that leaves a client's line unanswered for so long counts as lost: a crowded backend may take about
-/// 3 s.
-const SILENT: Micros = 5_000_000;
-/// Clients give up on a connection that has brought nothing back for 7 s. They send a line every 2 s, so one that
-/// stops right after an answer is asked only 2 s later, and `SILENT` alone ended it at 7.2 s. Less than 7 s by two
-/// looks at what is up, and the way of the last words.
-const UNHEARD: Micros = 6_400_000;
-/// So long a line has been unanswered before `UNHEARD` counts: a client may have been quiet for longer than that.
-const ASKED_FOR: Micros = 4_000_000;
-/// The last words to a client that is asked to come again.
+/// The longest wait for a client's request, and for the end of a line that has begun. Less than the
+/// three seconds within which a client must have an answer, so that the answer also arrives.
+const REQUEST_TIMEOUT: Micros = 2_000_000;
+/// The longest wait for the next line of a client that has sent a `PING`.
+const IDLE_TIMEOUT: Micros = 60_000_000;
+/// A backend that leaves a client's line unanswered for longer is lost: an overloaded backend may
+/// take about 3 s.
+const RESPONSE_TIMEOUT: Micros = 5_000_000;
+/// A backend that has sent no response for longer is lost, too, once a line has been unanswered for
+/// [`SILENCE_MIN_UNANSWERED`]. Clients give up on a connection after 7 s without a response, and
+/// they send a line every 2 s: if a backend stops right after a response, the next line follows
+/// only 2 s later, and `RESPONSE_TIMEOUT` alone closed the connection at 7.2 s. This is 7 s less
+/// two of the periodic checks of established connections and the transit time of the final message.
+const SILENCE_TIMEOUT: Micros = 6_400_000;
+/// How long a line must have been unanswered before [`SILENCE_TIMEOUT`] applies: the backend may
+/// have been silent only because the client was.
+const SILENCE_MIN_UNANSWERED: Micros = 4_000_000;
+/// The final message to a client that is asked to reconnect.
 const MOVE: &[u8] = b"MOVE\r\n";
 
-fn line(text: &str) -> Vec<u8> {
+fn encode_line(text: &str) -> Vec<u8> {
     format!("{text}\r\n").into_bytes()
 }
 
-/// Hears a client up to its first line that asks for something.
-pub struct Greeting {
-    until: Micros,
-    /// Whether a line has begun.
-    half: bool,
+/// Reads a client's lines up to its request.
+pub struct LineRequestReader {
+    deadline: Micros,
+    /// Whether part of a line has been received.
+    line_started: bool,
 }
 
-impl Greeting {
-    /// For a client that has come at `now`.
-    pub fn new(now: Micros) -> Greeting {
-        Greeting {
-            until: now + HEARD,
-            half: false,
+impl LineRequestReader {
+    /// A reader for a client that has connected at `now`.
+    pub fn new(now: Micros) -> LineRequestReader {
+        LineRequestReader {
+            deadline: now + REQUEST_TIMEOUT,
+            line_started: false,
         }
     }
 }
 
-impl Greeter for Greeting {
-    fn next(&mut self, inbox: &mut Buffer, now: Micros, rules: &Arc<Rules>) -> Next {
-        let refused = match inbox.line() {
-            Ok(Some(range)) => match opening(trim(inbox.at(range)), &rules.classes) {
-                // A client waits for its answer: what sends on at once is no client's, and no backend
-                // could make sense of it.
-                Ok(Opening::Open(_)) if !inbox.rest().is_empty() => "sent-on",
-                Ok(Opening::Open(open)) => {
-                    return Next::Place(Box::new(Asked {
-                        open,
-                        rules: rules.clone(),
-                    }))
+impl RequestReader for LineRequestReader {
+    fn next_action(
+        &mut self,
+        inbox: &mut Buffer,
+        now: Micros,
+        settings: &Arc<FrontSettings>,
+    ) -> ReaderAction {
+        let error = match inbox.take_line() {
+            Ok(Some(range)) => {
+                match parse_first_line(trim_line_end(inbox.slice(range)), &settings.classes) {
+                    // A client waits for its answer. Data sent right after a request does not come
+                    // from a proper client, and no backend expects it.
+                    Ok(FirstLine::Open(_)) if !inbox.unread().is_empty() => "sent-on",
+                    Ok(FirstLine::Open(open)) => {
+                        return ReaderAction::Request(Box::new(LineRequest {
+                            open,
+                            settings: settings.clone(),
+                        }))
+                    }
+                    Ok(FirstLine::Ping) => {
+                        (self.deadline, self.line_started) = (now + IDLE_TIMEOUT, false);
+                        return ReaderAction::Send(encode_line("PONG"));
+                    }
+                    Err(error) => error,
                 }
-                Ok(Opening::Ping) => {
-                    (self.until, self.half) = (now + IDLE, false);
-                    return Next::Say(line("PONG"));
-                }
-                Err(what) => what,
-            },
+            }
             Ok(None) => {
-                // A line has begun: it has as long as one at the start has.
-                if !self.half && !inbox.rest().is_empty() {
-                    (self.until, self.half) = (self.until.min(now + HEARD), true);
+                // A line that begins later has the same time as the first one.
+                if !self.line_started && !inbox.unread().is_empty() {
+                    (self.deadline, self.line_started) =
+                        (self.deadline.min(now + REQUEST_TIMEOUT), true);
                 }
-                return Next::Read;
+                return ReaderAction::Read;
             }
             Err(TooLong) => "line-too-long",
         };
-        Next::End(line(&format!("ERR {refused}")), refused)
+        ReaderAction::Close(encode_line(&format!("ERR {error}")), error)
     }
 
-    fn until(&self) -> Micros {
-        self.until
+    fn deadline(&self) -> Micros {
+        self.deadline
     }
 
-    fn cut_short(&mut self, inbox: &Buffer, why: Short) -> (Vec<u8>, &'static str) {
-        match (inbox.rest().is_empty(), why) {
-            (_, Short::Dismissed) => (line("BUSY"), ""),
-            // The health checks of the front come and go; they are no connections.
+    fn interrupt(&mut self, inbox: &Buffer, why: Interruption) -> (Vec<u8>, &'static str) {
+        match (inbox.unread().is_empty(), why) {
+            (_, Interruption::Dismissed) => (encode_line("BUSY"), ""),
+            // Health checks of the front connect and disconnect without a request: not logged.
             (true, _) => (Vec::new(), ""),
-            (false, Short::Late) => (line("ERR half-a-line"), "half-a-line"),
-            (false, Short::Ended) => (Vec::new(), "half-a-line"),
+            (false, Interruption::TimedOut) => (encode_line("ERR half-a-line"), "half-a-line"),
+            (false, Interruption::Disconnected) => (Vec::new(), "half-a-line"),
         }
     }
 }
 
-/// A request that was read.
-struct Asked {
-    open: Open,
-    rules: Arc<Rules>,
+/// A complete request.
+struct LineRequest {
+    open: OpenRequest,
+    settings: Arc<FrontSettings>,
 }
 
-impl Order for Asked {
+impl ClientRequest for LineRequest {
     fn front(&self) -> &'static str {
         "line"
     }
 
-    fn name(&self) -> &str {
-        &self.open.name
+    fn connection_id(&self) -> &str {
+        &self.open.connection_id
     }
 
     fn request(&self) -> &Request {
         &self.open.request
     }
 
-    fn at(&self) -> Option<&str> {
-        self.open.at.as_deref()
+    fn adopted_backend(&self) -> Option<&str> {
+        self.open.adopted_backend.as_deref()
     }
 
-    fn exchange(&self) -> Box<dyn Exchange> {
-        Box::new(Attempt {
+    fn start_attempt(&self) -> Box<dyn AttemptProtocol> {
+        Box::new(LineAttempt {
             open: self.open.clone(),
-            rules: self.rules.clone(),
-            asked: false,
+            settings: self.settings.clone(),
+            request_sent: false,
         })
     }
 
-    fn words(&self, answer: Answer) -> Vec<u8> {
+    fn encode_answer(&self, answer: FinalAnswer) -> Vec<u8> {
         match answer {
-            Answer::Refused(0) => line("BUSY"),
-            Answer::Refused(wait) => line(&format!("BUSY {}", wait.div_ceil(1000))),
-            Answer::Failed(_) => line("FAILED"),
-            Answer::IdInUse => line("ERR id-in-use"),
+            FinalAnswer::Rejected(0) => encode_line("BUSY"),
+            FinalAnswer::Rejected(wait) => encode_line(&format!("BUSY {}", wait.div_ceil(1000))),
+            FinalAnswer::Failed(_) => encode_line("FAILED"),
+            FinalAnswer::IdInUse => encode_line("ERR id-in-use"),
         }
     }
 }
 
-/// One attempt: the first line, and the line that answers it.
-struct Attempt {
-    open: Open,
-    rules: Arc<Rules>,
-    asked: bool,
+/// One attempt: sends the request line and reads the backend's reply to it.
+struct LineAttempt {
+    open: OpenRequest,
+    settings: Arc<FrontSettings>,
+    request_sent: bool,
 }
 
-impl Exchange for Attempt {
-    fn step(&mut self, inbox: &mut Buffer, left: Micros) -> Step {
-        if !std::mem::replace(&mut self.asked, true) {
-            // One that was open before the start is waited for as long as it takes, not as long as its
-            // client said then.
-            let left = self.open.at.is_none().then_some(left);
-            return Step::Ask(self.open.forward(left).into_bytes());
+impl AttemptProtocol for LineAttempt {
+    fn next_action(&mut self, inbox: &mut Buffer, left: Micros) -> AttemptAction {
+        if !std::mem::replace(&mut self.request_sent, true) {
+            // A connection that was open before this process started keeps the deadline in its
+            // line: it may take longer than the client's deadline at that time.
+            let time_left = self.open.adopted_backend.is_none().then_some(left);
+            return AttemptAction::SendRequest(self.open.for_backend(time_left).into_bytes());
         }
-        let Ok(answer) = inbox.peek() else {
-            return Step::Not(Outcome::Error, Vec::new());
+        let Ok(reply) = inbox.peek_line() else {
+            return AttemptAction::Failed(Outcome::Error, Vec::new());
         };
-        let Some(answer) = answer else {
-            return Step::Read;
+        let Some(reply) = reply else {
+            return AttemptAction::Read;
         };
-        match told(trim(answer), &self.rules.names) {
-            Told::Up => Step::Up,
-            Told::Busy(report) => Step::Not(Outcome::Rejected, report),
-            Told::Err(report) => Step::Not(Outcome::Error, report),
-            Told::Move => Step::Not(Outcome::Cancelled, Vec::new()),
-            other => Step::Nonsense(format!("{other:?}")),
+        match parse_backend_line(trim_line_end(reply), &self.settings.names) {
+            BackendLine::Up => AttemptAction::Established,
+            BackendLine::Busy(report) => AttemptAction::Failed(Outcome::Rejected, report),
+            BackendLine::Err(report) => AttemptAction::Failed(Outcome::Error, report),
+            BackendLine::Move => AttemptAction::Failed(Outcome::Cancelled, Vec::new()),
+            other => AttemptAction::UnexpectedReply(format!("{other:?}")),
         }
     }
 
-    fn passage(self: Box<Self>) -> Box<dyn Passage> {
-        Box::new(Lines)
+    fn into_forwarder(self: Box<Self>) -> Box<dyn Forwarder> {
+        Box::new(LineForwarder)
     }
 }
 
-/// A connection that is up: whole lines, both ways.
-pub struct Lines;
+/// An established connection: forwards complete lines in both directions.
+pub struct LineForwarder;
 
-/// How many bytes the whole lines at the front have, their ends included. What comes before a line that is
-/// too long is sound.
-fn whole(bytes: &[u8]) -> Result<usize, TooLong> {
-    let mut whole = 0;
+/// The length of the complete lines at the front, line ends included. Lines before one that is too
+/// long count; it is an error only as the first.
+fn complete_lines_len(bytes: &[u8]) -> Result<usize, TooLong> {
+    let mut len = 0;
     loop {
-        match bytes[whole..].iter().position(|&b| b == b'\n') {
-            Some(at) if at < MAX_LINE => whole += at + 1,
-            None if bytes.len() - whole < MAX_LINE => return Ok(whole),
-            _ if whole > 0 => return Ok(whole),
+        match bytes[len..].iter().position(|&b| b == b'\n') {
+            Some(at) if at < MAX_LINE => len += at + 1,
+            None if bytes.len() - len < MAX_LINE => return Ok(len),
+            _ if len > 0 => return Ok(len),
             _ => return Err(TooLong),
         }
     }
 }
 
-impl Passage for Lines {
-    fn up(&mut self, fresh: &[u8]) -> Result<Passed, Fault> {
-        match whole(fresh) {
-            Ok(bytes) => Ok(Passed {
+impl Forwarder for LineForwarder {
+    fn on_client_data(&mut self, fresh: &[u8]) -> Result<Forwardable, ProtocolViolation> {
+        match complete_lines_len(fresh) {
+            Ok(bytes) => Ok(Forwardable {
                 bytes,
-                asks: bytes > 0,
+                expects_response: bytes > 0,
             }),
-            // What follows may begin inside that line: none of it may reach the backend.
-            Err(TooLong) => Err(Fault {
-                what: "a line is longer than allowed",
+            // Later reads may begin in the middle of this line, so nothing more may reach the
+            // backend.
+            Err(TooLong) => Err(ProtocolViolation {
+                description: "a line is longer than allowed",
                 reason: "moved",
-                words: MOVE.to_vec(),
+                closing_message: MOVE.to_vec(),
             }),
         }
     }
 
-    fn down(&mut self, fresh: &[u8], rules: &Rules, news: &mut Vec<News>) -> Result<usize, Fault> {
-        let Ok(whole) = whole(fresh) else {
-            let what = "the backend's line is longer than allowed";
-            return Err(Fault {
-                what,
+    fn on_backend_data(
+        &mut self,
+        fresh: &[u8],
+        settings: &FrontSettings,
+        events: &mut Vec<BackendEvent>,
+    ) -> Result<usize, ProtocolViolation> {
+        let Ok(len) = complete_lines_len(fresh) else {
+            let description = "the backend's line is longer than allowed";
+            return Err(ProtocolViolation {
+                description,
                 reason: "line-too-long",
-                words: MOVE.to_vec(),
+                closing_message: MOVE.to_vec(),
             });
         };
-        let mut heard = false;
-        for line in fresh[..whole].split_inclusive(|&b| b == b'\n') {
-            let told = told(trim(line), &rules.names);
-            // A note of the load answers nobody: a stream that has stopped may still bring them.
-            heard |= !matches!(told, Told::Load(_));
-            match told {
-                Told::Load(x) => news.push(News::Load(x)),
-                Told::Bye(report) => news.push(News::Farewell(Outcome::Success, report, "served")),
-                Told::Move => {
-                    news.push(News::Farewell(Outcome::Cancelled, Vec::new(), "sent-away"))
-                }
+        let mut has_response = false;
+        for line in fresh[..len].split_inclusive(|&b| b == b'\n') {
+            let message = parse_backend_line(trim_line_end(line), &settings.names);
+            // A load sample is no response: a backend whose connections hang may still send them.
+            has_response |= !matches!(message, BackendLine::Load(_));
+            match message {
+                BackendLine::Load(value) => events.push(BackendEvent::LoadSample(value)),
+                BackendLine::Bye(report) => events.push(BackendEvent::EndAnnounced(
+                    Outcome::Success,
+                    report,
+                    "served",
+                )),
+                BackendLine::Move => events.push(BackendEvent::EndAnnounced(
+                    Outcome::Cancelled,
+                    Vec::new(),
+                    "sent-away",
+                )),
                 _ => {}
             }
         }
-        news.extend(heard.then_some(News::Heard));
-        Ok(whole)
+        events.extend(has_response.then_some(BackendEvent::Response));
+        Ok(len)
     }
 
-    fn words(&self, _why: Away) -> Vec<u8> {
+    fn closing_message(&self, _why: CloseReason) -> Vec<u8> {
         MOVE.to_vec()
     }
 
-    fn lost(&self, unanswered: Micros, unheard: Micros) -> bool {
-        unanswered > SILENT || (unanswered > ASKED_FOR && unheard > UNHEARD)
+    fn is_backend_lost(&self, unanswered: Micros, unheard: Micros) -> bool {
+        unanswered > RESPONSE_TIMEOUT
+            || (unanswered > SILENCE_MIN_UNANSWERED && unheard > SILENCE_TIMEOUT)
     }
 
-    fn marks_answers(&self) -> bool {
+    fn reports_responses(&self) -> bool {
         true
     }
 }
@@ -249,81 +276,96 @@
     use super::*;
 
     #[test]
-    fn sound_lines_go_on_and_one_that_is_too_long_does_not() {
+    fn complete_lines_are_forwarded_and_a_line_that_is_too_long_is_not() {
         let text = [b"sound\r\n".to_vec(), vec![b'x'; MAX_LINE]].concat();
-        let mut lines = Lines;
+        let mut forwarder = LineForwarder;
         assert_eq!(
-            lines.up(&text),
-            Ok(Passed {
+            forwarder.on_client_data(&text),
+            Ok(Forwardable {
                 bytes: 7,
-                asks: true
+                expects_response: true
             })
         );
-        assert_eq!(lines.up(&text[7..]).unwrap_err().words, MOVE);
-        assert_eq!(lines.up(b"half"), Ok(Passed::default()));
+        assert_eq!(
+            forwarder
+                .on_client_data(&text[7..])
+                .unwrap_err()
+                .closing_message,
+            MOVE
+        );
+        assert_eq!(
+            forwarder.on_client_data(b"half"),
+            Ok(Forwardable::default())
+        );
     }
 
-    /// One that stopped right after an answer was once ended 7.2 s later, when its client had given up on it.
+    /// Guards against a loss that is noticed too late: the connection of a backend that stopped
+    /// right after a response was closed 7.2 s later, after its client had given up at 7 s.
     #[test]
     fn a_backend_that_stops_is_lost_before_its_client_gives_up_and_a_slow_one_is_not() {
         let ms = |x: u64| x * 1_000;
-        // (unanswered, unheard, whether it is lost)
+        // (time since the oldest unanswered line, time since the last response, whether the backend
+        // is lost)
         let cases = [
             (ms(0), ms(60_000), false),
-            // A line each 2 s, the first of them 2 s after the last answer.
+            // A line every 2 s, the first of them 2 s after the last response.
             (ms(4_300), ms(6_300), false),
             (ms(4_500), ms(6_500), true),
             (ms(4_800), ms(4_900), false),
             (ms(5_100), ms(5_100), true),
-            // A client that was quiet, and a backend that is crowded.
+            // A client that was silent, and an overloaded backend.
             (ms(3_000), ms(40_000), false),
             (ms(4_100), ms(40_000), true),
         ];
         for (unanswered, unheard, lost) in cases {
             assert_eq!(
-                Lines.lost(unanswered, unheard),
+                LineForwarder.is_backend_lost(unanswered, unheard),
                 lost,
                 "{unanswered} {unheard}"
             );
         }
     }
 
-    /// Notes of the load once passed for answers: a stream that had stopped was kept for as long as they came.
+    /// Guards against load samples that count as responses: a connection that hung was kept for as
+    /// long as samples came.
     #[test]
-    fn a_note_of_the_load_is_no_answer() {
-        let told = |text: &str| {
-            let mut news = Vec::new();
-            Lines
-                .down(text.as_bytes(), &Rules::default(), &mut news)
+    fn a_load_sample_is_no_response() {
+        let events = |text: &str| {
+            let mut events = Vec::new();
+            LineForwarder
+                .on_backend_data(text.as_bytes(), &FrontSettings::default(), &mut events)
                 .unwrap();
-            news
+            events
         };
-        assert_eq!(told("LOAD 2.5\r\n"), [News::Load(2.5)]);
+        assert_eq!(events("LOAD 2.5\r\n"), [BackendEvent::LoadSample(2.5)]);
         assert_eq!(
-            told("LOAD 2.5\r\nany line\r\n"),
-            [News::Load(2.5), News::Heard]
+            events("LOAD 2.5\r\nany line\r\n"),
+            [BackendEvent::LoadSample(2.5), BackendEvent::Response]
         );
-        assert_eq!(told("half a li"), []);
+        assert_eq!(events("half a li"), []);
     }
 
-    /// A client that asked for a ping and then began a line once had the long wait of an idle one for it.
+    /// Guards against a partial line that is waited for as long as an idle client after its `PING`.
     #[test]
     fn a_line_that_has_begun_must_end_soon() {
-        let rules = Arc::new(Rules::default());
-        let mut greeting = Greeting::new(0);
-        let mut inbox = Buffer::holding(b"PING\r\nOPE".to_vec());
+        let settings = Arc::new(FrontSettings::default());
+        let mut reader = LineRequestReader::new(0);
+        let mut inbox = Buffer::from_bytes(b"PING\r\nOPE".to_vec());
         assert!(
-            matches!(greeting.next(&mut inbox, 5, &rules), Next::Say(pong) if pong == b"PONG\r\n")
+            matches!(reader.next_action(&mut inbox, 5, &settings), ReaderAction::Send(pong) if pong == b"PONG\r\n")
         );
-        assert_eq!(greeting.until(), 5 + IDLE);
-        assert!(matches!(greeting.next(&mut inbox, 6, &rules), Next::Read));
-        assert_eq!(greeting.until(), 6 + HEARD);
+        assert_eq!(reader.deadline(), 5 + IDLE_TIMEOUT);
+        assert!(matches!(
+            reader.next_action(&mut inbox, 6, &settings),
+            ReaderAction::Read
+        ));
+        assert_eq!(reader.deadline(), 6 + REQUEST_TIMEOUT);
         assert_eq!(
-            greeting.cut_short(&inbox, Short::Late).0,
+            reader.interrupt(&inbox, Interruption::TimedOut).0,
             b"ERR half-a-line\r\n"
         );
         assert_eq!(
-            greeting.cut_short(&Buffer::default(), Short::Late),
+            reader.interrupt(&Buffer::default(), Interruption::TimedOut),
             (Vec::new(), "")
         );
     }
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_request_that_may_have_run_fails_and_is_neither_rejected_nor_retried() {
     let cases: [(&str, BackendAction); 6] = [
-        ("reset", |b| b.cut()),
+        ("reset", |b| b.close_with_reset()),
         ("ended", |b| b.end()),
         ("half an answer, then the end", |b| {
             b.write(b"BUS");
@@ -41,7 +41,8 @@
         assert!(client.ended(), "{name}: more than one answer");
         let other = if at == "s-1" { "s-2" } else { "s-1" };
         assert!(
-            fleet.backend(other).unvisited() && fleet.backend(&at).unvisited(),
+            fleet.backend(other).has_no_new_connection()
+                && fleet.backend(&at).has_no_new_connection(),
             "{name}: retried"
         );
     }
@@ -62,7 +63,7 @@
     backend.send("ERR");
     assert_eq!(client.line(), "FAILED");
     let other = if at == "s-1" { "s-2" } else { "s-1" };
-    assert!(fleet.backend(other).unvisited());
+    assert!(fleet.backend(other).has_no_new_connection());
     // The next request is admitted under the new settings, and is retried.
     let mut client = relay.client();
     client.send("OPEN 02 7f c=chat,d=60000");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeSet;
 
 /// `n` balancers of one fleet, with the same endpoint list and different seeds.
-fn fleet(n: u32, endpoints: u64, settings: &Settings) -> Vec<Proxy> {
+fn fleet(n: u32, endpoints: u64, settings: &Settings) -> Vec<BalancerHarness> {
     let relay = |seed| {
         let number = seed as u32 - 1;
-        let mut proxy = Proxy::new(
+        let mut proxy = BalancerHarness::new(
             Settings {
                 balancer_count: n,
                 balancer_index: number,
@@ -20,7 +20,10 @@
             },
             seed,
         );
-        proxy.list(EndpointListKind::Full, (1..=endpoints).map(ready).collect());
+        proxy.update_endpoints(
+            EndpointListKind::Full,
+            (1..=endpoints).map(ready_endpoint).collect(),
+        );
         proxy
     };
     (1..=u64::from(n)).map(relay).collect()
@@ -36,8 +39,11 @@
 
 /// The number of health checks that a balancer without requests makes within a time.
 fn count_health_checks(settings: Settings, endpoints: u64, seed: u64, time: Micros) -> usize {
-    let mut proxy = Proxy::new(settings, seed);
-    let mut actions = proxy.list(EndpointListKind::Full, (1..=endpoints).map(ready).collect());
+    let mut proxy = BalancerHarness::new(settings, seed);
+    let mut actions = proxy.update_endpoints(
+        EndpointListKind::Full,
+        (1..=endpoints).map(ready_endpoint).collect(),
+    );
     let (end, mut count) = (proxy.now + time, 0);
     loop {
         count += actions
@@ -52,7 +58,7 @@
             return count;
         }
         proxy.now = at;
-        actions = proxy.fire(token);
+        actions = proxy.fire_timer(token);
     }
 }
 
@@ -99,7 +105,7 @@
             ));
             homes[group].insert(endpoint.unwrap());
             // The connection ends at once, so that the number of connections has no effect.
-            proxy.end(id + 1, endpoint.unwrap(), Outcome::Success, true);
+            proxy.end_attempt(id + 1, endpoint.unwrap(), Outcome::Success, true);
         }
     }
     assert!(
@@ -123,20 +129,20 @@
     for n in [3, 100] {
         let mut fleet = fleet(n, 2, &settings);
         let begin = fleet[0].now;
-        let report_load = |proxy: &mut Proxy, endpoint: u64, active: f32, load: f32| {
+        let report_load = |proxy: &mut BalancerHarness, endpoint: u64, active: f32, load: f32| {
             let (endpoint, report) = (EndpointId(endpoint), vec![active, load]);
-            proxy.feed(Event::HealthCheck {
+            proxy.handle(Event::HealthCheck {
                 endpoint,
                 outcome: Outcome::Success,
                 report,
             })
         };
         for proxy in &mut fleet {
-            proxy.list(
+            proxy.update_endpoints(
                 EndpointListKind::Delta,
                 vec![ListedEndpoint {
                     started_at: Some(begin),
-                    ..ready(3)
+                    ..ready_endpoint(3)
                 }],
             );
         }
@@ -150,7 +156,7 @@
             let mut actions = report_load(proxy, 1, 95.0, 0.95 + step as f32 / 1e6);
             actions.extend(report_load(proxy, 2, 95.0, 0.95 + step as f32 / 1e6));
             actions.extend(report_load(proxy, 3, 0.0, step as f32 / 1e9));
-            actions.extend(proxy.request(Request {
+            actions.extend(proxy.submit(Request {
                 time_left: SECOND / 4,
                 ..request(step + 1, u64::from(step), 0)
             }));
@@ -159,7 +165,7 @@
                     continue;
                 };
                 sends.extend((endpoint == EndpointId(3)).then_some(now));
-                proxy.end(id.0, endpoint, Outcome::Success, true);
+                proxy.end_attempt(id.0, endpoint, Outcome::Success, true);
             }
         }
         let count_in_window = |from: Micros| {
@@ -171,7 +177,7 @@
         for second in 0..4 {
             let (age, count) = (second * SECOND, count_in_window(begin + second * SECOND));
             // The limit is that of the lowest capacity within the window.
-            let allowed = allowed_when_cold(&settings, 100.0, age);
+            let allowed = max_requests_while_warming(&settings, 100.0, age);
             assert!(
                 count < 0.7 * allowed,
                 "{n} relays: {count} in 3 s from second {second}, {allowed} allowed"
@@ -204,7 +210,7 @@
     let mut random = Random::new(seed);
     let begin = 1_000 * SECOND;
     let start = |now: Micros, number: u32, seed: u64| {
-        let mut proxy = Proxy::new(
+        let mut proxy = BalancerHarness::new(
             Settings {
                 balancer_index: number,
                 ..settings.clone()
@@ -214,12 +220,15 @@
         proxy.now = now;
         let cold = ListedEndpoint {
             started_at: Some(begin),
-            ..ready(3)
+            ..ready_endpoint(3)
         };
-        proxy.list(EndpointListKind::Full, vec![ready(1), ready(2), cold]);
+        proxy.update_endpoints(
+            EndpointListKind::Full,
+            vec![ready_endpoint(1), ready_endpoint(2), cold],
+        );
         proxy
     };
-    let mut fleet: Vec<Proxy> = (0..relays)
+    let mut fleet: Vec<BalancerHarness> = (0..relays)
         .map(|n| {
             start(
                 begin + random.range(0..4 * SECOND),
@@ -259,7 +268,7 @@
                 (3, 0.0, 0.0),
             ] {
                 let report = vec![active, load + step as f32 / 1e6];
-                proxy.feed(Event::HealthCheck {
+                proxy.handle(Event::HealthCheck {
                     endpoint: EndpointId(endpoint),
                     outcome: Outcome::Success,
                     report,
@@ -267,13 +276,13 @@
             }
             next += 1;
             let request = request(next, u64::from(next), 0);
-            let Some(endpoint) = sent(&proxy.request(request)) else {
+            let Some(endpoint) = attempted_endpoint(&proxy.submit(request)) else {
                 // A request that has to wait is withdrawn.
-                proxy.feed(Event::ClientDisconnected(RequestId(next)));
+                proxy.handle(Event::ClientDisconnected(RequestId(next)));
                 continue;
             };
             sends.extend((endpoint == EndpointId(3)).then_some(proxy.now));
-            proxy.end(next, endpoint, Outcome::Success, true);
+            proxy.end_attempt(next, endpoint, Outcome::Success, true);
         }
     }
     sends.sort_unstable();
@@ -303,7 +312,7 @@
                     .count() as f32;
                 // The limit is that of the lowest capacity within the window.
                 let (settings, age) = (slow_start_settings(relays), from - 1_000 * SECOND);
-                let allowed = allowed_when_cold(&settings, capacity, age);
+                let allowed = max_requests_while_warming(&settings, capacity, age);
                 assert!(
                     age >= settings.warm_up_time || count <= allowed,
                     "{relays} relays, {quiet} s, seed {seed}: {count} in 3 s where {allowed} are allowed"
@@ -328,13 +337,15 @@
     };
     let (mut first, mut again) = (Vec::new(), Vec::new());
     for seed in 0..100 {
-        let mut proxy = Proxy::new(settings.clone(), seed);
+        let mut proxy = BalancerHarness::new(settings.clone(), seed);
         let begin = proxy.now;
-        let (at, token) = timers(&proxy.list(EndpointListKind::Cached, vec![ready(1)]))[0];
+        let (at, token) =
+            timers(&proxy.update_endpoints(EndpointListKind::Cached, vec![ready_endpoint(1)]))[0];
         proxy.now = at;
-        assert_eq!(proxy.fire(token), [Action::WatchEndpointList(true)]);
+        assert_eq!(proxy.fire_timer(token), [Action::WatchEndpointList(true)]);
         first.push(at - begin);
-        let (next, _) = timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0];
+        let (next, _) =
+            timers(&proxy.update_endpoints(EndpointListKind::WatchFailed, Vec::new()))[0];
         again.push(next - at);
         // Requests are placed with the cached list before discovery has answered.
         assert_eq!(proxy.connect(request(1, seed, 0)), Some(EndpointId(1)));
@@ -360,14 +371,17 @@
 /// request, the relay checks endpoints along the group's jumps until one has capacity.
 #[test]
 fn a_relay_checks_the_load_along_the_jumps_before_it_places_a_request() {
-    let mut proxy = Proxy::new(
+    let mut proxy = BalancerHarness::new(
         Settings {
             balancer_count: 100,
             ..with_health_checks()
         },
         5,
     );
-    proxy.list(EndpointListKind::Full, (1..=9).map(ready).collect());
+    proxy.update_endpoints(
+        EndpointListKind::Full,
+        (1..=9).map(ready_endpoint).collect(),
+    );
     let home = proxy.connect(request(1, 1, 7)).unwrap();
     proxy.now += 10 * SECOND;
     let health_checks = |actions: &[Action]| -> Vec<EndpointId> {
@@ -382,7 +396,7 @@
             })
             .collect()
     };
-    let actions = proxy.feed(Event::Request(request(2, 2, 7)));
+    let actions = proxy.handle(Event::Request(request(2, 2, 7)));
     let (mut checked, mut placed) = (health_checks(&actions), None);
     for n in 0..9 {
         let Some(&endpoint) = checked.get(n) else {
@@ -390,13 +404,13 @@
         };
         // All but the sixth endpoint that it checks are full.
         let report = vec![20.0, if n == 5 { 0.1 } else { 1.2 }];
-        let actions = proxy.feed(Event::HealthCheck {
+        let actions = proxy.handle(Event::HealthCheck {
             endpoint,
             outcome: Outcome::Success,
             report,
         });
         checked.extend(health_checks(&actions));
-        placed = placed.or(sent(&actions));
+        placed = placed.or(attempted_endpoint(&actions));
     }
     assert_eq!(checked[0], home, "the home is checked first");
     assert_eq!(placed, checked.get(5).copied(), "{checked:?}");
@@ -412,12 +426,13 @@
         ..Settings::default()
     };
     for (known, most) in [
-        (vec![ready(1)], settings.max_poll_interval / 2),
+        (vec![ready_endpoint(1)], settings.max_poll_interval / 2),
         (vec![], 0),
     ] {
         for seed in 0..50 {
-            let mut proxy = Proxy::new(settings.clone(), seed);
-            let (first, _) = timers(&proxy.list(EndpointListKind::Cached, known.clone()))[0];
+            let mut proxy = BalancerHarness::new(settings.clone(), seed);
+            let (first, _) =
+                timers(&proxy.update_endpoints(EndpointListKind::Cached, known.clone()))[0];
             assert!(
                 first <= proxy.now + most,
                 "{} us, {} known",
@@ -426,7 +441,8 @@
             );
             // After a failure the wait may be four times as long.
             for _ in 0..8 {
-                let (again, _) = timers(&proxy.list(EndpointListKind::WatchFailed, Vec::new()))[0];
+                let (again, _) =
+                    timers(&proxy.update_endpoints(EndpointListKind::WatchFailed, Vec::new()))[0];
                 assert!(again < proxy.now + 4 * settings.max_poll_interval);
             }
         }
@@ -439,22 +455,22 @@
 fn a_waiting_request_has_one_timer_however_many_health_checks_are_answered() {
     let cold = ListedEndpoint {
         started_at: Some(1_000 * SECOND),
-        ..ready(1)
+        ..ready_endpoint(1)
     };
-    let mut proxy = Proxy::new(
+    let mut proxy = BalancerHarness::new(
         Settings {
             balancer_count: 100,
             ..with_health_checks()
         },
         5,
     );
-    proxy.list(EndpointListKind::Full, vec![cold]);
+    proxy.update_endpoints(EndpointListKind::Full, vec![cold]);
     // No request may be sent yet to the only endpoint.
     let mut timer_count = 0;
     for n in 0..100u64 {
         let actions = match n {
-            0 => proxy.feed(Event::Request(request(1, 1, 0))),
-            _ => proxy.feed(Event::HealthCheck {
+            0 => proxy.handle(Event::Request(request(1, 1, 0))),
+            _ => proxy.handle(Event::HealthCheck {
                 endpoint: EndpointId(1),
                 outcome: Outcome::Error,
                 report: vec![],
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -26,8 +26,8 @@
 /// client's close are in one batch of events.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_during_the_dial() {
-    let (mut fleet, mut crowded) = (Fleet::new(&["s-1"]), Crowded::new());
-    fleet.moves("s-1", crowded.addr());
+    let (mut fleet, mut crowded) = (Fleet::new(&["s-1"]), FullBacklog::new());
+    fleet.set_backend_addr("s-1", crowded.addr());
     let relay = fleet.relay();
     let mut client = relay.client();
     client.send("OPEN 01 7f c=chat,d=60000");
@@ -61,7 +61,7 @@
     relay.wait_for_log("reason=client-gave-up");
     let other = if at == "s-1" { "s-2" } else { "s-1" };
     assert!(
-        fleet.backend(other).unvisited(),
+        fleet.backend(other).has_no_new_connection(),
         "a retry began although its client had left"
     );
 }
@@ -99,8 +99,8 @@
 /// stopped.
 #[test]
 fn a_dial_that_succeeds_after_its_timeout_is_closed_unused() {
-    let (mut fleet, mut crowded) = (Fleet::new(&["s-1"]), Crowded::new());
-    fleet.moves("s-1", crowded.addr());
+    let (mut fleet, mut crowded) = (Fleet::new(&["s-1"]), FullBacklog::new());
+    fleet.set_backend_addr("s-1", crowded.addr());
     let short = fleet
         .config(fleet.discovery.addr())
         .replace("\"dial_timeout\": 10000.0", "\"dial_timeout\": 500.0");
@@ -127,7 +127,7 @@
             .replacen('{', "{\"admin\":\"127.0.0.1:0\",", 1);
     let relay = Relay::start_with_descriptors(&admin, 32);
     // The watch stays open, so that the relay needs no other descriptors meanwhile.
-    let _watch = fleet.watched();
+    let _watch = fleet.accept_watch();
     let mut clients = Vec::new();
     until("the last descriptor", || {
         clients.push(relay.client());
@@ -140,7 +140,7 @@
     until("free descriptors", || {
         (relay.descriptors() < 24).then_some(())
     });
-    assert_eq!(relay.figure("skipped_backends"), Some(0));
+    assert_eq!(relay.metric("skipped_backends"), Some(0));
     relay.wait_for_log(": dial of s-1: Too many open files");
     fleet.pair(&relay, "02");
 }
@@ -149,7 +149,7 @@
 /// relay keeps the descriptors that it needs itself, and dismisses such clients to make room.
 #[test]
 fn clients_without_a_request_that_fill_the_limits_block_neither_list_updates_nor_requests() {
-    let (fleet, down) = (Fleet::new(&["s-1", "s-2"]), Refusing::new());
+    let (fleet, down) = (Fleet::new(&["s-1", "s-2"]), RefusingPort::new());
     for most in [128, 256] {
         let sockets = format!("\"sockets\":{most}");
         let few = |at| fleet.config(at).replace("\"sockets\":1024", &sockets);
@@ -165,8 +165,8 @@
         relay.wait_for_log("discovery: the watch failed");
         let up = Discovery::new();
         relay.reload(&few(up.addr()));
-        let mut watch = up.watched("GET /v1/endpoints?watch=1 HTTP");
-        watch.tell(
+        let mut watch = up.accept_watch("GET /v1/endpoints?watch=1 HTTP");
+        watch.send_list(
             2,
             true,
             &[fleet.entry("s-1", "leaving"), fleet.entry("s-2", "active")],
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -165,7 +165,7 @@
 /// One case. With `cached` the relay knows a backend from its configuration.
 fn stop_before_first_list(discovery: DiscoveryBehavior, cached: bool) {
     let case = format!("{discovery:?}, cached: {cached}");
-    let (fleet, refusing) = (Fleet::new(&["s-1", "s-2"]), Refusing::new());
+    let (fleet, refusing) = (Fleet::new(&["s-1", "s-2"]), RefusingPort::new());
     let at = if discovery == DiscoveryBehavior::Refusing {
         refusing.addr()
     } else {
@@ -182,7 +182,7 @@
             relay.wait_for_log("discovery: the watch failed");
             None
         }
-        _ => Some(fleet.discovery.called().0),
+        _ => Some(fleet.discovery.accept_call().0),
     };
 
     let established = cached.then(|| fleet.pair(&relay, "established"));
@@ -211,8 +211,8 @@
     let list = discovery == DiscoveryBehavior::Late;
     let mut watch = unanswered_watch.map(|peer| Watch { peer });
     if let Some(watch) = watch.as_mut().filter(|_| list) {
-        watch.peer.write(WATCHED);
-        watch.tell(
+        watch.peer.write(WATCH_RESPONSE_HEAD);
+        watch.send_list(
             2,
             true,
             &[fleet.entry("s-1", "active"), fleet.entry("s-2", "active")],
@@ -293,7 +293,7 @@
     assert!(
         ["s-1", "s-2"]
             .iter()
-            .all(|name| fleet.backend(name).unvisited()),
+            .all(|name| fleet.backend(name).has_no_new_connection()),
         "{case}"
     );
 }
