--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -48,7 +48,7 @@
         Some(xmpp) => println!(
             "{}: XMPP for {}",
             path.display(),
-            xmpp.terms.domains.join(", ")
+            xmpp.settings.domains.join(", ")
         ),
         None => println!("{}: opens no XMPP", path.display()),
     }
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -1,5 +1,8 @@
-//! Who may come in. Descriptors, memory and ids are given out here, so that connections which ask for
-//! nothing never take the room of those that do.
+//! Admission of connections and requests within the limits of the process.
+//!
+//! Descriptors, memory and connection ids are assigned here. Connections without a request and
+//! connections with one have separate limits, so that clients which request nothing cannot exhaust
+//! the descriptors of those that do.
 
 use crate::config::Limits;
 use crate::ops::admin::MAX_CALLERS;
@@ -10,74 +13,78 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Descriptors for all that is no client's: standard streams, listener, signals, discovery, the
-/// configuration while it is read, and the probes that may be out.
-const RESERVE: usize = 15 + MAX_HEALTH_CHECKS;
-/// Memory that a connection may need that is served: two stacks as far as they are used, two buffers.
-const PER_REQUEST: usize = 48 * 1024;
-/// The same for one that has not asked yet: one of each.
-const PER_IDLE: usize = 24 * 1024;
-/// The fewest connections that may wait to be heard.
-const IDLE_LEAST: usize = 16;
-/// One that has just come is not sent away unheard: its first line may be under way.
-pub const GRACE: Duration = Duration::from_millis(100);
+/// Descriptors that no client may use: standard streams, listener, signals, discovery, the
+/// configuration while it is read, and the health checks that may be in progress.
+const RESERVED_DESCRIPTORS: usize = 15 + MAX_HEALTH_CHECKS;
+/// Memory for a connection with a request: the used part of two stacks, and two buffers.
+const BYTES_PER_REQUEST: usize = 48 * 1024;
+/// Memory for a connection without a request: the used part of one stack, and one buffer.
+const BYTES_PER_WAITING: usize = 24 * 1024;
+/// The lowest limit of connections without a request.
+const MIN_WAITING: usize = 16;
+/// A connection is not dismissed for this time after it was accepted: its first line may be on the
+/// way.
+pub const DISMISS_GRACE: Duration = Duration::from_millis(100);
 
-/// A connection whose first line has not come yet.
-struct Waiting {
-    /// Whether it has ever asked something.
-    asked: bool,
-    /// When it last did, or came.
+/// The state of a connection without a request.
+struct WaitingState {
+    /// Whether the client has sent anything that the relay answered, such as `PING`.
+    active: bool,
+    /// Time of the last such message, or of the accept.
     since: Instant,
-    sent_away: bool,
+    /// Whether the connection was told to end, to make room for others.
+    dismissed: bool,
 }
 
 #[derive(Default)]
 struct Inner {
-    waiting: BTreeMap<u64, Waiting>,
-    open: BTreeSet<String>,
+    waiting: BTreeMap<u64, WaitingState>,
+    request_ids: BTreeSet<String>,
 }
 
-/// The room there is, and who has it.
+/// The limits of the process, and the connections and requests that count against them.
 pub struct Admission {
-    idle_most: usize,
-    requests_most: usize,
+    max_waiting: usize,
+    max_requests: usize,
     next: AtomicU64,
     inner: Mutex<Inner>,
 }
 
-/// Why a request is not let in.
+/// The reason why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
-    /// Another open connection has its id.
+pub enum AdmissionError {
+    /// Another open connection has the same id.
     IdInUse,
-    /// No descriptors or no memory are left for it.
-    Full,
+    /// No descriptors or no memory are left for the request.
+    NoCapacity,
 }
 
 impl Admission {
-    /// The room within these limits. Clients with requests hold at most a third of the descriptors, and
-    /// each needs a second one for its backend; what is left is for those that have not asked yet.
+    /// Derives the limits of connections and requests from those of the process. Clients with
+    /// requests use at most a third of the descriptors, and each needs a second one for its
+    /// backend; the rest is for connections without a request.
     ///
-    /// Where the platform holds the listening socket, two processes share all of it during an upgrade. Of
-    /// the clients with requests there are no more than before; the rest is halved for good.
-    pub fn new(limits: &Limits, admin: bool, held: bool) -> Arc<Admission> {
+    /// Where the listening socket is `inherited` from the platform, two processes share all limits
+    /// during an upgrade. The number of clients with requests does not grow by that; the limit of
+    /// connections without a request is always halved.
+    pub fn new(limits: &Limits, admin: bool, inherited: bool) -> Arc<Admission> {
         let (sockets, memory) = (
             limits.sockets as usize,
             limits.memory_mb as usize * 1024 * 1024,
         );
-        let processes = if held { 2 } else { 1 };
-        let reserve = RESERVE + if admin { MAX_CALLERS + 1 } else { 0 };
-        let left = sockets.saturating_sub(processes * (reserve + IDLE_LEAST));
-        let requests_most = sockets
+        let processes = if inherited { 2 } else { 1 };
+        let reserved = RESERVED_DESCRIPTORS + if admin { MAX_CALLERS + 1 } else { 0 };
+        let left = sockets.saturating_sub(processes * (reserved + MIN_WAITING));
+        let max_requests = sockets
             .div_ceil(3)
             .min(left / 2)
-            .min(memory / 2 / PER_REQUEST)
+            .min(memory / 2 / BYTES_PER_REQUEST)
             .max(1);
-        let idle = (sockets / processes).saturating_sub(reserve + 2 * requests_most / processes);
-        let idle = idle.min(memory / processes / 4 / PER_IDLE);
+        let waiting = (sockets / processes).saturating_sub(reserved + 2 * max_requests / processes);
+        let waiting = waiting.min(memory / processes / 4 / BYTES_PER_WAITING);
         Arc::new(Admission {
-            idle_most: idle.max(IDLE_LEAST),
-            requests_most,
+            max_waiting: waiting.max(MIN_WAITING),
+            max_requests,
             next: AtomicU64::new(0),
             inner: Mutex::default(),
         })
@@ -87,95 +94,101 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether one more connection can be taken in. If not, these are to be sent away: those that have asked for
-    /// nothing, the ones that have done so for longest first; it takes them a moment to go.
-    pub fn room(&self) -> Result<(), Vec<u64>> {
+    /// Checks whether one more connection can be accepted. The error lists connections to dismiss:
+    /// first those that never sent anything, and of these the longest waiting first. It is empty
+    /// while earlier dismissals are still in progress.
+    pub fn check_capacity(&self) -> Result<(), Vec<u64>> {
         let mut inner = self.lock();
-        if inner.waiting.len() < self.idle_most {
+        if inner.waiting.len() < self.max_waiting {
             return Ok(());
         }
         let now = Instant::now();
-        let mut idle: Vec<_> = inner.waiting.iter_mut().collect();
-        if idle.iter().any(|(_, w)| w.sent_away) {
+        let mut waiting: Vec<_> = inner.waiting.iter_mut().collect();
+        if waiting.iter().any(|(_, w)| w.dismissed) {
             return Err(Vec::new());
         }
-        idle.retain(|(_, w)| now.duration_since(w.since) >= GRACE);
-        idle.sort_by_key(|(_, w)| (w.asked, w.since));
-        // Several at a time: a crowd must not hold up the clients that come with it.
-        let most = self.idle_most.div_ceil(8);
-        let leave = |(number, w): (&u64, &mut Waiting)| {
-            w.sent_away = true;
+        waiting.retain(|(_, w)| now.duration_since(w.since) >= DISMISS_GRACE);
+        waiting.sort_by_key(|(_, w)| (w.active, w.since));
+        // Several at a time, so that a burst of silent connections does not delay the clients that
+        // arrive with it.
+        let max_dismissed = self.max_waiting.div_ceil(8);
+        let dismiss = |(number, w): (&u64, &mut WaitingState)| {
+            w.dismissed = true;
             *number
         };
-        Err(idle.into_iter().take(most).map(leave).collect())
+        Err(waiting
+            .into_iter()
+            .take(max_dismissed)
+            .map(dismiss)
+            .collect())
     }
 
-    /// Takes in a connection.
-    pub fn idle(self: &Arc<Self>, stream: TcpStream) -> Idle {
+    /// Registers an accepted connection.
+    pub fn register(self: &Arc<Self>, stream: TcpStream) -> WaitingConnection {
         let (number, stream) = (self.next.fetch_add(1, Ordering::Relaxed), Arc::new(stream));
-        let waiting = Waiting {
-            asked: false,
+        let waiting = WaitingState {
+            active: false,
             since: Instant::now(),
-            sent_away: false,
+            dismissed: false,
         };
         self.lock().waiting.insert(number, waiting);
-        Idle {
+        WaitingConnection {
             admission: self.clone(),
             number,
             stream,
         }
     }
 
-    /// How many connections have not asked yet.
-    pub fn idle_count(&self) -> usize {
+    /// The number of connections without a request.
+    pub fn waiting_count(&self) -> usize {
         self.lock().waiting.len()
     }
 
-    /// How many requests and connections are under way.
-    pub fn requests(&self) -> usize {
-        self.lock().open.len()
+    /// The number of pending requests and established connections.
+    pub fn request_count(&self) -> usize {
+        self.lock().request_ids.len()
     }
 
-    /// The most requests and the most connections without one.
-    pub fn most(&self) -> (usize, usize) {
-        (self.requests_most, self.idle_most)
+    /// The limit of requests, and that of connections without a request.
+    pub fn limits(&self) -> (usize, usize) {
+        (self.max_requests, self.max_waiting)
     }
 }
 
-/// A connection that has not asked for anything yet; leaves when it is dropped.
-pub struct Idle {
+/// An accepted connection without a request. It is deregistered when this value is dropped.
+pub struct WaitingConnection {
     admission: Arc<Admission>,
     number: u64,
-    /// Its socket.
+    /// The client's socket.
     pub stream: Arc<TcpStream>,
 }
 
-impl Idle {
+impl WaitingConnection {
     /// The connection's number.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// It has asked something.
-    pub fn asked(&self) {
+    /// Records that the client has sent something that the relay answers.
+    pub fn record_activity(&self) {
         if let Some(w) = self.admission.lock().waiting.get_mut(&self.number) {
-            (w.asked, w.since) = (true, Instant::now());
+            (w.active, w.since) = (true, Instant::now());
         }
     }
 
-    /// Lets in its request, with the id that the client gave it.
-    pub fn request(&self, id: &str) -> Result<Place, Denied> {
+    /// Admits the connection's request under the id that the client has chosen.
+    pub fn admit_request(&self, id: &str) -> Result<RequestSlot, AdmissionError> {
         let mut inner = self.admission.lock();
-        // Two of one id could not be told apart by a backend: the second is no request of its own.
-        if inner.open.contains(id) {
-            return Err(Denied::IdInUse);
+        // A backend could not tell two connections with the same id apart.
+        if inner.request_ids.contains(id) {
+            return Err(AdmissionError::IdInUse);
         }
-        if inner.open.len() >= self.admission.requests_most {
-            return Err(Denied::Full);
+        if inner.request_ids.len() >= self.admission.max_requests {
+            return Err(AdmissionError::NoCapacity);
         }
-        inner.open.insert(id.to_string());
+        inner.request_ids.insert(id.to_string());
         inner.waiting.remove(&self.number);
-        Ok(Place {
+        Ok(RequestSlot {
             admission: self.admission.clone(),
             number: self.number,
             id: id.to_string(),
@@ -183,24 +196,24 @@
     }
 }
 
-impl Drop for Idle {
+impl Drop for WaitingConnection {
     fn drop(&mut self) {
         self.admission.lock().waiting.remove(&self.number);
     }
 }
 
-/// The room that a request has until this is dropped.
-pub struct Place {
+/// The capacity and the id that a request holds until this value is dropped.
+pub struct RequestSlot {
     admission: Arc<Admission>,
     /// The connection's number.
     pub number: u64,
-    /// Its id.
+    /// The connection's id.
     pub id: String,
 }
 
-impl Drop for Place {
+impl Drop for RequestSlot {
     fn drop(&mut self) {
-        self.admission.lock().open.remove(&self.id);
+        self.admission.lock().request_ids.remove(&self.id);
     }
 }
 
@@ -222,73 +235,83 @@
     }
 
     #[test]
-    fn the_room_follows_the_limits() {
+    fn the_limits_of_requests_and_connections_follow_those_of_the_process() {
         for (sockets, memory_mb) in [(128, 16), (256, 32), (384, 48), (756, 48), (1024, 192)] {
-            let (requests, idle) = admission(sockets, memory_mb).most();
-            let case = format!("{sockets} sockets, {memory_mb} MB: {requests}, {idle}");
-            assert!(2 * requests + idle + RESERVE <= sockets as usize, "{case}");
+            let (requests, waiting) = admission(sockets, memory_mb).limits();
+            let case = format!("{sockets} sockets, {memory_mb} MB: {requests}, {waiting}");
             assert!(
-                requests >= (sockets / 3) as usize && idle >= IDLE_LEAST,
+                2 * requests + waiting + RESERVED_DESCRIPTORS <= sockets as usize,
                 "{case}"
             );
-            let memory = requests * PER_REQUEST + idle * PER_IDLE;
+            assert!(
+                requests >= (sockets / 3) as usize && waiting >= MIN_WAITING,
+                "{case}"
+            );
+            let memory = requests * BYTES_PER_REQUEST + waiting * BYTES_PER_WAITING;
             assert!(memory <= memory_mb as usize * 1024 * 1024 * 3 / 4, "{case}");
         }
     }
 
-    /// During an upgrade two processes share the limits; callers at the second address need their part.
+    /// During an upgrade two processes share the limits, and callers of the admin address need
+    /// descriptors in both.
     #[test]
-    fn two_processes_and_their_callers_stay_within_the_limits() {
+    fn two_processes_and_their_admin_callers_stay_within_the_limits() {
         for (sockets, memory_mb) in [(256, 32), (384, 48), (1024, 192)] {
             let limits = Limits {
                 cores: 1.0,
                 memory_mb,
                 sockets,
             };
-            for (held, processes) in [(false, 1), (true, 2)] {
-                let (requests, idle) = Admission::new(&limits, true, held).most();
-                let all = 2 * requests + processes * (idle + RESERVE + MAX_CALLERS + 1);
+            for (inherited, processes) in [(false, 1), (true, 2)] {
+                let (requests, waiting) = Admission::new(&limits, true, inherited).limits();
+                let all =
+                    2 * requests + processes * (waiting + RESERVED_DESCRIPTORS + MAX_CALLERS + 1);
                 assert!(
                     all <= sockets as usize,
-                    "{sockets} sockets, held {held}: {requests}, {idle}"
+                    "{sockets} sockets, inherited {inherited}: {requests}, {waiting}"
                 );
-                let memory = requests * PER_REQUEST + processes * idle * PER_IDLE;
+                let memory = requests * BYTES_PER_REQUEST + processes * waiting * BYTES_PER_WAITING;
                 assert!(memory <= memory_mb as usize * 1024 * 1024 * 3 / 4);
                 assert!(requests >= sockets as usize * 3 / 10);
             }
         }
     }
 
-    /// Connections that said nothing once filled the relay, and clients with requests were refused.
+    /// Guards against silent connections that fill the relay, so that clients with requests are
+    /// refused.
     #[test]
-    fn the_silent_make_room_and_those_that_asked_stay_longer() {
+    fn silent_connections_are_dismissed_before_those_that_sent_something() {
         let admission = admission(128, 16);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (mut far, mut idle) = (Vec::new(), Vec::new());
-        for _ in 0..admission.most().1 {
-            assert!(admission.room().is_ok());
-            far.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
-            idle.push(admission.idle(listener.accept().unwrap().0));
+        let (mut clients, mut waiting) = (Vec::new(), Vec::new());
+        for _ in 0..admission.limits().1 {
+            assert!(admission.check_capacity().is_ok());
+            clients.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
+            waiting.push(admission.register(listener.accept().unwrap().0));
         }
-        idle[0].asked();
-        std::thread::sleep(GRACE);
-        // The second has to go, the first and the last stay.
-        let gone = admission.room().unwrap_err();
+        waiting[0].record_activity();
+        std::thread::sleep(DISMISS_GRACE);
+        // The second one is dismissed; the first was active and the last waits for the shortest
+        // time.
+        let dismissed = admission.check_capacity().unwrap_err();
         assert!(
-            gone.contains(&idle[1].number()) && gone.len() < far.len() / 2,
-            "{gone:?}"
+            dismissed.contains(&waiting[1].number()) && dismissed.len() < clients.len() / 2,
+            "{dismissed:?}"
         );
-        for n in [0, far.len() - 1] {
-            assert!(!gone.contains(&idle[n].number()));
+        for n in [0, clients.len() - 1] {
+            assert!(!dismissed.contains(&waiting[n].number()));
         }
-        // No more are sent away before those have gone.
-        assert_eq!(admission.room(), Err(Vec::new()));
-        idle.remove(1);
-        assert!(admission.room().is_ok());
-        // A request takes no room from the others that wait.
-        let place = idle[0].request("01").unwrap();
-        assert_eq!(idle[1].request("01").err(), Some(Denied::IdInUse));
-        drop(place);
-        assert!(idle[1].request("01").is_ok());
+        // No more are dismissed before those have gone.
+        assert_eq!(admission.check_capacity(), Err(Vec::new()));
+        waiting.remove(1);
+        assert!(admission.check_capacity().is_ok());
+        // A request does not count against the limit of connections without one.
+        let slot = waiting[0].admit_request("01").unwrap();
+        assert_eq!(
+            waiting[1].admit_request("01").err(),
+            Some(AdmissionError::IdInUse)
+        );
+        drop(slot);
+        assert!(waiting[1].admit_request("01").is_ok());
     }
 }
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -1,14 +1,16 @@
-//! The side of the backends: one attempt at a time, up to the answer, as a machine that is called when its socket is
-//! ready or its time is up and never waits.
+//! One attempt to open a connection at a backend: dial, TLS, and the exchange up to the backend's
+//! answer. It is a state machine that the event loop advances when its socket is ready or its timer
+//! expires; it never blocks.
 //!
-//! Guards against: an attempt that is still out when the next begins (its socket is closed before it says how it
-//! ended), a first byte to a backend that has left meanwhile, and one silent machine holding up everybody else.
+//! Guards against: two attempts of one request at the same time (the socket is closed before the
+//! outcome is reported), a first byte to a backend that has left the endpoint list meanwhile, and a
+//! silent backend that delays all others.
 
 use crate::config::endpoint_list::BackendAddress;
 use crate::decisions::api::{EndpointId, Micros, Outcome, RequestId};
 use crate::log::log;
 use crate::net::link::Link;
-use crate::net::poll::{dial, is_local, Interest};
+use crate::net::poll::{dial, is_local_failure, Interest};
 use crate::net::session::Session;
 use crate::net::shared::SharedState;
 use crate::protocol::buffer::Buffer;
@@ -19,367 +21,406 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// The longest wait for the `UP` of a connection that was open before the run.
-pub const ADOPT: Micros = 35_000_000;
+/// The longest wait for the `UP` of a connection that was established before this process started.
+pub const ADOPT_TIMEOUT: Micros = 35_000_000;
 /// The longest wait for the dial of such a connection.
-const ADOPT_DIAL: Micros = 2_000_000;
+const ADOPT_DIAL_TIMEOUT: Micros = 2_000_000;
 
-/// An attempt that did not come up: its outcome, and a load report where one came.
-pub type Failed = (Outcome, Vec<f32>);
+/// The outcome of a failed attempt, and the load report that the backend sent with it; empty if
+/// none.
+pub type AttemptFailure = (Outcome, Vec<f32>);
 
-fn failed<T>(outcome: Outcome) -> Option<Result<T, Failed>> {
+fn failed<T>(outcome: Outcome) -> Option<Result<T, AttemptFailure>> {
     Some(Err((outcome, Vec::new())))
 }
 
-/// A connection that is up: the backend's side, what came on it so far, and the machine that goes on.
-pub struct Up {
-    /// The backend's side.
+/// The backend's side of a connection that was just established.
+pub struct EstablishedBackend {
+    /// The socket of the backend.
     pub link: Link,
-    /// What has come for the client.
+    /// Received bytes that are for the client.
     pub inbox: Buffer,
-    /// What may go on.
+    /// The protocol's state machine of the established connection.
     pub passage: Box<dyn Forwarder>,
 }
 
-/// Whose attempt it is.
+/// The request that an attempt belongs to, and the state that it needs.
 #[derive(Clone, Copy)]
-pub struct Ground<'a> {
-    /// What all connections share.
-    pub core: &'a SharedState,
-    /// The client's.
+pub struct AttemptContext<'a> {
+    /// State that all connections share.
+    pub shared: &'a SharedState,
+    /// The client's session.
     pub session: &'a Session,
-    /// What the client asked for.
+    /// The client's request.
     pub order: &'a dyn ClientRequest,
-    /// The request.
+    /// The id of the request for the decisions.
     pub id: RequestId,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum At {
-    /// The backend's address is not known yet.
-    Seeking,
-    /// The dial is under way, up to that time.
-    Dialing(Micros),
-    /// TLS is negotiated.
-    Securing,
-    /// The exchange goes on.
-    Talking,
-    /// It is over.
+enum AttemptState {
+    /// The endpoint list does not name the backend yet.
+    AwaitingAddress,
+    /// The dial is in progress, until its own deadline.
+    Dialling(Micros),
+    /// The TLS handshake is in progress.
+    TlsHandshake,
+    /// The protocol's exchange is in progress.
+    Exchanging,
+    /// The attempt has ended.
     Over,
 }
 
-/// One attempt of a session's request.
+/// One attempt of a request.
 pub struct Attempt {
-    server: EndpointId,
-    /// When to stop waiting.
-    until: Micros,
-    /// Its number among those of the request.
+    endpoint_id: EndpointId,
+    /// The time at which the attempt is given up.
+    deadline: Micros,
+    /// The number of the attempt within its request.
     pub number: u16,
-    /// When it began.
-    pub began: Micros,
-    endpoint: Option<BackendAddress>,
-    at: At,
+    /// The time at which the attempt was created.
+    pub started_at: Micros,
+    /// The backend's name and address; none until it is dialled.
+    backend: Option<BackendAddress>,
+    state: AttemptState,
     link: Option<Link>,
     exchange: Option<Box<dyn AttemptProtocol>>,
     inbox: Buffer,
-    /// What is still to be sent, whether the link takes no more for now, and whether it is the request.
-    out: Vec<u8>,
+    /// Bytes that are still to be sent.
+    unsent: Vec<u8>,
+    /// Whether the socket accepts no more bytes for now.
     blocked: bool,
-    asking: bool,
-    /// Whether the request's last byte is out, and whether anything is.
-    asked: bool,
-    said: bool,
+    /// Whether the unsent bytes are the request.
+    sending_request: bool,
+    /// Whether the last byte of the request was sent: from then on it may have run.
+    request_sent: bool,
+    /// Whether anything was sent.
+    anything_sent: bool,
 }
 
 impl Attempt {
-    /// One that has not begun.
+    /// An attempt that was not dialled yet.
     pub fn new(
         order: &dyn ClientRequest,
-        server: EndpointId,
-        until: Micros,
+        endpoint_id: EndpointId,
+        deadline: Micros,
         number: u16,
         now: Micros,
     ) -> Attempt {
         Attempt {
-            server,
-            until,
+            endpoint_id,
+            deadline,
             number,
-            began: now,
-            endpoint: None,
-            at: At::Seeking,
+            started_at: now,
+            backend: None,
+            state: AttemptState::AwaitingAddress,
             link: None,
             exchange: Some(order.start_attempt()),
             inbox: Buffer::default(),
-            out: Vec::new(),
+            unsent: Vec::new(),
             blocked: false,
-            asking: false,
-            asked: false,
-            said: false,
+            sending_request: false,
+            request_sent: false,
+            anything_sent: false,
         }
     }
 
-    /// Its socket, and what is waited for there.
-    pub fn waits(&self) -> Option<(&Arc<TcpStream>, Interest)> {
+    /// The backend's socket, and the events to wait for on it.
+    pub fn interest(&self) -> Option<(&Arc<TcpStream>, Interest)> {
         let socket = &self.link.as_ref()?.socket;
-        let held = self.link.as_ref().is_some_and(Link::holds_back);
-        let interest = match self.at {
-            At::Dialing(_) => Interest {
+        let unsent_tls = self.link.as_ref().is_some_and(Link::has_unsent_tls);
+        let interest = match self.state {
+            AttemptState::Dialling(_) => Interest {
                 read: false,
                 write: true,
                 peer_closed: false,
             },
             _ => Interest {
                 read: true,
-                write: self.blocked || held,
+                write: self.blocked || unsent_tls,
                 peer_closed: false,
             },
         };
         Some((socket, interest))
     }
 
-    /// Whether it is about to begin, or to send its first byte.
-    pub fn begins(&self, ready: bool) -> bool {
-        matches!(self.at, At::Seeking | At::Dialing(_) if ready || self.seeks())
+    /// Whether the next call of [`Attempt::advance`] may dial or send the first byte.
+    pub fn may_dial_or_send(&self, ready: bool) -> bool {
+        match self.state {
+            AttemptState::AwaitingAddress => true,
+            AttemptState::Dialling(_) => ready,
+            _ => false,
+        }
     }
 
-    /// It must be over by then.
-    pub fn hurry(&mut self, by: Micros) {
-        self.until = self.until.min(by);
+    /// Lowers the deadline to this time.
+    pub fn shorten_deadline(&mut self, by: Micros) {
+        self.deadline = self.deadline.min(by);
     }
 
-    /// Whether it waits for a list that names its backend.
-    pub fn seeks(&self) -> bool {
-        self.at == At::Seeking
+    /// Whether it waits for an endpoint list that names its backend.
+    pub fn awaits_address(&self) -> bool {
+        self.state == AttemptState::AwaitingAddress
     }
 
-    /// When it must be called though nothing has happened.
-    pub fn due(&self) -> Micros {
-        match self.at {
-            At::Dialing(by) => by.min(self.until),
-            _ => self.until,
+    /// The time at which it must be advanced even if its socket is not ready.
+    pub fn next_timer(&self) -> Micros {
+        match self.state {
+            AttemptState::Dialling(by) => by.min(self.deadline),
+            _ => self.deadline,
         }
     }
 
-    /// Goes on as far as is possible now; `ready` says that its socket is. None while it is out. When it has
-    /// failed, its socket is closed before this returns.
-    pub fn go(&mut self, g: Ground<'_>, ready: bool) -> Option<Result<Up, Failed>> {
-        let result = self.step(g, ready)?;
-        let (id, server, now) = (g.session.name(), self.server.0, g.core.decisions.now());
-        let ms = now.saturating_sub(self.began) / 1_000;
-        self.at = At::Over;
+    /// Continues as far as is possible without blocking; `ready` says whether the socket is ready.
+    /// Returns none while the attempt is in progress. The socket of a failed attempt is closed
+    /// before this returns.
+    pub fn advance(
+        &mut self,
+        context: AttemptContext<'_>,
+        ready: bool,
+    ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
+        let result = self.advance_state(context, ready)?;
+        let (id, server, now) = (
+            context.session.connection_id(),
+            self.endpoint_id.0,
+            context.shared.decisions.now(),
+        );
+        let ms = now.saturating_sub(self.started_at) / 1_000;
+        self.state = AttemptState::Over;
         match &result {
             Ok(_) => tracing::debug!(%id, server, ms, "attempt is up"),
             Err((outcome, _)) => {
                 tracing::debug!(%id, server, ms, ?outcome, "attempt failed");
                 self.link = None;
-                g.session.release();
+                context.session.detach_backend();
             }
         }
         Some(result)
     }
 
-    fn step(&mut self, g: Ground<'_>, ready: bool) -> Option<Result<Up, Failed>> {
-        if g.session.called_off(self.number) {
-            // Before the dial nothing has begun: the retry budget has its share back.
-            return failed(if self.seeks() {
+    fn advance_state(
+        &mut self,
+        context: AttemptContext<'_>,
+        ready: bool,
+    ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
+        if context.session.is_cancelled(self.number) {
+            // Nothing was begun before the dial, so the attempt is given back to the retry budget.
+            return failed(if self.awaits_address() {
                 Outcome::NotAttempted
             } else {
                 Outcome::Cancelled
             });
         }
-        let now = g.core.decisions.now();
-        match self.at {
-            At::Over => None,
-            At::Seeking => self.dial(g, now),
-            At::Dialing(by) => {
+        let now = context.shared.decisions.now();
+        match self.state {
+            AttemptState::Over => None,
+            AttemptState::AwaitingAddress => self.dial(context, now),
+            AttemptState::Dialling(by) => {
                 let socket = &self.link.as_ref()?.socket;
                 match (ready, socket.take_error()) {
-                    // A connection that comes up after its time is closed unused, also where this process was held
-                    // up and hears of both at once.
+                    // A dial that succeeds after its deadline is closed unused. This also covers a
+                    // process that was suspended and learns of success and deadline at once.
                     _ if now >= by => return failed(Outcome::ConnectFailed),
                     (true, Ok(None)) => {}
                     (true, _) => return failed(Outcome::ConnectFailed),
                     (false, _) => return None,
                 }
-                self.at = At::Talking;
-                self.talk(g)
+                self.state = AttemptState::Exchanging;
+                self.exchange(context)
             }
-            At::Securing | At::Talking => self.talk(g),
+            AttemptState::TlsHandshake | AttemptState::Exchanging => self.exchange(context),
         }
     }
 
-    /// Begins the dial, once the backend's address is known.
-    fn dial(&mut self, g: Ground<'_>, now: Micros) -> Option<Result<Up, Failed>> {
-        let adopted = g.order.adopted_backend().is_some();
-        let Some(endpoint) = g.core.directory.backend_address(self.server) else {
-            // The list that a relay starts with may be stale; one that was chosen now has left.
-            return if adopted && now < self.until {
+    /// Dials the backend once its address is known.
+    fn dial(
+        &mut self,
+        context: AttemptContext<'_>,
+        now: Micros,
+    ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
+        let adopted = context.order.adopted_backend().is_some();
+        let Some(endpoint) = context.shared.directory.backend_address(self.endpoint_id) else {
+            // The endpoint list that a relay starts with may be stale, so an adopted connection
+            // waits for the next one. A backend that was just chosen and is not listed has left.
+            return if adopted && now < self.deadline {
                 None
             } else {
                 failed(Outcome::NotAttempted)
             };
         };
-        let most = if adopted {
-            ADOPT_DIAL
+        let dial_timeout = if adopted {
+            ADOPT_DIAL_TIMEOUT
         } else {
-            g.core.terms().dial_timeout.as_micros() as Micros
+            context.shared.settings().dial_timeout.as_micros() as Micros
         };
-        if now >= self.until || most == 0 {
+        if now >= self.deadline || dial_timeout == 0 {
             return failed(Outcome::NotAttempted);
         }
         let mut addr = endpoint.addr;
-        if let Some(port) = g.core.port(g.order.front()) {
+        if let Some(port) = context.shared.backend_port(context.order.front()) {
             addr.set_port(port);
         }
-        self.endpoint = Some(endpoint);
+        self.backend = Some(endpoint);
         let stream = match dial(addr) {
             Ok(stream) => stream,
-            Err(e) if is_local(&e) => {
+            Err(e) if is_local_failure(&e) => {
                 log(&format!(
                     "attempt {} of {}: dial of {}: {e}",
                     self.number,
-                    g.session.name(),
-                    self.name()
+                    context.session.connection_id(),
+                    self.backend_name()
                 ));
                 return failed(Outcome::NotAttempted);
             }
             Err(_) => return failed(Outcome::ConnectFailed),
         };
         let stream = Arc::new(stream);
-        if !g.session.hold(&stream, self.number) {
+        if !context.session.attach_backend(&stream, self.number) {
             return failed(Outcome::Cancelled);
         }
         self.link = Some(Link::plain(stream));
-        self.at = At::Dialing(self.until.min(now + most));
+        self.state = AttemptState::Dialling(self.deadline.min(now + dial_timeout));
         None
     }
 
-    /// How it ends where the link breaks: before the request's last byte nothing can have run.
-    fn broke(&self, g: Ground<'_>) -> Option<Result<Up, Failed>> {
-        failed(match (self.asked, g.session.called_off(self.number)) {
-            (_, true) => Outcome::Cancelled,
-            (true, false) => Outcome::Reset,
-            (false, false) => Outcome::ConnectFailed,
-        })
+    /// The outcome where the connection breaks. Before the request's last byte was sent it cannot
+    /// have run.
+    fn link_broken(
+        &self,
+        context: AttemptContext<'_>,
+    ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
+        failed(
+            match (self.request_sent, context.session.is_cancelled(self.number)) {
+                (_, true) => Outcome::Cancelled,
+                (true, false) => Outcome::Reset,
+                (false, false) => Outcome::ConnectFailed,
+            },
+        )
     }
 
-    fn talk(&mut self, g: Ground<'_>) -> Option<Result<Up, Failed>> {
-        let Ground { core, order, .. } = g;
+    fn exchange(
+        &mut self,
+        context: AttemptContext<'_>,
+    ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
+        let AttemptContext { shared, order, .. } = context;
         let adopted = order.adopted_backend().is_some();
         loop {
-            let now = core.decisions.now();
-            if now >= self.until {
-                return failed(match (self.asked, self.said) {
+            let now = shared.decisions.now();
+            if now >= self.deadline {
+                return failed(match (self.request_sent, self.anything_sent) {
                     (true, _) => Outcome::Timeout,
                     (false, true) => Outcome::ConnectFailed,
                     (false, false) => Outcome::NotAttempted,
                 });
             }
             let link = self.link.as_mut()?;
-            if self.at == At::Securing {
-                match link.shake() {
-                    Ok(true) => self.at = At::Talking,
+            if self.state == AttemptState::TlsHandshake {
+                match link.continue_tls_handshake() {
+                    Ok(true) => self.state = AttemptState::Exchanging,
                     Ok(false) => return None,
                     Err(e) => {
-                        log(&format!("backend {}: no TLS: {e}", self.name()));
-                        return self.broke(g);
+                        log(&format!("backend {}: no TLS: {e}", self.backend_name()));
+                        return self.link_broken(context);
                     }
                 }
                 continue;
             }
-            if !self.out.is_empty() || self.blocked {
-                match link.write_some(&self.out) {
+            if !self.unsent.is_empty() || self.blocked {
+                match link.write_available(&self.unsent) {
                     Ok((n, blocked)) => {
-                        self.out.drain(..n);
+                        self.unsent.drain(..n);
                         self.blocked = blocked;
                     }
-                    Err(_) => return self.broke(g),
+                    Err(_) => return self.link_broken(context),
                 }
                 if self.blocked {
                     return None;
                 }
-                if std::mem::take(&mut self.asking) {
-                    core.metrics.attempts.fetch_add(1, Relaxed);
-                    self.asked = true;
+                if std::mem::take(&mut self.sending_request) {
+                    shared.metrics.attempts.fetch_add(1, Relaxed);
+                    self.request_sent = true;
                 }
             }
-            let step = self
+            let action = self
                 .exchange
                 .as_mut()?
-                .next_action(&mut self.inbox, self.until - now);
-            // During the dial, or a negotiation, the backend may have left, or the request may have been
-            // answered: once more, right before each first byte of something new.
-            let new = matches!(
-                step,
+                .next_action(&mut self.inbox, self.deadline - now);
+            // While the dial or a negotiation was in progress, the backend may have left or the
+            // request may have been answered. Checked again right before each new message.
+            let sends_message = matches!(
+                action,
                 AttemptAction::SendRequest(_) | AttemptAction::Send(_) | AttemptAction::StartTls(_)
             );
-            let may = || {
-                core.directory.is_available(self.server)
-                    && core.decisions.awaits_answer(g.id)
-                    && core.decisions.may_admit()
+            let may_send = || {
+                shared.directory.is_available(self.endpoint_id)
+                    && shared.decisions.awaits_answer(context.id)
+                    && shared.decisions.may_admit()
             };
-            if new && !adopted && !may() {
+            if sends_message && !adopted && !may_send() {
                 return failed(Outcome::NotAttempted);
             }
-            match step {
+            match action {
                 AttemptAction::Read => {}
                 AttemptAction::Send(bytes) => {
-                    (self.said, self.out) = (true, bytes);
+                    (self.anything_sent, self.unsent) = (true, bytes);
                     continue;
                 }
                 AttemptAction::SendRequest(bytes) => {
-                    (self.asking, self.out) = (true, bytes);
+                    (self.sending_request, self.unsent) = (true, bytes);
                     continue;
                 }
                 AttemptAction::StartTls(domain) => {
-                    let Some(tls) = core.xmpp().and_then(|xmpp| xmpp.tls.client(&domain)) else {
+                    let Some(tls) = shared
+                        .xmpp()
+                        .and_then(|xmpp| xmpp.tls.client_connection(&domain))
+                    else {
                         return failed(Outcome::NotAttempted);
                     };
-                    self.said = true;
-                    self.link.as_mut()?.secure(tls);
-                    self.at = At::Securing;
+                    self.anything_sent = true;
+                    self.link.as_mut()?.start_tls(tls);
+                    self.state = AttemptState::TlsHandshake;
                     continue;
                 }
                 AttemptAction::Established => {
                     let (link, passage) =
                         (self.link.take()?, self.exchange.take()?.into_forwarder());
-                    return Some(Ok(Up {
+                    return Some(Ok(EstablishedBackend {
                         link,
                         inbox: std::mem::take(&mut self.inbox),
                         passage,
                     }));
                 }
-                AttemptAction::Failed(Outcome::Error | Outcome::Reset, _) if !self.asked => {
-                    return self.broke(g)
+                AttemptAction::Failed(Outcome::Error | Outcome::Reset, _) if !self.request_sent => {
+                    return self.link_broken(context)
                 }
                 AttemptAction::Failed(outcome, report) => return Some(Err((outcome, report))),
                 AttemptAction::UnexpectedReply(what) => {
                     log(&format!(
                         "backend {}: {what} in place of an answer",
-                        self.name()
+                        self.backend_name()
                     ));
-                    return failed(if self.asked {
+                    return failed(if self.request_sent {
                         Outcome::Error
                     } else {
                         Outcome::ConnectFailed
                     });
                 }
             }
-            match self.link.as_mut()?.fill(&mut self.inbox) {
+            match self.link.as_mut()?.read_into(&mut self.inbox) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return None,
-                _ => return self.broke(g),
+                _ => return self.link_broken(context),
             }
         }
     }
 
-    fn name(&self) -> &str {
-        self.endpoint.as_ref().map_or("", |endpoint| &endpoint.name)
+    fn backend_name(&self) -> &str {
+        self.backend.as_ref().map_or("", |endpoint| &endpoint.name)
     }
 }
 
-/// Makes the closing of a socket a reset.
-pub fn reset(stream: &TcpStream) {
+/// Makes the later close of this socket a reset.
+pub fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO));
 }
 
@@ -398,17 +439,18 @@
     use std::net::{SocketAddr, TcpListener};
     use std::time::Duration;
 
-    const SERVER: EndpointId = EndpointId(1);
+    const ENDPOINT: EndpointId = EndpointId(1);
     const MINUTE: Micros = 60_000_000;
 
     struct Setup {
-        core: Arc<SharedState>,
+        shared: Arc<SharedState>,
         session: Arc<Session>,
         order: Box<dyn ClientRequest>,
-        _front: TcpStream,
+        _client: TcpStream,
     }
 
-    /// A session before a backend in that state at that address, with this longest dial.
+    /// A session with one backend in this state at this address. `at` is the last part of the
+    /// request's line.
     fn setup(addr: SocketAddr, state: EndpointState, at: &str, dial_ms: f64) -> Setup {
         let settings = include_str!("../../tests/data/settings.json").replace(
             "\"dial_timeout\": 250.0",
@@ -419,7 +461,7 @@
         );
         let config = Config::parse(text.into_bytes(), &|_| None).unwrap();
         let member = |state| ListedEndpoint {
-            id: SERVER,
+            id: ENDPOINT,
             zone: 0,
             cell: 0,
             state,
@@ -448,32 +490,32 @@
                 member(state),
             )],
         );
-        let core = SharedState::new(&config, decisions, directory);
+        let shared = SharedState::new(&config, decisions, directory);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let idle = core
+        let idle = shared
             .admission
-            .idle(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
+            .register(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
         let mut inbox = Buffer::from_bytes(format!("OPEN 1 7f c=one,d=60000{at}\r\n").into_bytes());
-        let rules = core.terms().rules.clone();
+        let rules = shared.settings().rules.clone();
         let ReaderAction::Request(order) =
             LineRequestReader::new(0).next_action(&mut inbox, 0, &rules)
         else {
             panic!()
         };
-        let place = idle.request("1").unwrap();
-        let session = Session::new(&core.woken, (0x7f, 0), place, false, None);
+        let place = idle.admit_request("1").unwrap();
+        let session = Session::new(&shared.wake_queue, (0x7f, 0), place, false, None);
         Setup {
-            core,
+            shared,
             session,
             order,
-            _front: listener.accept().unwrap().0,
+            _client: listener.accept().unwrap().0,
         }
     }
 
     impl Setup {
-        fn ground(&self, id: RequestId) -> Ground<'_> {
-            Ground {
-                core: &self.core,
+        fn context(&self, id: RequestId) -> AttemptContext<'_> {
+            AttemptContext {
+                shared: &self.shared,
                 session: &self.session,
                 order: &*self.order,
                 id,
@@ -481,29 +523,33 @@
         }
 
         fn attempt(&self, left: Micros) -> Attempt {
-            let now = self.core.decisions.now();
-            Attempt::new(&*self.order, SERVER, now + left, 0, now)
+            let now = self.shared.decisions.now();
+            Attempt::new(&*self.order, ENDPOINT, now + left, 0, now)
         }
 
-        /// Drives an attempt as the thread that serves does, to its end.
-        fn drive(&self, id: RequestId, mut attempt: Attempt) -> Result<Up, Failed> {
+        /// Drives an attempt to its end as the event loop does.
+        fn drive(
+            &self,
+            id: RequestId,
+            mut attempt: Attempt,
+        ) -> Result<EstablishedBackend, AttemptFailure> {
             let (poller, mut events, mut ready) =
                 (Poller::new().unwrap(), Events::default(), Vec::new());
-            let (mut told, mut watched) = (false, None);
+            let (mut ready_now, mut watched) = (false, None);
             loop {
-                if let Some(result) = attempt.go(self.ground(id), told) {
+                if let Some(result) = attempt.advance(self.context(id), ready_now) {
                     return result;
                 }
-                if let Some((socket, interest)) = attempt.waits() {
+                if let Some((socket, interest)) = attempt.interest() {
                     poller.watch(socket, 1, watched, Some(interest)).unwrap();
                     watched = Some(interest);
                 }
                 poller.wait(
-                    self.core.decisions.time_until(attempt.due()),
+                    self.shared.decisions.time_until(attempt.next_timer()),
                     &mut events,
                     &mut ready,
                 );
-                told = ready.drain(..).count() > 0;
+                ready_now = ready.drain(..).count() > 0;
             }
         }
     }
@@ -514,10 +560,10 @@
         (listener, addr)
     }
 
-    /// A backend may leave, and a request may be answered, while the dial is under way: then not one
-    /// byte may go out on the new connection.
+    /// A backend may leave, or a request may be answered, while the dial is in progress. Then no
+    /// byte may be sent on the new connection.
     #[test]
-    fn nothing_is_sent_after_the_dial_to_a_backend_that_leaves_or_for_a_request_that_is_answered() {
+    fn nothing_is_sent_after_the_dial_to_a_backend_that_left_or_for_an_answered_request() {
         for (state, answered) in [
             (EndpointState::Draining, false),
             (EndpointState::Ready, true),
@@ -525,59 +571,62 @@
             let (listener, addr) = listener();
             let s = setup(addr, state, "", 10_000.0);
             let pick =
-                s.core
+                s.shared
                     .decisions
                     .submit(s.order.request().clone(), s.session.clone(), |_| {});
             if answered {
-                s.core.decisions.client_disconnected(pick.id);
+                s.shared.decisions.client_disconnected(pick.id);
             }
             let result = s.drive(pick.id, s.attempt(MINUTE));
             assert!(
                 matches!(result, Err((Outcome::NotAttempted, _))),
                 "{state:?} {answered}"
             );
-            // Its socket is closed by now: the next attempt may begin.
+            // The socket is closed by now, so the next attempt may begin.
             let mut sent = Vec::new();
             listener.accept().unwrap().0.read_to_end(&mut sent).unwrap();
             assert_eq!(sent, b"", "{state:?} {answered}");
         }
     }
 
-    /// The wait for a connection from before the start once began anew after each silence, for good.
+    /// Guards against a wait for an adopted connection that starts again after each silence and
+    /// never ends.
     #[test]
     fn the_wait_for_an_adopted_connection_ends() {
         let (_listener, addr) = listener();
         let s = setup(addr, EndpointState::Ready, ",at=s-1", 10_000.0);
-        let id =
-            s.core
-                .decisions
-                .adopt_connection(s.order.request().clone(), SERVER, s.session.clone());
+        let id = s.shared.decisions.adopt_connection(
+            s.order.request().clone(),
+            ENDPOINT,
+            s.session.clone(),
+        );
         assert!(matches!(
             s.drive(id, s.attempt(300_000)),
             Err((Outcome::Timeout, _))
         ));
     }
 
-    /// A list that does not name its backend yet is waited for, and costs no dial.
+    /// An adopted connection whose backend is not listed yet waits without a dial.
     #[test]
     fn an_adopted_connection_waits_for_the_list_that_names_its_backend() {
         let (_listener, addr) = listener();
         let s = setup(addr, EndpointState::Removed, ",at=s-1", 10_000.0);
-        let id =
-            s.core
-                .decisions
-                .adopt_connection(s.order.request().clone(), SERVER, s.session.clone());
+        let id = s.shared.decisions.adopt_connection(
+            s.order.request().clone(),
+            ENDPOINT,
+            s.session.clone(),
+        );
         let mut attempt = s.attempt(MINUTE);
-        assert!(attempt.go(s.ground(id), false).is_none() && attempt.seeks());
+        assert!(attempt.advance(s.context(id), false).is_none() && attempt.awaits_address());
         let member = ListedEndpoint {
-            id: SERVER,
+            id: ENDPOINT,
             zone: 0,
             cell: 0,
             state: EndpointState::Ready,
             size: 1.0,
             started_at: None,
         };
-        s.core.directory.update(
+        s.shared.directory.update(
             false,
             &[(
                 BackendAddress {
@@ -587,22 +636,23 @@
                 member,
             )],
         );
-        assert!(attempt.go(s.ground(id), false).is_none() && !attempt.seeks());
-        assert!(attempt.waits().is_some());
+        assert!(attempt.advance(s.context(id), false).is_none() && !attempt.awaits_address());
+        assert!(attempt.interest().is_some());
     }
 
-    /// A dial has one end, whichever way it ends, and its socket is closed then with nothing sent.
+    /// Each dial reports one outcome; after a failure its socket is closed and nothing was sent.
     #[test]
-    fn a_dial_that_is_refused_or_hangs_or_answers_too_late_has_one_end() {
-        // Refused: the port is held, and nobody listens.
-        let held =
+    fn a_dial_that_is_refused_or_hangs_or_succeeds_too_late_fails_once() {
+        // Refused: the port is bound, but nothing listens on it.
+        let bound =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        held.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        bound
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
-        let refusing = held.local_addr().unwrap().as_socket().unwrap();
+        let refusing = bound.local_addr().unwrap().as_socket().unwrap();
         let s = setup(refusing, EndpointState::Ready, "", 10_000.0);
         let pick = s
-            .core
+            .shared
             .decisions
             .submit(s.order.request().clone(), s.session.clone(), |_| {});
         assert!(matches!(
@@ -610,13 +660,13 @@
             Err((Outcome::ConnectFailed, _))
         ));
 
-        // Black-holed: a queue that is full answers nothing to a dial.
+        // Hanging: a listener whose accept queue is full does not answer a dial.
         let (full, addr) = listener();
         socket2::SockRef::from(&full).listen(0).unwrap();
         let _waiting: Vec<TcpStream> = (0..3).map(|_| dial(addr).unwrap()).collect();
         let s = setup(addr, EndpointState::Ready, "", 20.0);
         let pick = s
-            .core
+            .shared
             .decisions
             .submit(s.order.request().clone(), s.session.clone(), |_| {});
         assert!(matches!(
@@ -624,31 +674,32 @@
             Err((Outcome::ConnectFailed, _))
         ));
 
-        // It answers, and its time is up before that is told; or both are told at once, the answer first: a process
-        // that was held up once went on with a dial whose time was over.
-        for told in [false, true] {
+        // Too late: the deadline passes before the success is reported, or both are reported at
+        // once with the success first, as to a process that was suspended. It must not use the
+        // connection.
+        for ready_now in [false, true] {
             let (listener, addr) = listener();
             let s = setup(addr, EndpointState::Ready, "", 1.0);
             let pick =
-                s.core
+                s.shared
                     .decisions
                     .submit(s.order.request().clone(), s.session.clone(), |_| {});
             let mut attempt = s.attempt(MINUTE);
-            assert!(attempt.go(s.ground(pick.id), false).is_none());
+            assert!(attempt.advance(s.context(pick.id), false).is_none());
             let (mut backend, _) = listener.accept().unwrap();
-            while s.core.decisions.now() < attempt.due() {
+            while s.shared.decisions.now() < attempt.next_timer() {
                 std::thread::sleep(Duration::from_millis(1));
             }
             assert!(matches!(
-                attempt.go(s.ground(pick.id), told),
+                attempt.advance(s.context(pick.id), ready_now),
                 Some(Err((Outcome::ConnectFailed, _)))
             ));
             let mut sent = Vec::new();
             backend.read_to_end(&mut sent).unwrap();
-            assert!(sent.is_empty() && attempt.waits().is_none());
+            assert!(sent.is_empty() && attempt.interest().is_none());
             assert!(
-                attempt.go(s.ground(pick.id), true).is_none(),
-                "it is over once"
+                attempt.advance(s.context(pick.id), true).is_none(),
+                "the attempt reported two outcomes"
             );
         }
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,209 +1,237 @@
-//! One client's connection, from its first byte to its last: a machine that is called when one of its sockets is
-//! ready, when its time is up and when the decisions have news of it, and never waits.
+//! One client's connection, from the accept to the close. It is a state machine that the event loop
+//! calls when one of its sockets is ready, when its timer expires, or when the decisions have an
+//! update for it; it never blocks.
 //!
-//! It passes through the phases below in their order. What it does in each is in a file of its own: `greet` hears the
-//! request, `client` has it placed, `forward` passes on what comes once it is up, `part` ends it.
+//! It passes through the phases of [`Phase`] in their order. `handshake` reads the request,
+//! `placement` has it placed, and `forward` passes bytes on and ends the connection.
 
 use crate::decision_service::PendingDecision;
 use crate::decisions::api::{EndpointId, Micros, Outcome, Request, RequestId};
-use crate::net::admission::{Idle, GRACE};
+use crate::net::admission::{WaitingConnection, DISMISS_GRACE};
 use crate::net::attempt::Attempt;
 use crate::net::link::Link;
 use crate::net::poll::{Interest, Poller, Ready};
-use crate::net::session::{Account, Session};
+use crate::net::session::{ConnectionRecord, Session};
 use crate::net::shared::SharedState;
 use crate::protocol::buffer::{Buffer, MAX_LINE};
 use crate::protocol::{ClientRequest, FailureCause, Forwarder, RequestReader};
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// How long a client that has had its last word may go on before it is cut off, in microseconds. To close a socket
-/// with input unread would reset the connection, and the reset can destroy an answer that is not read yet.
+/// How long a client that was sent its last bytes may keep the connection open, in microseconds.
+/// Closing a socket with unread input resets the connection, and the reset can destroy an answer
+/// that the client has not read yet.
 pub(super) const LINGER: Micros = 1_000_000;
-/// The same for one that rested and is sent away: others wait for its room. More than the way there and back takes.
-pub(super) const LINGER_SHORT: Micros = 50_000;
+/// The same for a dismissed connection, whose room others wait for. Longer than a round trip.
+pub(super) const DISMISSED_LINGER: Micros = 50_000;
 
-/// The backend's side of a connection that is up.
-pub(super) struct Backend {
+/// The backend's side of an established connection.
+pub(super) struct BackendSide {
     pub link: Link,
-    /// The connection as the decisions know it.
+    /// The connection's id for the decisions.
     pub id: RequestId,
-    pub server: EndpointId,
+    pub endpoint_id: EndpointId,
     pub passage: Box<dyn Forwarder>,
 }
 
-/// How a connection that was up has ended.
-pub(super) struct End {
+/// The end of an established connection: its outcome, the backend's last load report, and the
+/// reason code for the log.
+pub(super) struct ConnectionEnd {
     pub outcome: Outcome,
     pub report: Vec<f32>,
     pub reason: &'static str,
 }
 
-pub(super) fn end(outcome: Outcome, reason: &'static str) -> End {
-    End {
-        outcome,
-        report: Vec::new(),
-        reason,
+impl ConnectionEnd {
+    /// An end without a load report.
+    pub fn new(outcome: Outcome, reason: &'static str) -> ConnectionEnd {
+        ConnectionEnd {
+            outcome,
+            report: Vec::new(),
+            reason,
+        }
     }
 }
 
+/// The phases of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// The client has not asked for anything yet.
-    Hearing,
-    /// The request waits for its answer; what the client sends waits too.
-    Placing,
-    /// The connection is up.
-    Up,
-    /// The client gets its last words since then; true once it has them.
+    /// The client has not sent a request yet.
+    Handshake,
+    /// The request waits for its answer; what the client sends meanwhile is buffered.
+    Pending,
+    /// The backend has accepted the connection.
+    Established,
+    /// The client is sent its last bytes. The time is when this began or, once all bytes were sent
+    /// (true), when that was.
     Closing(Micros, bool),
-    Done,
+    Closed,
 }
 
-/// A client that is heard.
-pub(super) struct Hearing {
-    pub idle: Idle,
-    pub greeter: Box<dyn RequestReader>,
-    /// Whether TLS is negotiated, and whether the greeter is to hear of its end.
-    pub securing: bool,
-    pub tells: bool,
-    /// What is still to be sent, and since when the client takes none of it.
-    pub out: Vec<u8>,
-    pub blocked: Option<Micros>,
+/// The state of a connection in [`Phase::Handshake`].
+pub(super) struct Handshake {
+    pub waiting: WaitingConnection,
+    pub reader: Box<dyn RequestReader>,
+    /// Whether a TLS handshake is in progress.
+    pub in_tls_handshake: bool,
+    /// Whether the reader is told when the TLS handshake is complete.
+    pub reports_tls: bool,
+    /// Bytes that are still to be sent to the client.
+    pub unsent: Vec<u8>,
+    /// Since when the client accepts none of the unsent bytes.
+    pub blocked_since: Option<Micros>,
 }
 
-/// A request that is placed.
-pub(super) struct Placing {
+/// The state of a connection in [`Phase::Pending`].
+pub(super) struct PendingRequest {
     pub order: Box<dyn ClientRequest>,
     pub id: RequestId,
-    /// The decisions' verdicts; none where the connection was open before the start.
-    pub pick: Option<PendingDecision>,
+    /// The stream of decisions; none where the connection was established before this process
+    /// started.
+    pub decision: Option<PendingDecision>,
+    /// The attempt in progress.
     pub attempt: Option<Attempt>,
-    pub server: EndpointId,
-    /// What it has failed of.
-    pub cause: FailureCause,
-    /// When the client is owed its answer.
-    pub answer_by: Micros,
+    /// The endpoint of the latest attempt.
+    pub endpoint_id: EndpointId,
+    /// Why the latest attempt failed.
+    pub failure_cause: FailureCause,
+    /// The time by which the client must have its final answer.
+    pub answer_deadline: Micros,
 }
 
 /// A client's connection.
-pub(super) struct Conn {
-    pub core: Arc<SharedState>,
+pub(super) struct Connection {
+    pub shared: Arc<SharedState>,
     pub number: u64,
     pub client: Link,
     pub phase: Phase,
-    pub hearing: Option<Box<Hearing>>,
-    pub placing: Option<Box<Placing>>,
-    /// None before the request is let in.
+    pub handshake: Option<Box<Handshake>>,
+    pub pending: Option<Box<PendingRequest>>,
+    /// None before the request is admitted.
     pub session: Option<Arc<Session>>,
-    /// The room of a client that was turned away, until it has gone.
-    pub idle: Option<Idle>,
-    pub account: Option<Account>,
-    pub backend: Option<Backend>,
-    /// From the client to the backend, and the other way.
-    pub up: Buffer,
-    pub down: Buffer,
-    /// How many bytes at the front of either may go on.
-    pub up_passed: usize,
-    pub down_passed: usize,
-    /// Whether the backend owes an answer to what is to go on.
-    pub asks: bool,
-    /// By when the client is owed its final answer; none once it has it.
-    pub answer_by: Option<Micros>,
-    /// Up to when the backend may finish what it sends, or its client be answered, before it is moved.
-    pub finish_by: Option<Micros>,
+    /// The slot of a client without a request that is being closed.
+    pub waiting: Option<WaitingConnection>,
+    /// The record for the log; none once its line was written.
+    pub record: Option<ConnectionRecord>,
+    pub backend: Option<BackendSide>,
+    /// Bytes from the client to the backend.
+    pub to_backend: Buffer,
+    /// Bytes from the backend to the client.
+    pub to_client: Buffer,
+    /// The number of bytes at the front of `to_backend` that may be forwarded.
+    pub to_backend_ready: usize,
+    /// The number of bytes at the front of `to_client` that may be forwarded.
+    pub to_client_ready: usize,
+    /// Whether the backend must answer the bytes in `to_backend` that may be forwarded.
+    pub expects_answer: bool,
+    /// The time by which the client must have its final answer; none once it has it.
+    pub answer_deadline: Option<Micros>,
+    /// The time at which the connection is migrated even if the backend has not finished, or the
+    /// client has not been answered.
+    pub finish_deadline: Option<Micros>,
     /// Whether the backend was told to finish.
-    pub parting: bool,
-    /// How long a client that has had its last word may go on.
+    pub finishing: bool,
+    /// How long a client that was sent its last bytes may keep the connection open.
     pub linger: Micros,
-    /// Memory of its buffers that is counted with that of all.
-    pub held: usize,
-    /// How it ends once what may go on has gone on, and the last words.
-    pub over: Option<(Vec<u8>, End)>,
-    /// Last words for the client.
-    pub last: Vec<u8>,
-    pub farewell: Option<End>,
-    /// When the oldest unanswered line of the client was passed on.
-    pub asked: Option<Micros>,
-    /// When the backend last brought something back.
-    pub heard: Micros,
-    pub client_ended: Option<Micros>,
-    pub up_blocked: bool,
-    pub down_blocked: Option<Micros>,
-    pub flooded: bool,
-    /// What is waited for on either socket, and under which token; none once it is not watched.
+    /// The memory of the buffers that is counted in the budget of all connections.
+    pub counted_memory: usize,
+    /// The end of the connection after all bytes that may be forwarded were sent: the last bytes
+    /// for the client, and how it ends.
+    pub end_after_flush: Option<(Vec<u8>, ConnectionEnd)>,
+    /// The last bytes for the client.
+    pub last_bytes: Vec<u8>,
+    /// The end that the backend has announced, for when it closes its side.
+    pub announced_end: Option<ConnectionEnd>,
+    /// When the oldest unanswered line of the client was forwarded.
+    pub unanswered_since: Option<Micros>,
+    /// When the backend last sent something.
+    pub last_heard: Micros,
+    /// When the client closed its side.
+    pub client_ended_at: Option<Micros>,
+    /// Whether the backend's socket accepts no more bytes for now.
+    pub to_backend_blocked: bool,
+    /// Since when the client's socket accepts no bytes.
+    pub to_client_blocked_since: Option<Micros>,
+    /// Whether the client's input is read again only at the next periodic check; see
+    /// [`Connection::discard_input`].
+    pub discard_paused: bool,
+    /// The token and the events that each socket is watched for; none where it is not watched.
     watched: [Option<(u64, Interest)>; 2],
-    /// When it is to be called next though nothing happens.
-    pub due: Option<Micros>,
+    /// The time at which the connection must be called even if nothing happens.
+    pub timer: Option<Micros>,
 }
 
-/// Bits of a token below the connection's number: the side, and the number of the attempt, so that what is told of a
-/// socket that was closed meanwhile is not taken for the next one's.
+/// Bits of a token below the connection's number: the side, then the number of the attempt. An
+/// event of a socket that was closed meanwhile is thereby not taken for one of the next attempt's
+/// socket.
 const SIDE_BITS: u32 = 2;
 const ATTEMPT_BITS: u32 = 6;
-/// How far the connection's number stands from the right.
+/// The position of the connection's number in a token.
 pub(super) const NUMBER_SHIFT: u32 = SIDE_BITS + ATTEMPT_BITS;
-/// Sides: the connection's own two, and what is no connection's.
+/// The client's side in a token. Values above [`BACKEND`] are used by the event loop.
 pub(super) const CLIENT: u64 = 0;
+/// The backend's side in a token.
 pub(super) const BACKEND: u64 = 1;
 
-impl Conn {
-    /// One of a client that has just come, with nothing known of it.
-    pub fn new(core: &Arc<SharedState>, number: u64, socket: Arc<TcpStream>) -> Conn {
-        Conn {
-            core: core.clone(),
+impl Connection {
+    /// A connection of a client that was just accepted.
+    pub fn new(shared: &Arc<SharedState>, number: u64, socket: Arc<TcpStream>) -> Connection {
+        Connection {
+            shared: shared.clone(),
             number,
             client: Link::plain(socket),
-            phase: Phase::Hearing,
-            hearing: None,
-            placing: None,
+            phase: Phase::Handshake,
+            handshake: None,
+            pending: None,
             session: None,
-            idle: None,
-            account: None,
+            waiting: None,
+            record: None,
             backend: None,
-            up: Buffer::default(),
-            down: Buffer::default(),
-            up_passed: 0,
-            down_passed: 0,
-            asks: false,
-            answer_by: None,
-            finish_by: None,
-            parting: false,
+            to_backend: Buffer::default(),
+            to_client: Buffer::default(),
+            to_backend_ready: 0,
+            to_client_ready: 0,
+            expects_answer: false,
+            answer_deadline: None,
+            finish_deadline: None,
+            finishing: false,
             linger: LINGER,
-            held: 0,
-            over: None,
-            last: Vec::new(),
-            farewell: None,
-            asked: None,
-            heard: 0,
-            client_ended: None,
-            up_blocked: false,
-            down_blocked: None,
-            flooded: false,
+            counted_memory: 0,
+            end_after_flush: None,
+            last_bytes: Vec::new(),
+            announced_end: None,
+            unanswered_since: None,
+            last_heard: 0,
+            client_ended_at: None,
+            to_backend_blocked: false,
+            to_client_blocked_since: None,
+            discard_paused: false,
             watched: [None, None],
-            due: None,
+            timer: None,
         }
     }
 
-    /// The time of all that it does.
+    /// The current time of the decisions' clock.
     pub fn now(&self) -> Micros {
-        self.core.decisions.now()
+        self.shared.decisions.now()
     }
 
-    /// Its name for the log.
-    pub fn name(&self) -> &str {
-        self.session.as_ref().map_or("", |session| session.name())
+    /// The id that the client gave the connection, for the log; empty before it has one.
+    pub fn connection_id(&self) -> &str {
+        self.session
+            .as_ref()
+            .map_or("", |session| session.connection_id())
     }
 
-    /// Whether its client is to be moved.
-    pub fn moving(&self) -> bool {
+    /// Whether the client is to be migrated.
+    pub fn is_migrating(&self) -> bool {
         self.session
             .as_ref()
-            .is_some_and(|session| session.moving())
+            .is_some_and(|session| session.is_migrating())
     }
 
-    /// The request as the decisions see one that came up in another process, or before the start.
-    pub fn standing_request(class: usize, (key, group): (u64, u64)) -> Request {
+    /// The request of a connection that was established in another process.
+    pub fn request_of_established(class: usize, (key, group): (u64, u64)) -> Request {
         Request {
             class,
             client_key: key,
@@ -212,8 +240,8 @@
         }
     }
 
-    /// A socket of its own is ready.
-    pub fn ready(
+    /// Handles an event of one of its sockets.
+    pub fn handle_ready(
         &mut self,
         Ready {
             token,
@@ -224,76 +252,82 @@
     ) {
         let side = token & (BACKEND | CLIENT);
         if self.watched[side as usize].is_none_or(|(now, _)| now != token) {
-            // It was closed while this was on its way.
+            // The socket that this event is for was closed meanwhile.
             return;
         }
         match (self.phase, side) {
-            (Phase::Hearing, _) => self.hear(),
-            (Phase::Placing, BACKEND) => self.place(true),
+            (Phase::Handshake, _) => self.continue_handshake(),
+            (Phase::Pending, BACKEND) => self.advance_request(true),
             (_, BACKEND) => self.backend_ready(read, write),
-            (Phase::Placing, _) if peer_closed && !read => self.client_gone(),
+            (Phase::Pending, _) if peer_closed && !read => self.handle_client_gone(),
             _ => self.client_ready(read, write),
         }
     }
 
-    /// The decisions have news of it.
-    pub fn woken(&mut self) {
-        self.session.iter().for_each(|session| session.looked_at());
-        if self.phase == Phase::Placing {
-            self.place(false);
+    /// Handles an update from the decisions.
+    pub fn handle_update(&mut self) {
+        self.session
+            .iter()
+            .for_each(|session| session.clear_notification());
+        if self.phase == Phase::Pending {
+            self.advance_request(false);
         }
     }
 
-    /// Its time is up.
-    pub fn late(&mut self) {
+    /// Handles its timer.
+    pub fn handle_timer(&mut self) {
         match self.phase {
-            Phase::Hearing => self.hear(),
-            Phase::Placing => self.place(false),
-            _ => self.look(),
+            Phase::Handshake => self.continue_handshake(),
+            Phase::Pending => self.advance_request(false),
+            _ => self.check_timeouts(),
         }
     }
 
-    /// Whether nothing has been asked for, nor begun, and it has not come just now.
-    pub fn rests(&self) -> bool {
-        let hearing = self
-            .hearing
+    /// Whether it may be dismissed: nothing of a request was received, nothing is being sent, and
+    /// its grace period is over.
+    pub fn may_be_dismissed(&self) -> bool {
+        let handshake = self
+            .handshake
             .as_ref()
-            .filter(|_| self.phase == Phase::Hearing);
-        let came = self
-            .account
+            .filter(|_| self.phase == Phase::Handshake);
+        let grace_over = self
+            .record
             .as_ref()
-            .is_none_or(|account| account.began.elapsed() >= GRACE);
-        came && hearing
-            .is_some_and(|h| self.up.unread().is_empty() && h.out.is_empty() && !h.securing)
+            .is_none_or(|record| record.started_at.elapsed() >= DISMISS_GRACE);
+        grace_over
+            && handshake.is_some_and(|h| {
+                self.to_backend.unread().is_empty() && h.unsent.is_empty() && !h.in_tls_handshake
+            })
     }
 
-    /// The process ends, and it with that.
-    pub fn cut_off(&mut self) {
-        self.account
+    /// Logs that the connection ends with the process.
+    pub fn log_cut_off(&mut self) {
+        self.record
             .take()
             .iter()
-            .for_each(|account| account.log("cut-off"));
+            .for_each(|record| record.log_end("cut-off"));
     }
 
-    /// Whether it waits for a list that names its backend.
-    pub fn seeks(&self) -> bool {
-        self.placing
+    /// Whether it waits for an endpoint list that names its backend.
+    pub fn awaits_address(&self) -> bool {
+        self.pending
             .as_ref()
             .and_then(|p| p.attempt.as_ref())
-            .is_some_and(Attempt::seeks)
+            .is_some_and(Attempt::awaits_address)
     }
 
-    /// Waits for what it now needs. False once it is done.
-    pub fn settle(&mut self, poller: &Poller) -> bool {
-        self.count_memory();
-        let (client, backend) = self.wanted();
-        let attempt = self.placing.as_ref().and_then(|p| p.attempt.as_ref());
+    /// Updates the events that its sockets are watched for, and its timer. Returns false once the
+    /// connection is closed.
+    pub fn update_interest(&mut self, poller: &Poller) -> bool {
+        self.update_memory_budget();
+        let (client, backend) = self.wanted_interest();
+        let attempt = self.pending.as_ref().and_then(|p| p.attempt.as_ref());
         let number = attempt.map_or(0, |a| u64::from(a.number));
         let token = |side: u64| {
             (self.number << NUMBER_SHIFT) | ((number % (1 << ATTEMPT_BITS)) << SIDE_BITS) | side
         };
-        // One that is up keeps the token of its attempt.
-        let same = self.watched[1]
+        // An established connection keeps the token of its attempt.
+        let attempt_token = self.watched[1]
             .filter(|_| attempt.is_none())
             .map(|(token, _)| token);
         let sockets = [
@@ -302,18 +336,18 @@
                 client,
                 CLIENT | self.number << NUMBER_SHIFT,
             ),
-            match (attempt.and_then(Attempt::waits), &self.backend) {
+            match (attempt.and_then(Attempt::interest), &self.backend) {
                 (Some((socket, interest)), _) => (socket.clone(), Some(interest), token(BACKEND)),
                 (None, Some(b)) => (
                     b.link.socket.clone(),
                     backend,
-                    same.unwrap_or(token(BACKEND)),
+                    attempt_token.unwrap_or(token(BACKEND)),
                 ),
-                // A socket that was let go of is closed, and so is no longer watched.
+                // The socket was closed, which ended the watch.
                 (None, None) => (self.client.socket.clone(), None, 0),
             },
         ];
-        let gone = attempt.and_then(Attempt::waits).is_none() && self.backend.is_none();
+        let gone = attempt.and_then(Attempt::interest).is_none() && self.backend.is_none();
         for (side, (socket, wanted, token)) in sockets.into_iter().enumerate() {
             let before = self.watched[side]
                 .filter(|(now, _)| *now == token)
@@ -327,52 +361,56 @@
                 Err(e) => crate::log::log(&format!("poll: a socket is not watched: {e}")),
             }
         }
-        self.due = self.next_due();
-        self.phase != Phase::Done
+        self.timer = self.next_timer();
+        self.phase != Phase::Closed
     }
 
-    /// When it must be called though nothing happens; what is up is looked at with all others.
-    fn next_due(&self) -> Option<Micros> {
+    /// The time at which it must be called even if nothing happens. Timeouts of established
+    /// connections are checked periodically; see [`Connection::check_timeouts`].
+    fn next_timer(&self) -> Option<Micros> {
         match self.phase {
-            Phase::Hearing => self.hearing.as_ref().map(|h| h.due()),
-            Phase::Placing => self
-                .placing
+            Phase::Handshake => self.handshake.as_ref().map(|h| h.next_timer()),
+            Phase::Pending => self
+                .pending
                 .as_ref()
                 .and_then(|p| p.attempt.as_ref())
-                .map(Attempt::due),
+                .map(Attempt::next_timer),
             Phase::Closing(since, true) => Some(since + self.linger + 1),
             _ => None,
         }
     }
 
-    /// What is waited for on the client's socket and the backend's.
-    fn wanted(&self) -> (Option<Interest>, Option<Interest>) {
-        let held = self.client.holds_back();
-        let client_in = self.client_ended.is_none()
-            && !self.parting
+    /// The events to wait for on the client's socket and on the backend's.
+    fn wanted_interest(&self) -> (Option<Interest>, Option<Interest>) {
+        let unsent_tls = self.client.has_unsent_tls();
+        let client_in = self.client_ended_at.is_none()
+            && !self.finishing
             && match self.phase {
-                Phase::Hearing => self.hearing.as_ref().is_some_and(|h| h.blocked.is_none()),
-                Phase::Placing => self.up.unread().len() < MAX_LINE,
-                Phase::Up => !self.up_blocked,
-                Phase::Closing(..) => !self.flooded,
-                Phase::Done => false,
+                Phase::Handshake => self
+                    .handshake
+                    .as_ref()
+                    .is_some_and(|h| h.blocked_since.is_none()),
+                Phase::Pending => self.to_backend.unread().len() < MAX_LINE,
+                Phase::Established => !self.to_backend_blocked,
+                Phase::Closing(..) => !self.discard_paused,
+                Phase::Closed => false,
             };
-        let hearing = self
-            .hearing
+        let handshake = self
+            .handshake
             .as_ref()
-            .is_some_and(|h| h.blocked.is_some() || (h.securing && held));
-        let client_out = self.down_blocked.is_some();
-        // Once a client has ended there is nothing to be heard from it but, with nothing wanted, errors
-        // again and again.
-        let client = self.phase != Phase::Done && (self.client_ended.is_none() || client_out);
+            .is_some_and(|h| h.blocked_since.is_some() || (h.in_tls_handshake && unsent_tls));
+        let client_out = self.to_client_blocked_since.is_some();
+        // A client that has ended sends nothing more. Its socket is not watched at all, since even
+        // without wanted events epoll would report its errors again and again.
+        let client = self.phase != Phase::Closed && (self.client_ended_at.is_none() || client_out);
         let client = client.then_some(Interest {
             read: client_in,
-            write: client_out || hearing,
-            peer_closed: self.phase == Phase::Placing && !client_in,
+            write: client_out || handshake,
+            peer_closed: self.phase == Phase::Pending && !client_in,
         });
-        let backend = (self.phase == Phase::Up).then_some(Interest {
+        let backend = (self.phase == Phase::Established).then_some(Interest {
             read: !client_out,
-            write: self.up_blocked,
+            write: self.to_backend_blocked,
             peer_closed: false,
         });
         (client, backend)
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,25 +1,28 @@
-//! The one thread that serves: it takes clients in, drives every connection, attempt and probe, fires the timers of
-//! the decisions, takes over what an older process passes on, and at the end moves what stands.
+//! The event loop of the thread that serves clients. It accepts clients, drives every connection,
+//! attempt and health check, fires the timers of the decisions, and takes over the connections of
+//! another process. At a shutdown it migrates the established connections or hands them over.
 //!
-//! All of them are machines that never wait; the only wait is [`Poller::wait`], and the only clock that of the
-//! decisions. So a relay needs no further thread whatever its load: with a thread for each first line, dial and
-//! probe, a machine with hundreds of relays ran out of them, and clients were dropped without a word.
+//! Everything that it drives is a state machine that never blocks. The only wait is
+//! [`Poller::wait`], and the only clock that of the decisions. A relay therefore needs no more
+//! threads under load. With one thread per first line, dial and health check, a machine with
+//! hundreds of relays ran out of threads, and clients were disconnected without an answer.
 //!
-//! Guards against: a silent machine that holds up others (nothing here blocks), a crowd at the listener that holds up
-//! those who are served (a turn takes in so many), and an event that is taken for another socket's (see `conn`).
+//! Guards against: a silent peer that delays others (nothing here blocks), a burst of new clients
+//! that delays established ones (the number accepted per turn is limited), and an event that is
+//! taken for one of another socket (see the tokens in `connection`).
 
 use crate::config::endpoint_list::endpoint_id;
 use crate::config::Names;
 use crate::decisions::api::{EndpointId, Micros, Outcome};
 use crate::load::LoadReportCache;
 use crate::log::log;
-use crate::net::connection::{Backend, Conn, Phase, NUMBER_SHIFT};
-use crate::net::forward::LOOK;
+use crate::net::connection::{BackendSide, Connection, Phase, NUMBER_SHIFT};
+use crate::net::forward::CHECK_INTERVAL;
 pub use crate::net::handshake::ListenerProtocol;
 use crate::net::link::Link;
 use crate::net::listen::Listener;
-use crate::net::poll::{dial, is_local, Events, Interest, Poller, Ready};
-use crate::net::session::{Account, Session};
+use crate::net::poll::{dial, is_local_failure, Events, Interest, Poller, Ready};
+use crate::net::session::{ConnectionRecord, Session};
 use crate::net::shared::SharedState;
 use crate::platform::health_check::{self, HealthCheck, MAX_HEALTH_CHECKS};
 use crate::platform::takeover::{HandedOver, HandoverListener, LinkState, Predecessor, Successor};
@@ -33,33 +36,44 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long connections go on coming after the signal to stop, in microseconds: the platform's front takes 0.4 s.
-const STILL_COMING: Micros = 450_000;
-/// The longest deadline that the platform waits for before it kills, and what it adds, in microseconds.
-const KILL_DEADLINE: Micros = 3_000_000;
-const KILL_AFTER: Micros = 700_000;
-/// How often the relay that stops moves some of what stands, in microseconds, and by when it is done before the kill.
-const DRAIN_STEP: Micros = 25_000;
-const DRAIN_SPARE: Micros = 200_000;
-/// What is owed is answered so long before that, in microseconds: a request whose client would wait for longer is not
-/// left to the kill. Time for the words' way, for what came up last to be moved, and for clients to close.
-const LAST_WORDS: Micros = 300_000;
-/// A client that has come by the end may take so long to ask, in microseconds; one that rests is sent away.
-const LAST_REQUESTS: Micros = 2 * STILL_COMING;
-/// Clients and passed connections taken in a turn: the others wait in their queues while those here are served.
-const TURN: usize = 32;
-/// Wait of a full relay before it looks at its listeners again, in microseconds, and of one without descriptors.
-const FULL: Micros = 1_000;
-const SHORT: Micros = 5_000;
-
-/// What a token that is no connection's names. The side's place in a token says which.
-const PROBE: u64 = 2;
+/// How long new clients may still arrive after the signal to stop, in microseconds: the platform's
+/// front end takes 0.4 s to stop sending them.
+const LATE_CLIENT_TIME: Micros = 450_000;
+/// The platform kills a process that was told to stop after the longest deadline of its classes,
+/// but at most this, plus [`KILL_DELAY`]. In microseconds.
+const MAX_KILL_DEADLINE: Micros = 3_000_000;
+/// The time that the platform adds to that deadline, in microseconds.
+const KILL_DELAY: Micros = 700_000;
+/// The interval between two steps of a drain, in microseconds.
+const DRAIN_INTERVAL: Micros = 25_000;
+/// A drain ends this long before the kill, in microseconds.
+const KILL_MARGIN: Micros = 200_000;
+/// All pending requests are answered this long before the end of the drain, in microseconds, also
+/// those whose clients would wait longer. The time is for the answers to arrive, for the
+/// connections that were established last to be migrated, and for clients to close.
+const ANSWER_MARGIN: Micros = 300_000;
+/// From this long after the start of a drain, in microseconds, clients that have begun to send a
+/// request are dismissed too. Those that have sent nothing are dismissed earlier.
+const HANDSHAKE_DRAIN_TIME: Micros = 2 * LATE_CLIENT_TIME;
+/// Clients accepted, or handed-over connections received, per listener and turn. The others wait in
+/// the kernel's queues while existing connections are served.
+const MAX_PER_TURN: usize = 32;
+/// The pause before a relay without capacity accepts clients again, in microseconds.
+const FULL_PAUSE: Micros = 1_000;
+/// The pause after an accept failed, as for lack of descriptors, in microseconds.
+const ACCEPT_ERROR_PAUSE: Micros = 5_000;
+
+/// Kinds of tokens other than a connection's two sides ([`CLIENT`](crate::net::connection::CLIENT)
+/// and [`BACKEND`](crate::net::connection::BACKEND)). The kind has the place of the side in a
+/// token.
+const HEALTH_CHECK: u64 = 2;
 const OTHER: u64 = 3;
-const SIDES: u64 = 3;
-const HANDOVERS: u64 = 0;
-/// From here on listeners, and links from older processes.
-const LISTENERS: u64 = 16;
-const OLDER: u64 = 1024;
+const KIND_MASK: u64 = 3;
+/// Numbers of tokens of the kind [`OTHER`]: the listener for predecessors, then the listeners for
+/// clients, then the links from predecessors.
+const TAKEOVER_LISTENER: u64 = 0;
+const FIRST_LISTENER: u64 = 16;
+const FIRST_PREDECESSOR: u64 = 1024;
 
 const READ: Interest = Interest {
     read: true,
@@ -72,350 +86,373 @@
     peer_closed: false,
 };
 
-fn other(n: u64) -> u64 {
+fn other_token(n: u64) -> u64 {
     n << NUMBER_SHIFT | OTHER
 }
 
-struct Entry {
+struct ListenerEntry {
     listener: Arc<Listener>,
-    speaks: ListenerProtocol,
-    /// Whether its clients are waited for just now.
+    protocol: ListenerProtocol,
+    /// Whether the poller watches the socket now.
     watched: bool,
+    /// Whether this process accepts no more clients from it.
     closed: bool,
 }
 
-/// A relay that stops.
+/// The state of a relay that stops. `migrated_by`, `kill_after` and `late_client_time` are relative
+/// to `started_at`.
 struct Drain {
-    start: Micros,
-    /// By when all that stands has been told to move, and when it must be over.
-    moved_by: Micros,
-    kill: Micros,
-    still_coming: Micros,
-    next: Micros,
+    started_at: Micros,
+    /// When all established connections have been told to migrate.
+    migrated_by: Micros,
+    /// When the platform kills the process.
+    kill_after: Micros,
+    /// How long new clients may still arrive; until then nothing is migrated.
+    late_client_time: Micros,
+    /// The time of the next step.
+    next_step: Micros,
+    /// The process that takes over the established connections, if there is one.
     successor: Option<Successor>,
 }
 
-/// What other threads may ask of the one that serves.
+/// Controls an event loop from other threads.
 pub struct Handle {
     stop: AtomicBool,
     wake: Wake,
 }
 
 impl Handle {
-    /// Stop: move what stands, and return.
+    /// Starts the drain, after which [`EventLoop::run`] returns.
     pub fn stop(&self) {
         self.stop.store(true, Relaxed);
         (self.wake)();
     }
 }
 
-/// All that one relay drives.
+/// The event loop of one relay, with all that it drives.
 pub struct EventLoop {
-    core: Arc<SharedState>,
+    shared: Arc<SharedState>,
     poller: Poller,
     handle: Arc<Handle>,
-    conns: BTreeMap<u64, Box<Conn>>,
-    /// When connections and probes must be called though nothing happens: once each, by their tokens.
-    due: BTreeSet<(Micros, u64)>,
-    /// Connections that wait for a list which names their backend, and the list that they know.
-    seeking: BTreeSet<u64>,
-    list: u64,
-    listeners: Vec<Entry>,
-    /// When closed listeners are looked at again, and whether the last client could not be taken in: said once.
-    paused: Option<Micros>,
-    short: bool,
-    handovers: Option<HandoverListener>,
-    older: BTreeMap<u64, Predecessor>,
-    next_older: u64,
-    orders: Receiver<EndpointId>,
-    /// What the fleet's load watch knows, where there is one.
-    book: Option<Arc<LoadReportCache>>,
+    connections: BTreeMap<u64, Box<Connection>>,
+    /// The timers of connections and health checks, with their tokens; one each.
+    timers: BTreeSet<(Micros, u64)>,
+    /// Connections that wait for an endpoint list that names their backend.
+    awaiting_address: BTreeSet<u64>,
+    /// The version of the endpoint list that these have seen.
+    list_version: u64,
+    listeners: Vec<ListenerEntry>,
+    /// Until when no listener is watched.
+    paused_until: Option<Micros>,
+    /// Whether the last accept failed: repeated failures are logged once.
+    accept_failed: bool,
+    /// Accepts links from other processes of this relay that hand over their connections.
+    takeover_listener: Option<HandoverListener>,
+    predecessors: BTreeMap<u64, Predecessor>,
+    next_predecessor: u64,
+    /// Endpoints whose health the decisions want checked.
+    check_requests: Receiver<EndpointId>,
+    /// Load reports of the fleet's load watch, and its requests for health checks, if it is
+    /// enabled.
+    load_reports: Option<Arc<LoadReportCache>>,
     names: Names,
-    probes: BTreeMap<u64, HealthCheck>,
-    next_probe: u64,
-    probe_limit: Micros,
-    /// The directory that the processes of this relay share.
-    shared: Option<PathBuf>,
+    health_checks: BTreeMap<u64, HealthCheck>,
+    next_check_number: u64,
+    health_check_timeout: Micros,
+    /// The directory where the processes of this relay find each other.
+    takeover_dir: Option<PathBuf>,
     drain: Option<Drain>,
-    looked: Micros,
+    /// When the timeouts of connections were last checked.
+    last_check: Micros,
 }
 
 impl EventLoop {
-    /// One that serves nobody yet; `orders` are the probes that the decisions ask for.
+    /// An event loop without listeners. `check_requests` are the endpoints whose health the
+    /// decisions want checked.
     pub fn new(
-        core: Arc<SharedState>,
+        shared: Arc<SharedState>,
         names: Names,
-        orders: Receiver<EndpointId>,
+        check_requests: Receiver<EndpointId>,
     ) -> io::Result<EventLoop> {
         let poller = Poller::new()?;
         let wake = poller.waker();
-        core.decisions.set_waker(wake.clone());
-        core.directory.on_change(wake.clone());
-        core.woken.wakes(wake.clone());
-        let looked = core.decisions.now();
+        shared.decisions.set_waker(wake.clone());
+        shared.directory.on_change(wake.clone());
+        shared.wake_queue.set_waker(wake.clone());
+        let last_check = shared.decisions.now();
         Ok(EventLoop {
-            core,
+            shared,
             handle: Arc::new(Handle {
                 stop: AtomicBool::new(false),
                 wake,
             }),
             poller,
-            conns: BTreeMap::new(),
-            due: BTreeSet::new(),
-            seeking: BTreeSet::new(),
-            list: 0,
+            connections: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            awaiting_address: BTreeSet::new(),
+            list_version: 0,
             listeners: Vec::new(),
-            paused: None,
-            short: false,
-            handovers: None,
-            older: BTreeMap::new(),
-            next_older: OLDER,
-            orders,
-            book: None,
+            paused_until: None,
+            accept_failed: false,
+            takeover_listener: None,
+            predecessors: BTreeMap::new(),
+            next_predecessor: FIRST_PREDECESSOR,
+            check_requests,
+            load_reports: None,
             names,
-            probes: BTreeMap::new(),
-            next_probe: 0,
-            probe_limit: health_check::STEP_TIMEOUT_US,
-            shared: None,
+            health_checks: BTreeMap::new(),
+            next_check_number: 0,
+            health_check_timeout: health_check::STEP_TIMEOUT_US,
+            takeover_dir: None,
             drain: None,
-            looked,
+            last_check,
         })
     }
 
-    /// What other threads may ask of it.
+    /// Returns a handle for other threads.
     pub fn handle(&self) -> Arc<Handle> {
         self.handle.clone()
     }
 
-    /// Takes in clients at this listener, which speak so.
+    /// Accepts clients of this protocol from a listener.
     pub fn add_listener(
         &mut self,
         listener: Arc<Listener>,
-        speaks: ListenerProtocol,
+        protocol: ListenerProtocol,
     ) -> io::Result<()> {
-        let token = other(LISTENERS + self.listeners.len() as u64);
+        let token = other_token(FIRST_LISTENER + self.listeners.len() as u64);
         self.poller.watch(&listener, token, None, Some(READ))?;
-        self.listeners.push(Entry {
+        self.listeners.push(ListenerEntry {
             listener,
-            speaks,
+            protocol,
             watched: true,
             closed: false,
         });
         Ok(())
     }
 
-    /// Probes for the fleet's load watch, and takes what it knows in place of own probes.
-    pub fn use_load_reports(&mut self, book: Arc<LoadReportCache>) {
-        book.set_checker_waker(self.handle.wake.clone());
-        self.book = Some(book);
+    /// Makes health checks for the fleet's load watch, and uses its load reports in place of own
+    /// health checks.
+    pub fn use_load_reports(&mut self, load_reports: Arc<LoadReportCache>) {
+        load_reports.set_checker_waker(self.handle.wake.clone());
+        self.load_reports = Some(load_reports);
     }
 
-    /// Takes over what older processes pass on in this directory, and passes on there what stands at the end.
+    /// Takes over connections of other processes through this directory, and hands over its own
+    /// there when it stops.
     pub fn enable_takeover(&mut self, dir: PathBuf) -> io::Result<()> {
-        let handovers = HandoverListener::open(&dir)?;
-        self.shared = Some(dir);
-        self.poller
-            .watch(&handovers, other(HANDOVERS), None, Some(READ))?;
-        self.handovers = Some(handovers);
+        let takeover_listener = HandoverListener::open(&dir)?;
+        self.takeover_dir = Some(dir);
+        self.poller.watch(
+            &takeover_listener,
+            other_token(TAKEOVER_LISTENER),
+            None,
+            Some(READ),
+        )?;
+        self.takeover_listener = Some(takeover_listener);
         Ok(())
     }
 
-    /// Serves until it has been told to stop and nothing stands any more, or the platform is about to kill.
+    /// Serves until a drain has ended all connections, or the platform is about to kill the
+    /// process.
     pub fn run(mut self) {
         self.poller.set_owner();
-        self.core.accepting.store(true, Relaxed);
+        self.shared.accepting.store(true, Relaxed);
         let (mut events, mut ready) = (Events::default(), Vec::new());
         loop {
-            let timer = self.core.decisions.fire_timers();
-            // One look at the clock for all of a turn: it has cost more than the rest of an idle one.
-            let now = self.core.decisions.now();
-            self.woken();
-            self.start_probes();
-            self.listed();
-            self.late(now);
-            if self.handle.stop.load(Relaxed) && self.drained(now) {
+            let timer = self.shared.decisions.fire_timers();
+            // The clock is read once per turn, because that has cost more than the rest of an idle
+            // turn.
+            let now = self.shared.decisions.now();
+            self.handle_wake_queue();
+            self.start_health_checks();
+            self.handle_list_update();
+            self.fire_timers(now);
+            if self.handle.stop.load(Relaxed) && self.advance_drain(now) {
                 return;
             }
-            self.look(now);
-            self.resume(now);
-            // What this turn has given itself to do comes before the wait.
-            let limit = if self.poller.again() {
+            self.check_connections(now);
+            self.resume_accepting(now);
+            // Work that this turn has scheduled for the loop itself is done before the next wait.
+            let limit = if self.poller.take_rescheduled() {
                 Duration::ZERO
             } else {
-                self.limit(timer, now)
+                self.next_wait(timer, now)
             };
             self.poller.wait(limit, &mut events, &mut ready);
             for ready in ready.drain(..) {
-                self.ready(ready);
+                self.handle_ready(ready);
             }
         }
     }
 
-    /// How long nothing is due.
-    fn limit(&self, timer: Option<Micros>, now: Micros) -> Duration {
-        let next = self.looked + LOOK;
-        let drain = self.drain.as_ref().map(|drain| drain.next);
-        let due = self.due.first().map(|&(at, _)| at);
-        let next = [timer, drain, due, self.paused]
+    /// The time until the earliest timer.
+    fn next_wait(&self, timer: Option<Micros>, now: Micros) -> Duration {
+        let next = self.last_check + CHECK_INTERVAL;
+        let drain = self.drain.as_ref().map(|drain| drain.next_step);
+        let due = self.timers.first().map(|&(at, _)| at);
+        let next = [timer, drain, due, self.paused_until]
             .into_iter()
             .flatten()
             .fold(next, Micros::min);
         Duration::from_micros(next.saturating_sub(now))
     }
 
-    fn ready(&mut self, ready: Ready) {
+    fn handle_ready(&mut self, ready: Ready) {
         let token = ready.token;
         let number = token >> NUMBER_SHIFT;
-        match token & SIDES {
-            PROBE => self.probe_ready(number, true),
-            OTHER if number == HANDOVERS => self.older_came(),
-            OTHER if number >= OLDER => self.passed_on(number),
-            OTHER => self.clients_wait((number - LISTENERS) as usize),
-            _ => self.with(number, |conn| conn.ready(ready)),
+        match token & KIND_MASK {
+            HEALTH_CHECK => self.advance_health_check(number, true),
+            OTHER if number == TAKEOVER_LISTENER => self.accept_predecessor(),
+            OTHER if number >= FIRST_PREDECESSOR => self.receive_handovers(number),
+            OTHER => self.accept_clients((number - FIRST_LISTENER) as usize),
+            _ => self.update_connection(number, |conn| conn.handle_ready(ready)),
         }
     }
 
-    /// Does something with a connection, and waits for what it needs then.
-    fn with(&mut self, number: u64, work: impl FnOnce(&mut Conn)) {
-        let Some(conn) = self.conns.get_mut(&number) else {
+    /// Calls a connection, then updates the watches on its sockets and its timer, and removes it if
+    /// it is closed.
+    fn update_connection(&mut self, number: u64, work: impl FnOnce(&mut Connection)) {
+        let Some(conn) = self.connections.get_mut(&number) else {
             return;
         };
         work(conn);
-        let (before, token) = (conn.due, number << NUMBER_SHIFT);
-        let stays = conn.settle(&self.poller);
-        let (after, seeks) = (conn.due, conn.seeks());
+        let (before, token) = (conn.timer, number << NUMBER_SHIFT);
+        let stays = conn.update_interest(&self.poller);
+        let (after, seeks) = (conn.timer, conn.awaits_address());
         if !stays {
-            self.conns.remove(&number);
+            self.connections.remove(&number);
         }
         let after = after.filter(|_| stays);
         if before != after {
             before
                 .iter()
-                .for_each(|&at| _ = self.due.remove(&(at, token)));
+                .for_each(|&at| _ = self.timers.remove(&(at, token)));
             after
                 .iter()
-                .for_each(|&at| _ = self.due.insert((at, token)));
+                .for_each(|&at| _ = self.timers.insert((at, token)));
         }
         if seeks && stays {
-            self.seeking.insert(number);
+            self.awaiting_address.insert(number);
         } else {
-            self.seeking.remove(&number);
+            self.awaiting_address.remove(&number);
         }
         if !stays {
-            // Its room is free again.
-            self.paused = self.paused.map(|_| 0);
+            // Its slot is free again.
+            self.paused_until = self.paused_until.map(|_| 0);
         }
     }
 
-    fn enter(&mut self, conn: Conn) {
+    fn add_connection(&mut self, conn: Connection) {
         let number = conn.number;
-        self.conns.insert(number, Box::new(conn));
-        self.with(number, |_| {});
+        self.connections.insert(number, Box::new(conn));
+        self.update_connection(number, |_| {});
     }
 
-    /// What the decisions have news of.
-    fn woken(&mut self) {
-        for number in self.core.woken.take() {
-            self.with(number, Conn::woken);
+    /// Calls the connections that the decisions have an update for.
+    fn handle_wake_queue(&mut self) {
+        for number in self.shared.wake_queue.take() {
+            self.update_connection(number, Connection::handle_update);
         }
     }
 
-    /// A list has come: whoever waits for its backend looks again.
-    fn listed(&mut self) {
-        let version = self.core.directory.version();
-        if std::mem::replace(&mut self.list, version) != version {
-            for number in std::mem::take(&mut self.seeking) {
-                self.with(number, Conn::late);
+    /// After a list update, calls the connections that wait for the address of their backend.
+    fn handle_list_update(&mut self) {
+        let version = self.shared.directory.version();
+        if std::mem::replace(&mut self.list_version, version) != version {
+            for number in std::mem::take(&mut self.awaiting_address) {
+                self.update_connection(number, Connection::handle_timer);
             }
         }
     }
 
-    /// Calls those whose time is up.
-    fn late(&mut self, now: Micros) {
-        let late: Vec<(Micros, u64)> = self.due.range(..=(now, u64::MAX)).copied().collect();
-        for (at, token) in late {
+    /// Calls the connections and health checks whose timers have expired.
+    fn fire_timers(&mut self, now: Micros) {
+        let expired: Vec<(Micros, u64)> = self.timers.range(..=(now, u64::MAX)).copied().collect();
+        for (at, token) in expired {
             let number = token >> NUMBER_SHIFT;
-            if token & SIDES == PROBE {
-                self.probe_ready(number, false);
+            if token & KIND_MASK == HEALTH_CHECK {
+                self.advance_health_check(number, false);
             } else if self
-                .conns
+                .connections
                 .get(&number)
-                .is_some_and(|conn| conn.due == Some(at))
+                .is_some_and(|conn| conn.timer == Some(at))
             {
-                self.with(number, Conn::late);
+                self.update_connection(number, Connection::handle_timer);
             }
         }
     }
 
-    /// Looks at what only time shows.
-    fn look(&mut self, now: Micros) {
-        if now < self.looked + LOOK {
+    /// Checks the timeouts of all connections, once per interval.
+    fn check_connections(&mut self, now: Micros) {
+        if now < self.last_check + CHECK_INTERVAL {
             return;
         }
-        self.looked = now;
-        let numbers: Vec<u64> = self.conns.keys().copied().collect();
+        self.last_check = now;
+        let numbers: Vec<u64> = self.connections.keys().copied().collect();
         numbers
             .into_iter()
-            .for_each(|number| self.with(number, Conn::look));
+            .for_each(|number| self.update_connection(number, Connection::check_timeouts));
     }
 
-    // Doors.
+    // Listeners.
 
-    /// Clients wait at a listener.
-    fn clients_wait(&mut self, n: usize) {
-        for _ in 0..TURN {
+    /// Accepts clients that wait at a listener.
+    fn accept_clients(&mut self, n: usize) {
+        for _ in 0..MAX_PER_TURN {
             let Some(entry) = self.listeners.get(n).filter(|entry| !entry.closed) else {
                 return;
             };
-            let (listener, speaks) = (entry.listener.clone(), entry.speaks);
-            // What cannot be taken in now waits in the listener's queue.
+            let (listener, protocol) = (entry.listener.clone(), entry.protocol);
+            // Clients that cannot be accepted now wait in the listener's queue.
             if !self.make_room() {
-                return self.pause(FULL);
+                return self.pause_accepting(FULL_PAUSE);
             }
-            match listener.next() {
+            match listener.accept() {
                 Ok(client) => {
-                    self.short = false;
-                    self.take_in(client, speaks);
+                    self.accept_failed = false;
+                    self.add_client(client, protocol);
                 }
                 Err(e) if timed_out(&e) => return,
                 Err(e) => {
-                    if !std::mem::replace(&mut self.short, true) {
+                    if !std::mem::replace(&mut self.accept_failed, true) {
                         log(&format!("accept: {e}"));
                     }
-                    return self.pause(SHORT);
+                    return self.pause_accepting(ACCEPT_ERROR_PAUSE);
                 }
             }
         }
     }
 
-    /// Whether one more client can be taken in; if not, some that rest are sent away.
+    /// Whether one more client can be accepted. If not, some connections without a request are
+    /// dismissed.
     fn make_room(&mut self) -> bool {
-        let leave = match self.core.admission.room() {
+        let dismissals = match self.shared.admission.check_capacity() {
             Ok(()) => return true,
-            Err(leave) => leave,
+            Err(dismissals) => dismissals,
         };
-        leave
+        dismissals
             .into_iter()
-            .for_each(|number| self.with(number, Conn::dismiss));
+            .for_each(|number| self.update_connection(number, Connection::dismiss));
         false
     }
 
-    fn take_in(&mut self, client: std::net::TcpStream, speaks: ListenerProtocol) {
-        let idle = self.core.admission.idle(client);
-        if let Some(conn) = Conn::greet(&self.core, idle, speaks) {
-            self.enter(conn);
+    fn add_client(&mut self, client: std::net::TcpStream, protocol: ListenerProtocol) {
+        let waiting = self.shared.admission.register(client);
+        if let Some(conn) = Connection::accept(&self.shared, waiting, protocol) {
+            self.add_connection(conn);
         }
     }
 
-    /// Leaves all listeners alone for so long.
-    fn pause(&mut self, wait: Micros) {
-        self.paused = Some(self.core.decisions.now() + wait);
+    /// Accepts no clients for this time.
+    fn pause_accepting(&mut self, wait: Micros) {
+        self.paused_until = Some(self.shared.decisions.now() + wait);
         self.watch_listeners(false);
     }
 
-    fn resume(&mut self, now: Micros) {
-        if self.paused.is_some_and(|until| now >= until) {
-            self.paused = None;
+    fn resume_accepting(&mut self, now: Micros) {
+        if self.paused_until.is_some_and(|until| now >= until) {
+            self.paused_until = None;
             self.watch_listeners(true);
         }
     }
@@ -426,7 +463,7 @@
             let of = |on: bool| on.then_some(READ);
             match self.poller.watch(
                 &entry.listener,
-                other(LISTENERS + n as u64),
+                other_token(FIRST_LISTENER + n as u64),
                 of(entry.watched),
                 of(on),
             ) {
@@ -436,125 +473,143 @@
         }
     }
 
-    // Probes.
+    // Health checks.
 
-    /// The next probe that is to be made, and whether it is for the load watch. Where what the watch knows is as good,
-    /// the decisions are told that.
-    fn ordered(&mut self) -> Option<(EndpointId, bool)> {
-        for _ in 0..TURN {
-            let Ok(server) = self.orders.try_recv() else {
+    /// The next endpoint to check, and whether the check is for the load watch. Where the load
+    /// watch has a fresh report of an endpoint, the decisions get that report instead.
+    fn next_health_check(&mut self) -> Option<(EndpointId, bool)> {
+        for _ in 0..MAX_PER_TURN {
+            let Ok(endpoint_id) = self.check_requests.try_recv() else {
                 break;
             };
-            let directory = &self.core.directory;
-            let book = self
-                .book
+            let directory = &self.shared.directory;
+            let load_reports = self
+                .load_reports
                 .as_ref()
-                .filter(|_| directory.is_available(server));
-            match book.and_then(|book| book.fresh_report(server, boottime())) {
-                Some(report) => self.probed(server, false, Outcome::Success, report),
-                None => return Some((server, false)),
+                .filter(|_| directory.is_available(endpoint_id));
+            match load_reports
+                .and_then(|load_reports| load_reports.fresh_report(endpoint_id, boottime()))
+            {
+                Some(report) => {
+                    self.finish_health_check(endpoint_id, false, Outcome::Success, report)
+                }
+                None => return Some((endpoint_id, false)),
             }
         }
-        self.book
+        self.load_reports
             .as_ref()?
             .next_check()
-            .map(|server| (server, true))
+            .map(|endpoint_id| (endpoint_id, true))
     }
 
-    fn start_probes(&mut self) {
-        while self.probes.len() < MAX_HEALTH_CHECKS {
-            let Some((server, watch)) = self.ordered() else {
+    fn start_health_checks(&mut self) {
+        while self.health_checks.len() < MAX_HEALTH_CHECKS {
+            let Some((endpoint_id, watch)) = self.next_health_check() else {
                 return;
             };
-            // It may have been told to leave since the probe was asked for.
-            let directory = &self.core.directory;
+            // It may have begun to leave since the health check was requested.
+            let directory = &self.shared.directory;
             let Some(endpoint) = directory
-                .backend_address(server)
-                .filter(|_| directory.is_available(server))
+                .backend_address(endpoint_id)
+                .filter(|_| directory.is_available(endpoint_id))
             else {
-                self.probed(server, watch, Outcome::NotAttempted, Vec::new());
+                self.finish_health_check(endpoint_id, watch, Outcome::NotAttempted, Vec::new());
                 continue;
             };
-            let now = self.core.decisions.now();
-            let (n, token) = (self.next_probe, self.next_probe << NUMBER_SHIFT | PROBE);
+            let now = self.shared.decisions.now();
+            let (n, token) = (
+                self.next_check_number,
+                self.next_check_number << NUMBER_SHIFT | HEALTH_CHECK,
+            );
             let begun = dial(endpoint.addr).and_then(|stream| {
                 self.poller.watch(&stream, token, None, Some(WRITE))?;
                 Ok(HealthCheck::new(
-                    server,
+                    endpoint_id,
                     watch,
                     stream,
                     now,
-                    self.probe_limit,
+                    self.health_check_timeout,
                 ))
             });
             match begun {
-                Ok(probe) => {
-                    self.next_probe += 1;
-                    self.due.insert((probe.step_deadline, token));
-                    self.probes.insert(n, probe);
+                Ok(check) => {
+                    self.next_check_number += 1;
+                    self.timers.insert((check.step_deadline, token));
+                    self.health_checks.insert(n, check);
                 }
-                // For want of a descriptor or a port: it says nothing of the backend.
-                Err(e) if is_local(&e) => {
-                    self.probed(server, watch, Outcome::NotAttempted, Vec::new())
+                // For lack of a descriptor or a port, which says nothing about the backend.
+                Err(e) if is_local_failure(&e) => {
+                    self.finish_health_check(endpoint_id, watch, Outcome::NotAttempted, Vec::new())
+                }
+                Err(_) => {
+                    self.finish_health_check(endpoint_id, watch, Outcome::ConnectFailed, Vec::new())
                 }
-                Err(_) => self.probed(server, watch, Outcome::ConnectFailed, Vec::new()),
             }
         }
     }
 
-    fn probe_ready(&mut self, n: u64, ready: bool) {
-        let Some(probe) = self.probes.get_mut(&n) else {
+    fn advance_health_check(&mut self, n: u64, ready: bool) {
+        let Some(check) = self.health_checks.get_mut(&n) else {
             return;
         };
         let (before, dialled, token) = (
-            probe.step_deadline,
-            probe.is_connecting(),
-            n << NUMBER_SHIFT | PROBE,
+            check.step_deadline,
+            check.is_connecting(),
+            n << NUMBER_SHIFT | HEALTH_CHECK,
         );
-        let found = probe.advance(self.core.decisions.now(), ready, &self.names);
-        self.due.remove(&(before, token));
+        let found = check.advance(self.shared.decisions.now(), ready, &self.names);
+        self.timers.remove(&(before, token));
         let Some((outcome, report)) = found else {
-            self.due.insert((probe.step_deadline, token));
-            if dialled != probe.is_connecting() {
+            self.timers.insert((check.step_deadline, token));
+            if dialled != check.is_connecting() {
                 let _ = self
                     .poller
-                    .watch(&probe.stream, token, Some(WRITE), Some(READ));
+                    .watch(&check.stream, token, Some(WRITE), Some(READ));
             }
             return;
         };
-        let (server, watch) = (probe.endpoint, probe.for_load_watch);
-        self.probes.remove(&n);
-        self.probed(server, watch, outcome, report);
+        let (endpoint_id, watch) = (check.endpoint, check.for_load_watch);
+        self.health_checks.remove(&n);
+        self.finish_health_check(endpoint_id, watch, outcome, report);
     }
 
-    fn probed(&self, server: EndpointId, watch: bool, outcome: Outcome, report: Vec<f32>) {
-        tracing::debug!(server = server.0, watch, ?outcome, ?report, "probe");
-        if let Some(book) = self.book.as_ref().filter(|_| watch) {
-            return book.check_finished(
-                server,
+    fn finish_health_check(
+        &self,
+        endpoint_id: EndpointId,
+        watch: bool,
+        outcome: Outcome,
+        report: Vec<f32>,
+    ) {
+        tracing::debug!(server = endpoint_id.0, watch, ?outcome, ?report, "probe");
+        if let Some(load_reports) = self.load_reports.as_ref().filter(|_| watch) {
+            return load_reports.check_finished(
+                endpoint_id,
                 boottime(),
                 (outcome == Outcome::Success).then_some(report),
             );
         }
-        self.core.decisions.health_checked(server, outcome, report);
+        self.shared
+            .decisions
+            .health_checked(endpoint_id, outcome, report);
     }
 
-    // Other processes of this relay.
+    // Takeover from other processes of this relay.
 
-    fn older_came(&mut self) {
-        let Some(handovers) = &self.handovers else {
+    /// Accepts a link from a process that hands over its connections.
+    fn accept_predecessor(&mut self) {
+        let Some(takeover_listener) = &self.takeover_listener else {
             return;
         };
-        match handovers.accept() {
-            Ok(older) => {
-                let n = self.next_older;
-                self.next_older += 1;
+        match takeover_listener.accept() {
+            Ok(predecessor) => {
+                let n = self.next_predecessor;
+                self.next_predecessor += 1;
                 if self
                     .poller
-                    .watch(&older, other(n), None, Some(READ))
+                    .watch(&predecessor, other_token(n), None, Some(READ))
                     .is_ok()
                 {
-                    self.older.insert(n, older);
+                    self.predecessors.insert(n, predecessor);
                 }
             }
             Err(e) if timed_out(&e) || e.kind() == io::ErrorKind::Interrupted => {}
@@ -562,216 +617,235 @@
         }
     }
 
-    fn passed_on(&mut self, n: u64) {
-        let Some(mut older) = self.older.remove(&n) else {
+    /// Takes over the connections that have arrived on a link.
+    fn receive_handovers(&mut self, n: u64) {
+        let Some(mut predecessor) = self.predecessors.remove(&n) else {
             return;
         };
-        let mut passed = Vec::new();
-        let rest = older.receive(TURN, &mut |p| passed.push(p));
-        if rest == LinkState::Open {
-            self.older.insert(n, older);
+        let mut handovers = Vec::new();
+        let state = predecessor.receive(MAX_PER_TURN, &mut |p| handovers.push(p));
+        if state == LinkState::Open {
+            self.predecessors.insert(n, predecessor);
         }
-        passed
+        handovers
             .into_iter()
-            .for_each(|passed| self.adopt_standing(passed));
+            .for_each(|handover| self.adopt_connection(handover));
     }
 
-    /// Takes a connection over that has come up in another process of this relay.
-    fn adopt_standing(&mut self, (handover, client, backend): HandedOver) {
-        let core = self.core.clone();
+    /// Takes over a connection that was established in another process of this relay.
+    fn adopt_connection(&mut self, (handover, client, backend): HandedOver) {
+        let shared = self.shared.clone();
         let set = client
             .set_nonblocking(true)
             .and_then(|()| backend.set_nonblocking(true));
         if let Err(e) = set {
             return log(&format!("takeover: {e}"));
         }
-        let idle = core.admission.idle(client);
-        let mut conn = Conn::new(&core, idle.number(), idle.stream.clone());
-        let account = Account {
+        let waiting = shared.admission.register(client);
+        let mut conn = Connection::new(&shared, waiting.number(), waiting.stream.clone());
+        let record = ConnectionRecord {
             front: "line",
-            name: handover.name.clone(),
+            id: handover.name.clone(),
             class: handover.class.clone(),
             backend: handover.backend.clone(),
             attempts: handover.attempts,
-            began: Instant::now()
+            started_at: Instant::now()
                 .checked_sub(Duration::from_millis(handover.age_ms))
                 .unwrap_or_else(Instant::now),
-            tally: Some(core.metrics.begin_request(&handover.class)),
+            tally: Some(shared.metrics.begin_request(&handover.class)),
         };
-        let Ok(place) = idle.request(&handover.name) else {
-            let whole = handover
+        let Ok(slot) = waiting.admit_request(&handover.name) else {
+            let whole_lines = handover
                 .down
                 .iter()
                 .rposition(|&b| b == b'\n')
                 .map_or(0, |at| at + 1);
-            conn.last = [&handover.down[..whole], b"MOVE\r\n"].concat();
-            conn.idle = Some(idle);
+            conn.last_bytes = [&handover.down[..whole_lines], b"MOVE\r\n"].concat();
+            conn.waiting = Some(waiting);
             conn.close();
-            account.log("no-descriptors");
-            return self.enter(conn);
+            record.log_end("no-descriptors");
+            return self.add_connection(conn);
         };
         let (keys, backend) = ((handover.key, handover.group), Arc::new(backend));
-        let session = Session::new(&core.woken, keys, place, false, Some(backend.clone()));
-        drop(idle);
-        // One that has vanished here goes on under any: the decisions look at nothing but its aims.
-        let class = core
-            .terms()
+        let session = Session::new(&shared.wake_queue, keys, slot, false, Some(backend.clone()));
+        drop(waiting);
+        // Any class will do where this process does not know it: of an established connection the
+        // decisions use only the latency objectives of its class.
+        let class = shared
+            .settings()
             .rules
             .classes
             .find_including_removed(&handover.class)
             .unwrap_or(0);
-        let server = endpoint_id(&handover.backend);
-        let id = core.decisions.adopt_connection(
-            Conn::standing_request(class, keys),
-            server,
+        let endpoint_id = endpoint_id(&handover.backend);
+        let id = shared.decisions.adopt_connection(
+            Connection::request_of_established(class, keys),
+            endpoint_id,
             session.clone(),
         );
-        // Only lines go from one process to another.
-        let backend = Backend {
+        // Only connections of the line protocol are handed over.
+        let backend = BackendSide {
             link: Link::plain(backend),
             id,
-            server,
+            endpoint_id,
             passage: Box::new(LineForwarder),
         };
-        conn.take_over(account, session, backend, handover);
-        self.enter(conn);
+        conn.take_over(record, session, backend, handover);
+        self.add_connection(conn);
     }
 
-    // The end.
+    // Shutdown.
 
-    /// Moves the standing connections in a paced way; true once none is left, or when the platform is about to kill.
-    /// Where the platform holds the listening socket, new clients are left to the process that takes over;
-    /// elsewhere they are served as long as they come.
-    fn drained(&mut self, now: Micros) -> bool {
+    /// Hands over or migrates the established connections at a limited pace. True once none is
+    /// left, or when the platform is about to kill the process. Where the listening socket is
+    /// inherited from the platform, new clients are left to the successor; elsewhere they are
+    /// served as long as they arrive.
+    fn advance_drain(&mut self, now: Micros) -> bool {
         let Some(mut drain) = self.drain.take() else {
             self.drain = Some(self.begin_drain(now));
             return false;
         };
-        if now < drain.next {
+        if now < drain.next_step {
             self.drain = Some(drain);
             return false;
         }
-        drain.next = now + DRAIN_STEP;
-        let over = self.step(&mut drain, now);
+        drain.next_step = now + DRAIN_INTERVAL;
+        let over = self.drain_step(&mut drain, now);
         self.drain = Some(drain);
         over
     }
 
     fn begin_drain(&mut self, now: Micros) -> Drain {
-        let held = self.listeners.iter().any(|entry| entry.listener.inherited);
+        let inherited = self.listeners.iter().any(|entry| entry.listener.inherited);
         for n in 0..self.listeners.len() {
             let entry = &mut self.listeners[n];
-            if entry.speaks == ListenerProtocol::Line && !entry.listener.inherited {
+            if entry.protocol == ListenerProtocol::Line && !entry.listener.inherited {
                 continue;
             }
             entry.closed = true;
-            if entry.speaks == ListenerProtocol::Line {
-                self.core.accepting.store(false, Relaxed);
+            if entry.protocol == ListenerProtocol::Line {
+                self.shared.accepting.store(false, Relaxed);
             } else {
-                self.last_clients(n);
+                self.accept_queued_clients(n);
             }
         }
-        self.watch_listeners(self.paused.is_none());
-        let longest = self.core.terms().rules.classes.longest_deadline();
-        let kill = longest.min(KILL_DEADLINE) + KILL_AFTER;
-        let stop_by = now + kill - DRAIN_SPARE - LAST_WORDS;
-        self.core.stop_by.store(stop_by, Relaxed);
-        let numbers: Vec<u64> = self.conns.keys().copied().collect();
-        numbers
-            .into_iter()
-            .for_each(|number| self.with(number, |conn| conn.hurry(stop_by)));
-        let still_coming = if held { 0 } else { STILL_COMING };
+        self.watch_listeners(self.paused_until.is_none());
+        let longest = self.shared.settings().rules.classes.longest_deadline();
+        let kill_after = longest.min(MAX_KILL_DEADLINE) + KILL_DELAY;
+        let answer_deadline = now + kill_after - KILL_MARGIN - ANSWER_MARGIN;
+        self.shared.answer_deadline.store(answer_deadline, Relaxed);
+        let numbers: Vec<u64> = self.connections.keys().copied().collect();
+        numbers.into_iter().for_each(|number| {
+            self.update_connection(number, |conn| conn.shorten_deadline(answer_deadline))
+        });
+        let late_client_time = if inherited { 0 } else { LATE_CLIENT_TIME };
         Drain {
-            start: now,
-            // All told to move by then: time enough for the ends and for answers that are still owed.
-            moved_by: (kill * 3 / 5).max(still_coming + DRAIN_STEP),
-            kill,
-            still_coming,
-            next: now + DRAIN_STEP,
+            started_at: now,
+            // Leaves time for the migrated connections to end, and for pending requests.
+            migrated_by: (kill_after * 3 / 5).max(late_client_time + DRAIN_INTERVAL),
+            kill_after,
+            late_client_time,
+            next_step: now + DRAIN_INTERVAL,
             successor: self
-                .shared
+                .takeover_dir
                 .as_deref()
-                .filter(|_| held)
+                .filter(|_| inherited)
                 .and_then(Successor::find),
         }
     }
 
-    /// This listener's socket is the process's own, and goes with it: who waits there would be reset.
-    fn last_clients(&mut self, n: usize) {
-        let (listener, speaks) = (self.listeners[n].listener.clone(), self.listeners[n].speaks);
+    /// Accepts the clients that wait at a listener whose socket is closed with this process: the
+    /// close would reset them.
+    fn accept_queued_clients(&mut self, n: usize) {
+        let (listener, protocol) = (
+            self.listeners[n].listener.clone(),
+            self.listeners[n].protocol,
+        );
         while self.make_room() {
-            let Ok(client) = listener.next() else { return };
-            self.take_in(client, speaks);
+            let Ok(client) = listener.accept() else {
+                return;
+            };
+            self.add_client(client, protocol);
         }
     }
 
-    fn step(&mut self, drain: &mut Drain, time: Micros) -> bool {
-        let now = time.saturating_sub(drain.start);
-        if now + DRAIN_SPARE >= drain.kill {
-            self.conns.values_mut().for_each(|conn| conn.cut_off());
+    fn drain_step(&mut self, drain: &mut Drain, time: Micros) -> bool {
+        let now = time.saturating_sub(drain.started_at);
+        if now + KILL_MARGIN >= drain.kill_after {
+            self.connections
+                .values_mut()
+                .for_each(|conn| conn.log_cut_off());
             return true;
         }
-        let stands = |conn: &Conn| {
+        let session_to_migrate = |conn: &Connection| {
             let session = conn
                 .session
                 .as_ref()
-                .filter(|s| conn.phase == Phase::Up && s.stands());
+                .filter(|s| conn.phase == Phase::Established && s.may_migrate());
             session.map(|s| (conn.number, s.clone()))
         };
-        let standing = self.conns.values().filter_map(|conn| stands(conn));
-        // What cannot change process is moved, whoever takes over.
-        let (mut standing, fixed): (Vec<_>, Vec<_>) = standing.partition(|(_, s)| s.portable());
+        let established = self
+            .connections
+            .values()
+            .filter_map(|conn| session_to_migrate(conn));
+        // Connections that cannot be handed over are migrated even if there is a successor.
+        let (mut established, not_portable): (Vec<_>, Vec<_>) =
+            established.partition(|(_, s)| s.is_portable());
         if let Some(to) = &drain.successor {
             let mut result = Ok(());
-            for (number, _) in &standing {
-                self.with(*number, |conn| result = conn.hand_over(to));
+            for (number, _) in &established {
+                self.update_connection(*number, |conn| result = conn.hand_over(to));
                 if result.is_err() {
                     break;
                 }
             }
             match result {
-                // What could not be given away right now is tried again, up to half the time.
-                Ok(()) if now < drain.kill / 2 => standing.clear(),
+                // Connections that could not be handed over now are tried again in the next step,
+                // for half of the time. After that they are migrated.
+                Ok(()) if now < drain.kill_after / 2 => established.clear(),
                 Ok(()) => {}
-                Err(e) if timed_out(&e) && now < drain.kill / 2 => standing.clear(),
+                Err(e) if timed_out(&e) && now < drain.kill_after / 2 => established.clear(),
                 Err(e) => {
                     log(&format!("takeover: the successor takes no more: {e}"));
                     drain.successor = None;
                 }
             }
         }
-        if now < drain.still_coming {
+        if now < drain.late_client_time {
             return false;
         }
-        let steps = (drain.moved_by.saturating_sub(now) as f32 / DRAIN_STEP as f32).max(1.0);
-        standing.extend(fixed);
-        let share = (standing.len() as f32 / steps).ceil() as usize;
-        standing
+        let steps = (drain.migrated_by.saturating_sub(now) as f32 / DRAIN_INTERVAL as f32).max(1.0);
+        established.extend(not_portable);
+        let share = (established.len() as f32 / steps).ceil() as usize;
+        established
             .iter()
             .take(share)
             .for_each(|(_, session)| crate::decision_service::RequestHandle::migrate(&**session));
-        // Whoever rests is sent away, and whoever has begun to ask has some time: nobody else would hear them.
-        let rests =
-            |conn: &Conn| conn.rests() || (now > LAST_REQUESTS && conn.phase == Phase::Hearing);
-        let resting: Vec<u64> = self
-            .conns
+        // Connections without a request are dismissed. Clients that have begun to send one have
+        // some time to finish, because no other process can read the rest.
+        let is_dismissible = |conn: &Connection| {
+            conn.may_be_dismissed()
+                || (now > HANDSHAKE_DRAIN_TIME && conn.phase == Phase::Handshake)
+        };
+        let numbers: Vec<u64> = self
+            .connections
             .values()
-            .filter(|conn| rests(conn))
+            .filter(|conn| is_dismissible(conn))
             .map(|conn| conn.number)
             .collect();
-        resting
+        numbers
             .into_iter()
-            .for_each(|number| self.with(number, Conn::dismiss));
-        if !self.conns.is_empty() {
+            .for_each(|number| self.update_connection(number, Connection::dismiss));
+        if !self.connections.is_empty() {
             return false;
         }
-        // The listener's queue goes with this process, where it is its own: who waits there would be reset.
+        // Clients in the queue of a listener that is closed with this process would be reset.
         for n in 0..self.listeners.len() {
             if !self.listeners[n].closed {
-                self.last_clients(n);
+                self.accept_queued_clients(n);
             }
         }
-        self.conns.is_empty()
+        self.connections.is_empty()
     }
 }
 
@@ -788,20 +862,24 @@
     use std::io::{ErrorKind, Read, Write};
     use std::net::{TcpListener, TcpStream};
 
-    /// Polls until something is there; far longer than it takes, so that a slow machine changes no verdict.
-    fn until<T>(mut look: impl FnMut() -> Option<T>) -> T {
+    /// Polls until there is a result. The limit is far longer than any test takes, so that a slow
+    /// machine does not fail it.
+    fn poll_until<T>(mut check: impl FnMut() -> Option<T>) -> T {
         let end = Instant::now() + Duration::from_secs(30);
         loop {
-            if let Some(found) = look() {
+            if let Some(found) = check() {
                 return found;
             }
-            assert!(Instant::now() < end, "waited in vain");
+            assert!(Instant::now() < end, "timed out");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// An engine that serves nobody, listening stand-ins for its backends, and where probes are ordered.
-    fn probing(backends: usize) -> (EventLoop, Vec<TcpListener>, Sender<EndpointId>) {
+    /// An event loop without clients, listeners in place of its backends, and the sender of
+    /// requests for health checks.
+    fn event_loop_with_backends(
+        backends: usize,
+    ) -> (EventLoop, Vec<TcpListener>, Sender<EndpointId>) {
         let listeners: Vec<TcpListener> = (0..backends)
             .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
             .collect();
@@ -814,7 +892,7 @@
         );
         let config = Config::parse(text.into_bytes(), &|_| None).unwrap();
         let listed = |(n, listener): (usize, &TcpListener)| {
-            let server = EndpointId(n as u64);
+            let endpoint_id = EndpointId(n as u64);
             let endpoint = BackendAddress {
                 name: format!("s-{n}"),
                 addr: listener.local_addr().unwrap(),
@@ -823,7 +901,7 @@
             (
                 endpoint,
                 ListedEndpoint {
-                    id: server,
+                    id: endpoint_id,
                     zone: 0,
                     cell: 0,
                     state,
@@ -837,17 +915,17 @@
             true,
             &listeners.iter().enumerate().map(listed).collect::<Vec<_>>(),
         );
-        let (watch, (probe, _)) = (Box::new(|_| ()), bounded(1));
+        let (watch, (check_health, _)) = (Box::new(|_| ()), bounded(1));
         let decisions = DecisionService::new(
             config.settings.clone(),
             1,
             Vec::new(),
             Hooks {
                 watch_endpoint_list: watch,
-                check_health: probe,
+                check_health,
             },
         );
-        let (order, orders) = bounded(16);
+        let (requests, check_requests) = bounded(16);
         let names = Names {
             columns: vec!["x0".into()],
             ..config.names.clone()
@@ -856,87 +934,88 @@
             EventLoop::new(
                 SharedState::new(&config, decisions, directory),
                 names,
-                orders,
+                check_requests,
             )
             .unwrap(),
             listeners,
-            order,
+            requests,
         )
     }
 
-    /// The probe that comes to this backend.
-    fn probed(listener: &TcpListener) -> TcpStream {
-        let mut asked: TcpStream = until(|| listener.accept().ok()).0;
-        asked.set_nonblocking(false).unwrap();
+    /// Accepts a health check at this backend and reads its line.
+    fn accept_health_check(listener: &TcpListener) -> TcpStream {
+        let mut stream: TcpStream = poll_until(|| listener.accept().ok()).0;
+        stream.set_nonblocking(false).unwrap();
         let mut line = [0; 7];
-        asked.read_exact(&mut line).unwrap();
+        stream.read_exact(&mut line).unwrap();
         assert_eq!(&line, b"STATS\r\n");
-        asked
+        stream
     }
 
     #[test]
-    fn what_the_fleets_watch_told_stands_for_a_probe_and_what_it_wants_is_probed() {
-        let (mut engine, listeners, order) = probing(3);
-        let book = Arc::new(LoadReportCache::default());
-        // Young for as long as the test may take.
-        book.insert([LoadReport {
+    fn a_report_of_the_load_watch_replaces_a_health_check_and_its_own_requests_are_made() {
+        let (mut event_loop, listeners, requests) = event_loop_with_backends(3);
+        let load_reports = Arc::new(LoadReportCache::default());
+        // Fresh for as long as the test may take.
+        load_reports.insert([LoadReport {
             endpoint: EndpointId(0),
             measured_at: boottime() + 3_600_000_000,
             values: vec![0.5],
         }]);
-        engine.use_load_reports(book.clone());
-        let handle = engine.handle();
-        // Both are there before it begins: in their order.
-        order.send(EndpointId(0)).unwrap();
-        order.send(EndpointId(1)).unwrap();
-        let serving = std::thread::spawn(move || engine.run());
-        drop(probed(&listeners[1]));
+        event_loop.use_load_reports(load_reports.clone());
+        let handle = event_loop.handle();
+        // Both are queued before the loop starts, so they are handled in order.
+        requests.send(EndpointId(0)).unwrap();
+        requests.send(EndpointId(1)).unwrap();
+        let serving = std::thread::spawn(move || event_loop.run());
+        drop(accept_health_check(&listeners[1]));
         assert_eq!(
             listeners[0].accept().unwrap_err().kind(),
             ErrorKind::WouldBlock
         );
         assert_eq!(
             (
-                book.checks_avoided.load(Relaxed),
-                book.checks_sent.load(Relaxed)
+                load_reports.checks_avoided.load(Relaxed),
+                load_reports.checks_sent.load(Relaxed)
             ),
             (1, 1)
         );
-        book.request_checks([EndpointId(2)]);
-        probed(&listeners[2])
+        load_reports.request_checks([EndpointId(2)]);
+        accept_health_check(&listeners[2])
             .write_all(b"PONG x0=0.25\r\n")
             .unwrap();
-        let found = until(|| book.take_results().pop());
+        let found = poll_until(|| load_reports.take_results().pop());
         assert_eq!(
             (found.endpoint, found.report),
             (EndpointId(2), Some(vec![0.25]))
         );
         assert_eq!(
-            book.fresh_report(EndpointId(2), found.checked_at),
+            load_reports.fresh_report(EndpointId(2), found.checked_at),
             Some(vec![0.25]),
-            "its own relay knows it at once"
+            "the relay that made the check has its report at once"
         );
         handle.stop();
         serving.join().unwrap();
     }
 
-    /// A lost zone once held up the probes of all others, 250 ms for each of its servers.
+    /// Guards against health checks that wait for each other: a lost zone delayed those of all
+    /// others by 250 ms for each of its backends.
     #[test]
-    fn silent_servers_do_not_hold_up_the_probes_of_the_others() {
-        let (mut engine, listeners, order) = probing(7);
-        // So long a limit that a seventh which waited for the six would never be asked.
-        engine.probe_limit = 3_600_000_000;
-        let handle = engine.handle();
-        let serving = std::thread::spawn(move || engine.run());
+    fn silent_backends_do_not_delay_the_health_checks_of_others() {
+        let (mut event_loop, listeners, requests) = event_loop_with_backends(7);
+        // With this timeout, a seventh check that waited for the first six would never begin.
+        event_loop.health_check_timeout = 3_600_000_000;
+        let handle = event_loop.handle();
+        let serving = std::thread::spawn(move || event_loop.run());
         let ask = |n: usize| {
-            order.send(EndpointId(n as u64)).unwrap();
+            requests.send(EndpointId(n as u64)).unwrap();
             (handle.wake)();
-            probed(&listeners[n])
+            accept_health_check(&listeners[n])
         };
         let silent: Vec<TcpStream> = (0..6).map(ask).collect();
         let mut seventh = ask(6);
         seventh.write_all(b"PONG x0=0.5\r\n").unwrap();
-        // It has its answer and goes; the others are still waited for.
+        // The check that was answered ends; the others are still in progress.
         assert_eq!(seventh.read(&mut [0]).unwrap(), 0);
         for mut stream in silent {
             stream.set_nonblocking(true).unwrap();
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -1,15 +1,17 @@
-//! Passes lines on, both ways, and ends connections: what a connection does once it is up.
+//! Established connections: forwards bytes both ways, migrates and hands over connections, and ends
+//! them.
 //!
-//! Threads that wait in reads were measured here first, two for each connection. The platform stops and
-//! continues a process that is over its share of the processor, and each time all of them wake: with 300
-//! threads the waking alone kept the process over its share for good, and lines were held back for seconds.
+//! There is no thread per direction. With two threads per connection that block in reads, all of
+//! them wake each time that the platform stops and continues a process over its processor share.
+//! With 300 threads the wake-ups alone kept the process over its share, and lines were delayed by
+//! seconds.
 
 use crate::decisions::api::{Micros, Outcome};
 use crate::log::log;
-use crate::net::attempt::reset;
-use crate::net::connection::{end, Backend, Conn, End, Phase, LINGER};
-use crate::net::poll::hung_up;
-use crate::net::session::{Account, Session};
+use crate::net::attempt::reset_on_close;
+use crate::net::connection::{BackendSide, Connection, ConnectionEnd, Phase, LINGER};
+use crate::net::poll::is_peer_closed;
+use crate::net::session::{ConnectionRecord, Session};
 use crate::platform::takeover::{self, Handover, Successor};
 use crate::protocol::buffer::{Buffer, MAX_LINE};
 use crate::protocol::{BackendEvent, CloseReason, MigrationReadiness};
@@ -19,48 +21,52 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// How often connections on which nothing happens are looked at, in microseconds.
-pub const LOOK: Micros = 200_000;
-/// The longest wait for a client that takes no bytes, in microseconds.
-const STUCK: Micros = 5_000_000;
-/// What is thrown away at a time of a client that has had its last word; more waits for the next look, so
-/// that one that sends at full speed does not take the processor from the others.
-const PIECE: usize = 8192;
+/// The interval of the checks for timeouts of connections, in microseconds.
+pub const CHECK_INTERVAL: Micros = 200_000;
+/// The longest wait for a client that accepts no bytes, in microseconds.
+const STUCK_CLIENT_TIMEOUT: Micros = 5_000_000;
+/// Bytes that are discarded at once from a client that was sent its last bytes. More input waits
+/// for the next periodic check, so that a client that sends at full speed does not use up the
+/// processor.
+const DISCARD_BYTES: usize = 8192;
 
-impl Conn {
-    /// Counts what its buffers hold; whoever asks for more when there is none left gives up its place. Lines are
-    /// short and not counted.
-    pub fn count_memory(&mut self) {
-        let lines = self
+impl Connection {
+    /// Updates the memory that its buffers hold in the budget of all connections. A connection that
+    /// exceeds the budget is ended. Buffers of the line protocol are small and not counted.
+    pub fn update_memory_budget(&mut self) {
+        let is_uncounted = self
             .backend
             .as_ref()
             .is_none_or(|b| b.passage.supports_takeover());
-        let now = if lines {
+        let now = if is_uncounted {
             0
         } else {
-            self.up.allocated() + self.down.allocated()
+            self.to_backend.allocated() + self.to_client.allocated()
         };
-        let before = std::mem::replace(&mut self.held, now);
-        if !self.core.held.change(before, now) && self.phase == Phase::Up {
+        let before = std::mem::replace(&mut self.counted_memory, now);
+        if !self.shared.long_unit_memory.replace(before, now) && self.phase == Phase::Established {
             let words = self
                 .backend
                 .as_ref()
                 .map(|b| b.passage.closing_message(CloseReason::OutOfMemory));
-            self.leave(
+            self.close_with(
                 words.unwrap_or_default(),
-                end(Outcome::Cancelled, "no-memory"),
+                ConnectionEnd::new(Outcome::Cancelled, "no-memory"),
             );
-            self.count_memory();
+            self.update_memory_budget();
         }
     }
 
-    /// The connection as another process needs it, with both sockets; here it is done then. It goes on
-    /// without a word to either side: nothing may be shut down here after that.
+    /// Hands the connection over to another process, with both sockets, and closes it here. A
+    /// connection that cannot be handed over now is left as it is. Neither side is told, so nothing
+    /// may be shut down here after that.
     pub fn hand_over(&mut self, to: &Successor) -> io::Result<()> {
-        let (Phase::Up, None, None) = (self.phase, self.client_ended, &self.farewell) else {
+        let (Phase::Established, None, None) =
+            (self.phase, self.client_ended_at, &self.announced_end)
+        else {
             return Ok(());
         };
-        let (Some(backend), Some(account)) = (&self.backend, &self.account) else {
+        let (Some(backend), Some(record)) = (&self.backend, &self.record) else {
             return Ok(());
         };
         let (backend, id) = (backend.link.socket.clone(), backend.id);
@@ -74,87 +80,89 @@
         let Some(session) = &self.session else {
             return Ok(());
         };
-        let bytes = self.up.unread().len() + self.down.unread().len();
-        if bytes > takeover::MAX_BUFFERED_BYTES || !session.give_away() {
+        let bytes = self.to_backend.unread().len() + self.to_client.unread().len();
+        if bytes > takeover::MAX_BUFFERED_BYTES || !session.begin_handover() {
             return Ok(());
         }
         let now = self.now();
         let handover = Handover {
-            name: account.name.clone(),
-            class: account.class.clone(),
-            backend: account.backend.clone(),
+            name: record.id.clone(),
+            class: record.class.clone(),
+            backend: record.backend.clone(),
             key: session.keys.0,
             group: session.keys.1,
-            attempts: account.attempts,
-            age_ms: account.began.elapsed().as_millis() as u64,
-            asked_ms: self.asked.map(|at| now.saturating_sub(at) / 1_000),
-            seen: self.down_passed,
-            up: self.up.unread().to_vec(),
-            down: self.down.unread().to_vec(),
+            attempts: record.attempts,
+            age_ms: record.started_at.elapsed().as_millis() as u64,
+            asked_ms: self
+                .unanswered_since
+                .map(|at| now.saturating_sub(at) / 1_000),
+            seen: self.to_client_ready,
+            up: self.to_backend.unread().to_vec(),
+            down: self.to_client.unread().to_vec(),
         };
         if let Err(e) = to.send(&handover, &self.client.socket, &backend) {
-            session.keep(&backend);
+            session.undo_handover(&backend);
             return Err(e);
         }
-        account.log("handed-over");
-        self.account = None;
-        // The sockets stay with this value until they are no longer waited for (see `settle`): they live on
-        // in the other process, and would go on waking this one.
-        self.phase = Phase::Done;
-        self.core
+        record.log_end("handed-over");
+        self.record = None;
+        // This value keeps the sockets until `update_interest` has ended the watch on them: they
+        // stay open in the other process, so the kernel would continue to report their events here.
+        self.phase = Phase::Closed;
+        self.shared
             .decisions
             .connection_ended(id, Outcome::Cancelled, Vec::new());
         Ok(())
     }
 
-    /// Goes on with a connection that stood in another process.
+    /// Continues a connection that another process has handed over.
     pub fn take_over(
         &mut self,
-        account: Account,
+        record: ConnectionRecord,
         session: Arc<Session>,
-        backend: Backend,
+        backend: BackendSide,
         handover: Handover,
     ) {
         let now = self.now();
-        self.asked = handover.asked_ms.map(|ms| now.saturating_sub(ms * 1_000));
-        self.heard = self.asked.unwrap_or(now);
-        self.up = Buffer::from_bytes(handover.up);
-        (self.down, self.down_passed) = (Buffer::from_bytes(handover.down), handover.seen);
-        (self.session, self.account) = (Some(session), Some(account));
-        (self.backend, self.phase) = (Some(backend), Phase::Up);
-        self.flush_down();
-        self.flush_up();
+        self.unanswered_since = handover.asked_ms.map(|ms| now.saturating_sub(ms * 1_000));
+        self.last_heard = self.unanswered_since.unwrap_or(now);
+        self.to_backend = Buffer::from_bytes(handover.up);
+        (self.to_client, self.to_client_ready) = (Buffer::from_bytes(handover.down), handover.seen);
+        (self.session, self.record) = (Some(session), Some(record));
+        (self.backend, self.phase) = (Some(backend), Phase::Established);
+        self.flush_to_client();
+        self.flush_to_backend();
     }
 
-    /// The client's socket is ready.
+    /// Handles an event of the client's socket.
     pub fn client_ready(&mut self, read: bool, write: bool) {
-        if write && self.down_blocked.is_some() {
-            self.flush_down();
+        if write && self.to_client_blocked_since.is_some() {
+            self.flush_to_client();
         }
         if read {
             match self.phase {
-                Phase::Placing | Phase::Up => self.read_client(),
-                Phase::Closing(..) => self.discard(),
-                Phase::Hearing | Phase::Done => {}
+                Phase::Pending | Phase::Established => self.read_client(),
+                Phase::Closing(..) => self.discard_input(),
+                Phase::Handshake | Phase::Closed => {}
             }
         }
     }
 
-    /// The backend's socket is ready.
+    /// Handles an event of the backend's socket.
     pub fn backend_ready(&mut self, read: bool, write: bool) {
-        if self.phase == Phase::Up && self.up_blocked && write {
-            self.flush_up();
+        if self.phase == Phase::Established && self.to_backend_blocked && write {
+            self.flush_to_backend();
         }
-        if self.phase == Phase::Up && read {
+        if self.phase == Phase::Established && read {
             self.read_backend();
         }
     }
 
     fn read_client(&mut self) {
-        let ended = match self.client.fill(&mut self.up) {
+        let ended = match self.client.read_into(&mut self.to_backend) {
             Ok(n) if n > 0 => {
-                if self.phase == Phase::Up {
-                    self.flush_up();
+                if self.phase == Phase::Established {
+                    self.flush_to_backend();
                 }
                 return;
             }
@@ -162,44 +170,45 @@
             ended => ended,
         };
         match (self.phase, ended) {
-            (Phase::Placing, _) => self.client_gone(),
+            (Phase::Pending, _) => self.handle_client_gone(),
             (_, Err(_)) => {
-                self.client_ended = Some(self.now());
-                self.reset_both(end(Outcome::Cancelled, "client-reset"))
+                self.client_ended_at = Some(self.now());
+                self.reset_both(ConnectionEnd::new(Outcome::Cancelled, "client-reset"))
             }
             _ => {
-                self.client_ended = Some(self.now());
-                self.flush_up()
+                self.client_ended_at = Some(self.now());
+                self.flush_to_backend()
             }
         }
     }
 
-    /// It left before its answer. An attempt that is out is ended, and reported.
-    pub fn client_gone(&mut self) {
-        self.client_ended = Some(self.now());
+    /// Handles a client that left before its answer. The attempt in progress is ended and reported.
+    pub fn handle_client_gone(&mut self) {
+        self.client_ended_at = Some(self.now());
         if let Some(id) = self
             .session
             .as_ref()
-            .and_then(|session| session.client_has_ended())
+            .and_then(|session| session.set_client_gone())
         {
-            self.core.decisions.client_disconnected(id);
+            self.shared.decisions.client_disconnected(id);
         }
-        self.place(false);
+        self.advance_request(false);
     }
 
-    /// Looks whether the client of a request that waits has left, right before something is begun for it. Its end may
-    /// be on its way here behind what woke this connection, in the same batch of events or behind a timer; where it has
-    /// sent as much as is read ahead, the end stands behind that.
-    pub fn look_for_end(&mut self) {
-        while self.client_ended.is_none() && self.up.unread().len() < MAX_LINE {
-            match self.client.fill(&mut self.up) {
+    /// Checks whether the client of a pending request has left, right before a dial or a first byte
+    /// on its behalf. Its close may not have been handled yet: it may be later in the same batch of
+    /// events, or behind the timer that woke this connection. If the client has sent as much as is
+    /// read ahead, the close is behind unread bytes.
+    pub fn check_client_gone(&mut self) {
+        while self.client_ended_at.is_none() && self.to_backend.unread().len() < MAX_LINE {
+            match self.client.read_into(&mut self.to_backend) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return,
-                _ => return self.client_gone(),
+                _ => return self.handle_client_gone(),
             }
         }
-        if self.client_ended.is_none() && hung_up(&self.client.socket) {
-            self.client_gone();
+        if self.client_ended_at.is_none() && is_peer_closed(&self.client.socket) {
+            self.handle_client_gone();
         }
     }
 
@@ -207,114 +216,124 @@
         let Some(backend) = &mut self.backend else {
             return;
         };
-        match backend.link.fill(&mut self.down) {
+        match backend.link.read_into(&mut self.to_client) {
             Ok(0) => self.backend_ended(),
             Ok(_) => {
                 if !backend.passage.reports_responses() {
-                    self.hear_back();
+                    self.record_backend_activity();
                 }
-                self.flush_down();
+                self.flush_to_client();
             }
             Err(e) if timed_out(&e) => {}
             Err(_) if !backend.passage.mirrors_end() => self.backend_ended(),
             Err(_) => {
-                // Ended by a reset: so is the other side.
-                let gone = self
-                    .farewell
+                // A reset is passed on to the client as a reset.
+                let end = self
+                    .announced_end
                     .take()
-                    .unwrap_or(end(Outcome::Reset, "backend-reset"));
-                self.reset_both(gone);
+                    .unwrap_or(ConnectionEnd::new(Outcome::Reset, "backend-reset"));
+                self.reset_both(end);
             }
         }
     }
 
-    /// The backend has ended its side.
+    /// Handles a backend that has closed its side.
     fn backend_ended(&mut self) {
         let Some(backend) = &self.backend else { return };
         let mirrors = backend.passage.mirrors_end();
-        let gone = match self.client_ended {
-            Some(_) => end(Outcome::Cancelled, "client-left"),
-            None => end(Outcome::Reset, "backend-ended"),
+        let unannounced = match self.client_ended_at {
+            Some(_) => ConnectionEnd::new(Outcome::Cancelled, "client-left"),
+            None => ConnectionEnd::new(Outcome::Reset, "backend-ended"),
         };
-        match self.farewell.take() {
-            Some(farewell) if !self.parting => self.part(farewell, true),
-            _ if self.parting || self.moving() => self.move_away(),
-            None if !mirrors && self.client_ended.is_none() => {
+        match self.announced_end.take() {
+            Some(announced) if !self.finishing => self.end_backend(announced, true),
+            _ if self.finishing || self.is_migrating() => self.migrate_now(),
+            None if !mirrors && self.client_ended_at.is_none() => {
                 let words = backend.passage.closing_message(CloseReason::BackendLost);
-                self.leave(words, gone);
+                self.close_with(words, unannounced);
             }
-            farewell => self.part(farewell.unwrap_or(gone), true),
+            announced => self.end_backend(announced.unwrap_or(unannounced), true),
         }
     }
 
-    /// Passes on to the backend what the client has sent.
-    pub fn flush_up(&mut self) {
+    /// Forwards to the backend what the client has sent.
+    pub fn flush_to_backend(&mut self) {
         let Some(backend) = &mut self.backend else {
             return;
         };
-        let mut blocked = std::mem::take(&mut self.up_blocked);
+        let mut blocked = std::mem::take(&mut self.to_backend_blocked);
         loop {
             let mut fresh = 0;
             match backend
                 .passage
-                .on_client_data(&self.up.unread()[self.up_passed..])
+                .on_client_data(&self.to_backend.unread()[self.to_backend_ready..])
             {
                 Ok(passed) => {
                     fresh = passed.bytes;
-                    self.asks |= passed.expects_response;
+                    self.expects_answer |= passed.expects_response;
                 }
-                // What came before it goes on first.
-                Err(_) if self.up_passed > 0 => {}
-                Err(fault) => {
-                    log(&format!("client {}: {}", self.name(), fault.description));
-                    return self
-                        .leave(fault.closing_message, end(Outcome::Cancelled, fault.reason));
+                // The bytes before the invalid ones are forwarded first.
+                Err(_) if self.to_backend_ready > 0 => {}
+                Err(violation) => {
+                    log(&format!(
+                        "client {}: {}",
+                        self.connection_id(),
+                        violation.description
+                    ));
+                    return self.close_with(
+                        violation.closing_message,
+                        ConnectionEnd::new(Outcome::Cancelled, violation.reason),
+                    );
                 }
             }
-            self.up_passed += fresh;
-            if self.up_passed == 0 && !blocked {
+            self.to_backend_ready += fresh;
+            if self.to_backend_ready == 0 && !blocked {
                 break;
             }
-            if self.asks {
-                self.asked.get_or_insert(self.core.decisions.now());
+            if self.expects_answer {
+                self.unanswered_since
+                    .get_or_insert(self.shared.decisions.now());
             }
-            match backend.link.write_some(&self.up.unread()[..self.up_passed]) {
-                Ok((n, full)) => {
-                    self.up.consume(n);
-                    self.up_passed -= n;
-                    blocked = full;
+            match backend
+                .link
+                .write_available(&self.to_backend.unread()[..self.to_backend_ready])
+            {
+                Ok((n, is_blocked)) => {
+                    self.to_backend.consume(n);
+                    self.to_backend_ready -= n;
+                    blocked = is_blocked;
                 }
-                // That the backend is gone is noticed on its own side.
+                // A backend that is gone is handled when its socket is read.
                 Err(_) => {
-                    self.up.clear();
-                    (self.up_passed, blocked) = (0, false);
+                    self.to_backend.clear();
+                    (self.to_backend_ready, blocked) = (0, false);
                 }
             }
-            self.asks &= self.up_passed > 0;
+            self.expects_answer &= self.to_backend_ready > 0;
             if blocked || fresh == 0 {
                 break;
             }
         }
-        self.up_blocked = blocked;
-        if self.client_ended.is_some() && !self.up_blocked {
-            backend.link.end_sending();
+        self.to_backend_blocked = blocked;
+        if self.client_ended_at.is_some() && !self.to_backend_blocked {
+            backend.link.shutdown_write();
         }
     }
 
-    /// Passes on to the client what the backend has sent, and hears what it means; after the end of the
-    /// backend, passes on the last words.
-    pub fn flush_down(&mut self) {
+    /// Forwards to the client what the backend has sent, and acts on what it means. While the
+    /// connection is closing, sends the last bytes instead.
+    pub fn flush_to_client(&mut self) {
         if let Phase::Closing(since, false) = self.phase {
-            match self.client.write_some(&self.last) {
+            match self.client.write_available(&self.last_bytes) {
                 Ok((n, blocked)) => {
-                    self.last.drain(..n);
-                    self.down_blocked = blocked.then_some(since);
+                    self.last_bytes.drain(..n);
+                    self.to_client_blocked_since = blocked.then_some(since);
                     if !blocked {
-                        self.client.end_sending();
+                        self.client.shutdown_write();
                         self.phase = Phase::Closing(self.now(), true);
                     }
                 }
-                Err(_) => self.phase = Phase::Done,
+                Err(_) => self.phase = Phase::Closed,
             }
             return;
         }
@@ -323,265 +342,295 @@
             let Some(backend) = &mut self.backend else {
                 return;
             };
-            let (id, server) = (backend.id, backend.server);
-            let (mut fresh, mut news) = (0, Vec::new());
-            let unread = &self.down.unread()[self.down_passed..];
-            match backend
-                .passage
-                .on_backend_data(unread, &self.core.terms().rules, &mut news)
-            {
+            let (id, endpoint_id) = (backend.id, backend.endpoint_id);
+            let (mut fresh, mut events) = (0, Vec::new());
+            let unread = &self.to_client.unread()[self.to_client_ready..];
+            match backend.passage.on_backend_data(
+                unread,
+                &self.shared.settings().rules,
+                &mut events,
+            ) {
                 Ok(n) => fresh = n,
-                Err(_) if self.down_passed > 0 => {}
-                Err(fault) => {
+                Err(_) if self.to_client_ready > 0 => {}
+                Err(violation) => {
                     log(&format!(
                         "backend of {}: {}",
-                        self.name(),
-                        fault.description
+                        self.connection_id(),
+                        violation.description
                     ));
-                    return self.leave(fault.closing_message, end(Outcome::Reset, fault.reason));
+                    return self.close_with(
+                        violation.closing_message,
+                        ConnectionEnd::new(Outcome::Reset, violation.reason),
+                    );
                 }
             }
-            self.down_passed += fresh;
-            for news in news {
-                match news {
+            self.to_client_ready += fresh;
+            for event in events {
+                match event {
                     BackendEvent::LoadSample(x) => {
-                        let note =
-                            self.core
-                                .notes
-                                .classify(server, id, self.core.decisions.now(), x);
-                        self.core.decisions.record_sample(id, note);
+                        let sample = self.shared.load_samples.classify(
+                            endpoint_id,
+                            id,
+                            self.shared.decisions.now(),
+                            x,
+                        );
+                        self.shared.decisions.record_sample(id, sample);
                     }
-                    BackendEvent::Response => self.hear_back(),
+                    BackendEvent::Response => self.record_backend_activity(),
                     BackendEvent::EndAnnounced(outcome, report, reason) => {
-                        self.farewell = Some(End {
+                        self.announced_end = Some(ConnectionEnd {
                             outcome,
                             report,
                             reason,
                         });
                     }
-                    BackendEvent::Answered(served) => self.answered(served),
+                    BackendEvent::Answered(served) => self.count_final_answer(served),
                     BackendEvent::CloseAfterForwarding(words, outcome, reason) => {
-                        self.over = Some((words, end(outcome, reason)))
+                        self.end_after_flush = Some((words, ConnectionEnd::new(outcome, reason)))
                     }
                     BackendEvent::Finished => finished = true,
                 }
             }
-            let now = self.core.decisions.now();
+            let now = self.shared.decisions.now();
             match self
                 .client
-                .write_some(&self.down.unread()[..self.down_passed])
+                .write_available(&self.to_client.unread()[..self.to_client_ready])
             {
                 Ok((n, blocked)) => {
-                    self.down.consume(n);
-                    self.down_passed -= n;
-                    self.down_blocked = blocked.then(|| self.down_blocked.unwrap_or(now));
+                    self.to_client.consume(n);
+                    self.to_client_ready -= n;
+                    self.to_client_blocked_since =
+                        blocked.then(|| self.to_client_blocked_since.unwrap_or(now));
+                }
+                Err(_) => {
+                    return self.reset_both(ConnectionEnd::new(Outcome::Cancelled, "client-reset"))
                 }
-                Err(_) => return self.reset_both(end(Outcome::Cancelled, "client-reset")),
             }
             if finished {
-                return self.move_away();
+                return self.migrate_now();
             }
-            if let Some((words, end)) = self.over.take() {
-                return self.leave(words, end);
+            if let Some((words, end)) = self.end_after_flush.take() {
+                return self.close_with(words, end);
             }
-            if self.down_blocked.is_some() || fresh == 0 {
+            if self.to_client_blocked_since.is_some() || fresh == 0 {
                 return;
             }
         }
     }
 
-    /// The client has its final answer.
-    fn answered(&mut self, served: bool) {
-        self.answer_by = None;
-        match (&self.account, served) {
+    /// Counts the client's final answer in the metrics.
+    fn count_final_answer(&mut self, served: bool) {
+        self.answer_deadline = None;
+        match (&self.record, served) {
             (
-                Some(Account {
+                Some(ConnectionRecord {
                     tally: Some(tally), ..
                 }),
                 true,
             ) => tally.connected(),
             (_, true) => {}
-            (_, false) => drop(self.core.metrics.xmpp.sasl_failures.fetch_add(1, Relaxed)),
+            (_, false) => drop(self.shared.metrics.xmpp.sasl_failures.fetch_add(1, Relaxed)),
         }
     }
 
-    /// Asks the client to come again, between two units, then ends both sides.
-    fn move_away(&mut self) {
+    /// Asks the client to reconnect, between two protocol units, then ends both sides.
+    fn migrate_now(&mut self) {
         let Some(backend) = &self.backend else { return };
-        let metrics = &self.core.metrics.xmpp;
+        let metrics = &self.shared.metrics.xmpp;
         if backend.passage.has_partial_unit() {
             metrics.truncated_stanzas.fetch_add(1, Relaxed);
         }
         if !backend.passage.supports_takeover() {
             metrics.migrated.fetch_add(1, Relaxed);
         }
-        self.leave(
+        self.close_with(
             backend.passage.closing_message(CloseReason::Migrated),
-            end(Outcome::Cancelled, "moved"),
+            ConnectionEnd::new(Outcome::Cancelled, "moved"),
         );
     }
 
-    /// The connection is to be moved: once the backend has finished, or its time for that is up.
-    fn depart(&mut self, now: Micros) {
+    /// Migrates the connection once the backend has finished, or at the deadline for that.
+    fn begin_migration(&mut self, now: Micros) {
         let Some(backend) = &mut self.backend else {
             return;
         };
-        if let Some(by) = self.finish_by.filter(|by| self.parting || now >= *by) {
+        if let Some(by) = self
+            .finish_deadline
+            .filter(|by| self.finishing || now >= *by)
+        {
             if now >= by {
-                self.move_away();
+                self.migrate_now();
             }
             return;
         }
         match backend.passage.prepare_migration() {
-            MigrationReadiness::Now => self.move_away(),
-            MigrationReadiness::Later(within) => drop(self.finish_by.get_or_insert(now + within)),
+            MigrationReadiness::Now => self.migrate_now(),
+            MigrationReadiness::Later(timeout) => {
+                _ = self.finish_deadline.get_or_insert(now + timeout);
+            }
             MigrationReadiness::AfterBackendFinishes { message, timeout } => {
-                // Half a unit of the client's is not on its way: nothing of it went on.
-                self.up.truncate_and_append(self.up_passed, &message);
-                self.up_passed += message.len();
-                (self.parting, self.finish_by) = (true, Some(now + timeout));
-                self.flush_up();
+                // A partial unit of the client is replaced: none of its bytes were forwarded.
+                self.to_backend
+                    .truncate_and_append(self.to_backend_ready, &message);
+                self.to_backend_ready += message.len();
+                (self.finishing, self.finish_deadline) = (true, Some(now + timeout));
+                self.flush_to_backend();
             }
         }
     }
 
-    /// Sends the client away with these words, after what may go on to it, then ends both sides.
-    fn leave(&mut self, words: Vec<u8>, end: End) {
-        self.last = words;
-        self.part(end, false);
+    /// Ends both sides after the client was sent the bytes that may be forwarded, and these words.
+    fn close_with(&mut self, words: Vec<u8>, end: ConnectionEnd) {
+        self.last_bytes = words;
+        self.end_backend(end, false);
     }
 
-    /// Ends the backend's side; the client gets what has come from there, then the last words.
-    fn part(&mut self, end: End, rest: bool) {
-        let rest = rest
+    /// Ends the backend's side. The client is sent the bytes that may be forwarded, then the last
+    /// bytes. With `partial_unit` it is also sent an incomplete unit of the backend, if the
+    /// protocol shows clients the end of their backend as it was.
+    fn end_backend(&mut self, end: ConnectionEnd, partial_unit: bool) {
+        let partial_unit = partial_unit
             && self
                 .backend
                 .as_ref()
                 .is_some_and(|b| b.passage.mirrors_end());
-        let to = if rest {
-            self.down.unread().len()
+        let length = if partial_unit {
+            self.to_client.unread().len()
         } else {
-            self.down_passed
+            self.to_client_ready
         };
-        let mut last = self.down.unread()[..to].to_vec();
-        last.append(&mut self.last);
-        self.last = last;
+        let mut bytes = self.to_client.unread()[..length].to_vec();
+        bytes.append(&mut self.last_bytes);
+        self.last_bytes = bytes;
         if let Some(backend) = &self.backend {
             let _ = backend.link.socket.shutdown(Shutdown::Both);
         }
-        self.report(end);
+        self.report_end(end);
         self.close();
     }
 
-    /// Gives the client its last words and ends the connection.
+    /// Sends the client its last bytes and closes the connection.
     pub fn close(&mut self) {
         self.phase = Phase::Closing(self.now(), false);
-        if self.client_ended.is_some() && self.last.is_empty() {
-            self.phase = Phase::Done;
+        if self.client_ended_at.is_some() && self.last_bytes.is_empty() {
+            self.phase = Phase::Closed;
         } else {
-            self.flush_down();
+            self.flush_to_client();
         }
     }
 
     /// Closes both sides by a reset.
-    fn reset_both(&mut self, end: End) {
-        reset(&self.client.socket);
+    fn reset_both(&mut self, end: ConnectionEnd) {
+        reset_on_close(&self.client.socket);
         if let Some(backend) = &self.backend {
-            reset(&backend.link.socket);
+            reset_on_close(&backend.link.socket);
         }
-        self.report(end);
-        self.phase = Phase::Done;
+        self.report_end(end);
+        self.phase = Phase::Closed;
     }
 
-    /// Tells the decisions and the log how the connection ended, and lets go of its backend.
-    fn report(&mut self, end: End) {
-        if let Some(Backend {
+    /// Reports the end of the connection to the decisions and the log, and closes the backend's
+    /// socket.
+    fn report_end(&mut self, end: ConnectionEnd) {
+        if let Some(BackendSide {
             link, id, passage, ..
         }) = self.backend.take()
         {
-            self.session.iter().for_each(|session| session.release());
+            self.session
+                .iter()
+                .for_each(|session| session.detach_backend());
             drop(link);
             if !passage.supports_takeover() {
-                self.core.metrics.xmpp.sessions.fetch_sub(1, Relaxed);
+                self.shared.metrics.xmpp.sessions.fetch_sub(1, Relaxed);
             }
-            self.core
+            self.shared
                 .decisions
                 .connection_ended(id, end.outcome, end.report);
         }
-        if let Some(account) = self.account.take() {
-            // It was owed an answer, and what it has had now was a failure's.
-            if self.answer_by.take().is_some() && self.client_ended.is_none() {
-                account.tally.iter().for_each(|tally| tally.failed());
+        if let Some(record) = self.record.take() {
+            // The client had no final answer yet, so it was answered with a failure.
+            if self.answer_deadline.take().is_some() && self.client_ended_at.is_none() {
+                record.tally.iter().for_each(|tally| tally.failed());
             }
-            account.log(end.reason);
+            record.log_end(end.reason);
         }
     }
 
-    /// Throws away what a client sends that has had its last words.
-    fn discard(&mut self) {
-        match (&*self.client.socket).read(&mut [0; PIECE]) {
-            Ok(PIECE) => self.flooded = true,
+    /// Discards input of a client that was sent its last bytes.
+    fn discard_input(&mut self) {
+        match (&*self.client.socket).read(&mut [0; DISCARD_BYTES]) {
+            Ok(DISCARD_BYTES) => self.discard_paused = true,
             Ok(n) if n > 0 => {}
             Err(e) if timed_out(&e) || e.kind() == ErrorKind::Interrupted => {}
-            _ => self.phase = Phase::Done,
+            _ => self.phase = Phase::Closed,
         }
     }
 
-    /// Whether its backend has stopped without a word.
-    fn lost(&self, now: Micros) -> bool {
-        let (Some(asked), Some(backend)) = (self.asked, &self.backend) else {
+    /// Whether the backend has been silent for so long that it counts as lost.
+    fn backend_is_silent(&self, now: Micros) -> bool {
+        let (Some(unanswered_since), Some(backend)) = (self.unanswered_since, &self.backend) else {
             return false;
         };
-        backend
-            .passage
-            .is_backend_lost(now.saturating_sub(asked), now.saturating_sub(self.heard))
+        backend.passage.is_backend_lost(
+            now.saturating_sub(unanswered_since),
+            now.saturating_sub(self.last_heard),
+        )
     }
 
-    /// Its backend has brought something back.
-    fn hear_back(&mut self) {
-        (self.asked, self.heard) = (None, self.core.decisions.now());
+    /// Records that the backend has sent something.
+    fn record_backend_activity(&mut self) {
+        (self.unanswered_since, self.last_heard) = (None, self.shared.decisions.now());
     }
 
-    /// What only time shows.
-    pub fn look(&mut self) {
-        let now = self.core.decisions.now();
+    /// Checks timeouts, and releases memory that an idle connection does not need. Called
+    /// periodically.
+    pub fn check_timeouts(&mut self) {
+        let now = self.shared.decisions.now();
         if let Some(backend) = self
             .backend
             .as_mut()
             .filter(|b| !b.passage.supports_takeover())
         {
-            self.up.shrink_if_empty();
-            self.down.shrink_if_empty();
+            self.to_backend.shrink_if_empty();
+            self.to_client.shrink_if_empty();
             backend.passage.release_idle_memory();
         }
         let past = |since: Micros, limit: Micros| now > since + limit;
-        let stuck = self.down_blocked.is_some_and(|since| past(since, STUCK));
+        let stuck = self
+            .to_client_blocked_since
+            .is_some_and(|since| past(since, STUCK_CLIENT_TIMEOUT));
         match self.phase {
-            Phase::Closing(since, true) if past(since, self.linger) => self.phase = Phase::Done,
-            Phase::Closing(..) if stuck => self.phase = Phase::Done,
-            Phase::Closing(..) if self.flooded => {
-                self.flooded = false;
-                self.discard();
+            Phase::Closing(since, true) if past(since, self.linger) => self.phase = Phase::Closed,
+            Phase::Closing(..) if stuck => self.phase = Phase::Closed,
+            Phase::Closing(..) if self.discard_paused => {
+                self.discard_paused = false;
+                self.discard_input();
+            }
+            Phase::Established if stuck => {
+                self.reset_both(ConnectionEnd::new(Outcome::Cancelled, "client-stuck"))
             }
-            Phase::Up if stuck => self.reset_both(end(Outcome::Cancelled, "client-stuck")),
-            Phase::Up if self.client_ended.is_some_and(|at| past(at, LINGER)) => {
-                self.part(end(Outcome::Cancelled, "client-left"), true);
+            Phase::Established if self.client_ended_at.is_some_and(|at| past(at, LINGER)) => {
+                self.end_backend(ConnectionEnd::new(Outcome::Cancelled, "client-left"), true);
             }
-            // A machine that vanished says nothing and keeps its connections open: only what stays unanswered
-            // shows it.
-            Phase::Up if self.lost(now) => {
+            // A machine that vanished sends nothing and leaves its connections open. Only
+            // unanswered lines show it.
+            Phase::Established if self.backend_is_silent(now) => {
                 let words = self
                     .backend
                     .as_ref()
                     .map(|b| b.passage.closing_message(CloseReason::BackendLost));
-                self.leave(
+                self.close_with(
                     words.unwrap_or_default(),
-                    end(Outcome::Reset, "backend-silent"),
+                    ConnectionEnd::new(Outcome::Reset, "backend-silent"),
                 );
             }
-            // Two looks before it is due: the next one might be too late.
-            Phase::Up if self.answer_by.is_some_and(|by| now + 2 * LOOK >= by) => {
-                let late = if self.asked.is_some() {
+            // Two intervals before the deadline, since the next check might be too late.
+            Phase::Established
+                if self
+                    .answer_deadline
+                    .is_some_and(|by| now + 2 * CHECK_INTERVAL >= by) =>
+            {
+                let late = if self.unanswered_since.is_some() {
                     Outcome::Timeout
                 } else {
                     Outcome::Cancelled
@@ -590,15 +639,18 @@
                     .backend
                     .as_ref()
                     .map(|b| b.passage.closing_message(CloseReason::AnswerTimeout));
-                self.leave(words.unwrap_or_default(), end(late, "answer-late"));
+                self.close_with(
+                    words.unwrap_or_default(),
+                    ConnectionEnd::new(late, "answer-late"),
+                );
             }
-            Phase::Up
+            Phase::Established
                 if self
                     .session
                     .as_ref()
-                    .is_some_and(|session| session.departs()) =>
+                    .is_some_and(|session| session.finishes_before_migration()) =>
             {
-                self.depart(now)
+                self.begin_migration(now)
             }
             _ => {}
         }
