--- a/src/net/handshake.rs
+++ b/src/net/handshake.rs
@@ -1,13 +1,13 @@
-//! The first words of a connection, up to the request.
+//! The first phase of a connection: TLS and what the client sends up to and with its request.
 //!
-//! Guards against: a client that says nothing, half a line, or floods; a TLS handshake that stalls. Each costs a
-//! place and no thread, and holds up nobody.
+//! Guards against: a client that sends nothing, half a line, or without pause, and a TLS handshake
+//! that stalls. Each of these occupies a connection slot and no thread, and delays no other client.
 
 use crate::decisions::api::Micros;
 use crate::log::log;
-use crate::net::admission::Idle;
-use crate::net::connection::{Conn, Hearing, Phase, LINGER_SHORT};
-use crate::net::session::Account;
+use crate::net::admission::WaitingConnection;
+use crate::net::connection::{Connection, Handshake, Phase, DISMISSED_LINGER};
+use crate::net::session::ConnectionRecord;
 use crate::net::shared::SharedState;
 use crate::protocol::line::LineRequestReader;
 use crate::protocol::xmpp::client_negotiation;
@@ -16,21 +16,22 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// The longest wait for a client to take its answer, in microseconds.
-const ANSWER: Micros = 1_000_000;
+/// The longest wait for a client to accept the bytes of an answer, in microseconds.
+const WRITE_TIMEOUT: Micros = 1_000_000;
 
-/// What is spoken at a listener.
+/// The protocol of a listener's clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerProtocol {
     /// The line protocol.
     Line,
-    /// XMPP that begins in clear.
+    /// XMPP that begins unencrypted and offers STARTTLS.
     Xmpp,
     /// XMPP that begins with TLS.
     XmppTls,
 }
 
 impl ListenerProtocol {
+    /// The name of the front in the log.
     fn front(self) -> &'static str {
         if self == ListenerProtocol::Line {
             "line"
@@ -40,10 +41,11 @@
     }
 }
 
-/// The machine that hears a client of this listener; none where the front has gone meanwhile.
-fn greeter(core: &SharedState, speaks: ListenerProtocol) -> Option<Box<dyn RequestReader>> {
-    let now = core.decisions.now();
-    if speaks == ListenerProtocol::Line {
+/// The protocol's state machine for a client of this listener; none where a reload has removed the
+/// front meanwhile.
+fn new_reader(shared: &SharedState, protocol: ListenerProtocol) -> Option<Box<dyn RequestReader>> {
+    let now = shared.decisions.now();
+    if protocol == ListenerProtocol::Line {
         return Some(Box::new(LineRequestReader::new(now)));
     }
     let mut ids = [0; 3];
@@ -52,119 +54,142 @@
             .inspect_err(|e| log(&format!("xmpp: no random numbers: {e}")))
             .ok()?;
     }
-    let terms = core.xmpp()?.terms.clone();
+    let settings = shared.xmpp()?.settings.clone();
     Some(Box::new(client_negotiation::ClientNegotiation::new(
-        terms,
+        settings,
         ids,
-        speaks == ListenerProtocol::XmppTls,
+        protocol == ListenerProtocol::XmppTls,
         now,
     )))
 }
 
-impl Hearing {
-    /// When it must be called though nothing has come.
-    pub fn due(&self) -> Micros {
-        let until = self.greeter.deadline();
-        self.blocked
-            .map_or(until, |since| until.min(since + ANSWER))
+impl Handshake {
+    /// The time at which it must be called even if nothing was received.
+    pub fn next_timer(&self) -> Micros {
+        let deadline = self.reader.deadline();
+        self.blocked_since
+            .map_or(deadline, |since| deadline.min(since + WRITE_TIMEOUT))
     }
 }
 
-impl Conn {
-    /// The connection of a client that has just come to this listener; none where there is nobody to hear it.
-    pub fn greet(core: &Arc<SharedState>, idle: Idle, speaks: ListenerProtocol) -> Option<Conn> {
-        let greeter = greeter(core, speaks)?;
-        idle.stream
+impl Connection {
+    /// Begins the connection of a client that this listener has accepted; none where it cannot be
+    /// served.
+    pub fn accept(
+        shared: &Arc<SharedState>,
+        waiting: WaitingConnection,
+        protocol: ListenerProtocol,
+    ) -> Option<Connection> {
+        let reader = new_reader(shared, protocol)?;
+        waiting
+            .stream
             .set_nonblocking(true)
-            .and_then(|()| idle.stream.set_nodelay(true))
+            .and_then(|()| waiting.stream.set_nodelay(true))
             .ok()?;
-        let mut conn = Conn::new(core, idle.number(), idle.stream.clone());
-        conn.account = Some(Account::new(speaks.front()));
-        let (out, blocked) = (Vec::new(), None);
-        let mut hearing = Hearing {
-            idle,
-            greeter,
-            securing: false,
-            tells: false,
-            out,
-            blocked,
+        let mut conn = Connection::new(shared, waiting.number(), waiting.stream.clone());
+        conn.record = Some(ConnectionRecord::new(protocol.front()));
+        let (unsent, blocked_since) = (Vec::new(), None);
+        let mut handshake = Handshake {
+            waiting,
+            reader,
+            in_tls_handshake: false,
+            reports_tls: false,
+            unsent,
+            blocked_since,
         };
-        let secured = speaks != ListenerProtocol::XmppTls || conn.secure(&mut hearing, None, false);
-        conn.hearing = Some(Box::new(hearing));
+        let secured = protocol != ListenerProtocol::XmppTls
+            || conn.start_client_tls(&mut handshake, None, false);
+        conn.handshake = Some(Box::new(handshake));
         if secured {
-            conn.hear();
+            conn.continue_handshake();
         }
         Some(conn)
     }
 
-    /// Puts the client's link under TLS with the certificate of that domain; false where there is none.
-    fn secure(&mut self, hearing: &mut Hearing, domain: Option<&str>, tells: bool) -> bool {
-        let Some(tls) = self.core.xmpp().and_then(|xmpp| xmpp.tls.server(domain)) else {
-            self.unheard("no-tls");
+    /// Starts TLS with the certificate of this domain. Without a certificate the connection is
+    /// closed and false is returned.
+    fn start_client_tls(
+        &mut self,
+        handshake: &mut Handshake,
+        domain: Option<&str>,
+        reports_tls: bool,
+    ) -> bool {
+        let Some(tls) = self
+            .shared
+            .xmpp()
+            .and_then(|xmpp| xmpp.tls.server_connection(domain))
+        else {
+            self.close_silently("no-tls");
             return false;
         };
-        self.client.secure(tls);
-        (hearing.securing, hearing.tells) = (true, tells);
+        self.client.start_tls(tls);
+        (handshake.in_tls_handshake, handshake.reports_tls) = (true, reports_tls);
         true
     }
 
-    /// Ends a connection that rests, whose room is needed, or whose process stops: with an answer, since a request may
-    /// be on its way at this moment. One that has come by now is heard as ever.
+    /// Ends a connection without a request, to make room or because the process stops. The client
+    /// is sent an answer, since its request may be on the way at this moment. A request that has
+    /// already arrived is read and admitted as usual.
     pub fn dismiss(&mut self) {
-        if self.phase == Phase::Hearing {
-            self.hear();
+        if self.phase == Phase::Handshake {
+            self.continue_handshake();
         }
-        let Some(mut hearing) = self.hearing.take() else {
+        let Some(mut handshake) = self.handshake.take() else {
             return;
         };
-        let (last, reason) = hearing.greeter.interrupt(&self.up, Interruption::Dismissed);
-        self.idle = Some(hearing.idle);
-        self.linger = LINGER_SHORT;
-        // Behind what is still to be said, or in place of it: half a word would garble the answer.
-        let whole = hearing.out.is_empty() && !hearing.securing;
-        self.turn_away(if whole { last } else { Vec::new() }, reason);
+        let (last_bytes, reason) = handshake
+            .reader
+            .interrupt(&self.to_backend, Interruption::Dismissed);
+        self.waiting = Some(handshake.waiting);
+        self.linger = DISMISSED_LINGER;
+        // Where earlier bytes were sent in part, or TLS is not established, an answer would be
+        // garbled, so none is sent.
+        let can_answer = handshake.unsent.is_empty() && !handshake.in_tls_handshake;
+        self.reject(if can_answer { last_bytes } else { Vec::new() }, reason);
     }
 
-    /// It is closed with no word more.
-    fn unheard(&mut self, reason: &str) {
-        if let Some(account) = self.account.take().filter(|_| !reason.is_empty()) {
-            account.log(reason);
+    /// Closes the connection without sending anything more. An empty reason is not logged.
+    fn close_silently(&mut self, reason: &str) {
+        if let Some(record) = self.record.take().filter(|_| !reason.is_empty()) {
+            record.log_end(reason);
         }
-        self.phase = Phase::Done;
+        self.phase = Phase::Closed;
     }
 
-    /// Hears the client as far as it has spoken.
-    pub fn hear(&mut self) {
-        let Some(mut hearing) = self.hearing.take() else {
+    /// Reads what the client has sent and acts on it.
+    pub fn continue_handshake(&mut self) {
+        let Some(mut handshake) = self.handshake.take() else {
             return;
         };
-        if self.heard(&mut hearing) {
-            self.hearing = Some(hearing);
-        } else if self.phase != Phase::Done && self.session.is_none() {
-            // Its room is its own until it has gone.
-            self.idle = Some(hearing.idle);
+        if self.advance_handshake(&mut handshake) {
+            self.handshake = Some(handshake);
+        } else if self.phase != Phase::Closed && self.session.is_none() {
+            // A rejected client keeps its slot until the connection is closed.
+            self.waiting = Some(handshake.waiting);
         }
     }
 
-    /// True while it is to be heard further.
-    fn heard(&mut self, h: &mut Hearing) -> bool {
-        // A turn takes in once what has come: one that sends at full speed must not hold up the others.
-        let mut filled = false;
+    /// Continues the handshake; true while it is not complete.
+    fn advance_handshake(&mut self, h: &mut Handshake) -> bool {
+        // The socket is read once per call, so that a client that sends at full speed does not
+        // delay the others.
+        let mut has_read = false;
         loop {
             let now = self.now();
-            if h.securing {
-                match self.client.shake() {
+            if h.in_tls_handshake {
+                match self.client.continue_tls_handshake() {
                     Ok(true) => {
-                        // What came right behind the handshake is TLS's now: no socket tells of it.
-                        (h.securing, filled) = (false, false);
-                        if h.tells {
-                            h.greeter.tls_established(self.now());
+                        // Bytes right after the handshake may be in the TLS buffers already, where
+                        // no socket event reports them: read again.
+                        (h.in_tls_handshake, has_read) = (false, false);
+                        if h.reports_tls {
+                            h.reader.tls_established(self.now());
                         }
                     }
-                    Ok(false) if now < h.greeter.deadline() => return true,
+                    Ok(false) if now < h.reader.deadline() => return true,
                     failed => {
-                        self.core.metrics.xmpp.tls_failures.fetch_add(1, Relaxed);
-                        self.unheard(if failed.is_ok() {
+                        self.shared.metrics.xmpp.tls_failures.fetch_add(1, Relaxed);
+                        self.close_silently(if failed.is_ok() {
                             "tls-late"
                         } else {
                             "tls-failed"
@@ -173,77 +198,85 @@
                     }
                 }
             }
-            if !h.out.is_empty() || h.blocked.is_some() {
-                match self.client.write_some(&h.out) {
+            if !h.unsent.is_empty() || h.blocked_since.is_some() {
+                match self.client.write_available(&h.unsent) {
                     Ok((n, true)) => {
-                        h.out.drain(..n);
-                        let since = *h.blocked.get_or_insert(now);
-                        if now >= since + ANSWER {
-                            self.unheard("");
+                        h.unsent.drain(..n);
+                        let since = *h.blocked_since.get_or_insert(now);
+                        if now >= since + WRITE_TIMEOUT {
+                            self.close_silently("");
                         }
-                        return self.phase != Phase::Done;
+                        return self.phase != Phase::Closed;
                     }
-                    Ok((_, false)) => (h.out, h.blocked) = (Vec::new(), None),
+                    Ok((_, false)) => (h.unsent, h.blocked_since) = (Vec::new(), None),
                     Err(_) => {
-                        self.unheard("");
+                        self.close_silently("");
                         return false;
                     }
                 }
             }
-            let rules = self.core.terms().rules.clone();
-            match h.greeter.next_action(&mut self.up, now, &rules) {
+            let rules = self.shared.settings().rules.clone();
+            match h.reader.next_action(&mut self.to_backend, now, &rules) {
                 ReaderAction::Read => {}
                 ReaderAction::Send(bytes) => {
-                    h.idle.asked();
-                    h.out = bytes;
+                    h.waiting.record_activity();
+                    h.unsent = bytes;
                     continue;
                 }
                 ReaderAction::StartTls(domain) => {
-                    if !self.secure(h, Some(&domain), true) {
+                    if !self.start_client_tls(h, Some(&domain), true) {
                         return false;
                     }
                     continue;
                 }
                 ReaderAction::Request(order) => {
-                    self.let_in(&h.idle, order);
+                    self.admit(&h.waiting, order);
                     return false;
                 }
-                ReaderAction::Close(last, reason) => {
-                    self.turn_away(last, reason);
+                ReaderAction::Close(last_bytes, reason) => {
+                    self.reject(last_bytes, reason);
                     return false;
                 }
             }
-            if now >= h.greeter.deadline() {
-                let (mut last, mut reason) = h.greeter.interrupt(&self.up, Interruption::TimedOut);
-                if last.is_empty() && reason.is_empty() {
-                    // It has rested for too long. Its request may be on its way just now.
-                    (last, reason) = h.greeter.interrupt(&self.up, Interruption::Dismissed);
-                    self.linger = LINGER_SHORT;
+            if now >= h.reader.deadline() {
+                let (mut last_bytes, mut reason) =
+                    h.reader.interrupt(&self.to_backend, Interruption::TimedOut);
+                if last_bytes.is_empty() && reason.is_empty() {
+                    // The client was silent for too long. Its request may be on the way just now,
+                    // so it is sent an answer.
+                    (last_bytes, reason) = h
+                        .reader
+                        .interrupt(&self.to_backend, Interruption::Dismissed);
+                    self.linger = DISMISSED_LINGER;
                 }
-                self.turn_away(last, reason);
+                self.reject(last_bytes, reason);
                 return false;
             }
-            if std::mem::replace(&mut filled, true) {
+            if std::mem::replace(&mut has_read, true) {
                 return true;
             }
-            match self.client.fill(&mut self.up) {
+            match self.client.read_into(&mut self.to_backend) {
                 Ok(n) if n > 0 => {}
                 Err(e) if timed_out(&e) => return true,
                 _ => {
-                    let reason = h.greeter.interrupt(&self.up, Interruption::Disconnected).1;
-                    self.unheard(reason);
+                    let reason = h
+                        .reader
+                        .interrupt(&self.to_backend, Interruption::Disconnected)
+                        .1;
+                    self.close_silently(reason);
                     return false;
                 }
             }
         }
     }
 
-    /// Ends a connection that asked for nothing sensible, or for nothing.
-    fn turn_away(&mut self, last: Vec<u8>, reason: &'static str) {
-        if let Some(account) = self.account.take().filter(|_| !reason.is_empty()) {
-            account.log(reason);
+    /// Ends a connection whose request is missing or invalid, after these last bytes. An empty
+    /// reason is not logged.
+    fn reject(&mut self, last_bytes: Vec<u8>, reason: &'static str) {
+        if let Some(record) = self.record.take().filter(|_| !reason.is_empty()) {
+            record.log_end(reason);
         }
-        self.last = last;
+        self.last_bytes = last_bytes;
         self.close();
     }
 }
--- a/src/net/placement.rs
+++ b/src/net/placement.rs
@@ -1,215 +1,246 @@
-//! The side of the clients: a request is let in, has its verdicts carried out, and gets its answer or its connection.
+//! Placement of a request: it is admitted and submitted to the decisions, their verdicts are
+//! carried out, and the client gets its final answer or its connection.
 
 use crate::config::endpoint_list::endpoint_id;
 use crate::decision_service::{Decision, RequestHandle};
 use crate::decisions::api::{Micros, Outcome, Request};
-use crate::net::admission::{Denied, Idle};
-use crate::net::attempt::{Attempt, Failed, Ground, Up, ADOPT};
-use crate::net::connection::{Backend, Conn, Phase, Placing};
-use crate::net::session::{Account, Session};
+use crate::net::admission::{AdmissionError, WaitingConnection};
+use crate::net::attempt::{
+    Attempt, AttemptContext, AttemptFailure, EstablishedBackend, ADOPT_TIMEOUT,
+};
+use crate::net::connection::{BackendSide, Connection, PendingRequest, Phase};
+use crate::net::session::{ConnectionRecord, Session};
 use crate::protocol::{ClientRequest, FailureCause, FinalAnswer};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// Counts a connection by its final answer.
-fn count(account: &Account, answer: FinalAnswer) {
-    match (&account.tally, answer) {
+/// Counts a request's final answer in the metrics.
+fn count_answer(record: &ConnectionRecord, answer: FinalAnswer) {
+    match (&record.tally, answer) {
         (Some(tally), FinalAnswer::Rejected(_)) => tally.rejected(),
         (Some(tally), FinalAnswer::Failed(_) | FinalAnswer::IdInUse) => tally.failed(),
         (None, _) => {}
     }
 }
 
-impl Conn {
-    /// A client has asked for this.
-    pub fn let_in(&mut self, idle: &Idle, order: Box<dyn ClientRequest>) {
-        let core = self.core.clone();
-        if let Some(account) = &mut self.account {
-            account.name = order.connection_id().to_string();
-            account.class = core
-                .terms()
+impl Connection {
+    /// Admits a client's request, or rejects it.
+    pub fn admit(&mut self, waiting: &WaitingConnection, order: Box<dyn ClientRequest>) {
+        let shared = self.shared.clone();
+        if let Some(record) = &mut self.record {
+            record.id = order.connection_id().to_string();
+            record.class = shared
+                .settings()
                 .rules
                 .classes
                 .name(order.request().class)
                 .to_string();
-            account.tally = Some(core.metrics.begin_request(&account.class));
+            record.tally = Some(shared.metrics.begin_request(&record.class));
         }
-        let (answer, reason) = match idle.request(order.connection_id()) {
-            Ok(place) => {
+        let (answer, reason) = match waiting.admit_request(order.connection_id()) {
+            Ok(slot) => {
                 let keys = (order.request().client_key, order.request().group);
                 let finishes = order.backend_finishes_first();
-                self.session = Some(Session::new(&core.woken, keys, place, finishes, None));
-                self.phase = Phase::Placing;
-                return self.begin(order);
+                self.session = Some(Session::new(&shared.wake_queue, keys, slot, finishes, None));
+                self.phase = Phase::Pending;
+                return self.submit(order);
             }
-            // Nothing was sent, so a refusal promises nothing false.
-            Err(Denied::Full) => (
-                FinalAnswer::Rejected(core.terms().max_retry_after / 2),
+            // Nothing was sent to a backend, so the client may safely retry.
+            Err(AdmissionError::NoCapacity) => (
+                FinalAnswer::Rejected(shared.settings().max_retry_after / 2),
                 "no-descriptors",
             ),
-            Err(Denied::IdInUse) => (FinalAnswer::IdInUse, "id-in-use"),
+            Err(AdmissionError::IdInUse) => (FinalAnswer::IdInUse, "id-in-use"),
         };
-        self.finish(Some(answer), order.encode_answer(answer), reason);
+        self.answer_and_close(Some(answer), order.encode_answer(answer), reason);
     }
 
-    /// Asks the decisions, or goes back to the backend at which the connection was open before the start.
-    fn begin(&mut self, order: Box<dyn ClientRequest>) {
+    /// Submits a request to the decisions. A connection that was established before this process
+    /// started goes to its earlier backend instead.
+    fn submit(&mut self, order: Box<dyn ClientRequest>) {
         let Some(session) = self.session.clone() else {
             return;
         };
-        let (core, now) = (self.core.clone(), self.now());
-        // Where this process stops, the answer is owed before it ends.
-        let stop_by = core.stop_by.load(Relaxed);
-        let asked = &Request {
-            time_left: order.request().time_left.min(stop_by.saturating_sub(now)),
+        let (shared, now) = (self.shared.clone(), self.now());
+        // While this process stops, the client must have its answer before the process ends.
+        let shutdown_deadline = shared.answer_deadline.load(Relaxed);
+        let request = &Request {
+            time_left: order
+                .request()
+                .time_left
+                .min(shutdown_deadline.saturating_sub(now)),
             ..order.request().clone()
         };
-        let flow: Arc<dyn RequestHandle> = session.clone();
-        let name = session.name();
-        tracing::debug!(id = %name, group = asked.group, key = asked.client_key, again = asked.returning, "request");
-        let (id, pick, attempt, server, answer_by) = match order.adopted_backend() {
+        let handle: Arc<dyn RequestHandle> = session.clone();
+        let id = session.connection_id();
+        tracing::debug!(%id, group = request.group, key = request.client_key, again = request.returning, "request");
+        let (id, decision, attempt, endpoint_id, answer_deadline) = match order.adopted_backend() {
             Some(at) => {
-                let server = endpoint_id(at);
-                let id = core.decisions.adopt_connection(asked.clone(), server, flow);
-                if let Some(account) = &mut self.account {
-                    (account.backend, account.attempts) = (at.to_string(), 1);
+                let endpoint_id = endpoint_id(at);
+                let id = shared
+                    .decisions
+                    .adopt_connection(request.clone(), endpoint_id, handle);
+                if let Some(record) = &mut self.record {
+                    (record.backend, record.attempts) = (at.to_string(), 1);
                 }
-                let until = (now + ADOPT).min(stop_by);
+                let deadline = (now + ADOPT_TIMEOUT).min(shutdown_deadline);
                 (
                     id,
                     None,
-                    Some(Attempt::new(&*order, server, until, 0, now)),
-                    server,
-                    until,
+                    Some(Attempt::new(&*order, endpoint_id, deadline, 0, now)),
+                    endpoint_id,
+                    deadline,
                 )
             }
             None => {
-                // Whoever waits is owed its answer by then; what went before the request is the client's own time.
-                let answer_by = now + asked.time_left;
-                let pick = core
+                // The time before the request arrived does not count against the client's deadline.
+                let answer_deadline = now + request.time_left;
+                let decision = shared
                     .decisions
-                    .submit(asked.clone(), flow, |id| session.takes_id(id));
-                (pick.id, Some(pick), None, Default::default(), answer_by)
+                    .submit(request.clone(), handle, |id| session.set_request_id(id));
+                (
+                    decision.id,
+                    Some(decision),
+                    None,
+                    Default::default(),
+                    answer_deadline,
+                )
             }
         };
-        let cause = FailureCause::BackendFailed;
-        self.placing = Some(Box::new(Placing {
+        let failure_cause = FailureCause::BackendFailed;
+        self.pending = Some(Box::new(PendingRequest {
             order,
             id,
-            pick,
+            decision,
             attempt,
-            server,
-            cause,
-            answer_by,
+            endpoint_id,
+            failure_cause,
+            answer_deadline,
         }));
-        self.place(false);
+        self.advance_request(false);
     }
 
-    /// All that is owed to it is owed by then: this process stops.
-    pub fn hurry(&mut self, by: Micros) {
-        self.answer_by = self.answer_by.map(|at| at.min(by));
-        if let Some(p) = &mut self.placing {
-            p.answer_by = p.answer_by.min(by);
-            p.attempt.iter_mut().for_each(|attempt| attempt.hurry(by));
-            if p.pick.is_some() {
-                self.core.decisions.shorten_deadline(p.id, by);
+    /// Lowers the deadline of its answer, because the process stops.
+    pub fn shorten_deadline(&mut self, by: Micros) {
+        self.answer_deadline = self.answer_deadline.map(|at| at.min(by));
+        if let Some(p) = &mut self.pending {
+            p.answer_deadline = p.answer_deadline.min(by);
+            p.attempt
+                .iter_mut()
+                .for_each(|attempt| attempt.shorten_deadline(by));
+            if p.decision.is_some() {
+                self.shared.decisions.shorten_deadline(p.id, by);
             }
         }
     }
 
-    /// Goes on with a request that is placed; `ready` says that the socket of its attempt is.
-    pub fn place(&mut self, mut ready: bool) {
+    /// Continues a pending request; `ready` says whether the socket of its attempt is ready.
+    pub fn advance_request(&mut self, mut ready: bool) {
         let Some(session) = self.session.clone() else {
             return;
         };
         loop {
             if self
-                .placing
+                .pending
                 .as_ref()
                 .and_then(|p| p.attempt.as_ref())
-                .is_some_and(|a| a.begins(ready))
+                .is_some_and(|a| a.may_dial_or_send(ready))
             {
-                self.look_for_end();
+                self.check_client_gone();
             }
-            let Some(mut p) = self.placing.take() else {
+            let Some(mut p) = self.pending.take() else {
                 return;
             };
             if let Some(attempt) = &mut p.attempt {
-                let ground = Ground {
-                    core: &self.core,
+                let context = AttemptContext {
+                    shared: &self.shared,
                     session: &session,
                     order: &*p.order,
                     id: p.id,
                 };
-                let Some(result) = attempt.go(ground, std::mem::take(&mut ready)) else {
-                    self.placing = Some(p);
+                let Some(result) = attempt.advance(context, std::mem::take(&mut ready)) else {
+                    self.pending = Some(p);
                     return;
                 };
-                self.attempted(p, &session, result);
+                self.handle_attempt_result(p, &session, result);
                 continue;
             }
-            let verdict = match &p.pick {
-                Some(pick) => pick.try_next(),
+            let verdict = match &p.decision {
+                Some(decision) => decision.try_next(),
                 None => Some(Decision::Withdrawn),
             };
             let (answer, reason) = match verdict {
                 None => {
-                    self.placing = Some(p);
+                    self.pending = Some(p);
                     return;
                 }
                 Some(Decision::Attempt {
-                    endpoint: server,
-                    give_up_at: until,
+                    endpoint: endpoint_id,
+                    give_up_at: deadline,
                     number,
                 }) => {
-                    if let Some(account) = &mut self.account {
-                        account.attempts += 1;
-                        account.backend = self
-                            .core
+                    if let Some(record) = &mut self.record {
+                        record.attempts += 1;
+                        record.backend = self
+                            .shared
                             .directory
-                            .backend_address(server)
+                            .backend_address(endpoint_id)
                             .map_or(String::new(), |e| e.name);
                     }
-                    p.attempt = Some(Attempt::new(&*p.order, server, until, number, self.now()));
-                    p.server = server;
-                    self.placing = Some(p);
+                    p.attempt = Some(Attempt::new(
+                        &*p.order,
+                        endpoint_id,
+                        deadline,
+                        number,
+                        self.now(),
+                    ));
+                    p.endpoint_id = endpoint_id;
+                    self.pending = Some(p);
                     continue;
                 }
                 Some(Decision::Reject(wait)) => (
                     Some(FinalAnswer::Rejected(
-                        wait.min(self.core.terms().max_retry_after),
+                        wait.min(self.shared.settings().max_retry_after),
                     )),
                     "refused",
                 ),
-                Some(Decision::Fail) => (Some(FinalAnswer::Failed(p.cause)), "failed"),
+                Some(Decision::Fail) => (Some(FinalAnswer::Failed(p.failure_cause)), "failed"),
                 Some(Decision::Withdrawn) => (None, "client-gave-up"),
             };
-            self.core.decisions.remove(p.id);
+            self.shared.decisions.remove(p.id);
             let words = answer.map_or(Vec::new(), |answer| p.order.encode_answer(answer));
-            self.finish(answer, words, reason);
+            self.answer_and_close(answer, words, reason);
         }
     }
 
-    /// An attempt has come up or failed.
-    fn attempted(&mut self, mut p: Box<Placing>, session: &Session, result: Result<Up, Failed>) {
-        let decisions = self.core.decisions.clone();
-        let began = p.attempt.take().map_or(0, |attempt| attempt.began);
-        // Before the decisions hear of it: they may ask for a move at once.
-        session.is_up(result.is_ok());
-        match (result, p.pick.is_some()) {
-            (Ok(up), false) => return self.stand(*p, up),
-            (Ok(up), true) if decisions.connected(p.id, self.now().saturating_sub(began)) => {
-                return self.stand(*p, up)
+    /// Handles the result of an attempt.
+    fn handle_attempt_result(
+        &mut self,
+        mut p: Box<PendingRequest>,
+        session: &Session,
+        result: Result<EstablishedBackend, AttemptFailure>,
+    ) {
+        let decisions = self.shared.decisions.clone();
+        let started_at = p.attempt.take().map_or(0, |attempt| attempt.started_at);
+        // Before the decisions are told: they may request a migration at once.
+        session.set_established(result.is_ok());
+        match (result, p.decision.is_some()) {
+            (Ok(established), false) => return self.establish(*p, established),
+            (Ok(established), true)
+                if decisions.connected(p.id, self.now().saturating_sub(started_at)) =>
+            {
+                return self.establish(*p, established)
             }
-            (Ok(up), true) => {
-                // Answered meanwhile: the attempt is closed before anything else happens.
-                drop(up);
-                session.release();
-                session.is_up(false);
+            (Ok(established), true) => {
+                // The request was answered meanwhile. The backend's socket is closed before the
+                // decisions are told.
+                drop(established);
+                session.detach_backend();
+                session.set_established(false);
                 decisions.attempt_failed(p.id, Outcome::Cancelled, Vec::new());
             }
             (Err((outcome, report)), true) => {
-                p.cause = if outcome == Outcome::Timeout {
+                p.failure_cause = if outcome == Outcome::Timeout {
                     FailureCause::Timeout
                 } else {
                     FailureCause::BackendFailed
@@ -219,53 +250,65 @@
             (Err((outcome, report)), false) => {
                 decisions.connection_ended(p.id, outcome, report);
                 let answer = FinalAnswer::Failed(FailureCause::BackendFailed);
-                return self.finish(Some(answer), p.order.encode_answer(answer), "not-adopted");
+                return self.answer_and_close(
+                    Some(answer),
+                    p.order.encode_answer(answer),
+                    "not-adopted",
+                );
             }
         }
-        self.placing = Some(p);
+        self.pending = Some(p);
     }
 
-    /// Gives a client the final answer that is no connection; nothing where it is gone.
-    fn finish(&mut self, answer: Option<FinalAnswer>, words: Vec<u8>, reason: &'static str) {
-        if let Some(account) = self.account.take() {
-            answer.iter().for_each(|answer| count(&account, *answer));
-            account.log(reason);
+    /// Sends the client a final answer other than a connection, and closes; no answer where the
+    /// client is gone.
+    fn answer_and_close(
+        &mut self,
+        answer: Option<FinalAnswer>,
+        words: Vec<u8>,
+        reason: &'static str,
+    ) {
+        if let Some(record) = self.record.take() {
+            answer
+                .iter()
+                .for_each(|answer| count_answer(&record, *answer));
+            record.log_end(reason);
         }
-        self.last = words;
+        self.last_bytes = words;
         self.close();
     }
 
-    /// Goes on with a connection that has come up.
-    fn stand(&mut self, p: Placing, up: Up) {
-        let Up {
+    /// Continues as an established connection.
+    fn establish(&mut self, p: PendingRequest, established: EstablishedBackend) {
+        let EstablishedBackend {
             link,
             inbox,
             passage,
-        } = up;
+        } = established;
         if passage.established_is_final_answer() {
-            self.account
+            self.record
                 .iter()
-                .filter_map(|account| account.tally.as_ref())
+                .filter_map(|record| record.tally.as_ref())
                 .for_each(|tally| tally.connected());
         } else {
-            self.answer_by = Some(p.answer_by);
+            self.answer_deadline = Some(p.answer_deadline);
         }
         if !passage.supports_takeover() {
-            self.core.metrics.xmpp.sessions.fetch_add(1, Relaxed);
-            self.up.enable_large_reads();
+            self.shared.metrics.xmpp.sessions.fetch_add(1, Relaxed);
+            self.to_backend.enable_large_reads();
         }
-        self.down = inbox;
+        self.to_client = inbox;
         if !passage.supports_takeover() {
-            self.down.enable_large_reads();
+            self.to_client.enable_large_reads();
         }
-        self.backend = Some(Backend {
+        self.backend = Some(BackendSide {
             link,
             id: p.id,
-            server: p.server,
+            endpoint_id: p.endpoint_id,
             passage,
         });
-        (self.phase, self.heard) = (Phase::Up, self.now());
-        self.flush_down();
-        self.flush_up();
+        (self.phase, self.last_heard) = (Phase::Established, self.now());
+        self.flush_to_client();
+        self.flush_to_backend();
     }
 }
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -1,9 +1,9 @@
-//! A request or connection under way, as those see it who may end it from another thread: the decisions, which may
-//! have an attempt given up or a client moved. What they say is kept here, and the thread that serves is woken.
+//! The part of a connection that other threads share. The decisions cancel attempts and request
+//! migrations through it; their orders are stored here and the event loop is woken.
 
 use crate::decision_service::RequestHandle;
 use crate::decisions::api::RequestId;
-use crate::net::admission::Place;
+use crate::net::admission::RequestSlot;
 use crate::ops::metrics::RequestCounter;
 use crate::sys::{lock, Wake};
 use std::net::{Shutdown, TcpStream};
@@ -13,27 +13,31 @@
 
 #[derive(Default)]
 struct State {
+    /// The socket of the attempt in progress, or of the established connection.
     backend: Option<Arc<TcpStream>>,
-    /// Attempts below this number are called off.
-    called_off: u16,
-    up: bool,
-    moving: bool,
+    /// Attempts with a lower number are cancelled.
+    cancelled_below: u16,
+    /// Whether the connection is established.
+    established: bool,
+    /// Whether the client is to be migrated.
+    migrating: bool,
     /// Whether the client left before its answer.
-    client_ended: bool,
-    /// Its id for the decisions.
-    id: Option<RequestId>,
+    client_gone: bool,
+    /// The request's id for the decisions; none until it is submitted.
+    request_id: Option<RequestId>,
 }
 
-/// The connections for which there is news, each once, for the thread that serves.
+/// The numbers of connections that the decisions have an update for, each at most once. Read by the
+/// event loop.
 #[derive(Default)]
-pub struct Woken {
+pub struct WakeQueue {
     numbers: Mutex<Vec<u64>>,
     wake: OnceLock<Wake>,
 }
 
-impl Woken {
-    /// From now on this is called with each news. Once.
-    pub fn wakes(&self, wake: Wake) {
+impl WakeQueue {
+    /// Sets the function that wakes the event loop. Only the first call has an effect.
+    pub fn set_waker(&self, wake: Wake) {
         let _ = self.wake.set(wake);
     }
 
@@ -42,221 +46,227 @@
         self.wake.get().iter().for_each(|wake| wake());
     }
 
-    /// Takes them all.
+    /// Takes all numbers.
     pub fn take(&self) -> Vec<u64> {
         std::mem::take(&mut *lock(&self.numbers))
     }
 }
 
-/// One client's connection. Whoever works on it shares its sockets: no descriptor is doubled.
+/// The shared part of one client's connection. Its sockets are shared, not duplicated, so that a
+/// connection needs only two descriptors.
 pub struct Session {
-    woken: Arc<Woken>,
-    /// Whether it is among the woken.
-    news: AtomicBool,
+    wake_queue: Arc<WakeQueue>,
+    /// Whether the connection is in the wake queue.
+    notified: AtomicBool,
     /// The keys of the client and of its group.
     pub keys: (u64, u64),
     state: Mutex<State>,
-    /// Whether its backend finishes what it sends before it is moved: the forwarder sees to that.
-    finishes: bool,
-    /// Given back last, when the sockets are closed.
-    place: Place,
+    /// Whether the backend finishes what it sends before a migration; see
+    /// [`Order::finishes`](crate::protocol::Order::finishes).
+    backend_finishes_first: bool,
+    /// The last field, so that it is released after the sockets are closed.
+    slot: RequestSlot,
 }
 
 impl RequestHandle for Session {
     fn decision_ready(&self) {
-        self.has_news();
+        self.notify();
     }
 
     fn cancel_attempt(&self, attempt: u16) {
         {
             let mut state = lock(&self.state);
-            state.called_off = state.called_off.max(attempt + 1);
+            state.cancelled_below = state.cancelled_below.max(attempt + 1);
         }
-        self.has_news();
+        self.notify();
     }
 
     fn migrate(&self) {
         let mut state = lock(&self.state);
-        if let (true, Some(backend)) = (state.up && !state.moving, &state.backend) {
-            if !self.finishes {
-                // Wakes the forwarder, which first passes on what has come.
+        if let (true, Some(backend)) = (state.established && !state.migrating, &state.backend) {
+            if !self.backend_finishes_first {
+                // Wakes the event loop with an end of stream, behind the bytes that were received:
+                // they are forwarded first.
                 let _ = backend.shutdown(Shutdown::Read);
             }
-            state.moving = true;
+            state.migrating = true;
         }
     }
 }
 
 impl Session {
-    /// A session of that client; `standing` is the backend's socket where it is up already.
+    /// The session of a client with these keys. `established_backend` is the backend's socket of a
+    /// connection that was taken over.
     pub fn new(
-        woken: &Arc<Woken>,
+        wake_queue: &Arc<WakeQueue>,
         keys: (u64, u64),
-        place: Place,
-        finishes: bool,
-        standing: Option<Arc<TcpStream>>,
+        slot: RequestSlot,
+        backend_finishes_first: bool,
+        established_backend: Option<Arc<TcpStream>>,
     ) -> Arc<Session> {
         let state = State {
-            up: standing.is_some(),
-            backend: standing,
+            established: established_backend.is_some(),
+            backend: established_backend,
             ..State::default()
         };
         let state = Mutex::new(state);
-        let (woken, news) = (woken.clone(), AtomicBool::new(false));
+        let (wake_queue, notified) = (wake_queue.clone(), AtomicBool::new(false));
         Arc::new(Session {
-            woken,
-            news,
+            wake_queue,
+            notified,
             keys,
             state,
-            finishes,
-            place,
+            backend_finishes_first,
+            slot,
         })
     }
 
-    fn has_news(&self) {
-        if !self.news.swap(true, AcqRel) {
-            self.woken.push(self.number());
+    fn notify(&self) {
+        if !self.notified.swap(true, AcqRel) {
+            self.wake_queue.push(self.number());
         }
     }
 
-    /// Its news are about to be looked at: what comes from now on wakes anew.
-    pub fn looked_at(&self) {
-        // Swapped, not stored: what was said before is seen after it.
-        self.news.swap(false, AcqRel);
+    /// Lets the next update notify again. Called before the update is handled.
+    pub fn clear_notification(&self) {
+        // A swap, not a store: it also acquires what was written before the notification.
+        self.notified.swap(false, AcqRel);
     }
 
-    /// Takes the socket of an attempt; false if the attempt is called off.
-    pub fn hold(&self, backend: &Arc<TcpStream>, attempt: u16) -> bool {
+    /// Stores the socket of an attempt; false if the attempt is cancelled.
+    pub fn attach_backend(&self, backend: &Arc<TcpStream>, attempt: u16) -> bool {
         let mut state = lock(&self.state);
-        if state.called_off > attempt || state.client_ended {
+        if state.cancelled_below > attempt || state.client_gone {
             return false;
         }
         state.backend = Some(backend.clone());
         true
     }
 
-    /// Gives a connection that is up away to another process: from here on nothing of this one touches its
-    /// sockets, which both share. False if it is about to be moved.
-    pub fn give_away(&self) -> bool {
+    /// Detaches an established connection that is handed over to another process. Both processes
+    /// share its sockets, so from here on this one must not touch them. False if the connection is
+    /// about to be migrated.
+    pub fn begin_handover(&self) -> bool {
         let mut state = lock(&self.state);
-        let stands = state.up && !state.moving;
-        if stands {
-            (state.up, state.backend) = (false, None);
+        let may_migrate = state.established && !state.migrating;
+        if may_migrate {
+            (state.established, state.backend) = (false, None);
         }
-        stands
+        may_migrate
     }
 
-    /// Takes a connection back that could not be given away.
-    pub fn keep(&self, backend: &Arc<TcpStream>) {
+    /// Takes back a connection whose handover failed.
+    pub fn undo_handover(&self, backend: &Arc<TcpStream>) {
         let mut state = lock(&self.state);
-        (state.up, state.backend) = (true, Some(backend.clone()));
+        (state.established, state.backend) = (true, Some(backend.clone()));
     }
 
-    /// Lets go of the socket of an attempt.
-    pub fn release(&self) {
+    /// Releases the backend's socket.
+    pub fn detach_backend(&self) {
         lock(&self.state).backend = None;
     }
 
-    /// Whether an attempt is called off, or its client has left.
-    pub fn called_off(&self, attempt: u16) -> bool {
+    /// Whether an attempt is cancelled, or its client has left.
+    pub fn is_cancelled(&self, attempt: u16) -> bool {
         let state = lock(&self.state);
-        state.called_off > attempt || state.client_ended
+        state.cancelled_below > attempt || state.client_gone
     }
 
-    /// The connection's own id.
-    pub fn name(&self) -> &str {
-        &self.place.id
+    /// The id that the client gave the connection.
+    pub fn connection_id(&self) -> &str {
+        &self.slot.id
     }
 
-    /// Whether it is up and not about to be moved.
-    pub fn stands(&self) -> bool {
+    /// Whether it is established and not already migrating.
+    pub fn may_migrate(&self) -> bool {
         let state = lock(&self.state);
-        state.up && !state.moving
+        state.established && !state.migrating
     }
 
-    /// Whether the client is to be moved.
-    pub fn moving(&self) -> bool {
-        lock(&self.state).moving
+    /// Whether the client is to be migrated.
+    pub fn is_migrating(&self) -> bool {
+        lock(&self.state).migrating
     }
 
-    /// Whether the client is to be moved once its backend has finished.
-    pub fn departs(&self) -> bool {
-        self.finishes && self.moving()
+    /// Whether the client is to be migrated once its backend has finished.
+    pub fn finishes_before_migration(&self) -> bool {
+        self.backend_finishes_first && self.is_migrating()
     }
 
-    /// Whether it may go on in another process.
-    pub fn portable(&self) -> bool {
-        !self.finishes
+    /// Whether it can be handed over to another process.
+    pub fn is_portable(&self) -> bool {
+        !self.backend_finishes_first
     }
 
     /// The connection's number.
     pub fn number(&self) -> u64 {
-        self.place.number
+        self.slot.number
     }
 
-    /// The decisions know it by this id.
-    pub fn takes_id(&self, id: RequestId) {
-        lock(&self.state).id = Some(id);
+    /// Sets the request's id for the decisions.
+    pub fn set_request_id(&self, id: RequestId) {
+        lock(&self.state).request_id = Some(id);
     }
 
-    /// The client has left before its answer: an attempt that is out ends. Its id, where it has one yet.
-    pub fn client_has_ended(&self) -> Option<RequestId> {
+    /// Records that the client left before its answer, which cancels the attempt in progress.
+    /// Returns the request's id if it was submitted.
+    pub fn set_client_gone(&self) -> Option<RequestId> {
         let mut state = lock(&self.state);
-        state.client_ended = true;
-        state.id
+        state.client_gone = true;
+        state.request_id
     }
 
-    /// Whether the connection is up.
-    pub fn is_up(&self, up: bool) {
-        lock(&self.state).up = up;
+    /// Sets whether the connection is established.
+    pub fn set_established(&self, established: bool) {
+        lock(&self.state).established = established;
     }
 }
 
-/// What the log says of a connection that has ended.
-pub struct Account {
-    /// Its protocol.
+/// The data of a connection's line in the log, which is written when the connection ends.
+pub struct ConnectionRecord {
+    /// The client protocol.
     pub front: &'static str,
-    /// The connection's own id.
-    pub name: String,
-    /// Its class.
+    /// The id that the client gave the connection.
+    pub id: String,
+    /// The name of the request's class.
     pub class: String,
-    /// Its backend.
+    /// The name of the backend.
     pub backend: String,
-    /// How many attempts were made.
+    /// The number of attempts.
     pub attempts: u16,
-    /// When it began.
-    pub began: Instant,
-    /// Its part in the figures; none before its class is known.
+    /// The time of the accept.
+    pub started_at: Instant,
+    /// The connection's part in the metrics; none before its class is known.
     pub tally: Option<RequestCounter>,
 }
 
-impl Account {
-    /// One of a client that has just come.
-    pub fn new(front: &'static str) -> Account {
-        let (name, class, backend) = (String::new(), String::new(), String::new());
-        Account {
+impl ConnectionRecord {
+    /// The record of a connection that was just accepted.
+    pub fn new(front: &'static str) -> ConnectionRecord {
+        let (id, class, backend) = (String::new(), String::new(), String::new());
+        ConnectionRecord {
             front,
-            name,
+            id,
             class,
             backend,
             attempts: 0,
-            began: Instant::now(),
+            started_at: Instant::now(),
             tally: None,
         }
     }
 
-    /// Writes the connection's one line.
-    pub fn log(&self, reason: &str) {
-        let Account {
+    /// Writes the connection's line to the log.
+    pub fn log_end(&self, reason: &str) {
+        let ConnectionRecord {
             front,
-            name,
+            id,
             class,
             backend,
             attempts,
-            began,
+            started_at,
             ..
         } = self;
-        let ms = began.elapsed().as_millis() as u64;
-        tracing::info!(id = %name, class, backend, attempts, ms, reason, front, "end");
+        let ms = started_at.elapsed().as_millis() as u64;
+        tracing::info!(id = %id, class, backend, attempts, ms, reason, front, "end");
     }
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -46,7 +46,7 @@
     use Fault::{Call, Watch};
     let cases: [(&str, Fault); 10] = [
         ("accepted without a response", Call(|_| {})),
-        ("reset", Call(Peer::cut)),
+        ("reset", Call(Peer::close_with_reset)),
         (
             "503",
             Call(|peer| peer.write(b"HTTP/1.1 503 Service Unavailable\r\n\r\n")),
@@ -64,7 +64,10 @@
             Call(|peer| peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n\n")),
         ),
         ("a watch that goes silent", Watch(|_| {})),
-        ("a watch that is reset", Watch(|watch| watch.peer.cut())),
+        (
+            "a watch that is reset",
+            Watch(|watch| watch.peer.close_with_reset()),
+        ),
         (
             "an object that trickles in",
             Watch(|watch| trickle(&mut watch.peer, b"fff0\r\n{\"version\":\"", b"2")),
@@ -79,16 +82,16 @@
             scope.spawn(move || {
                 let fleet = Fleet::new(&["s-1", "s-2"]);
                 let relay = fleet.relay();
-                let mut peer = fleet.discovery.called().0;
+                let mut peer = fleet.discovery.accept_call().0;
                 let failed_at = match fault {
                     Call(fault) => {
                         fault(&mut peer);
                         Instant::now()
                     }
                     Watch(fault) => {
-                        peer.write(WATCHED);
+                        peer.write(WATCH_RESPONSE_HEAD);
                         let mut watch = peers::Watch { peer };
-                        watch.say("");
+                        watch.send_line("");
                         let since = Instant::now();
                         fault(&mut watch);
                         // Left open: the relay must give it up by itself.
@@ -96,13 +99,13 @@
                         since
                     }
                 };
-                let mut watch = fleet.watched();
+                let mut watch = fleet.accept_watch();
                 let delay = failed_at.elapsed();
                 assert!(
                     delay + RESPONSE_ALLOWANCE < MAX_UPDATE_DELAY,
                     "{name}: the next call came after {delay:?}"
                 );
-                watch.tell(
+                watch.send_list(
                     2,
                     true,
                     &[fleet.entry("s-1", "leaving"), fleet.entry("s-2", "active")],
@@ -127,16 +130,16 @@
 /// Discovery refuses connections until the backoff has reached its maximum; then it is reachable.
 #[test]
 fn discovery_that_was_unreachable_for_long_is_called_in_time_once_it_is_reachable() {
-    let (fleet, down) = (Fleet::new(&["s-1"]), Refusing::new());
+    let (fleet, down) = (Fleet::new(&["s-1"]), RefusingPort::new());
     let relay = Relay::start(&fleet.config(down.addr()), None);
     until("six refusals", || {
         (relay.times_logged("discovery: the watch failed") >= 6).then_some(())
     });
     let since = Instant::now();
-    let discovery = down.answers();
+    let discovery = down.listen();
     discovery
-        .watched("GET")
-        .tell(2, true, &[fleet.entry("s-1", "active")]);
+        .accept_watch("GET")
+        .send_list(2, true, &[fleet.entry("s-1", "active")]);
     assert!(
         since.elapsed() + RESPONSE_ALLOWANCE < MAX_UPDATE_DELAY,
         "{:?}",
@@ -151,10 +154,10 @@
 fn a_reload_during_a_call_takes_effect_at_once() {
     let (fleet, new) = (Fleet::new(&["s-1"]), Discovery::new());
     let relay = fleet.relay();
-    let (mut old_call, _) = fleet.discovery.called();
+    let (mut old_call, _) = fleet.discovery.accept_call();
     let since = Instant::now();
     relay.reload(&fleet.config(new.addr()));
-    new.watched("GET /v1/endpoints?watch=1 HTTP");
+    new.accept_watch("GET /v1/endpoints?watch=1 HTTP");
     assert!(
         since.elapsed() < FIRST_ITEM_TIMEOUT,
         "{:?}",
@@ -169,19 +172,19 @@
 fn a_relay_that_was_stopped_reads_what_has_arrived_before_it_checks_the_deadline() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
-    let mut watch = fleet.watched();
-    watch.tell(
+    let mut watch = fleet.accept_watch();
+    watch.send_list(
         2,
         true,
         &[fleet.entry("s-1", "active"), fleet.entry("s-2", "active")],
     );
     relay.wait_for_log("discovery: version 2");
     relay.signal("STOP");
-    watch.tell(3, false, &[fleet.entry("s-1", "leaving")]);
+    watch.send_list(3, false, &[fleet.entry("s-1", "leaving")]);
     std::thread::sleep(LIVENESS_TIMEOUT + Duration::from_millis(300));
     relay.signal("CONT");
     relay.wait_for_log("discovery: version 3");
-    watch.tell(4, false, &[fleet.entry("s-2", "leaving")]);
+    watch.send_list(4, false, &[fleet.entry("s-2", "leaving")]);
     relay.wait_for_log("discovery: version 4");
     assert!(!relay.logged("the watch failed"));
 }
@@ -197,9 +200,9 @@
             .replace("\"on_request\"", "\"pushed\"")
     };
     let relay = Relay::start(&pushed(fleet.discovery.addr()), None);
-    let mut watch = fleet.watched();
+    let mut watch = fleet.accept_watch();
     let (mut client, _backend) = fleet.pair(&relay, "01");
-    watch.tell(
+    watch.send_list(
         2,
         false,
         &[fleet.entry("s-1", "leaving"), fleet.entry("s-2", "leaving")],
@@ -207,11 +210,11 @@
     assert_eq!(client.line(), "MOVE");
     // The platform takes what its agent has as known to the relay, whether a watch is open or not.
     let since = Instant::now();
-    watch.peer.cut();
+    watch.peer.close_with_reset();
     drop(watch);
     let mut watch = fleet
         .discovery
-        .watched("GET /v1/endpoints?watch=1&after=2 HTTP");
+        .accept_watch("GET /v1/endpoints?watch=1&after=2 HTTP");
     assert!(
         since.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -222,8 +225,8 @@
     relay.reload(&pushed(second.addr()));
     assert!(watch.peer.ended());
     second
-        .watched("GET /v1/endpoints?watch=1 HTTP")
-        .tell(9, true, &[fleet.entry("s-2", "active")]);
+        .accept_watch("GET /v1/endpoints?watch=1 HTTP")
+        .send_list(9, true, &[fleet.entry("s-2", "active")]);
     fleet.pair(&relay, "02");
 }
 
@@ -232,19 +235,19 @@
 fn a_list_may_be_indented_and_a_malformed_entry_is_left_out_and_named() {
     let fleet = Fleet::new(&["s-1", "s-2"]);
     let relay = fleet.relay();
-    let mut watch = fleet.watched();
+    let mut watch = fleet.accept_watch();
     let entries = [
         fleet.entry("s-1", "leaving"),
         "{\n\"id\": 7\n}".into(),
         fleet.entry("s-2", "active"),
     ];
-    watch.say(&format!(
+    watch.send_line(&format!(
         "{{\n  \"version\": 2,\n  \"full\": true,\n  \"servers\": [\n{}\n]\n}}",
         entries.join(",\n")
     ));
     relay.wait_for_log("an entry was left out: servers[1].id");
     relay.wait_for_log("discovery: version 2, 2 entries");
-    watch.tell(3, false, &[fleet.entry("s-1", "active")]);
+    watch.send_list(3, false, &[fleet.entry("s-1", "active")]);
     relay.wait_for_log("discovery: version 3");
     assert!(!relay.logged("the watch failed"));
 }
@@ -291,12 +294,12 @@
         .run();
     });
     watch_control.request_watch(true);
-    old.watched("GET")
-        .tell(1, true, &[fleet.entry("s-1", "active")]);
+    old.accept_watch("GET")
+        .send_list(1, true, &[fleet.entry("s-1", "active")]);
     list_applied.recv().unwrap();
     assert!(watch_control.relocate(new.addr()));
     decisions.update_endpoints(EndpointListKind::Relocated, Vec::new());
     watch_control.request_watch(true);
     drop(resume);
-    new.watched("GET /v1/endpoints?watch=1 HTTP");
+    new.accept_watch("GET /v1/endpoints?watch=1 HTTP");
 }
