--- a/src/bin/jaspermoor-simhost.rs
+++ b/src/bin/jaspermoor-simhost.rs
@@ -25,13 +25,13 @@
         let mut reply = Reply::new();
         for (id, record) in batch.records {
             match record {
-                Record::Create { seed, settings } => match wire::settings(&settings) {
+                Record::Create { seed, settings } => match wire::parse_settings(&settings) {
                     Ok(settings) => {
                         self.instances.insert(id, Balancer::new(settings, seed));
                     }
                     Err(e) => {
                         self.instances.remove(&id);
-                        reply.give_in(id, &e.to_string());
+                        reply.instance_failed(id, &e.to_string());
                     }
                 },
                 Record::Crash => {
@@ -67,7 +67,7 @@
                     .or(panic.downcast_ref::<&str>().copied())
                     .unwrap_or("no text");
                 self.instances.remove(&id);
-                reply.give_in(id, &format!("the decision module panicked: {text}"));
+                reply.instance_failed(id, &format!("the decision module panicked: {text}"));
             }
         }
     }
@@ -97,11 +97,11 @@
     let mut host = Host::default();
     let mut frame = Vec::new();
     loop {
-        let mut prefix = [0; wire::PREFIX];
+        let mut prefix = [0; wire::PREFIX_BYTES];
         if !fill(&mut input, &mut prefix)? {
             return Ok(());
         }
-        let rest = wire::rest_of_frame(&prefix)?;
+        let rest = wire::remaining_frame_bytes(&prefix)?;
         frame.clear();
         frame.extend_from_slice(&prefix);
         // Grows with what arrives, never with what a header claims.
--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -112,7 +112,8 @@
         .get("started_ms")
         .and_then(|v| v.cast_f64())
         .unwrap_or(0.0);
-    let started: Micros = crate::wire::micros(started).ok_or("started_ms: is not a time")?;
+    let started: Micros =
+        crate::wire::micros_from_millis(started).ok_or("started_ms: is not a time")?;
     let member = ListedEndpoint {
         id: endpoint_id(&name),
         zone: zone as u16,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -253,10 +253,10 @@
         let Some(settings_value) = top.get("settings") else {
             return bad("settings", "is missing");
         };
-        let settings = match wire::settings_of(settings_value) {
+        let settings = match wire::settings_from_value(settings_value) {
             Ok(settings) => settings,
-            Err(e) if e.key == "profile_data" => return bad("settings", e.what),
-            Err(e) => return bad(&format!("settings.{}", e.key), e.what),
+            Err(e) if e.key == "profile_data" => return bad("settings", e.problem),
+            Err(e) => return bad(&format!("settings.{}", e.key), e.problem),
         };
         let class_names = words(settings_value, "settings.grades", Some("name"))?;
         for (i, name) in class_names.iter().enumerate() {
--- a/src/protocol/line/messages.rs
+++ b/src/protocol/line/messages.rs
@@ -103,7 +103,7 @@
                 let ms = decimal(value)
                     .filter(|ms| *ms <= LONGEST_WAIT)
                     .ok_or("bad-wait")?;
-                q.time_left = crate::wire::micros(ms)
+                q.time_left = crate::wire::micros_from_millis(ms)
                     .ok_or("bad-wait")?
                     .min(MAX_REQUEST_DEADLINE);
                 open.deadline_range = Some(at + 2..at + field.len());
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -12,35 +12,39 @@
 use std::fmt;
 
 /// Bytes of a batch before the length field has been read to its end.
-pub const PREFIX: usize = 8;
+pub const PREFIX_BYTES: usize = 8;
 /// Bytes of a batch header that its length field counts.
 const HEADER_REST: usize = 12;
 /// Bytes of one entry of a list of servers.
 const ENTRY: usize = 25;
 /// The largest batch that is taken: a length beyond this is damage, not data.
-pub const MAX_FRAME: usize = 1 << 30;
+pub const MAX_FRAME_BYTES: usize = 1 << 30;
 
 /// What is wrong with a frame, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError {
-    /// Position in the frame.
-    pub at: usize,
-    /// What is wrong there.
-    pub what: String,
+    /// Byte offset in the frame.
+    pub offset: usize,
+    /// Description of the problem.
+    pub problem: String,
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "malformed frame at byte {}: {}", self.at, self.what)
+        write!(
+            f,
+            "malformed frame at byte {}: {}",
+            self.offset, self.problem
+        )
     }
 }
 
 impl std::error::Error for WireError {}
 
-fn wrong<T>(at: usize, what: impl Into<String>) -> Result<T, WireError> {
+fn malformed<T>(offset: usize, problem: impl Into<String>) -> Result<T, WireError> {
     Err(WireError {
-        at,
-        what: what.into(),
+        offset,
+        problem: problem.into(),
     })
 }
 
@@ -59,7 +63,7 @@
                 self.at = end;
                 Ok(part)
             }
-            _ => wrong(self.at, format!("too short for {what}")),
+            _ => malformed(self.at, format!("too short for {what}")),
         }
     }
 
@@ -92,9 +96,9 @@
     fn time(&mut self, what: &str) -> Result<Micros, WireError> {
         let at = self.at;
         let ms = f64::from_be_bytes(self.array(what)?);
-        micros(ms).ok_or(WireError {
-            at,
-            what: format!("{what} is not a time"),
+        micros_from_millis(ms).ok_or(WireError {
+            offset: at,
+            problem: format!("{what} is not a time"),
         })
     }
 
@@ -109,7 +113,7 @@
     fn count(&mut self, n: usize, width: usize, what: &str) -> Result<usize, WireError> {
         match n.checked_mul(width) {
             Some(bytes) if bytes <= self.end - self.at => Ok(n),
-            _ => wrong(
+            _ => malformed(
                 self.at,
                 format!("{what} counts {n} items, more than the record holds"),
             ),
@@ -125,7 +129,7 @@
 
 /// Milliseconds as whole microseconds. Rounds down, so that no deadline is taken for later than it
 /// is; the small addend undoes what binary fractions lose.
-pub fn micros(ms: f64) -> Option<Micros> {
+pub fn micros_from_millis(ms: f64) -> Option<Micros> {
     if !ms.is_finite() || !(0.0..=1e15).contains(&ms) {
         return None;
     }
@@ -133,7 +137,7 @@
 }
 
 /// Whole microseconds as milliseconds.
-pub fn millis(t: Micros) -> f64 {
+pub fn millis_from_micros(t: Micros) -> f64 {
     t as f64 / 1000.0
 }
 
@@ -166,20 +170,20 @@
     pub skipped: Vec<u16>,
 }
 
-/// The bytes that follow the first [`PREFIX`] ones of a batch.
-pub fn rest_of_frame(prefix: &[u8; PREFIX]) -> Result<usize, WireError> {
+/// The bytes that follow the first [`PREFIX_BYTES`] ones of a batch.
+pub fn remaining_frame_bytes(prefix: &[u8; PREFIX_BYTES]) -> Result<usize, WireError> {
     let mut r = Reader {
         bytes: prefix,
         at: 0,
-        end: PREFIX,
+        end: PREFIX_BYTES,
     };
     r.u32("record count")?;
     let rest = r.u32("length")? as usize;
     if rest < HEADER_REST {
-        return wrong(4, format!("length {rest} is less than a header"));
+        return malformed(4, format!("length {rest} is less than a header"));
     }
-    if rest > MAX_FRAME {
-        return wrong(4, format!("length {rest} is more than {MAX_FRAME}"));
+    if rest > MAX_FRAME_BYTES {
+        return malformed(4, format!("length {rest} is more than {MAX_FRAME_BYTES}"));
     }
     Ok(rest)
 }
@@ -194,7 +198,7 @@
     let count = r.u32("record count")? as usize;
     let rest = r.u32("length")? as usize;
     if rest != frame.len() - r.at {
-        return wrong(
+        return malformed(
             4,
             format!("length {rest} where {} bytes follow", frame.len() - r.at),
         );
@@ -224,7 +228,7 @@
         }
     }
     if r.at != frame.len() {
-        return wrong(
+        return malformed(
             r.at,
             format!("{} bytes after the last record", frame.len() - r.at),
         );
@@ -344,7 +348,7 @@
                 2 => Event::DelaySample {
                     id,
                     endpoint: server,
-                    delay: micros(f64::from(x)).unwrap_or(0),
+                    delay: micros_from_millis(f64::from(x)).unwrap_or(0),
                 },
                 _ => return Ok(None),
             }
@@ -369,7 +373,7 @@
         10 => Outcome::Reset,
         1 => Outcome::Cancelled,
         9 => Outcome::NotAttempted,
-        n => return wrong(at, format!("no outcome has the code {n}")),
+        n => return malformed(at, format!("no outcome has the code {n}")),
     })
 }
 
@@ -381,7 +385,7 @@
         1 => EndpointListKind::Full,
         2 => EndpointListKind::Cached,
         3 => EndpointListKind::WatchFailed,
-        n => return wrong(at, format!("no list has the kind {n}")),
+        n => return malformed(at, format!("no list has the kind {n}")),
     };
     let n = r.u32("members_list count")? as usize;
     let n = r.count(n, ENTRY, "members_list")?;
@@ -396,7 +400,7 @@
             0 => EndpointState::Removed,
             1 => EndpointState::Ready,
             2 => EndpointState::Draining,
-            n => return wrong(at, format!("no server has the state {n}")),
+            n => return malformed(at, format!("no server has the state {n}")),
         };
         let size = r.f32("size")?;
         let started = r.time("started_at")?;
@@ -446,13 +450,13 @@
     }
 
     /// Declares that an instance's decision code has failed.
-    pub fn give_in(&mut self, instance: u32, why: &str) {
+    pub fn instance_failed(&mut self, instance: u32, why: &str) {
         self.text(instance, 1010, why);
     }
 
     /// Adds an action of an instance.
     pub fn action(&mut self, instance: u32, action: &Action) {
-        let time = |t: Micros| millis(t).to_be_bytes();
+        let time = |t: Micros| millis_from_micros(t).to_be_bytes();
         let id = |id: RequestId| id.0.to_be_bytes();
         let address = |s: EndpointId| -> [u8; 6] {
             let b = s.0.to_be_bytes();
@@ -505,18 +509,18 @@
 /// A setting that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The path of its key; empty where the whole is meant.
+    /// Path of the setting; empty if the error is about the settings as a whole.
     pub key: String,
-    /// What is wrong with it.
-    pub what: String,
+    /// Description of the problem, as the predicate of a sentence whose subject is the setting.
+    pub problem: String,
 }
 
 impl fmt::Display for SettingsError {
     /// One plain sentence that names the key.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.key.as_str() {
-            "" => write!(f, "The settings {}.", self.what),
-            key => write!(f, "The setting '{key}' {}.", self.what),
+            "" => write!(f, "The settings {}.", self.problem),
+            key => write!(f, "The setting '{key}' {}.", self.problem),
         }
     }
 }
@@ -538,7 +542,7 @@
             }),
             None => Err(SettingsError {
                 key: path.to_string(),
-                what: "is not an object".into(),
+                problem: "is not an object".into(),
             }),
         }
     }
@@ -551,17 +555,17 @@
         }
     }
 
-    fn bad<T>(&self, key: &str, what: &str) -> Result<T, SettingsError> {
+    fn invalid<T>(&self, key: &str, problem: &str) -> Result<T, SettingsError> {
         Err(SettingsError {
             key: self.name(key),
-            what: what.to_string(),
+            problem: problem.to_string(),
         })
     }
 
     fn get(&self, key: &str) -> Result<&'a Value, SettingsError> {
         match self.map.get(key) {
             Some(value) => Ok(value),
-            None => self.bad(key, "is missing"),
+            None => self.invalid(key, "is missing"),
         }
     }
 
@@ -572,56 +576,56 @@
     fn list(&self, key: &str) -> Result<&'a [Value], SettingsError> {
         match self.get(key)?.as_array() {
             Some(list) => Ok(list),
-            None => self.bad(key, "is not a list"),
+            None => self.invalid(key, "is not a list"),
         }
     }
 
     fn number(&self, key: &str, least: f64, most: f64) -> Result<f64, SettingsError> {
         match self.get(key)?.cast_f64() {
             Some(n) if n >= least && n <= most => Ok(n),
-            Some(n) => self.bad(key, &format!("is {n}, outside {least} to {most}")),
-            None => self.bad(key, "is not a number"),
+            Some(n) => self.invalid(key, &format!("is {n}, outside {least} to {most}")),
+            None => self.invalid(key, "is not a number"),
         }
     }
 
     fn whole(&self, key: &str, least: u64, most: u64) -> Result<u64, SettingsError> {
         match self.get(key)?.as_u64() {
             Some(n) if (least..=most).contains(&n) => Ok(n),
-            Some(n) => self.bad(key, &format!("is {n}, outside {least} to {most}")),
-            None => self.bad(key, "is not a whole number"),
+            Some(n) => self.invalid(key, &format!("is {n}, outside {least} to {most}")),
+            None => self.invalid(key, "is not a whole number"),
         }
     }
 
     fn time(&self, key: &str, least: f64) -> Result<Micros, SettingsError> {
-        Ok(micros(self.number(key, least, 1e12)?).unwrap_or(0))
+        Ok(micros_from_millis(self.number(key, least, 1e12)?).unwrap_or(0))
     }
 
     fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         match self.get(key)?.as_bool() {
             Some(flag) => Ok(flag),
-            None => self.bad(key, "is not true or false"),
+            None => self.invalid(key, "is not true or false"),
         }
     }
 
     fn word(&self, key: &str) -> Result<&'a str, SettingsError> {
         match self.get(key)?.as_str() {
             Some(word) => Ok(word),
-            None => self.bad(key, "is not a word"),
+            None => self.invalid(key, "is not a word"),
         }
     }
 }
 
 /// Reads the text of an instance's settings.
-pub fn settings(text: &[u8]) -> Result<Settings, SettingsError> {
+pub fn parse_settings(text: &[u8]) -> Result<Settings, SettingsError> {
     let value = simd_json::to_owned_value(&mut text.to_vec()).map_err(|e| SettingsError {
         key: String::new(),
-        what: format!("are not valid JSON: {e}"),
+        problem: format!("are not valid JSON: {e}"),
     })?;
-    settings_of(&value)
+    settings_from_value(&value)
 }
 
 /// Reads the settings object. Keys that the module has no use for are ignored.
-pub fn settings_of(value: &Value) -> Result<Settings, SettingsError> {
+pub fn settings_from_value(value: &Value) -> Result<Settings, SettingsError> {
     let top = Section::of(value, "profile_data")?;
     let top = Section {
         path: String::new(),
@@ -644,7 +648,7 @@
         Some(f) => match f.word("mode")? {
             "proxy" => false,
             "pass" => true,
-            _ => return f.bad("mode", "is neither 'proxy' nor 'pass'"),
+            _ => return f.invalid("mode", "is neither 'proxy' nor 'pass'"),
         },
         None => false,
     };
@@ -659,7 +663,7 @@
             "all" => DeduplicationScope::All,
             "zone" => DeduplicationScope::Zone,
             "cell" => DeduplicationScope::Cell,
-            _ => return c.bad("group", "is none of 'all', 'zone' and 'cell'"),
+            _ => return c.invalid("group", "is none of 'all', 'zone' and 'cell'"),
         };
         let effect = match c.word("idempotency")? {
             "safe" => Idempotency::Idempotent,
@@ -668,12 +672,15 @@
                 window: c.time("window", 0.0)?,
             },
             "unsafe" => Idempotency::NonIdempotent,
-            _ => return c.bad("idempotency", "is none of 'safe', 'keyed' and 'unsafe'"),
+            _ => return c.invalid("idempotency", "is none of 'safe', 'keyed' and 'unsafe'"),
         };
-        let message_aim = match message_aims.get(i).map(|v| v.cast_f64().and_then(micros)) {
+        let message_aim = match message_aims
+            .get(i)
+            .map(|v| v.cast_f64().and_then(micros_from_millis))
+        {
             Some(Some(aim)) => aim,
             Some(None) => {
-                return top.bad(
+                return top.invalid(
                     "family_info.message_aim",
                     "holds something that is not a time",
                 )
@@ -689,19 +696,19 @@
         });
     }
     if classes.is_empty() {
-        return top.bad("grades", "is empty");
+        return top.invalid("grades", "is empty");
     }
     let list_on_request = match top.word("membership_mode")? {
         "pushed" => false,
         "on_request" => true,
-        _ => return top.bad("membership_mode", "is neither 'pushed' nor 'on_request'"),
+        _ => return top.invalid("membership_mode", "is neither 'pushed' nor 'on_request'"),
     };
     let weights = match top.word("weights")? {
         "none" => EndpointWeights::None,
         "nominal" | "rough" => EndpointWeights::Nominal,
         "live" => EndpointWeights::Live,
         _ => {
-            return top.bad(
+            return top.invalid(
                 "weights",
                 "is none of 'none', 'nominal', 'rough' and 'live'",
             )
@@ -713,7 +720,7 @@
             Some("x0") if has("report_x0").is_some() => ReportColumn::Load,
             Some("active") => ReportColumn::Active,
             Some(_) => ReportColumn::Other,
-            None => return report.bad("columns", "holds something that is not a word"),
+            None => return report.invalid("columns", "holds something that is not a word"),
         });
     }
     let retry_after = limits.flag("retry_after")?;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -121,7 +121,7 @@
         assert_eq!(reply.finish(0)[12..], bytes(record), "{action:?}");
     }
     let mut reply = Reply::new();
-    reply.give_in(9, "no");
+    reply.instance_failed(9, "no");
     assert_eq!(
         reply.finish(0)[12..],
         bytes("03f2 00000008 00000009 0002 6e6f")
@@ -287,11 +287,11 @@
 #[test]
 fn times_keep_their_microseconds() {
     for t in [0, 1, 999, 1_001, 123_456_789, 9_876_543_210_123] {
-        assert_eq!(micros(millis(t)), Some(t));
+        assert_eq!(micros_from_millis(millis_from_micros(t)), Some(t));
     }
-    assert_eq!(micros(0.0019), Some(1), "never later than told");
+    assert_eq!(micros_from_millis(0.0019), Some(1), "never later than told");
     for bad in [f64::NAN, f64::INFINITY, -1.0, 1e300] {
-        assert_eq!(micros(bad), None);
+        assert_eq!(micros_from_millis(bad), None);
     }
 }
 
@@ -334,15 +334,15 @@
         .unwrap_err()
         .to_string()
         .contains("after the last record"));
-    assert!(rest_of_frame(&[0, 0, 0, 0, 0, 0, 0, 1]).is_err());
-    assert!(rest_of_frame(&[0xff; 8]).is_err());
+    assert!(remaining_frame_bytes(&[0, 0, 0, 0, 0, 0, 0, 1]).is_err());
+    assert!(remaining_frame_bytes(&[0xff; 8]).is_err());
 }
 
 // ---- Settings ----
 
 #[test]
 fn reads_the_settings() {
-    let s = settings(SETTINGS.as_bytes()).unwrap();
+    let s = parse_settings(SETTINGS.as_bytes()).unwrap();
     assert!(s.forwards_packets && s.may_cancel && !s.may_check_health && !s.polls_endpoint_list);
     assert_eq!(
         (s.balancer_count, s.zone, s.tick, s.max_attempts),
@@ -437,21 +437,21 @@
         ),
         (vec!["weights"], Some(json!("heavy")), "weights"),
     ] {
-        let error = settings(&with(&path, value)).unwrap_err().to_string();
+        let error = parse_settings(&with(&path, value)).unwrap_err().to_string();
         assert!(
             error.contains(&format!("'{name}'")) && error.ends_with('.'),
             "{error}"
         );
     }
-    assert!(settings(b"{\"az\": ")
+    assert!(parse_settings(b"{\"az\": ")
         .unwrap_err()
         .to_string()
         .contains("JSON"));
-    assert!(settings(b"[]").is_err());
+    assert!(parse_settings(b"[]").is_err());
 }
 
 #[test]
 fn unknown_keys_are_ignored() {
     let more = with(&["something_new"], Some(serde_json::json!({"a": 1})));
-    assert_eq!(settings(&more), settings(SETTINGS.as_bytes()));
+    assert_eq!(parse_settings(&more), parse_settings(SETTINGS.as_bytes()));
 }
