--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -266,7 +266,9 @@
 
     /// Calls its second address: the status, and what it says.
     pub fn call(&self, method: &str, path: &str) -> io::Result<(u16, String)> {
-        let addr = crate::until("the second address", || self.said_addr("answers staff on "));
+        let addr = crate::until("the second address", || {
+            self.said_addr("answers operators on ")
+        });
         let mut caller = TcpStream::connect(addr)?;
         caller.set_read_timeout(Some(crate::PATIENCE))?;
         write!(caller, "{method} {path} HTTP/1.1\r\nHost: relay\r\n\r\n")?;
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: starts the parts in their order, and hears signals.
+//! `serve`: starts the components of the relay in order, then handles signals.
 
 use super::{env, Failure};
 use argh::FromArgs;
@@ -27,22 +27,22 @@
 use std::sync::Arc;
 use tracing::level_filters::LevelFilter;
 
-/// Serves clients, as the file named by BALANCER_CONFIG says.
+/// Runs the relay with the configuration file that BALANCER_CONFIG names.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub struct Serve {
-    /// the operator file: what this install has beyond what the platform gives
+    /// the operator file: settings of this installation that the platform's configuration lacks
     #[argh(option)]
     operator: Option<PathBuf>,
-    /// the least level that is logged: error, warn, info (default), debug, trace or off
+    /// minimum level of log lines: error, warn, info (default), debug, trace or off
     #[argh(option, default = "LevelFilter::INFO")]
     log: LevelFilter,
-    /// how the log is written: text (default) or json
-    #[argh(option, default = "Format::Text", from_str_fn(format))]
+    /// format of the log: text (default) or json
+    #[argh(option, default = "Format::Text", from_str_fn(parse_log_format))]
     log_format: Format,
 }
 
-fn format(text: &str) -> Result<Format, String> {
+fn parse_log_format(text: &str) -> Result<Format, String> {
     match text {
         "text" => Ok(Format::Text),
         "json" => Ok(Format::Json),
@@ -50,10 +50,10 @@
     }
 }
 
-/// Runs it.
+/// Runs the relay until SIGTERM or SIGINT.
 pub fn run(serve: Serve) -> Result<(), Failure> {
     log::init(serve.log_format, serve.log);
-    // Before all else: a signal that comes during the start must neither end the program nor be missed.
+    // Registered first, so that a signal during the start neither kills the process nor is lost.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let mut config = Config::load(&env)?;
     let operator = serve
@@ -84,28 +84,28 @@
     };
     let watch_control = WatchControl::new(config.discovery, mode);
     let watch_requests = watch_control.clone();
-    let watch = Box::new(move |on| watch_requests.request_watch(on));
-    let (probe, probe_orders) = bounded(64);
+    let request_watch = Box::new(move |on| watch_requests.request_watch(on));
+    let (health_checks, health_check_requests) = bounded(64);
     let directory = Arc::new(Directory::default());
     directory.update(true, &config.known);
     for problem in &config.known_problems {
         log(&format!("known: an entry was left out: {problem}"));
     }
-    let cached: Vec<ListedEndpoint> = config
+    let known_endpoints: Vec<ListedEndpoint> = config
         .known
         .iter()
-        .map(|(_, member)| member.clone())
+        .map(|(_, endpoint)| endpoint.clone())
         .collect();
     let decisions = DecisionService::new(
         config.settings.clone(),
         config.seed,
-        cached,
+        known_endpoints,
         Hooks {
-            watch_endpoint_list: watch,
-            check_health: probe,
+            watch_endpoint_list: request_watch,
+            check_health: health_checks,
         },
     );
-    // Before the first request: no site is placed by another map.
+    // Applied before the first request, so that no group is placed by a different cell map.
     let parameters = operator
         .as_ref()
         .map(policy::parameters)
@@ -118,7 +118,7 @@
         .transpose()?
         .flatten()
     {
-        // Before the first client: until it has a lease nobody is admitted.
+        // Opened before the first client connects: without a lease the relay admits no client.
         Some(settings) => Some(Fleet::open(
             settings,
             &config.name,
@@ -127,9 +127,13 @@
         )?),
         None => None,
     };
-    let core = SharedState::new(&config, decisions, directory);
-    core.adopt_xmpp(xmpp);
-    let mut engine = EventLoop::new(core.clone(), config.names.clone(), probe_orders)?;
+    let shared_state = SharedState::new(&config, decisions, directory);
+    shared_state.adopt_xmpp(xmpp);
+    let mut event_loop = EventLoop::new(
+        shared_state.clone(),
+        config.names.clone(),
+        health_check_requests,
+    )?;
     let jobs = operator
         .as_ref()
         .and_then(|file| file.operator.fleet.as_ref())
@@ -137,10 +141,10 @@
     if let (Some(fleet), Some(jobs)) = (&mut fleet, jobs) {
         let load_reports = Arc::new(LoadReportCache::default());
         if jobs.load_watch {
-            engine.use_load_reports(load_reports.clone());
+            event_loop.use_load_reports(load_reports.clone());
         }
         fleet.enable_jobs(JobResources {
-            directory: core.directory.clone(),
+            directory: shared_state.directory.clone(),
             zones: config.names.zones.clone(),
             report_columns: config.names.columns.clone(),
             own_zone: config.settings.zone,
@@ -150,49 +154,54 @@
         });
     }
     let fleet_handle = fleet.as_ref().map(Fleet::handle);
-    engine.add_listener(listener.clone(), ListenerProtocol::Line)?;
+    event_loop.add_listener(listener.clone(), ListenerProtocol::Line)?;
     if let (true, Some(dir)) = (listener.inherited, &config.shared_directory) {
-        if let Err(e) = engine.enable_takeover(dir.clone()) {
+        if let Err(e) = event_loop.enable_takeover(dir.clone()) {
             log(&format!(
                 "takeover: connections of an older process cannot be taken over: {e}"
             ));
         }
     }
-    if let Some(x) = operator
+    if let Some(xmpp) = operator
         .as_ref()
         .and_then(|file| file.operator.xmpp.as_ref())
     {
-        for (key, addr, speaks) in [
-            ("listen", x.listen, ListenerProtocol::Xmpp),
-            ("listen_tls", x.listen_tls, ListenerProtocol::XmppTls),
+        for (key, addr, protocol) in [
+            ("listen", xmpp.listen, ListenerProtocol::Xmpp),
+            ("listen_tls", xmpp.listen_tls, ListenerProtocol::XmppTls),
         ] {
             let Some(addr) = addr else { continue };
             let listener = Listener::open_reuse_port(addr)
                 .map_err(|e| format!("xmpp.{key}: cannot listen on {addr}: {e}"))?;
-            let under = if speaks == ListenerProtocol::Xmpp {
+            let tls_mode = if protocol == ListenerProtocol::Xmpp {
                 "STARTTLS"
             } else {
                 "TLS"
             };
             log(&format!(
-                "{}: speaks XMPP under {under} on {}",
+                "{}: speaks XMPP under {tls_mode} on {}",
                 config.name,
                 listener.addr()?
             ));
-            engine.add_listener(Arc::new(listener), speaks)?;
+            event_loop.add_listener(Arc::new(listener), protocol)?;
         }
     }
 
-    // All threads that there will ever be, beside this one, which takes signals and reads files at a reload: nothing
-    // that comes later hangs on a thread which the machine may not have.
+    // All threads of the process start here. If the machine has no thread left, the start fails;
+    // nothing that runs later depends on a new thread. This thread handles signals and reads the
+    // files of a reload.
     //
-    // Discovery: a dial and a read that wait, and lists of thousands of servers to parse, which must not hold up
-    // lines.
-    let (shared, at, version) = (core.clone(), watch_control.clone(), config.known_version);
+    // The discovery watch has its own thread: it blocks in connect and read, and parses lists of
+    // thousands of endpoints, which must not delay forwarding.
+    let (shared, control, version) = (
+        shared_state.clone(),
+        watch_control.clone(),
+        config.known_version,
+    );
     let names = config.names.clone();
     spawn("watch", SMALL_STACK_BYTES, move || {
         let watcher = Watcher {
-            control: &at,
+            control: &control,
             names: &names,
             directory: &shared.directory,
             decisions: &shared.decisions,
@@ -202,10 +211,10 @@
     })?;
     if let Some(addr) = config.admin {
         let context = AdminContext {
-            decisions: core.decisions.clone(),
-            directory: core.directory.clone(),
-            metrics: core.metrics.clone(),
-            open: core.accepting.clone(),
+            decisions: shared_state.decisions.clone(),
+            directory: shared_state.directory.clone(),
+            metrics: shared_state.metrics.clone(),
+            open: shared_state.accepting.clone(),
         };
         let admin = Admin::open(
             addr,
@@ -214,133 +223,149 @@
         )
         .map_err(|e| format!("admin: cannot listen on {addr}: {e}"))?;
         log(&format!(
-            "{}: answers staff on {}",
+            "{}: answers operators on {}",
             config.name,
             admin.addr()?
         ));
-        // Staff are answered within a second whatever the clients do, and bans are files.
+        // Own thread: operators get an answer within a second under any client load, and manual
+        // ejections are stored in files.
         spawn("admin", SMALL_STACK_BYTES, move || admin.run())?;
     }
     if let Some(fleet) = fleet {
-        let metrics = core.metrics.clone();
-        // A ledger's sync waits for the disk, and no client may wait for that.
-        let ended = signals.handle();
-        spawn("fleet", FLEET_STACK, move || {
-            // Without it leases are not renewed any more: better no process than one that refuses all.
-            let _ended = Ended(ended);
+        let metrics = shared_state.metrics.clone();
+        // Own thread: syncing the ledger waits for the disk, and clients must not wait for it.
+        let signals_handle = signals.handle();
+        spawn("fleet", FLEET_STACK_BYTES, move || {
+            // Ends the process with this thread: without lease renewals the relay would reject all
+            // clients.
+            let _close_signals = CloseSignalsOnDrop(signals_handle);
             fleet.run(metrics);
         })?;
     }
-    let (control, handle) = (engine.handle(), signals.handle());
-    spawn("serve", ENGINE_STACK, move || {
-        // Ends the process whichever way this thread ends: one that takes clients and serves none is worse.
-        let _ended = Ended(handle);
-        engine.run();
+    let (event_loop_handle, signals_handle) = (event_loop.handle(), signals.handle());
+    spawn("serve", EVENT_LOOP_STACK_BYTES, move || {
+        // Ends the process with this thread, however it ends: the listeners would go on accepting
+        // clients that nothing serves.
+        let _close_signals = CloseSignalsOnDrop(signals_handle);
+        event_loop.run();
     })?;
     log(&format!("{}: serves on {address}", config.name));
     let mut stopping = false;
     for signal in signals.forever() {
         if signal == SIGHUP {
-            reload(&mut config, &watch_control, &core, operator.as_ref());
+            reload(
+                &mut config,
+                &watch_control,
+                &shared_state,
+                operator.as_ref(),
+            );
         } else if !std::mem::replace(&mut stopping, true) {
-            // Its jobs first: others have them before it has gone.
+            // Jobs are relinquished first, so that other relays own them before this one stops.
             fleet_handle.iter().for_each(|fleet| fleet.drain());
-            control.stop();
+            event_loop_handle.stop();
             log(&format!(
-                "{}: signal {signal}, moving the standing connections",
+                "{}: signal {signal}, migrating the established connections",
                 config.name
             ));
         }
     }
     if !stopping {
-        return Err(format!("{}: the thread that serves has failed", config.name).into());
+        let reason = "the event loop thread or the fleet thread ended unexpectedly";
+        return Err(format!("{}: {reason}", config.name).into());
     }
     log(&format!("{}: stopped", config.name));
     Ok(())
 }
 
-/// Stack of the thread that serves: it parses lists' news and does TLS handshakes; only what is used is taken.
-const ENGINE_STACK: usize = 1024 * 1024;
+/// Stack of the event loop thread, which parses list updates and does TLS handshakes. The kernel
+/// commits only the pages that are used.
+const EVENT_LOOP_STACK_BYTES: usize = 1024 * 1024;
 
-/// Stack of the fleet's thread: a store's commit, and a policy that is parsed.
-const FLEET_STACK: usize = 1024 * 1024;
+/// Stack of the fleet thread, which commits to the ledger's database and parses policies.
+const FLEET_STACK_BYTES: usize = 1024 * 1024;
 
-/// Ends the wait for signals when it is dropped.
-struct Ended(Handle);
+/// Ends the main thread's wait for signals when dropped, also by a panic.
+struct CloseSignalsOnDrop(Handle);
 
-impl Drop for Ended {
+impl Drop for CloseSignalsOnDrop {
     fn drop(&mut self) {
         self.0.close();
     }
 }
 
-/// Reads the configuration and the operator file once more, as one, takes over their settings and follows
-/// discovery to where it is now. Where either cannot be used nothing changes.
+/// Reads the configuration and the operator file again, applies their settings and follows
+/// discovery to its new address. If either file is invalid, nothing changes.
 fn reload(
     config: &mut Config,
     watch_control: &WatchControl,
-    core: &SharedState,
+    shared_state: &SharedState,
     operator: Option<&OperatorFile>,
 ) {
     let read = || -> Result<_, Failure> {
-        let (new, mut fixed) = config.reload(&env)?;
+        let (new, mut restart_keys) = config.reload(&env)?;
         let Some(old) = operator else {
-            return Ok((new, fixed, core.xmpp(), PolicyRules::default()));
+            return Ok((
+                new,
+                restart_keys,
+                shared_state.xmpp(),
+                PolicyRules::default(),
+            ));
         };
         let file = OperatorFile::load(old.path())?;
-        let (was, now) = (&old.operator.xmpp, &file.operator.xmpp);
-        let places = |x: &Option<jaspermoor::config::operator::Xmpp>| {
-            x.as_ref()
-                .map(|x| (x.listen, x.listen_tls))
+        let (old_xmpp, new_xmpp) = (&old.operator.xmpp, &file.operator.xmpp);
+        let listen_addresses = |xmpp: &Option<jaspermoor::config::operator::Xmpp>| {
+            xmpp.as_ref()
+                .map(|xmpp| (xmpp.listen, xmpp.listen_tls))
                 .unwrap_or_default()
         };
-        if places(was) != places(now) {
-            let what = "other addresses need a restart";
-            return Err(file.error("xmpp.listen", what).into());
+        if listen_addresses(old_xmpp) != listen_addresses(new_xmpp) {
+            let problem = "new listen addresses need a restart";
+            return Err(file.error("xmpp.listen", problem).into());
         }
         let xmpp = XmppFront::from_operator_file(&file, &new)?;
         if old.operator.fleet != file.operator.fleet {
-            fixed.push("fleet");
+            restart_keys.push("fleet");
         }
         let rules = PolicyRules {
             cells: Cells::from_operator_file(&file)?,
             parameters: policy::parameters(&file)?,
         };
-        Ok((new, fixed, xmpp, rules))
+        Ok((new, restart_keys, xmpp, rules))
     };
-    let (new, fixed, xmpp, PolicyRules { cells, parameters }) = match read() {
+    let (new, restart_keys, xmpp, PolicyRules { cells, parameters }) = match read() {
         Ok(read) => read,
         Err(e) => {
-            core.metrics.reload_errors.fetch_add(1, Relaxed);
+            shared_state.metrics.reload_errors.fetch_add(1, Relaxed);
             return log(&format!("{}: reload refused: {e}", config.name));
         }
     };
-    for key in fixed {
+    for key in restart_keys {
         log(&format!(
             "{}: reload: {key}: a new value needs a restart",
             config.name
         ));
     }
-    core.adopt_settings(&new);
-    core.adopt_xmpp(xmpp);
-    // A fleet's policy is not replaced by this relay's own file.
+    shared_state.adopt_settings(&new);
+    shared_state.adopt_xmpp(xmpp);
+    // In a fleet the shared policy applies, not the rules of this relay's own file.
     if operator.is_none_or(|file| file.operator.fleet.is_none()) {
-        core.decisions.apply_policy(cells, parameters);
+        shared_state.decisions.apply_policy(cells, parameters);
     }
     *config = new;
-    let moved = watch_control.relocate(config.discovery);
-    if moved && config.settings.polls_endpoint_list {
-        core.decisions
+    let relocated = watch_control.relocate(config.discovery);
+    if relocated && config.settings.polls_endpoint_list {
+        shared_state
+            .decisions
             .update_endpoints(EndpointListKind::Relocated, Vec::new());
     }
-    core.metrics.reloads.fetch_add(1, Relaxed);
-    let (name, at, classes) = (
+    shared_state.metrics.reloads.fetch_add(1, Relaxed);
+    let (name, address, classes) = (
         &config.name,
         config.discovery,
         config.classes.names().join(" "),
     );
-    let news = if moved { "now" } else { "still" };
+    let now_or_still = if relocated { "now" } else { "still" };
     log(&format!(
-        "{name}: reload: discovery is {news} at {at}, classes {classes}"
+        "{name}: reload: discovery is {now_or_still} at {address}, classes {classes}"
     ));
 }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -511,7 +511,7 @@
     pub fn caller(&self) -> TcpStream {
         let log = self.log.lock().unwrap();
         let addr = log.iter().find_map(|l| {
-            l.split_once("answers staff on ")
+            l.split_once("answers operators on ")
                 .map(|(_, addr)| addr.to_string())
         });
         TcpStream::connect(addr.unwrap()).unwrap()
--- a/tests/threads.rs
+++ b/tests/threads.rs
@@ -125,7 +125,7 @@
     // All are known to be the old process's, whichever socket of the two would wake first.
     let new = Relay::start_shared(&config, &listener, &shared);
     old.signal("TERM");
-    old.wait_for_log("moving the standing connections");
+    old.wait_for_log("migrating the established connections");
     for (n, peer) in &mut asked {
         peer.send(&format!("UP {n}"));
         assert_eq!(clients[*n].line(), format!("UP {n}"));
