--- a/src/cli/cells.rs
+++ b/src/cli/cells.rs
@@ -1,4 +1,4 @@
-//! `cells`: shows the cells that an operator file makes of the list that the configuration knows.
+//! `cells`: shows how an operator file divides the configuration's known endpoints into cells.
 
 use super::{env, Failure};
 use argh::FromArgs;
@@ -8,71 +8,71 @@
 use jaspermoor::decisions::api::ListedEndpoint;
 use std::path::{Path, PathBuf};
 
-/// Shows cells, says why a site is where it is, and what another file would change.
+/// Shows cells, explains why a site is in its cell, and lists what another file would move.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cells")]
-pub struct CellsOf {
+pub struct CellsCommand {
     /// the operator file
     #[argh(option)]
     operator: PathBuf,
-    /// the configuration whose list is used; without it, the one that BALANCER_CONFIG names
+    /// the configuration with the known endpoints (default: the one that BALANCER_CONFIG names)
     #[argh(option)]
     config: Option<String>,
     #[argh(subcommand)]
-    what: What,
+    subcommand: Subcommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Subcommand {
     Show(Show),
     Explain(Explain),
     Plan(Plan),
 }
 
-/// Lists the cells, their servers and what is wrong with them.
+/// Lists the cells, their servers and their problems.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 struct Show {}
 
-/// Says why a site is where it is.
+/// Explains why a site is in its cell.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 struct Explain {
-    /// the group key in hexadecimal, or the words of an XMPP group
+    /// the group key in hexadecimal, or the text of an XMPP group
     #[argh(positional)]
     site: String,
 }
 
-/// Says what another operator file would move, before it is used.
+/// Lists what another operator file would move, before it is applied.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "plan")]
 struct Plan {
-    /// the other file
+    /// the other operator file
     #[argh(positional)]
     file: PathBuf,
 }
 
-fn cells(path: &Path) -> Result<Cells, Failure> {
+fn load_cells(path: &Path) -> Result<Cells, Failure> {
     Ok(Cells::from_operator_file(&OperatorFile::load(path)?)?)
 }
 
-/// Runs it.
-pub fn run(asked: CellsOf) -> Result<(), Failure> {
-    let config = Config::load(&|key| match (key, &asked.config) {
+/// Runs the sub-command.
+pub fn run(command: CellsCommand) -> Result<(), Failure> {
+    let config = Config::load(&|key| match (key, &command.config) {
         ("BALANCER_CONFIG", Some(path)) => Some(path.clone()),
         _ => env(key),
     })?;
-    let members: Vec<(String, ListedEndpoint)> = config
+    let endpoints: Vec<(String, ListedEndpoint)> = config
         .known
         .iter()
-        .map(|(endpoint, member)| (endpoint.name.clone(), member.clone()))
+        .map(|(address, endpoint)| (address.name.clone(), endpoint.clone()))
         .collect();
-    let map = cells(&asked.operator)?.map;
-    let lines = match asked.what {
-        What::Show(_) => map.describe(&members),
-        What::Explain(explain) => map.explain(group_key(&explain.site), &members),
-        What::Plan(plan) => map.describe_changes(&cells(&plan.file)?.map, &members),
+    let map = load_cells(&command.operator)?.map;
+    let lines = match command.subcommand {
+        Subcommand::Show(_) => map.describe(&endpoints),
+        Subcommand::Explain(explain) => map.explain(group_key(&explain.site), &endpoints),
+        Subcommand::Plan(plan) => map.describe_changes(&load_cells(&plan.file)?.map, &endpoints),
     };
     lines.iter().for_each(|line| println!("{line}"));
     Ok(())
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check`: reads a configuration and says what is in it.
+//! `check`: validates a configuration and prints a summary of it.
 
 use super::{env, Failure};
 use argh::FromArgs;
@@ -10,19 +10,19 @@
 use jaspermoor::net::shared::XmppFront;
 use std::path::PathBuf;
 
-/// Reads and checks a configuration.
+/// Checks a configuration and prints a summary.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
-    /// the file; without it, the one that BALANCER_CONFIG names
+    /// the configuration file (default: the one that BALANCER_CONFIG names)
     #[argh(positional)]
     config: Option<String>,
-    /// an operator file that goes with it
+    /// the operator file to check with it
     #[argh(option)]
     operator: Option<PathBuf>,
 }
 
-/// Runs it.
+/// Checks the configuration, and the operator file if one is given.
 pub fn run(check: Check) -> Result<(), Failure> {
     let config = Config::load(&|key| match (key, &check.config) {
         ("BALANCER_CONFIG", Some(path)) => Some(path.clone()),
@@ -50,7 +50,7 @@
             path.display(),
             xmpp.terms.domains.join(", ")
         ),
-        None => println!("{}: opens no XMPP", path.display()),
+        None => println!("{}: no XMPP front", path.display()),
     }
     policy::parameters(&file)?;
     if let Some(settings) = FleetSettings::from_operator_file(&file)? {
--- a/src/cli/fleet/jobs.rs
+++ b/src/cli/fleet/jobs.rs
@@ -8,15 +8,15 @@
 use jaspermoor_control::jobs::assignment::{Job, JobChange};
 use jaspermoor_control::wire::message::{FleetStatus, OperatorRequest, OperatorResponse};
 
-/// The reason that the log records where an operator takes a job from its owner.
+/// The reason that the log records when an operator revokes a job.
 const MANUAL_HAND_OVER: &str = "handed over by hand";
 
-/// Lists the fleet's jobs: their owners and tokens, how far they are, and why one has no owner.
+/// Lists the fleet's jobs: owner, token, progress, and the reason if a job has no owner.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "jobs")]
 pub struct ListJobs {}
 
-/// Says who has one job.
+/// Shows the owner of one job.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "owner")]
 pub struct ShowOwner {
@@ -25,7 +25,7 @@
     name: String,
 }
 
-/// Takes a job from its owner and gives it to another relay, where there is one that can do it.
+/// Takes a job from its owner and gives it to another relay, if there is one that can do it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hand-over")]
 pub struct HandOver {
@@ -34,7 +34,7 @@
     name: String,
 }
 
-/// Takes a job from its owner and gives it to nobody, until it is released.
+/// Takes a job from its owner and leaves it without one until it is released.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hold")]
 pub struct Hold {
@@ -43,7 +43,7 @@
     name: String,
 }
 
-/// Lets a job that was held have an owner again.
+/// Ends the hold on a job, so that it gets an owner again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "release")]
 pub struct Release {
@@ -60,9 +60,7 @@
         print_job(name, job, &status, format);
     }
     if jobs.is_empty() && !format.is_json() {
-        println!(
-            "the fleet has no jobs: [fleet.jobs] in the relays' operator files says which there are"
-        );
+        println!("the fleet has no jobs; [fleet.jobs] in the relays' operator files enables them");
     }
     Ok(())
 }
@@ -85,7 +83,7 @@
         let old_token = job.token;
         if job.paused {
             let name = &self.name;
-            return Err(format!("{name} is held: 'fleet release {name}' first").into());
+            return Err(format!("{name} is held; run 'fleet release {name}' first").into());
         }
         if job.owner.is_some() {
             let revoked = (self.name.clone(), old_token, MANUAL_HAND_OVER.into());
@@ -119,13 +117,13 @@
     }
 }
 
-/// The job of that name; the error lists the names that there are.
+/// The job with that name; the error lists the names of all jobs.
 fn find_job<'a>(status: &'a FleetStatus, name: &str) -> Result<&'a Job, Failure> {
     let jobs = &status.state.jobs.by_name;
     jobs.get(name).ok_or_else(|| {
         let names: Vec<&str> = jobs.keys().map(String::as_str).collect();
         let existing = if names.is_empty() {
-            "there is none".into()
+            "none".into()
         } else {
             names.join(", ")
         };
@@ -133,7 +131,7 @@
     })
 }
 
-/// Why a job has no owner; empty where it has one.
+/// The reason why a job has no owner; empty if it has one.
 fn unassigned_reason(name: &str, status: &FleetStatus) -> String {
     status
         .idle_jobs
@@ -170,9 +168,9 @@
     );
 }
 
-/// Requests a change of an assignment until it is committed.
-fn assign(client: &mut OperatorClient, assignment: JobChange) -> Result<(), Failure> {
-    let request = OperatorRequest::Job(assignment);
+/// Sends a change of a job's assignment until it is committed.
+fn assign(client: &mut OperatorClient, change: JobChange) -> Result<(), Failure> {
+    let request = OperatorRequest::Job(change);
     loop {
         match client.request(&request)? {
             OperatorResponse::Job(Ok(())) => return Ok(()),
@@ -181,13 +179,14 @@
             other => return Err(ClientError::unexpected(other).into()),
         }
         if client.deadline_passed() {
-            return Err("the time to wait is up; the same call goes on with it".into());
+            return Err("timed out; run the same command again to continue".into());
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Waits until a job satisfies the condition, and prints it. On the way it reports why the job has no owner.
+/// Waits until a job satisfies the condition, and prints it. Meanwhile reports why the job has no
+/// owner.
 fn await_job(
     client: &mut OperatorClient,
     name: &str,
@@ -205,7 +204,7 @@
         progress.report(unassigned_reason(name, &status));
         if client.deadline_passed() {
             let state = progress.state();
-            return Err(format!("{name}: the time to wait is up: {state}").into());
+            return Err(format!("{name}: timed out; last state: {state}").into());
         }
         std::thread::sleep(POLL_INTERVAL);
     }
--- a/src/cli/fleet/ledger.rs
+++ b/src/cli/fleet/ledger.rs
@@ -1,4 +1,5 @@
-//! `fleet init|join`: create the ledger of a voter, on the relay's own disk. No voter is asked.
+//! `fleet init|join`: create the ledger of a voter on the relay's own disk, without contacting the
+//! fleet.
 
 use crate::cli::Failure;
 use argh::FromArgs;
@@ -6,19 +7,20 @@
 use jaspermoor::net::fleet::{random_u64, FleetSettings};
 use jaspermoor::platform::ledger::Ledger;
 
-/// Makes the ledger of a voter of a new fleet: once, before its first start. Never to replace one that was lost.
+/// Creates the ledger of a voter of a new fleet: once, before its first start. Never use it to
+/// replace a lost ledger.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "init")]
 pub struct Init {}
 
-/// Makes the ledger of a voter that is to join a fleet that runs, under a number that was never given.
+/// Creates the ledger of a voter that will join a running fleet, with a number never used before.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "join")]
 pub struct Join {}
 
 /// Creates the ledger of a founding voter.
 pub fn init(file: &OperatorFile, settings: &FleetSettings) -> Result<(), Failure> {
-    let voter = own_number(file, settings)?;
+    let voter = configured_voter(file, settings)?;
     Ledger::create_for_new_fleet(
         &settings.directory,
         &settings.ledger_owner(),
@@ -29,9 +31,9 @@
     Ok(())
 }
 
-/// Creates the ledger of a voter that joins.
+/// Creates the ledger of a voter that will join a running fleet.
 pub fn join(file: &OperatorFile, settings: &FleetSettings) -> Result<(), Failure> {
-    let voter = own_number(file, settings)?;
+    let voter = configured_voter(file, settings)?;
     Ledger::create_for_joining_voter(
         &settings.directory,
         &settings.ledger_owner(),
@@ -39,27 +41,27 @@
     )?;
     print_created(voter, settings);
     println!(
-        "start this relay, then: jaspermoor fleet --operator FILE add {voter} --address ADDRESS"
+        "start this relay, then run: jaspermoor fleet --operator FILE add {voter} --address ADDRESS"
     );
     Ok(())
 }
 
-fn own_number(file: &OperatorFile, settings: &FleetSettings) -> Result<u64, OperatorError> {
-    let missing = "is missing: a relay without a vote needs no ledger made";
+fn configured_voter(file: &OperatorFile, settings: &FleetSettings) -> Result<u64, OperatorError> {
+    let problem = "is missing: a relay that does not vote needs no ledger";
     settings
         .fleet
         .voter
-        .ok_or_else(|| file.error("fleet.voter", missing))
+        .ok_or_else(|| file.error("fleet.voter", problem))
 }
 
-/// A random incarnation. Never 0, which stands for an unknown one.
+/// A random incarnation. Never 0, which stands for an unknown incarnation.
 fn new_incarnation() -> u64 {
     random_u64().max(1)
 }
 
 fn print_created(voter: u64, settings: &FleetSettings) {
     println!(
-        "voter {voter} of the fleet '{}' has its ledger in {}",
+        "created the ledger of voter {voter} of the fleet '{}' in {}",
         settings.fleet.id,
         settings.directory.display()
     );
--- a/src/cli/fleet/membership.rs
+++ b/src/cli/fleet/membership.rs
@@ -1,4 +1,5 @@
-//! `fleet voters|add|remove|replace`: lists the voters and changes which there are, one change at a time.
+//! `fleet voters|add|remove|replace`: lists the voters and changes the membership, one change at a
+//! time.
 
 use super::POLL_INTERVAL;
 use crate::cli::operator_client::{ClientError, OperatorClient};
@@ -9,16 +10,16 @@
 use jaspermoor_control::wire::message::{OperatorRequest, OperatorResponse};
 use std::net::SocketAddr;
 
-/// Lists the voters: who leads, who answers, how far each is behind.
+/// Lists the voters: state, address, and how many log entries each is behind.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "voters")]
 pub struct ListVoters {}
 
-/// Adds a voter that runs and has its ledger made with 'join'; it votes once it has learnt the log.
+/// Adds a running voter whose ledger was created with 'join'; it votes once it has caught up.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "add")]
 pub struct AddVoter {
-    /// its number, higher than any that was ever given
+    /// its number, higher than any that was ever used
     #[argh(positional)]
     number: u64,
     /// where the other relays reach it
@@ -26,7 +27,7 @@
     address: SocketAddr,
 }
 
-/// Removes a voter for good. One that still runs does no harm.
+/// Removes a voter for good. A voter that still runs after its removal does no harm.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "remove")]
 pub struct RemoveVoter {
@@ -35,14 +36,14 @@
     number: u64,
 }
 
-/// Adds a voter, and once it votes removes the one whose place it takes.
+/// Adds a voter and, once it votes, removes the one that it replaces.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replace")]
 pub struct ReplaceVoter {
-    /// the number of the one that goes
+    /// the number of the voter to remove
     #[argh(positional)]
     old: u64,
-    /// the number of the one that comes
+    /// the number of the voter to add
     #[argh(option)]
     by: u64,
     /// where the other relays reach it
@@ -58,14 +59,14 @@
 }
 
 impl RemoveVoter {
-    /// Removes the voter, and waits until that is committed.
+    /// Removes the voter, and waits until the change is committed.
     pub fn run(self, client: &mut OperatorClient, format: OutputFormat) -> Result<(), Failure> {
         apply(client, MembershipChange::Remove(self.number), format)
     }
 }
 
 impl ReplaceVoter {
-    /// Adds the new voter first: the fleet never has fewer voters than before.
+    /// Adds the new voter before removing the old one, so that the fleet never has fewer voters.
     pub fn run(self, client: &mut OperatorClient, format: OutputFormat) -> Result<(), Failure> {
         add(client, self.by, self.address, format)?;
         apply(client, MembershipChange::Remove(self.old), format)
@@ -83,7 +84,8 @@
     apply(client, change, format)
 }
 
-/// The incarnation that the new voter itself reports. A wrong address or number is found before anything is changed.
+/// Asks the new voter for its number and incarnation until it answers. This detects a wrong address
+/// or number before the membership changes.
 fn await_incarnation(
     client: &OperatorClient,
     number: u64,
@@ -95,14 +97,16 @@
                 return Ok(incarnation);
             }
             Ok(OperatorResponse::Identity(found, _)) => {
-                return Err(format!("at {address} is voter {found}, not {number}").into());
+                return Err(
+                    format!("the voter at {address} is number {found}, not {number}").into(),
+                );
             }
             Ok(other) => ClientError::unexpected(other),
             Err(e) => e,
         };
         if client.deadline_passed() {
             return Err(format!(
-                "voter {number} at {address}: {problem}; is it started, with its ledger made by 'fleet join'?"
+                "voter {number} at {address}: {problem}; is it running, with a ledger created by 'fleet join'?"
             )
             .into());
         }
@@ -110,7 +114,7 @@
     }
 }
 
-/// Requests a change until it is committed. Repeating a request changes nothing twice.
+/// Sends a change until it is committed. Repeated requests are idempotent.
 fn apply(
     client: &mut OperatorClient,
     change: MembershipChange,
@@ -132,9 +136,10 @@
             other => return Err(ClientError::unexpected(other).into()),
         }
         if client.deadline_passed() {
-            let remedy = "the same call goes on with it, 'fleet voters' shows how far it is";
+            let remedy =
+                "run the same command again to continue; 'fleet voters' shows the progress";
             return Err(format!(
-                "voter {number}: the time to wait is up, and at last {}; {remedy}",
+                "voter {number}: timed out; last state: {}; {remedy}",
                 progress.state()
             )
             .into());
@@ -154,7 +159,7 @@
     }
 }
 
-/// Lists the voters, as the leader sees them.
+/// Lists the voters as the leader sees them.
 pub fn list(client: &mut OperatorClient, format: OutputFormat) -> Result<(), Failure> {
     let status = client.status()?;
     let membership = &status.state.membership;
@@ -185,7 +190,7 @@
         }
     }
     if !format.is_json() {
-        println!("the next number to give is {}", membership.highest_id + 1);
+        println!("the next unused number is {}", membership.highest_id + 1);
     }
     Ok(())
 }
--- a/src/cli/fleet/mod.rs
+++ b/src/cli/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! `fleet`: creates the ledgers of voters, changes who votes, and shows and changes who owns the fleet's jobs.
+//! `fleet`: creates the ledgers of voters, changes the voters, and shows and changes the owners of
+//! the fleet's jobs.
 
 mod jobs;
 mod ledger;
@@ -16,7 +17,7 @@
 /// Pause between two requests for the progress of a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Makes what a fleet needs, changes who votes in it, and who does what for it.
+/// Creates the ledgers of voters, and changes the fleet's voters and the owners of its jobs.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "fleet")]
 pub struct FleetCommand {
@@ -26,7 +27,7 @@
     /// how long to wait for a change, in seconds (default 30)
     #[argh(option, default = "30")]
     wait: u64,
-    /// answers as JSON, one object a line
+    /// print results as JSON, one object per line
     #[argh(switch)]
     json: bool,
     #[argh(subcommand)]
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,5 @@
-//! The sub-commands of the command line, one a file or folder; `serve` also fixes the order in which the relay starts.
+//! The sub-commands of the command line, one file or folder each. `serve` also defines the order in
+//! which the components of the relay start.
 
 pub mod cells;
 pub mod check;
@@ -8,10 +9,10 @@
 pub mod policy;
 pub mod serve;
 
-/// Why a sub-command failed: its text is printed, and the exit code is that of a failure.
+/// Error of a sub-command: its text is printed, and the process exits with a failure code.
 pub type Failure = Box<dyn std::error::Error>;
 
-/// The value of an environment variable; none where it is not set or not Unicode.
+/// The value of an environment variable; `None` if it is unset or not Unicode.
 pub fn env(key: &str) -> Option<String> {
     std::env::var(key).ok()
 }
--- a/src/cli/operator_client.rs
+++ b/src/cli/operator_client.rs
@@ -1,7 +1,8 @@
-//! The client of operators' commands: asks the voters of a fleet, one after the other, until the leader answers.
+//! Client for operators' commands: asks the voters of a fleet, one after the other, until the
+//! leader answers.
 //!
-//! Guards against: a voter that is down or does not lead (the next one is asked, or the one that it names), a leader
-//! that the operator file does not name, and a wait without end.
+//! Guards against: a voter that is down or does not lead (the next one is asked, or the one that it
+//! names), a leader that the operator file does not name, and a wait without end.
 
 use jaspermoor::net::fleet::{random_number, FleetSettings};
 use jaspermoor_control::wire::frame::{FrameError, FrameSession};
@@ -13,14 +14,14 @@
 
 /// How long one voter may take to answer before the next one is asked.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after all voters were asked.
+/// Pause after a round in which every voter was asked without an answer from the leader.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Bytes read at once.
+/// Size of the read buffer.
 const READ_BYTES: usize = 64 * 1024;
-/// The number of the one request of a connection; the response has it too.
+/// The number of the only request of a connection; the response carries the same number.
 const REQUEST_NUMBER: u64 = 1;
 
-/// Why a request has no usable answer.
+/// Error of a request to the fleet.
 #[derive(Debug)]
 pub enum ClientError {
     /// No leader answered before the deadline.
@@ -29,37 +30,37 @@
     Io(io::Error),
     /// The voter closed the connection, or took too long.
     ConnectionClosed,
-    /// The voter sent bytes that are no frame of this fleet.
+    /// The voter sent bytes that are not a frame of this fleet.
     InvalidFrame(FrameError),
-    /// The response is of another type than the request asks for.
+    /// The response has a different type than the request asks for.
     UnexpectedResponse(Box<OperatorResponse>),
 }
 
-/// What the last voter did that was asked.
+/// Result of the last request to a voter.
 #[derive(Debug)]
 pub enum LastAttempt {
-    /// None was asked.
+    /// No voter was asked.
     None,
-    /// It named another voter as the leader.
+    /// The voter named another one as the leader.
     Redirected {
-        /// The voter that it named.
+        /// Number of the named leader.
         leader: u64,
     },
-    /// It knows no leader.
+    /// The voter knows no leader.
     NoLeader,
-    /// It gave no answer.
+    /// The voter gave no usable answer.
     Failed {
         /// Its number.
         voter: u64,
         /// Its address.
         address: SocketAddr,
-        /// What went wrong.
+        /// Cause of the failure.
         error: Box<ClientError>,
     },
 }
 
 impl ClientError {
-    /// A response that does not belong to the request.
+    /// Error for a response that does not match the request.
     pub fn unexpected(response: OperatorResponse) -> ClientError {
         ClientError::UnexpectedResponse(Box::new(response))
     }
@@ -70,12 +71,12 @@
         match self {
             ClientError::NoAnswer(last) => write!(f, "no answer: {last}"),
             ClientError::Io(e) => e.fmt(f),
-            ClientError::ConnectionClosed => {
-                f.write_str("it ended the connection: compare fleet.id and fleet.keys")
-            }
+            ClientError::ConnectionClosed => f.write_str(
+                "it closed the connection or took too long: check fleet.id and fleet.keys",
+            ),
             ClientError::InvalidFrame(e) => e.fmt(f),
             ClientError::UnexpectedResponse(response) => {
-                write!(f, "an answer to something else: {response:?}")
+                write!(f, "unexpected response: {response:?}")
             }
         }
     }
@@ -84,11 +85,13 @@
 impl fmt::Display for LastAttempt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LastAttempt::None => f.write_str("none was asked"),
-            LastAttempt::Redirected { leader } => write!(f, "voter {leader} should lead"),
-            LastAttempt::NoLeader => {
-                f.write_str("no voter leads: a majority of them must be up and reach each other")
+            LastAttempt::None => f.write_str("no voter was asked"),
+            LastAttempt::Redirected { leader } => {
+                write!(f, "voter {leader} was named as the leader")
             }
+            LastAttempt::NoLeader => f.write_str(
+                "no voter leads: a majority of the voters must be running and connected",
+            ),
             LastAttempt::Failed {
                 voter,
                 address,
@@ -106,7 +109,7 @@
     }
 }
 
-/// A voter and where it is reached.
+/// A voter's number and address.
 #[derive(Clone, Copy)]
 struct VoterAddress {
     number: u64,
@@ -117,14 +120,15 @@
 pub struct OperatorClient {
     settings: FleetSettings,
     deadline: Instant,
-    /// The voters of the operator file, and leaders that voters named.
+    /// The voters of the operator file, and leaders that voters named in redirects.
     voters: Vec<VoterAddress>,
-    /// Index of the voter to ask next, modulo their number.
+    /// Index of the next voter to ask, modulo the number of voters.
     next_voter: usize,
 }
 
 impl OperatorClient {
-    /// A client of the voters in the operator file, which waits at most this long for all its requests together.
+    /// Creates a client of the voters in the operator file. `max_wait` limits the total time of all
+    /// its requests.
     pub fn new(settings: FleetSettings, max_wait: Duration) -> OperatorClient {
         let voters = settings
             .fleet
@@ -143,12 +147,12 @@
         }
     }
 
-    /// Whether the time to wait is over.
+    /// Whether the total time of the requests is over.
     pub fn deadline_passed(&self) -> bool {
         Instant::now() >= self.deadline
     }
 
-    /// The leader's response.
+    /// Sends a request to the voters until the leader responds.
     pub fn request(&mut self, request: &OperatorRequest) -> Result<OperatorResponse, ClientError> {
         let mut last_attempt = LastAttempt::None;
         while !self.deadline_passed() {
@@ -181,8 +185,8 @@
         Err(ClientError::NoAnswer(last_attempt))
     }
 
-    /// The index of a leader in `voters`. One that the operator file does not name is added with this address; none
-    /// where the address cannot be read.
+    /// The index of a leader in `voters`. A leader that is not in `voters` is added with this
+    /// address; `None` if the address cannot be parsed.
     fn index_of_leader(&mut self, leader: u64, address: &str) -> Option<usize> {
         let known = self.voters.iter().position(|voter| voter.number == leader);
         if known.is_some() {
@@ -195,7 +199,7 @@
         Some(self.voters.len() - 1)
     }
 
-    /// The response of the voter at that address, whether it leads or not.
+    /// Sends a request to the voter at that address, whether it leads or not.
     pub fn request_from(
         &self,
         address: SocketAddr,
@@ -225,7 +229,7 @@
             if let Some(response) = find_response(&frames) {
                 return Ok(response);
             }
-            // The request can be sealed only once the session is established.
+            // The request can be sealed only after the handshake.
             if session.is_established() && !request_sent {
                 request_sent = true;
                 let message = Message::OperatorRequest(REQUEST_NUMBER, request.clone());
@@ -235,7 +239,7 @@
         }
     }
 
-    /// The state of the fleet.
+    /// Requests the state of the fleet.
     pub fn status(&mut self) -> Result<FleetStatus, ClientError> {
         match self.request(&OperatorRequest::Status)? {
             OperatorResponse::Status(status) => Ok(*status),
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -1,16 +1,16 @@
-//! How sub-commands write their results: as text or JSON, with progress on the standard error output.
+//! Output of the sub-commands: results as text or JSON, progress on standard error.
 
-/// The form of a result.
+/// The format of results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// Lines for people.
+    /// Lines of text for operators.
     Text,
-    /// One JSON object a line, for programs.
+    /// One JSON object per line, for programs.
     Json,
 }
 
 impl OutputFormat {
-    /// The format that a `--json` switch asks for.
+    /// The format that the `--json` switch selects.
     pub fn from_switch(json: bool) -> OutputFormat {
         if json {
             OutputFormat::Json
@@ -19,13 +19,12 @@
         }
     }
 
-    /// Whether it is JSON.
     pub fn is_json(self) -> bool {
         self == OutputFormat::Json
     }
 }
 
-/// A JSON object of strings, with its fields in this order.
+/// Formats a JSON object of strings; the fields keep their order.
 pub fn json_object(fields: &[(&str, String)]) -> String {
     let quoted = |text: &str| simd_json::to_string(&text).unwrap_or_default();
     let fields: Vec<String> = fields
@@ -35,7 +34,8 @@
     format!("{{{}}}", fields.join(","))
 }
 
-/// The progress of a change: each new state is written once. JSON output has no progress.
+/// Reports the progress of a change: each new state is written once. With JSON output nothing is
+/// written.
 pub struct Progress {
     subject: String,
     format: OutputFormat,
@@ -43,7 +43,7 @@
 }
 
 impl Progress {
-    /// Progress of that subject, with the state that holds before the first report; that one is not written.
+    /// Creates a progress report for `subject`. The initial `state` is not written.
     pub fn new(subject: String, format: OutputFormat, state: &str) -> Progress {
         Progress {
             subject,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes a new state, and writes it if it differs from the last one.
+    /// Records a new state, and writes it if it differs from the last one.
     pub fn report(&mut self, state: String) {
         if state != self.state && !self.format.is_json() {
             eprintln!("{}: {state}", self.subject);
@@ -60,7 +60,7 @@
         self.state = state;
     }
 
-    /// The last state.
+    /// The last recorded state.
     pub fn state(&self) -> &str {
         &self.state
     }
--- a/src/cli/policy/mod.rs
+++ b/src/cli/policy/mod.rs
@@ -1,4 +1,4 @@
-//! `policy`: shows the policy of a fleet, and proposes others.
+//! `policy`: shows the policy of a fleet and proposes new ones.
 
 mod propose;
 mod show;
@@ -14,17 +14,17 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Shows and changes what all relays of the fleet serve under.
+/// Shows and changes the policy that all relays of the fleet share.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "policy")]
 pub struct PolicyCommand {
-    /// the operator file, whose [fleet] says where the voters are
+    /// the operator file, whose [fleet] section has the addresses of the voters
     #[argh(option)]
     operator: PathBuf,
     /// how long to wait for an outcome, in seconds (default 30)
     #[argh(option, default = "30")]
     wait: u64,
-    /// answers as JSON, one object
+    /// print the result as one JSON object
     #[argh(switch)]
     json: bool,
     #[argh(subcommand)]
@@ -45,14 +45,14 @@
 
 /// Runs the sub-command.
 pub fn run(command: PolicyCommand) -> Result<(), Failure> {
-    // Needs neither an operator file nor a fleet.
+    // `check` reads neither the operator file nor the fleet's state.
     if let Subcommand::Check(check) = command.subcommand {
         return check.run();
     }
     let file = OperatorFile::load(&command.operator)?;
     let Some(settings) = FleetSettings::from_operator_file(&file)? else {
-        let what = "is missing: this relay is in no fleet";
-        return Err(file.error("fleet", what).into());
+        let problem = "is missing: this relay is in no fleet";
+        return Err(file.error("fleet", problem).into());
     };
     let format = OutputFormat::from_switch(command.json);
     let mut client = OperatorClient::new(settings, Duration::from_secs(command.wait));
@@ -67,7 +67,7 @@
     }
 }
 
-/// The text of a policy's file, which this build understands.
+/// Reads the text of a policy file; an error if this build does not accept the policy.
 fn load(file: &Path) -> Result<String, Failure> {
     let text = std::fs::read_to_string(file)
         .map_err(|e| format!("{}: cannot be read: {e}", file.display()))?;
@@ -75,7 +75,7 @@
     Ok(text)
 }
 
-/// The name of a proposal, as operators see it: 32 hexadecimal digits.
+/// The name of a proposal in commands and their output: 32 hexadecimal digits.
 fn proposal_name(id: ProposalId) -> String {
     format!("{id:032x}")
 }
--- a/src/cli/policy/propose.rs
+++ b/src/cli/policy/propose.rs
@@ -1,7 +1,7 @@
-//! `policy propose|rollback|outcome`: proposes a policy, and finds out what became of a proposal.
+//! `policy propose|rollback|outcome`: proposes a policy, and shows the outcome of a proposal.
 //!
-//! A proposal has a name of its own, so that it can be proposed again after an answer was lost without taking effect
-//! twice.
+//! Each proposal has a unique name. After a lost response the same proposal can be sent again under
+//! its name without taking effect twice.
 
 use super::{load, proposal_name};
 use crate::cli::operator_client::OperatorClient;
@@ -15,26 +15,28 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Pause between two requests for an outcome: a change takes a few round trips.
+/// Pause between two requests for an outcome. It is short because a change takes only a few round
+/// trips.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Proposes a policy, and waits for what becomes of it.
+/// Proposes a policy, and waits for the outcome.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "propose")]
 pub struct Propose {
-    /// the file
+    /// the policy file
     #[argh(positional)]
     file: PathBuf,
-    /// why, in one sentence: it stands in the history
+    /// the reason, in one sentence, which the history shows
     #[argh(option)]
     why: String,
-    /// who proposes it (default: the user's name)
+    /// the author (default: the user's name)
     #[argh(option)]
     who: Option<String>,
-    /// only if this epoch is in force
+    /// propose only if this epoch is in force
     #[argh(option, default = "0")]
     base: u64,
-    /// the proposal's name, 32 hexadecimal digits, where a call is repeated
+    /// the proposal's name, 32 hexadecimal digits, to send an earlier proposal again (default: a new
+    /// name)
     #[argh(option)]
     id: Option<String>,
 }
@@ -43,19 +45,19 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollback")]
 pub struct Rollback {
-    /// its epoch
+    /// the epoch of the earlier policy
     #[argh(positional)]
     epoch: u64,
-    /// why, in one sentence
+    /// the reason, in one sentence
     #[argh(option)]
     why: String,
 }
 
-/// Says what became of a proposal.
+/// Shows the outcome of a proposal.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "outcome")]
 pub struct ShowOutcome {
-    /// its name, 32 hexadecimal digits
+    /// the name of the proposal, 32 hexadecimal digits
     #[argh(positional)]
     id: String,
 }
@@ -95,7 +97,8 @@
             })?;
         let proposal = Proposal {
             id: new_proposal_id(),
-            // The operator decided on what was in force just now: nothing later is replaced.
+            // The rollback replaces only the policy that is in force now, not one that takes effect
+            // in between.
             base_epoch: state.policy.epoch,
             text: earlier.text.clone(),
             author: user_name(),
@@ -106,21 +109,21 @@
 }
 
 impl ShowOutcome {
-    /// Shows the outcome of a proposal, or how far it is.
+    /// Shows the outcome of a proposal, or its progress.
     pub fn run(self, client: &mut OperatorClient, format: OutputFormat) -> Result<(), Failure> {
         let id = parse_proposal_name(&self.id)?;
         match client.request(&OperatorRequest::Outcome(id))? {
             OperatorResponse::Outcome(outcome) => report_outcome(id, &outcome, format),
             OperatorResponse::InProgress(step, relays) => {
                 println!(
-                    "{}: under way, {step}; waited for: {}",
+                    "{}: in progress, {step}; waiting for: {}",
                     proposal_name(id),
                     relays.join(", ")
                 );
                 Ok(())
             }
             _ => Err(format!(
-                "{}: nobody has heard of it; it may be proposed again under this name",
+                "{}: unknown to the fleet; it can be proposed again under this name",
                 proposal_name(id)
             )
             .into()),
@@ -137,11 +140,13 @@
 }
 
 fn parse_proposal_name(name: &str) -> Result<ProposalId, Failure> {
-    ProposalId::from_str_radix(name, 16)
-        .map_err(|_| format!("'{name}' is no proposal's name: 32 hexadecimal digits").into())
+    ProposalId::from_str_radix(name, 16).map_err(|_| {
+        format!("'{name}' is not a proposal's name, which has 32 hexadecimal digits").into()
+    })
 }
 
-/// Proposes until the outcome is known. Once the proposal is in the log, the same request returns its progress.
+/// Sends the proposal until its outcome is known. Once the proposal is in the log, the same request
+/// returns its progress.
 fn propose(
     client: &mut OperatorClient,
     proposal: Proposal,
@@ -149,11 +154,11 @@
 ) -> Result<(), Failure> {
     let id = proposal.id;
     let request = OperatorRequest::Propose(proposal);
-    let mut progress = Progress::new(proposal_name(id), format, "nobody has heard of it");
+    let mut progress = Progress::new(proposal_name(id), format, "not in the log yet");
     loop {
         if client.deadline_passed() {
             let state = progress.state();
-            let reason = format!("the time to wait is up, and at last {state}");
+            let reason = format!("timed out; last state: {state}");
             return Err(unknown_outcome(id, &reason));
         }
         let response = client
@@ -165,23 +170,23 @@
                 progress.report(step);
             }
             OperatorResponse::InProgress(step, relays) => {
-                progress.report(format!("{step}; waited for: {}", relays.join(", ")));
+                progress.report(format!("{step}; waiting for: {}", relays.join(", ")));
             }
-            // Not in the log yet, or lost with its leader: it is proposed again, under the same name.
+            // Not in the log yet, or lost when its leader failed: sent again under the same name.
             _ => {}
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// The proposal may still take effect: the operator has to ask.
+/// The error for a proposal that may still take effect; it tells how to ask for the outcome.
 fn unknown_outcome(id: ProposalId, reason: &impl Display) -> Failure {
     let name = proposal_name(id);
     let remedy = format!("ask with 'policy outcome {name}', or propose again with --id {name}");
-    format!("unknown whether it takes hold: {reason}; {remedy}").into()
+    format!("the outcome is unknown: {reason}; {remedy}").into()
 }
 
-/// Prints an outcome. One that leaves the policy in force unchanged is a failure of the command.
+/// Prints an outcome. The command fails unless the proposal is in force.
 fn report_outcome(
     id: ProposalId,
     outcome: &ProposalOutcome,
@@ -207,7 +212,7 @@
     }
 }
 
-/// The value of `outcome` in JSON output.
+/// The value of the field `outcome` in JSON output.
 fn outcome_code(outcome: &ProposalOutcome) -> &'static str {
     match outcome {
         ProposalOutcome::InForce(_) => "in-force",
@@ -221,7 +226,7 @@
         ProposalOutcome::InForce(epoch) => format!("in force, epoch {epoch}"),
         ProposalOutcome::Rejected(relay, reason) => format!("refused by {relay}: {reason}"),
         ProposalOutcome::TimedOut(relays) => {
-            format!("given up; no answer of {}", relays.join(", "))
+            format!("given up; no answer from {}", relays.join(", "))
         }
     }
 }
--- a/src/cli/policy/show.rs
+++ b/src/cli/policy/show.rs
@@ -1,4 +1,4 @@
-//! `policy check|diff|history|status`: commands that change nothing.
+//! `policy check|diff|history|status`: read-only commands.
 
 use super::{load, proposal_name};
 use crate::cli::operator_client::OperatorClient;
@@ -10,42 +10,39 @@
 use jaspermoor_control::wire::message::FleetStatus;
 use std::path::PathBuf;
 
-/// Checks a policy's file as this build does, without asking anybody.
+/// Checks a policy file with the rules of this build, without contacting the fleet.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
-    /// the file
+    /// the policy file
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// Shows what a file would change in the policy in force.
+/// Shows the differences between the policy in force and a policy file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub struct Diff {
-    /// the file
+    /// the policy file
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// Shows the policy in force, the change under way, and the relays.
+/// Shows the policy in force, the proposal in progress, and the relays.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct ShowStatus {}
 
-/// Lists the policies that were in force.
+/// Lists earlier policies and the one in force.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 pub struct ShowHistory {}
 
 impl Check {
-    /// Checks the file; no voter is asked.
+    /// Checks the file without contacting a voter.
     pub fn run(self) -> Result<(), Failure> {
         load(&self.file)?;
-        println!(
-            "{}: a policy that this build understands",
-            self.file.display()
-        );
+        println!("{}: a valid policy for this build", self.file.display());
         Ok(())
     }
 }
@@ -71,7 +68,7 @@
     Ok(())
 }
 
-/// Shows the policy in force, the proposal under way, the leader and the relays.
+/// Shows the policy in force, the proposal in progress, the leader and the relays.
 pub fn status(client: &mut OperatorClient, format: OutputFormat) -> Result<(), Failure> {
     let status = client.status()?;
     if format.is_json() {
@@ -101,14 +98,14 @@
 fn print_status_text(status: &FleetStatus) {
     println!("{}", policy_line(&status.state.policy));
     match &status.state.phase {
-        ProposalPhase::Idle => println!("no change under way"),
+        ProposalPhase::Idle => println!("no change in progress"),
         ProposalPhase::Preparing(proposal) => println!(
-            "under way: {} by {}: each relay checks and stores it",
+            "in progress: {} by {}: each relay checks and stores it",
             proposal_name(proposal.id),
             proposal.author
         ),
         ProposalPhase::Sealed(proposal) => println!(
-            "under way: {} by {}: waits until no lease runs",
+            "in progress: {} by {}: waits until no lease is valid",
             proposal_name(proposal.id),
             proposal.author
         ),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,11 @@
-//! jaspermoor, a relay for long-lived connections, and the decisions that it serves by.
+//! jaspermoor, a relay for long-lived connections.
 //!
-//! A proxy reports what it sees to a [`Balancer`] ([`decisions::api::Event`]) and carries out what
-//! the balancer asks for ([`decisions::api::Action`]). The balancer does no I/O and reads no clock:
-//! time comes in with each event, and randomness only from the seed it was made with.
+//! The decisions (which endpoint a request goes to, when a connection migrates, which requests are
+//! rejected) are made by a [`Balancer`], which can be used without the rest of the relay.
+//!
+//! A proxy passes events to the balancer ([`decisions::api::Event`]) and carries out the actions
+//! that it returns ([`decisions::api::Action`]). The balancer does no I/O and reads no clock: each
+//! event brings the time, and the seed of its constructor is the only source of randomness.
 //!
 //! ```
 //! use jaspermoor::decisions::api::{
@@ -51,7 +54,7 @@
 
 pub use decisions::{Balancer, Parameters};
 
-/// Compiles the example of the README.
+/// Compiles and runs the README's example as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,7 @@
 enum Command {
     Serve(serve::Serve),
     Check(check::Check),
-    Cells(cells::CellsOf),
+    Cells(cells::CellsCommand),
     Fleet(fleet::FleetCommand),
     Policy(policy::PolicyCommand),
     Version(Version),
@@ -32,10 +32,10 @@
 fn main() -> ExitCode {
     let result = match argh::from_env::<Arguments>().command {
         Command::Serve(serve) => serve::run(serve),
-        Command::Cells(asked) => cells::run(asked),
+        Command::Cells(command) => cells::run(command),
         Command::Check(check) => check::run(check),
-        Command::Fleet(asked) => fleet::run(asked),
-        Command::Policy(asked) => policy::run(asked),
+        Command::Fleet(command) => fleet::run(command),
+        Command::Policy(command) => policy::run(command),
         Command::Version(_) => {
             println!("jaspermoor {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -44,7 +44,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            // Also where no log has been started.
+            // Written to standard error directly: most sub-commands start no log.
             eprintln!("jaspermoor: {e}");
             ExitCode::FAILURE
         }
