--- a/src/bin/jaspermoor-simhost.rs
+++ b/src/bin/jaspermoor-simhost.rs
@@ -1,5 +1,6 @@
-//! Hosts many instances of the decision module on the bench's wire: batches come in on standard
-//! input, one reply each goes out on standard output. The instances share nothing.
+//! Hosts many independent instances of the decision module for a simulator: reads batches in the
+//! simulator's binary protocol from standard input and writes one reply per batch to standard
+//! output.
 
 use jaspermoor::decisions::api::{Action, Event};
 use jaspermoor::wire::{self, Record, Reply, WireError};
@@ -9,7 +10,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
 
-/// The instances by number.
+/// The instances of the decision module, by number.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Balancer>,
@@ -17,10 +18,10 @@
 }
 
 impl Host {
-    fn batch(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
+    fn handle_batch(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
         let batch = wire::decode(frame)?;
         for code in &batch.skipped {
-            eprintln!("skipped a record of unknown code {code}");
+            eprintln!("skipped a record with unknown code {code}");
         }
         let mut reply = Reply::new();
         for (id, record) in batch.records {
@@ -31,7 +32,7 @@
                     }
                     Err(e) => {
                         self.instances.remove(&id);
-                        reply.instance_failed(id, &e.to_string());
+                        reply.add_failure(id, &e.to_string());
                     }
                 },
                 Record::Crash => {
@@ -39,13 +40,13 @@
                         eprintln!("ignored the end of unknown instance {id}");
                     }
                 }
-                Record::Event(event) => self.event(id, batch.now, event, &mut reply),
+                Record::Event(event) => self.handle_event(id, batch.now, event, &mut reply),
             }
         }
         Ok(reply.finish(batch.number))
     }
 
-    fn event(&mut self, id: u32, now: u64, event: Event, reply: &mut Reply) {
+    fn handle_event(&mut self, id: u32, now: u64, event: Event, reply: &mut Reply) {
         let Some(balancer) = self.instances.get_mut(&id) else {
             eprintln!("ignored an event for unknown instance {id}");
             return;
@@ -53,37 +54,40 @@
         self.actions.clear();
         let actions = &mut self.actions;
         match catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions))) {
-            Ok(handled) => {
+            Ok(result) => {
                 for action in &self.actions {
-                    reply.action(id, action);
+                    reply.add_action(id, action);
                 }
-                if let Err(unknown) = handled {
+                if let Err(unknown) = result {
                     eprintln!("ignored an event for instance {id}: {unknown}");
                 }
             }
             Err(panic) => {
-                let text = panic.downcast_ref::<String>().map(String::as_str);
-                let text = text
+                let message = panic.downcast_ref::<String>().map(String::as_str);
+                let message = message
                     .or(panic.downcast_ref::<&str>().copied())
-                    .unwrap_or("no text");
+                    .unwrap_or("no message");
                 self.instances.remove(&id);
-                reply.instance_failed(id, &format!("the decision module panicked: {text}"));
+                reply.add_failure(id, &format!("the decision module panicked: {message}"));
             }
         }
     }
 }
 
-/// Fills the buffer; `Ok(false)` if the input had ended before its first byte.
-fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<bool> {
-    let mut got = 0;
-    while got < buffer.len() {
-        match input.read(&mut buffer[got..]) {
-            Ok(0) if got == 0 => return Ok(false),
+/// Fills the buffer; `Ok(false)` if the input ends before the first byte.
+fn fill_buffer(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<bool> {
+    let mut filled = 0;
+    while filled < buffer.len() {
+        match input.read(&mut buffer[filled..]) {
+            Ok(0) if filled == 0 => return Ok(false),
             Ok(0) => {
-                let what = format!("the input ends {got} bytes into a part of {}", buffer.len());
-                return Err(io::Error::new(io::ErrorKind::UnexpectedEof, what));
+                let message = format!(
+                    "malformed frame: the input ends after {filled} of the first {} bytes",
+                    buffer.len()
+                );
+                return Err(io::Error::new(io::ErrorKind::UnexpectedEof, message));
             }
-            Ok(n) => got += n,
+            Ok(n) => filled += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
@@ -98,28 +102,32 @@
     let mut frame = Vec::new();
     loop {
         let mut prefix = [0; wire::PREFIX_BYTES];
-        if !fill(&mut input, &mut prefix)? {
+        if !fill_buffer(&mut input, &mut prefix)? {
             return Ok(());
         }
-        let rest = wire::remaining_frame_bytes(&prefix)?;
+        let remaining = wire::remaining_frame_bytes(&prefix)?;
         frame.clear();
         frame.extend_from_slice(&prefix);
-        // Grows with what arrives, never with what a header claims.
-        let got = input.by_ref().take(rest as u64).read_to_end(&mut frame)?;
-        if got < rest {
+        // The buffer grows with the bytes that arrive: the length in a malformed header must not
+        // allocate memory.
+        let received = input
+            .by_ref()
+            .take(remaining as u64)
+            .read_to_end(&mut frame)?;
+        if received < remaining {
             return Err(format!(
-                "malformed frame at byte {}: the input ends, {rest} expected",
-                got + 8
+                "malformed frame at byte {}: the input ends, {remaining} bytes expected after the prefix",
+                received + wire::PREFIX_BYTES
             )
             .into());
         }
-        output.write_all(&host.batch(&frame)?)?;
+        output.write_all(&host.handle_batch(&frame)?)?;
         output.flush()?;
     }
 }
 
 fn main() -> ExitCode {
-    // The text of a panic goes out as the instance's own report.
+    // A panic is also reported in the reply, for its instance. Standard error gets one line for it.
     std::panic::set_hook(Box::new(|info| {
         eprintln!("{}", info.to_string().replace('\n', ": "))
     }));
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,5 +1,8 @@
-//! Codec of the bench's wire: frames, records, the JSON settings, and the translation of both to
-//! and from [`crate::decisions::api`]. It decides nothing.
+//! Codec of a simulator's binary protocol: frames, records and JSON settings, and their translation
+//! to and from [`crate::decisions::api`]. It makes no decisions.
+//!
+//! `jaspermoor-simhost` speaks this protocol. The relay's configuration uses the same JSON
+//! settings.
 
 use crate::decisions::api::{
     Action, Class, DeduplicationScope, EndpointId, EndpointListKind, EndpointState,
@@ -11,16 +14,16 @@
 use simd_json::OwnedValue as Value;
 use std::fmt;
 
-/// Bytes of a batch before the length field has been read to its end.
+/// Size of the first part of a batch: the record count and the length field.
 pub const PREFIX_BYTES: usize = 8;
-/// Bytes of a batch header that its length field counts.
-const HEADER_REST: usize = 12;
-/// Bytes of one entry of a list of servers.
-const ENTRY: usize = 25;
-/// The largest batch that is taken: a length beyond this is damage, not data.
+/// Bytes of the batch header after the length field, which counts them too.
+const REMAINING_HEADER_BYTES: usize = 12;
+/// Bytes of one entry of an endpoint list.
+const ENDPOINT_ENTRY_BYTES: usize = 25;
+/// Limit of a batch's length field: a greater value means that the frame is corrupt.
 pub const MAX_FRAME_BYTES: usize = 1 << 30;
 
-/// What is wrong with a frame, and where.
+/// A malformed frame: the problem and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError {
     /// Byte offset in the frame.
@@ -48,7 +51,7 @@
     })
 }
 
-/// A cursor over big-endian bytes that never reads past its end.
+/// A cursor over big-endian fields that never reads past its end.
 struct Reader<'a> {
     bytes: &'a [u8],
     at: usize,
@@ -56,66 +59,66 @@
 }
 
 impl<'a> Reader<'a> {
-    fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], WireError> {
+    fn take(&mut self, n: usize, field: &str) -> Result<&'a [u8], WireError> {
         match self.at.checked_add(n) {
             Some(end) if end <= self.end => {
                 let part = &self.bytes[self.at..end];
                 self.at = end;
                 Ok(part)
             }
-            _ => malformed(self.at, format!("too short for {what}")),
+            _ => malformed(self.at, format!("too short for {field}")),
         }
     }
 
-    fn array<const N: usize>(&mut self, what: &str) -> Result<[u8; N], WireError> {
-        let mut a = [0; N];
-        a.copy_from_slice(self.take(N, what)?);
-        Ok(a)
+    fn array<const N: usize>(&mut self, field: &str) -> Result<[u8; N], WireError> {
+        let mut array = [0; N];
+        array.copy_from_slice(self.take(N, field)?);
+        Ok(array)
     }
 
-    fn u8(&mut self, what: &str) -> Result<u8, WireError> {
-        Ok(self.array::<1>(what)?[0])
+    fn u8(&mut self, field: &str) -> Result<u8, WireError> {
+        Ok(self.array::<1>(field)?[0])
     }
 
-    fn u16(&mut self, what: &str) -> Result<u16, WireError> {
-        Ok(u16::from_be_bytes(self.array(what)?))
+    fn u16(&mut self, field: &str) -> Result<u16, WireError> {
+        Ok(u16::from_be_bytes(self.array(field)?))
     }
 
-    fn u32(&mut self, what: &str) -> Result<u32, WireError> {
-        Ok(u32::from_be_bytes(self.array(what)?))
+    fn u32(&mut self, field: &str) -> Result<u32, WireError> {
+        Ok(u32::from_be_bytes(self.array(field)?))
     }
 
-    fn u64(&mut self, what: &str) -> Result<u64, WireError> {
-        Ok(u64::from_be_bytes(self.array(what)?))
+    fn u64(&mut self, field: &str) -> Result<u64, WireError> {
+        Ok(u64::from_be_bytes(self.array(field)?))
     }
 
-    fn f32(&mut self, what: &str) -> Result<f32, WireError> {
-        Ok(f32::from_be_bytes(self.array(what)?))
+    fn f32(&mut self, field: &str) -> Result<f32, WireError> {
+        Ok(f32::from_be_bytes(self.array(field)?))
     }
 
-    fn time(&mut self, what: &str) -> Result<Micros, WireError> {
+    fn time(&mut self, field: &str) -> Result<Micros, WireError> {
         let at = self.at;
-        let ms = f64::from_be_bytes(self.array(what)?);
-        micros_from_millis(ms).ok_or(WireError {
+        let millis = f64::from_be_bytes(self.array(field)?);
+        micros_from_millis(millis).ok_or(WireError {
             offset: at,
-            problem: format!("{what} is not a time"),
+            problem: format!("{field} is not a time"),
         })
     }
 
-    fn server(&mut self) -> Result<EndpointId, WireError> {
-        let a: [u8; 6] = self.array("server")?;
+    fn endpoint(&mut self) -> Result<EndpointId, WireError> {
+        let bytes: [u8; 6] = self.array("server")?;
         Ok(EndpointId(
-            a.iter().fold(0, |id, &b| id << 8 | u64::from(b)),
+            bytes.iter().fold(0, |id, &byte| id << 8 | u64::from(byte)),
         ))
     }
 
-    /// A count that what is left of the record can hold, at `width` bytes an item.
-    fn count(&mut self, n: usize, width: usize, what: &str) -> Result<usize, WireError> {
-        match n.checked_mul(width) {
+    /// Checks that `n` items of `item_bytes` bytes each fit in the rest of the record; returns `n`.
+    fn count(&mut self, n: usize, item_bytes: usize, field: &str) -> Result<usize, WireError> {
+        match n.checked_mul(item_bytes) {
             Some(bytes) if bytes <= self.end - self.at => Ok(n),
             _ => malformed(
                 self.at,
-                format!("{what} counts {n} items, more than the record holds"),
+                format!("{field} counts {n} items, more than the record holds"),
             ),
         }
     }
@@ -127,50 +130,51 @@
     }
 }
 
-/// Milliseconds as whole microseconds. Rounds down, so that no deadline is taken for later than it
-/// is; the small addend undoes what binary fractions lose.
-pub fn micros_from_millis(ms: f64) -> Option<Micros> {
-    if !ms.is_finite() || !(0.0..=1e15).contains(&ms) {
+/// Converts milliseconds to whole microseconds; `None` if the value is negative, not finite or more
+/// than 1e15. Rounds down, so that no deadline becomes later; the addend of 0.01 µs compensates for
+/// the rounding error of binary fractions.
+pub fn micros_from_millis(millis: f64) -> Option<Micros> {
+    if !millis.is_finite() || !(0.0..=1e15).contains(&millis) {
         return None;
     }
-    Some((ms * 1000.0 + 0.01).floor() as Micros)
+    Some((millis * 1000.0 + 0.01).floor() as Micros)
 }
 
-/// Whole microseconds as milliseconds.
-pub fn millis_from_micros(t: Micros) -> f64 {
-    t as f64 / 1000.0
+/// Converts microseconds to milliseconds.
+pub fn millis_from_micros(micros: Micros) -> f64 {
+    micros as f64 / 1000.0
 }
 
-/// What a record asks of the host or tells an instance.
+/// A record of a batch: a command to the host, or an event for an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// Start an instance.
+    /// Starts an instance.
     Create {
-        /// Seed of its random numbers.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings, as JSON text.
+        /// Settings of the instance, as JSON text.
         settings: Vec<u8>,
     },
-    /// The instance was killed.
+    /// Ends an instance that the simulator has killed.
     Crash,
     /// An event for the instance.
     Event(Event),
 }
 
-/// A batch of records, each with its instance.
+/// A batch of records, each with the number of its instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
-    /// The time of all its events.
+    /// Time of all events of the batch.
     pub now: Micros,
-    /// Its number, to be returned in the reply.
+    /// Number of the batch, which the reply repeats.
     pub number: u32,
-    /// Its records in order.
+    /// The records in order, each with the number of its instance.
     pub records: Vec<(u32, Record)>,
-    /// Codes of records that were passed over because nothing here knows them.
+    /// Codes of the records that were skipped because they are unknown.
     pub skipped: Vec<u16>,
 }
 
-/// The bytes that follow the first [`PREFIX_BYTES`] ones of a batch.
+/// The number of bytes that follow the first [`PREFIX_BYTES`] of a batch.
 pub fn remaining_frame_bytes(prefix: &[u8; PREFIX_BYTES]) -> Result<usize, WireError> {
     let mut r = Reader {
         bytes: prefix,
@@ -178,17 +182,23 @@
         end: PREFIX_BYTES,
     };
     r.u32("record count")?;
-    let rest = r.u32("length")? as usize;
-    if rest < HEADER_REST {
-        return malformed(4, format!("length {rest} is less than a header"));
+    let remaining = r.u32("length")? as usize;
+    if remaining < REMAINING_HEADER_BYTES {
+        return malformed(
+            4,
+            format!("length {remaining} is too short for a batch header"),
+        );
     }
-    if rest > MAX_FRAME_BYTES {
-        return malformed(4, format!("length {rest} is more than {MAX_FRAME_BYTES}"));
+    if remaining > MAX_FRAME_BYTES {
+        return malformed(
+            4,
+            format!("length {remaining} is more than {MAX_FRAME_BYTES}"),
+        );
     }
-    Ok(rest)
+    Ok(remaining)
 }
 
-/// Reads one whole batch.
+/// Decodes one whole batch.
 pub fn decode(frame: &[u8]) -> Result<Batch, WireError> {
     let mut r = Reader {
         bytes: frame,
@@ -196,11 +206,14 @@
         end: frame.len(),
     };
     let count = r.u32("record count")? as usize;
-    let rest = r.u32("length")? as usize;
-    if rest != frame.len() - r.at {
+    let length = r.u32("length")? as usize;
+    if length != frame.len() - r.at {
         return malformed(
             4,
-            format!("length {rest} where {} bytes follow", frame.len() - r.at),
+            format!(
+                "length is {length}, but {} bytes follow",
+                frame.len() - r.at
+            ),
         );
     }
     let now = r.time("clock")?;
@@ -222,8 +235,8 @@
             at,
             end: at + size,
         };
-        match record(code, &mut body)? {
-            Some(found) => batch.records.push(found),
+        match decode_record(code, &mut body)? {
+            Some(record) => batch.records.push(record),
             None => batch.skipped.push(code),
         }
     }
@@ -236,7 +249,8 @@
     Ok(batch)
 }
 
-fn record(code: u16, r: &mut Reader<'_>) -> Result<Option<(u32, Record)>, WireError> {
+/// Decodes the body of one record; `None` if the code or its topic is unknown.
+fn decode_record(code: u16, r: &mut Reader<'_>) -> Result<Option<(u32, Record)>, WireError> {
     if !matches!(
         code,
         1000 | 1010 | 1020 | 1030 | 1040 | 1050 | 1060 | 1070 | 1080 | 1090 | 1100 | 1110
@@ -253,55 +267,55 @@
             return Ok(Some((instance, Record::Create { seed, settings })));
         }
         1090 => return Ok(Some((instance, Record::Crash))),
-        1010 => members(r)?,
+        1010 => decode_endpoint_list(r)?,
         1020 => {
-            let mut q = Request {
+            let mut request = Request {
                 id: RequestId(r.u32("ref")?),
                 ..Request::default()
             };
-            q.class = usize::from(r.u8("profile")?);
-            q.tenant = r.u32("team")?;
-            q.client_key = r.u64("affinity")?;
-            q.time_left = r.time("budget")?;
+            request.class = usize::from(r.u8("profile")?);
+            request.tenant = r.u32("team")?;
+            request.client_key = r.u64("affinity")?;
+            request.time_left = r.time("budget")?;
             r.take(8, "estimate")?;
-            q.group = r.u64("channel")?;
-            flags(&mut q, r.u8("opts")?);
-            Event::Request(q)
+            request.group = r.u64("channel")?;
+            set_flags(&mut request, r.u8("opts")?);
+            Event::Request(request)
         }
         1030 => {
             let id = RequestId(r.u32("ref")?);
-            let took = r.time("took")?;
-            let server = r.server()?;
+            let elapsed = r.time("took")?;
+            let endpoint = r.endpoint()?;
             r.u16("attempt")?;
             Event::Connected {
                 id,
-                endpoint: server,
-                elapsed: took,
+                endpoint,
+                elapsed,
             }
         }
         1040 => {
             let id = RequestId(r.u32("ref")?);
-            let outcome = outcome(r)?;
-            let server = r.server()?;
+            let outcome = decode_outcome(r)?;
+            let endpoint = r.endpoint()?;
             r.u16("attempt")?;
-            let last = r.u8("last")? != 0;
+            let request_finished = r.u8("last")? != 0;
             r.time("took")?;
             Event::AttemptEnded {
                 id,
-                endpoint: server,
+                endpoint,
                 outcome,
-                request_finished: last,
+                request_finished,
                 report: r.report()?,
             }
         }
         1050 => Event::ClientDisconnected(RequestId(r.u32("ref")?)),
         1060 => Event::Timer(r.u64("nonce")?),
         1070 => {
-            let server = r.server()?;
-            let outcome = outcome(r)?;
+            let endpoint = r.endpoint()?;
+            let outcome = decode_outcome(r)?;
             r.time("took")?;
             Event::HealthCheck {
-                endpoint: server,
+                endpoint,
                 outcome,
                 report: r.report()?,
             }
@@ -316,38 +330,35 @@
             }
         }
         1100 => {
-            let mut q = Request {
+            let mut request = Request {
                 id: RequestId(r.u32("ref")?),
                 ..Request::default()
             };
             r.take(8, "estimate")?;
-            q.tenant = r.u32("team")?;
-            q.time_left = r.time("budget")?;
-            q.class = usize::from(r.u8("profile")?);
-            q.client_key = r.u64("affinity")?;
-            q.group = r.u64("channel")?;
-            let server = r.server()?;
-            flags(&mut q, r.u8("opts")?);
-            Event::Adopted {
-                request: q,
-                endpoint: server,
-            }
+            request.tenant = r.u32("team")?;
+            request.time_left = r.time("budget")?;
+            request.class = usize::from(r.u8("profile")?);
+            request.client_key = r.u64("affinity")?;
+            request.group = r.u64("channel")?;
+            let endpoint = r.endpoint()?;
+            set_flags(&mut request, r.u8("opts")?);
+            Event::Adopted { request, endpoint }
         }
         _ => {
             let id = RequestId(r.u32("ref")?);
             let x = r.f32("x")?;
             r.u16("attempt")?;
             let topic = r.u8("topic")?;
-            let server = r.server()?;
+            let endpoint = r.endpoint()?;
             match topic {
                 1 => Event::LoadSample {
                     id,
-                    endpoint: server,
+                    endpoint,
                     load: x,
                 },
                 2 => Event::DelaySample {
                     id,
-                    endpoint: server,
+                    endpoint,
                     delay: micros_from_millis(f64::from(x)).unwrap_or(0),
                 },
                 _ => return Ok(None),
@@ -357,12 +368,12 @@
     Ok(Some((instance, Record::Event(event))))
 }
 
-fn flags(q: &mut Request, bits: u8) {
-    q.returning = bits & (2 | 16) != 0;
-    q.established = bits & 8 != 0;
+fn set_flags(request: &mut Request, bits: u8) {
+    request.returning = bits & (2 | 16) != 0;
+    request.established = bits & 8 != 0;
 }
 
-fn outcome(r: &mut Reader<'_>) -> Result<Outcome, WireError> {
+fn decode_outcome(r: &mut Reader<'_>) -> Result<Outcome, WireError> {
     let at = r.at;
     Ok(match r.u8("reason")? {
         0 => Outcome::Success,
@@ -373,11 +384,11 @@
         10 => Outcome::Reset,
         1 => Outcome::Cancelled,
         9 => Outcome::NotAttempted,
-        n => return malformed(at, format!("no outcome has the code {n}")),
+        n => return malformed(at, format!("unknown outcome code {n}")),
     })
 }
 
-fn members(r: &mut Reader<'_>) -> Result<Event, WireError> {
+fn decode_endpoint_list(r: &mut Reader<'_>) -> Result<Event, WireError> {
     r.u64("version")?;
     let at = r.at;
     let kind = match r.u8("kind")? {
@@ -385,13 +396,13 @@
         1 => EndpointListKind::Full,
         2 => EndpointListKind::Cached,
         3 => EndpointListKind::WatchFailed,
-        n => return malformed(at, format!("no list has the kind {n}")),
+        n => return malformed(at, format!("unknown list kind {n}")),
     };
     let n = r.u32("members_list count")? as usize;
-    let n = r.count(n, ENTRY, "members_list")?;
-    let mut members = Vec::with_capacity(n);
+    let n = r.count(n, ENDPOINT_ENTRY_BYTES, "members_list")?;
+    let mut endpoints = Vec::with_capacity(n);
     for _ in 0..n {
-        let server = r.server()?;
+        let id = r.endpoint()?;
         let zone = r.u16("locality")?;
         r.u16("model")?;
         let cell = r.u16("cell")?;
@@ -400,30 +411,27 @@
             0 => EndpointState::Removed,
             1 => EndpointState::Ready,
             2 => EndpointState::Draining,
-            n => return malformed(at, format!("no server has the state {n}")),
+            n => return malformed(at, format!("unknown server state {n}")),
         };
         let size = r.f32("size")?;
-        let started = r.time("started_at")?;
-        let started = (started > 0).then_some(started);
-        members.push(ListedEndpoint {
-            id: server,
+        let started_at = r.time("started_at")?;
+        let started_at = (started_at > 0).then_some(started_at);
+        endpoints.push(ListedEndpoint {
+            id,
             zone,
             cell,
             state,
             size,
-            started_at: started,
+            started_at,
         });
     }
-    Ok(Event::EndpointList {
-        kind,
-        endpoints: members,
-    })
+    Ok(Event::EndpointList { kind, endpoints })
 }
 
-/// A reply as it is put together.
+/// Builder of the reply to a batch.
 #[derive(Debug, Default)]
 pub struct Reply {
-    records: u32,
+    record_count: u32,
     body: Vec<u8>,
 }
 
@@ -433,9 +441,9 @@
         Reply::default()
     }
 
-    fn record(&mut self, instance: u32, code: u16, fields: &[&[u8]]) {
+    fn add_record(&mut self, instance: u32, code: u16, fields: &[&[u8]]) {
         let size = 4 + fields.iter().map(|f| f.len()).sum::<usize>();
-        self.records += 1;
+        self.record_count += 1;
         self.body.extend_from_slice(&code.to_be_bytes());
         self.body.extend_from_slice(&(size as u32).to_be_bytes());
         self.body.extend_from_slice(&instance.to_be_bytes());
@@ -444,61 +452,64 @@
         }
     }
 
-    fn text(&mut self, instance: u32, code: u16, text: &str) {
+    /// Adds a record with a text, which is cut off after `u16::MAX` bytes.
+    fn add_text(&mut self, instance: u32, code: u16, text: &str) {
         let text = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
-        self.record(instance, code, &[&(text.len() as u16).to_be_bytes(), text]);
+        self.add_record(instance, code, &[&(text.len() as u16).to_be_bytes(), text]);
     }
 
-    /// Declares that an instance's decision code has failed.
-    pub fn instance_failed(&mut self, instance: u32, why: &str) {
-        self.text(instance, 1010, why);
+    /// Adds the failure of an instance: invalid settings, or a panic of its decision module.
+    pub fn add_failure(&mut self, instance: u32, reason: &str) {
+        self.add_text(instance, 1010, reason);
     }
 
     /// Adds an action of an instance.
-    pub fn action(&mut self, instance: u32, action: &Action) {
-        let time = |t: Micros| millis_from_micros(t).to_be_bytes();
+    pub fn add_action(&mut self, instance: u32, action: &Action) {
+        let time = |micros: Micros| millis_from_micros(micros).to_be_bytes();
         let id = |id: RequestId| id.0.to_be_bytes();
-        let address = |s: EndpointId| -> [u8; 6] {
-            let b = s.0.to_be_bytes();
-            [b[2], b[3], b[4], b[5], b[6], b[7]]
+        let endpoint_id = |endpoint: EndpointId| -> [u8; 6] {
+            let bytes = endpoint.0.to_be_bytes();
+            [bytes[2], bytes[3], bytes[4], bytes[5], bytes[6], bytes[7]]
         };
         match action {
             Action::Attempt {
                 id: request,
-                endpoint: server,
-                give_up_at: until,
+                endpoint,
+                give_up_at,
             } => {
-                self.record(
+                self.add_record(
                     instance,
                     1000,
-                    &[&id(*request), &address(*server), &time(*until)],
+                    &[&id(*request), &endpoint_id(*endpoint), &time(*give_up_at)],
                 );
             }
             Action::CancelAttempt {
                 id: request,
                 attempt,
             } => {
-                self.record(instance, 1040, &[&id(*request), &attempt.to_be_bytes()]);
+                self.add_record(instance, 1040, &[&id(*request), &attempt.to_be_bytes()]);
             }
             Action::Reject {
                 id: request,
-                retry_after: wait,
-            } => self.record(instance, 1070, &[&id(*request), &time(*wait)]),
-            Action::Fail(request) => self.record(instance, 1110, &[&id(*request)]),
-            Action::Migrate(request) => self.record(instance, 1020, &[&id(*request)]),
+                retry_after,
+            } => self.add_record(instance, 1070, &[&id(*request), &time(*retry_after)]),
+            Action::Fail(request) => self.add_record(instance, 1110, &[&id(*request)]),
+            Action::Migrate(request) => self.add_record(instance, 1020, &[&id(*request)]),
             Action::SetTimer { at, token } => {
-                self.record(instance, 1030, &[&time(*at), &token.to_be_bytes()])
+                self.add_record(instance, 1030, &[&time(*at), &token.to_be_bytes()])
             }
-            Action::CheckHealth(server) => self.record(instance, 1050, &[&address(*server)]),
-            Action::WatchEndpointList(on) => self.record(instance, 1060, &[&[u8::from(*on)]]),
-            Action::Log(line) => self.text(instance, 1090, line),
+            Action::CheckHealth(endpoint) => {
+                self.add_record(instance, 1050, &[&endpoint_id(*endpoint)])
+            }
+            Action::WatchEndpointList(on) => self.add_record(instance, 1060, &[&[u8::from(*on)]]),
+            Action::Log(line) => self.add_text(instance, 1090, line),
         }
     }
 
-    /// The whole frame that answers the batch of that number.
+    /// The complete frame that replies to the batch with that number.
     pub fn finish(self, number: u32) -> Vec<u8> {
         let mut frame = Vec::with_capacity(self.body.len() + 12);
-        frame.extend_from_slice(&self.records.to_be_bytes());
+        frame.extend_from_slice(&self.record_count.to_be_bytes());
         frame.extend_from_slice(&((self.body.len() + 4) as u32).to_be_bytes());
         frame.extend_from_slice(&number.to_be_bytes());
         frame.extend_from_slice(&self.body);
@@ -506,7 +517,7 @@
     }
 }
 
-/// A setting that cannot be used.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     /// Path of the setting; empty if the error is about the settings as a whole.
@@ -516,7 +527,7 @@
 }
 
 impl fmt::Display for SettingsError {
-    /// One plain sentence that names the key.
+    /// Formats a full sentence that names the key.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.key.as_str() {
             "" => write!(f, "The settings {}.", self.problem),
@@ -527,14 +538,14 @@
 
 impl std::error::Error for SettingsError {}
 
-/// An object of the settings together with the path that leads to it.
+/// An object of the settings, with its path.
 struct Section<'a> {
     path: String,
     map: &'a Object,
 }
 
 impl<'a> Section<'a> {
-    fn of(value: &'a Value, path: &str) -> Result<Self, SettingsError> {
+    fn from_value(value: &'a Value, path: &str) -> Result<Self, SettingsError> {
         match value.as_object() {
             Some(map) => Ok(Section {
                 path: path.to_string(),
@@ -547,7 +558,7 @@
         }
     }
 
-    fn name(&self, key: &str) -> String {
+    fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_string()
         } else {
@@ -557,7 +568,7 @@
 
     fn invalid<T>(&self, key: &str, problem: &str) -> Result<T, SettingsError> {
         Err(SettingsError {
-            key: self.name(key),
+            key: self.path_of(key),
             problem: problem.to_string(),
         })
     }
@@ -570,7 +581,7 @@
     }
 
     fn section(&self, key: &str) -> Result<Section<'a>, SettingsError> {
-        Section::of(self.get(key)?, &self.name(key))
+        Section::from_value(self.get(key)?, &self.path_of(key))
     }
 
     fn list(&self, key: &str) -> Result<&'a [Value], SettingsError> {
@@ -580,24 +591,24 @@
         }
     }
 
-    fn number(&self, key: &str, least: f64, most: f64) -> Result<f64, SettingsError> {
+    fn number(&self, key: &str, min: f64, max: f64) -> Result<f64, SettingsError> {
         match self.get(key)?.cast_f64() {
-            Some(n) if n >= least && n <= most => Ok(n),
-            Some(n) => self.invalid(key, &format!("is {n}, outside {least} to {most}")),
+            Some(n) if n >= min && n <= max => Ok(n),
+            Some(n) => self.invalid(key, &format!("is {n}, outside {min} to {max}")),
             None => self.invalid(key, "is not a number"),
         }
     }
 
-    fn whole(&self, key: &str, least: u64, most: u64) -> Result<u64, SettingsError> {
+    fn integer(&self, key: &str, min: u64, max: u64) -> Result<u64, SettingsError> {
         match self.get(key)?.as_u64() {
-            Some(n) if (least..=most).contains(&n) => Ok(n),
-            Some(n) => self.invalid(key, &format!("is {n}, outside {least} to {most}")),
+            Some(n) if (min..=max).contains(&n) => Ok(n),
+            Some(n) => self.invalid(key, &format!("is {n}, outside {min} to {max}")),
             None => self.invalid(key, "is not a whole number"),
         }
     }
 
-    fn time(&self, key: &str, least: f64) -> Result<Micros, SettingsError> {
-        Ok(micros_from_millis(self.number(key, least, 1e12)?).unwrap_or(0))
+    fn time(&self, key: &str, min_ms: f64) -> Result<Micros, SettingsError> {
+        Ok(micros_from_millis(self.number(key, min_ms, 1e12)?).unwrap_or(0))
     }
 
     fn flag(&self, key: &str) -> Result<bool, SettingsError> {
@@ -607,15 +618,15 @@
         }
     }
 
-    fn word(&self, key: &str) -> Result<&'a str, SettingsError> {
+    fn string(&self, key: &str) -> Result<&'a str, SettingsError> {
         match self.get(key)?.as_str() {
-            Some(word) => Ok(word),
-            None => self.invalid(key, "is not a word"),
+            Some(string) => Ok(string),
+            None => self.invalid(key, "is not a string"),
         }
     }
 }
 
-/// Reads the text of an instance's settings.
+/// Parses the JSON text of an instance's settings.
 pub fn parse_settings(text: &[u8]) -> Result<Settings, SettingsError> {
     let value = simd_json::to_owned_value(&mut text.to_vec()).map_err(|e| SettingsError {
         key: String::new(),
@@ -624,9 +635,9 @@
     settings_from_value(&value)
 }
 
-/// Reads the settings object. Keys that the module has no use for are ignored.
+/// Reads the settings object. Keys that the decision module does not use are ignored.
 pub fn settings_from_value(value: &Value) -> Result<Settings, SettingsError> {
-    let top = Section::of(value, "profile_data")?;
+    let top = Section::from_value(value, "profile_data")?;
     let top = Section {
         path: String::new(),
         ..top
@@ -637,73 +648,77 @@
     let family = top
         .map
         .get("family_info")
-        .map(|v| Section::of(v, "family_info"))
+        .map(|value| Section::from_value(value, "family_info"))
         .transpose()?;
-    let has = |key: &str| family.as_ref().filter(|f| f.map.contains_key(key));
+    let family_with = |key: &str| {
+        family
+            .as_ref()
+            .filter(|family| family.map.contains_key(key))
+    };
 
-    let balancers = top.whole("peers_total", 1, 1 << 20)? as u32;
-    let number = top.whole("me", 0, u64::from(balancers) - 1)? as u32;
-    let zones = top.list("zones")?.len().max(1) as u64;
-    let passes_through = match has("mode") {
-        Some(f) => match f.word("mode")? {
+    let balancer_count = top.integer("peers_total", 1, 1 << 20)? as u32;
+    let balancer_index = top.integer("me", 0, u64::from(balancer_count) - 1)? as u32;
+    let zone_count = top.list("zones")?.len().max(1) as u64;
+    let forwards_packets = match family_with("mode") {
+        Some(family) => match family.string("mode")? {
             "proxy" => false,
             "pass" => true,
-            _ => return f.invalid("mode", "is neither 'proxy' nor 'pass'"),
+            _ => return family.invalid("mode", "is neither 'proxy' nor 'pass'"),
         },
         None => false,
     };
-    let message_aims = match has("message_aim") {
-        Some(f) => f.list("message_aim")?,
+    let message_objectives = match family_with("message_aim") {
+        Some(family) => family.list("message_aim")?,
         None => &[],
     };
     let mut classes = Vec::new();
     for (i, value) in top.list("grades")?.iter().enumerate() {
-        let c = Section::of(value, &format!("grades[{i}]"))?;
-        let group = match c.word("group")? {
+        let class = Section::from_value(value, &format!("grades[{i}]"))?;
+        let scope = match class.string("group")? {
             "all" => DeduplicationScope::All,
             "zone" => DeduplicationScope::Zone,
             "cell" => DeduplicationScope::Cell,
-            _ => return c.invalid("group", "is none of 'all', 'zone' and 'cell'"),
+            _ => return class.invalid("group", "is none of 'all', 'zone' and 'cell'"),
         };
-        let effect = match c.word("idempotency")? {
+        let idempotency = match class.string("idempotency")? {
             "safe" => Idempotency::Idempotent,
             "keyed" => Idempotency::Keyed {
-                scope: group,
-                window: c.time("window", 0.0)?,
+                scope,
+                window: class.time("window", 0.0)?,
             },
             "unsafe" => Idempotency::NonIdempotent,
-            _ => return c.invalid("idempotency", "is none of 'safe', 'keyed' and 'unsafe'"),
+            _ => return class.invalid("idempotency", "is none of 'safe', 'keyed' and 'unsafe'"),
         };
-        let message_aim = match message_aims
+        let message_objective = match message_objectives
             .get(i)
             .map(|v| v.cast_f64().and_then(micros_from_millis))
         {
-            Some(Some(aim)) => aim,
+            Some(Some(objective)) => objective,
             Some(None) => {
                 return top.invalid(
                     "family_info.message_aim",
-                    "holds something that is not a time",
+                    "contains a value that is not a time",
                 )
             }
             None => 0,
         };
-        let aim = c.time("goal_time", 0.001)?;
+        let setup_objective = class.time("goal_time", 0.001)?;
         classes.push(Class {
-            setup_objective: aim,
-            deadline: c.time("deadline", 0.001)?,
-            idempotency: effect,
-            message_objective: message_aim,
+            setup_objective,
+            deadline: class.time("deadline", 0.001)?,
+            idempotency,
+            message_objective,
         });
     }
     if classes.is_empty() {
         return top.invalid("grades", "is empty");
     }
-    let list_on_request = match top.word("membership_mode")? {
+    let polls_endpoint_list = match top.string("membership_mode")? {
         "pushed" => false,
         "on_request" => true,
         _ => return top.invalid("membership_mode", "is neither 'pushed' nor 'on_request'"),
     };
-    let weights = match top.word("weights")? {
+    let weights = match top.string("weights")? {
         "none" => EndpointWeights::None,
         "nominal" | "rough" => EndpointWeights::Nominal,
         "live" => EndpointWeights::Live,
@@ -714,45 +729,45 @@
             )
         }
     };
-    let mut columns = Vec::new();
+    let mut report_columns = Vec::new();
     for value in report.list("columns")? {
-        columns.push(match value.as_str() {
-            Some("x0") if has("report_x0").is_some() => ReportColumn::Load,
+        report_columns.push(match value.as_str() {
+            Some("x0") if family_with("report_x0").is_some() => ReportColumn::Load,
             Some("active") => ReportColumn::Active,
             Some(_) => ReportColumn::Other,
-            None => return report.invalid("columns", "holds something that is not a word"),
+            None => return report.invalid("columns", "contains a value that is not a string"),
         });
     }
-    let retry_after = limits.flag("retry_after")?;
-    let ask_within = if list_on_request {
+    let may_send_retry_after = limits.flag("retry_after")?;
+    let max_poll_interval = if polls_endpoint_list {
         rules.time("ask_within", 1.0)?
     } else {
         0
     };
     Ok(Settings {
-        balancer_count: balancers,
-        balancer_index: number,
-        zone: top.whole("az", 0, zones - 1)? as u16,
+        balancer_count,
+        balancer_index,
+        zone: top.integer("az", 0, zone_count - 1)? as u16,
         tick: top.time("tick", 0.001)?,
-        forwards_packets: passes_through,
+        forwards_packets,
         classes,
-        polls_endpoint_list: list_on_request,
+        polls_endpoint_list,
         weights,
         may_cancel: limits.flag("cancel")?,
         may_check_health: limits.flag("probes")?,
-        max_attempts: limits.whole("max_attempts", 1, 1 << 16)? as u32,
+        max_attempts: limits.integer("max_attempts", 1, 1 << 16)? as u32,
         connect_timeout: limits.time("dial_timeout", 0.0)?,
-        max_retry_after: if retry_after {
+        max_retry_after: if may_send_retry_after {
             limits.time("max_retry_after", 0.0)?
         } else {
             0
         },
-        report_columns: columns,
+        report_columns,
         drain_grace: rules.time("drain_grace", 0.0)?,
         initial_capacity: rules.number("start_capacity", 0.0, 1.0)? as f32,
         warm_up_time: rules.time("warm_within", 0.0)?,
         overload_factor: rules.number("overload_factor", 0.0, 1e6)? as f32,
         overload_window: rules.time("fall", 0.0)?,
-        max_poll_interval: ask_within,
+        max_poll_interval,
     })
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The codec: frames as the wire's page shows them, settings, and what is malformed.
+//! The codec of the simulator's protocol: decoding of batches, encoding of replies, settings, and
+//! malformed input.
 
 use jaspermoor::decisions::api::*;
 use jaspermoor::wire::*;
@@ -20,7 +21,7 @@
     041a 00000008 00000005 0e6f2b19";
 
 #[test]
-fn reads_a_batch() {
+fn decodes_a_batch() {
     let batch = decode(&bytes(BATCH)).unwrap();
     assert_eq!((batch.now, batch.number), (8_412_250, 12));
     let request = Request {
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn reads_an_empty_batch_and_writes_an_empty_reply() {
+fn decodes_an_empty_batch_and_encodes_an_empty_reply() {
     let batch = decode(&bytes("00000000 0000000c 40c06e2000000000 00000001")).unwrap();
     assert!(batch.records.is_empty());
     assert_eq!(
@@ -55,10 +56,10 @@
 }
 
 #[test]
-fn writes_a_reply() {
+fn encodes_a_reply() {
     let mut reply = Reply::new();
     let server = EndpointId(0x0a12_4a07_1f43);
-    reply.action(
+    reply.add_action(
         3,
         &Action::Attempt {
             id: RequestId(0x5d3a91c4),
@@ -66,14 +67,14 @@
             give_up_at: 8_492_000,
         },
     );
-    reply.action(
+    reply.add_action(
         3,
         &Action::SetTimer {
             at: 8_912_000,
             token: 0x4d,
         },
     );
-    reply.action(5, &Action::Log("two servers unknown".to_string()));
+    reply.add_action(5, &Action::Log("two servers unknown".to_string()));
     let frame = "00000003 00000057 0000000c
         03e8 00000016 00000003 5d3a91c4 0a124a07 1f43 40c0960000000000
         0406 00000014 00000003 40c1680000000000 000000000000004d
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn writes_every_action() {
+fn encodes_every_action() {
     let all = [
         (
             Action::CancelAttempt {
@@ -117,18 +118,19 @@
     ];
     for (action, record) in all {
         let mut reply = Reply::new();
-        reply.action(9, &action);
+        reply.add_action(9, &action);
         assert_eq!(reply.finish(0)[12..], bytes(record), "{action:?}");
     }
     let mut reply = Reply::new();
-    reply.instance_failed(9, "no");
+    reply.add_failure(9, "no");
     assert_eq!(
         reply.finish(0)[12..],
         bytes("03f2 00000008 00000009 0002 6e6f")
     );
 }
 
-fn one(record: &str) -> Result<Batch, WireError> {
+/// Decodes a batch with one record.
+fn decode_one(record: &str) -> Result<Batch, WireError> {
     let record = bytes(record);
     let mut frame = 1u32.to_be_bytes().to_vec();
     frame.extend_from_slice(&(record.len() as u32 + 12).to_be_bytes());
@@ -137,22 +139,23 @@
     decode(&frame)
 }
 
-fn event(record: &str) -> Event {
-    match one(record).unwrap().records.remove(0).1 {
+/// Decodes a batch with one record, which must be an event.
+fn decode_event(record: &str) -> Event {
+    match decode_one(record).unwrap().records.remove(0).1 {
         Record::Event(event) => event,
         other => panic!("not an event: {other:?}"),
     }
 }
 
 #[test]
-fn reads_a_list() {
+fn decodes_an_endpoint_list() {
     let record = "03f2 00000043 00000003 0000000000000029 02 00000002
         0a124a07 1f43 0000 0000 0000 01 3f800000 0000000000000000
         0a9011f2 1f6c 0001 0000 0000 02 3fc00000 40b7d40000000000";
     let Event::EndpointList {
         kind: EndpointListKind::Cached,
-        endpoints: members,
-    } = event(record)
+        endpoints,
+    } = decode_event(record)
     else {
         panic!()
     };
@@ -164,35 +167,36 @@
         size: 1.0,
         started_at: None,
     };
-    assert_eq!(members[0], first);
+    assert_eq!(endpoints[0], first);
     assert_eq!(
-        (members[1].state, members[1].size, members[1].zone),
+        (endpoints[1].state, endpoints[1].size, endpoints[1].zone),
         (EndpointState::Draining, 1.5, 1)
     );
-    assert_eq!(members[1].started_at, Some(6_100_000));
+    assert_eq!(endpoints[1].started_at, Some(6_100_000));
 }
 
 #[test]
-fn reads_outcomes_with_and_without_reports() {
-    let bare = "0410 0000001b 00000003 5d3a91c4 00 0a124a07 1f43 0000 01 4032800000000000 00";
+fn decodes_outcomes_with_and_without_load_reports() {
+    let without_report =
+        "0410 0000001b 00000003 5d3a91c4 00 0a124a07 1f43 0000 01 4032800000000000 00";
     let Event::AttemptEnded {
         outcome: Outcome::Success,
         request_finished: true,
         report,
         ..
-    } = event(bare)
+    } = decode_event(without_report)
     else {
         panic!()
     };
     assert!(report.is_empty());
-    let full =
+    let with_report =
         "0410 00000023 00000003 5d3a91c4 08 0a124a07 1f43 0001 00 4032800000000000 02 3f000000 40000000";
     let Event::AttemptEnded {
         outcome: Outcome::Rejected,
         request_finished: false,
         report,
         ..
-    } = event(full)
+    } = decode_event(with_report)
     else {
         panic!()
     };
@@ -208,58 +212,60 @@
         let record = format!(
             "0410 0000001b 00000003 5d3a91c4 {code} 0a124a07 1f43 0000 01 4032800000000000 00"
         );
-        assert!(matches!(event(&record), Event::AttemptEnded { outcome: o, .. } if o == outcome));
+        assert!(
+            matches!(decode_event(&record), Event::AttemptEnded { outcome: o, .. } if o == outcome)
+        );
     }
 }
 
 #[test]
-fn reads_the_other_events() {
+fn decodes_the_other_events() {
     let server = EndpointId(0x0a12_4a07_1f43);
-    let first = "0406 00000018 00000003 00000001 4032800000000000 0a124a07 1f43 0000";
+    let connected = "0406 00000018 00000003 00000001 4032800000000000 0a124a07 1f43 0000";
     assert_eq!(
-        event(first),
+        decode_event(connected),
         Event::Connected {
             id: RequestId(1),
             endpoint: server,
             elapsed: 18_500
         }
     );
-    let note = "0456 00000015 00000003 00000001 41a00000 0000 02 0a124a07 1f43";
+    let delay_sample = "0456 00000015 00000003 00000001 41a00000 0000 02 0a124a07 1f43";
     assert_eq!(
-        event(note),
+        decode_event(delay_sample),
         Event::DelaySample {
             id: RequestId(1),
             endpoint: server,
             delay: 20_000
         }
     );
-    let note = "0456 00000015 00000003 00000001 41a00000 0000 01 0a124a07 1f43";
+    let load_sample = "0456 00000015 00000003 00000001 41a00000 0000 01 0a124a07 1f43";
     assert_eq!(
-        event(note),
+        decode_event(load_sample),
         Event::LoadSample {
             id: RequestId(1),
             endpoint: server,
             load: 20.0
         }
     );
-    let probed = "042e 00000018 00000003 0a124a07 1f43 00 4032800000000000 01 3f000000";
+    let health_check = "042e 00000018 00000003 0a124a07 1f43 00 4032800000000000 01 3f000000";
     assert_eq!(
-        event(probed),
+        decode_event(health_check),
         Event::HealthCheck {
             endpoint: server,
             outcome: Outcome::Success,
             report: vec![0.5]
         }
     );
-    let peer = "0438 0000000c 00000003 00000002 0002 6869";
+    let gossip = "0438 0000000c 00000003 00000002 0002 6869";
     assert_eq!(
-        event(peer),
+        decode_event(gossip),
         Event::Gossip {
             from: 2,
             payload: b"hi".to_vec()
         }
     );
-    let open = "044c 00000034 00000003 00000001 0000000000000000 00000002 0000000000000000 01
+    let adopted = "044c 00000034 00000003 00000001 0000000000000000 00000002 0000000000000000 01
         0000000000000005 0000000000000006 0a124a07 1f43 10";
     let request = Request {
         id: RequestId(1),
@@ -272,65 +278,73 @@
         returning: true,
     };
     assert_eq!(
-        event(open),
+        decode_event(adopted),
         Event::Adopted {
             request,
             endpoint: server
         }
     );
     assert_eq!(
-        one("0442 00000004 00000007").unwrap().records,
+        decode_one("0442 00000004 00000007").unwrap().records,
         [(7, Record::Crash)]
     );
 }
 
 #[test]
-fn times_keep_their_microseconds() {
+fn times_convert_without_loss_of_microseconds() {
     for t in [0, 1, 999, 1_001, 123_456_789, 9_876_543_210_123] {
         assert_eq!(micros_from_millis(millis_from_micros(t)), Some(t));
     }
-    assert_eq!(micros_from_millis(0.0019), Some(1), "never later than told");
-    for bad in [f64::NAN, f64::INFINITY, -1.0, 1e300] {
-        assert_eq!(micros_from_millis(bad), None);
+    assert_eq!(
+        micros_from_millis(0.0019),
+        Some(1),
+        "rounds down: never later than the given time"
+    );
+    for invalid in [f64::NAN, f64::INFINITY, -1.0, 1e300] {
+        assert_eq!(micros_from_millis(invalid), None);
     }
 }
 
 #[test]
-fn unknown_codes_are_passed_over() {
-    let batch = one("ffff 00000003 010203").unwrap();
+fn records_with_unknown_codes_are_skipped() {
+    let batch = decode_one("ffff 00000003 010203").unwrap();
     assert!(batch.records.is_empty());
     assert_eq!(batch.skipped, [0xffff]);
 }
 
 #[test]
-fn malformed_frames_are_told_with_their_place() {
+fn malformed_frames_are_rejected_with_the_position_of_the_error() {
     let whole = bytes(BATCH);
     for cut in 8..whole.len() {
         let mut frame = whole[..cut].to_vec();
-        assert!(decode(&frame).is_err(), "the length does not add up");
+        assert!(decode(&frame).is_err(), "the length field does not match");
         frame[4..8].copy_from_slice(&((cut - 8) as u32).to_be_bytes());
-        assert!(decode(&frame).is_err(), "cut at {cut}");
+        assert!(decode(&frame).is_err(), "truncated at byte {cut}");
     }
-    let too_short = one("0424 00000008 00000003 00000000").unwrap_err();
+    let too_short = decode_one("0424 00000008 00000003 00000000").unwrap_err();
     assert!(too_short.to_string().contains("byte 30"), "{too_short}");
-    let hostile = one("03f2 00000011 00000003 0000000000000029 02 ffffffff").unwrap_err();
-    assert!(hostile.to_string().contains("4294967295"), "{hostile}");
+    let oversized_count =
+        decode_one("03f2 00000011 00000003 0000000000000029 02 ffffffff").unwrap_err();
+    assert!(
+        oversized_count.to_string().contains("4294967295"),
+        "{oversized_count}"
+    );
     for bad in [
         "0410 0000001b 00000003 5d3a91c4 77 0a124a07 1f43 0000 01 4032800000000000 00",
         "03f2 00000011 00000003 0000000000000029 09 00000000",
         "0406 00000018 00000003 00000001 7ff8000000000000 0a124a07 1f43 0000",
     ] {
-        assert!(one(bad).is_err());
+        assert!(decode_one(bad).is_err());
     }
-    let mut many = bytes(BATCH);
-    many[0] = 0xff;
-    assert!(decode(&many)
+    let mut too_many_records = bytes(BATCH);
+    too_many_records[0] = 0xff;
+    assert!(decode(&too_many_records)
         .unwrap_err()
         .to_string()
         .contains("more than the record holds"));
-    let mut more = bytes(BATCH);
-    more[3] = 2;
-    assert!(decode(&more)
+    let mut too_few_records = bytes(BATCH);
+    too_few_records[3] = 2;
+    assert!(decode(&too_few_records)
         .unwrap_err()
         .to_string()
         .contains("after the last record"));
@@ -341,7 +355,7 @@
 // ---- Settings ----
 
 #[test]
-fn reads_the_settings() {
+fn parses_the_settings() {
     let s = parse_settings(SETTINGS.as_bytes()).unwrap();
     assert!(s.forwards_packets && s.may_cancel && !s.may_check_health && !s.polls_endpoint_list);
     assert_eq!(
@@ -360,25 +374,26 @@
     assert_eq!(s.max_retry_after, 1_500_000);
 }
 
-fn with(path: &[&str], value: Option<serde_json::Value>) -> Vec<u8> {
-    let mut all: serde_json::Value = serde_json::from_str(SETTINGS).unwrap();
-    let mut at = &mut all;
+/// The settings with one value replaced, or removed if `value` is `None`.
+fn settings_with(path: &[&str], value: Option<serde_json::Value>) -> Vec<u8> {
+    let mut settings: serde_json::Value = serde_json::from_str(SETTINGS).unwrap();
+    let mut target = &mut settings;
     for key in &path[..path.len() - 1] {
-        at = match key.parse::<usize>() {
-            Ok(i) => &mut at[i],
-            Err(_) => &mut at[*key],
+        target = match key.parse::<usize>() {
+            Ok(i) => &mut target[i],
+            Err(_) => &mut target[*key],
         };
     }
-    let map = at.as_object_mut().unwrap();
+    let map = target.as_object_mut().unwrap();
     match value {
         Some(value) => map.insert(path[path.len() - 1].to_string(), value),
         None => map.remove(path[path.len() - 1]),
     };
-    serde_json::to_vec(&all).unwrap()
+    serde_json::to_vec(&settings).unwrap()
 }
 
 #[test]
-fn settings_that_cannot_be_used_are_named() {
+fn invalid_settings_are_rejected_with_the_name_of_the_key() {
     use serde_json::json;
     for (path, value, name) in [
         (vec!["tick"], Some(json!(0)), "tick"),
@@ -437,7 +452,9 @@
         ),
         (vec!["weights"], Some(json!("heavy")), "weights"),
     ] {
-        let error = parse_settings(&with(&path, value)).unwrap_err().to_string();
+        let error = parse_settings(&settings_with(&path, value))
+            .unwrap_err()
+            .to_string();
         assert!(
             error.contains(&format!("'{name}'")) && error.ends_with('.'),
             "{error}"
@@ -451,7 +468,10 @@
 }
 
 #[test]
-fn unknown_keys_are_ignored() {
-    let more = with(&["something_new"], Some(serde_json::json!({"a": 1})));
-    assert_eq!(parse_settings(&more), parse_settings(SETTINGS.as_bytes()));
+fn unknown_settings_are_ignored() {
+    let with_unknown_key = settings_with(&["something_new"], Some(serde_json::json!({"a": 1})));
+    assert_eq!(
+        parse_settings(&with_unknown_key),
+        parse_settings(SETTINGS.as_bytes())
+    );
 }
