--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,13 +1,14 @@
-//! The command line, and what is said of a configuration that cannot be used.
+//! The command line: output of `check` and `version`, errors for invalid configurations and
+//! operator files, and the log format.
 
 #[allow(dead_code)]
 mod peers;
 
 use peers::{config, file, program};
 
-/// Runs a sub-command; what it wrote, and whether it succeeded.
-fn run(command: &str, text: &str) -> (String, bool) {
-    let path = file(text);
+/// Runs a sub-command with a configuration; returns its output, and whether it succeeded.
+fn run(command: &str, config_text: &str) -> (String, bool) {
+    let path = file(config_text);
     let output = program(command, &path).output().unwrap();
     std::fs::remove_file(path).unwrap();
     let all = [output.stdout, output.stderr].concat();
@@ -15,29 +16,35 @@
 }
 
 #[test]
-fn a_sound_configuration_is_described() {
-    let (said, good) = run("check", &config("127.0.0.1:9".parse().unwrap(), &[]));
-    assert!(good && said.contains("discovery at 127.0.0.1:9"), "{said}");
+fn check_summarizes_a_valid_configuration() {
+    let (output_text, success) = run("check", &config("127.0.0.1:9".parse().unwrap(), &[]));
+    assert!(
+        success && output_text.contains("discovery at 127.0.0.1:9"),
+        "{output_text}"
+    );
 }
 
 #[test]
-fn the_example_of_the_readme_is_sound() {
-    let (said, good) = run("check", include_str!("../deploy/example.json"));
-    assert!(good && said.contains("1 backends known"), "{said}");
+fn the_example_configuration_is_valid() {
+    let (output_text, success) = run("check", include_str!("../deploy/example.json"));
+    assert!(
+        success && output_text.contains("1 backends known"),
+        "{output_text}"
+    );
 }
 
 #[test]
-fn the_version_is_told() {
-    let (said, good) = run("version", "");
+fn version_prints_the_version() {
+    let (output_text, success) = run("version", "");
     assert!(
-        good && said == format!("jaspermoor {}\n", env!("CARGO_PKG_VERSION")),
-        "{said}"
+        success && output_text == format!("jaspermoor {}\n", env!("CARGO_PKG_VERSION")),
+        "{output_text}"
     );
 }
 
 #[test]
-fn a_faulty_configuration_ends_the_start_and_names_its_key() {
-    // (what is replaced, by what, what must be named)
+fn an_invalid_configuration_is_rejected_with_the_name_of_its_key() {
+    // (original text, replacement, text that the error must contain)
     let cases = [
         (
             "\"seed\":\"8c1f30d27a5be964\"",
@@ -97,18 +104,21 @@
             "BALANCER_CONFIG: is not valid JSON",
         ),
     ];
-    let sound = config("127.0.0.1:9".parse().unwrap(), &[]);
-    for (from, to, named) in cases {
-        assert!(sound.contains(from), "{from}");
+    let valid = config("127.0.0.1:9".parse().unwrap(), &[]);
+    for (from, to, expected_error) in cases {
+        assert!(valid.contains(from), "{from}");
         for command in ["check", "serve"] {
-            let (said, good) = run(command, &sound.replace(from, to));
-            assert!(!good && said.contains(named), "{command} with {to}: {said}");
+            let (output_text, success) = run(command, &valid.replace(from, to));
+            assert!(
+                !success && output_text.contains(expected_error),
+                "{command} with {to}: {output_text}"
+            );
         }
     }
 }
 
-/// Runs a sub-command with an operator file.
-fn run_with(args: &[&str], operator: &str) -> (String, bool) {
+/// Runs a sub-command with an operator file; returns its output, and whether it succeeded.
+fn run_with_operator_file(args: &[&str], operator: &str) -> (String, bool) {
     let (path, config) = (
         file(operator),
         file(&config("127.0.0.1:9".parse().unwrap(), &[])),
@@ -128,16 +138,19 @@
 }
 
 #[test]
-fn an_operator_file_is_checked_and_what_is_wrong_is_named_by_line_and_key() {
+fn an_invalid_operator_file_is_rejected_with_line_and_key() {
     let dir = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("operator-check");
     let authority = jaspermoor_lab::certs::Authority::new(&dir).unwrap();
     let pair = authority
         .leaf("a", "a.example", jaspermoor_lab::certs::Valid::Long)
         .unwrap();
-    let sound = jaspermoor_lab::demo::operator("a.example", &pair);
-    let (said, good) = run_with(&["check"], &sound);
-    assert!(good && said.contains("XMPP for a.example"), "{said}");
-    assert!(run_with(&["check"], "").1);
+    let valid = jaspermoor_lab::demo::operator("a.example", &pair);
+    let (output_text, success) = run_with_operator_file(&["check"], &valid);
+    assert!(
+        success && output_text.contains("XMPP for a.example"),
+        "{output_text}"
+    );
+    assert!(run_with_operator_file(&["check"], "").1);
     let cases = [
         (
             "listen = \"127.0.0.1:0\"",
@@ -202,26 +215,30 @@
             ":5: fleet.voters: one to seven",
         ),
     ];
-    for (from, to, named) in cases {
-        assert!(sound.contains(from), "{from}");
+    for (from, to, expected_error) in cases {
+        assert!(valid.contains(from), "{from}");
         for command in ["check", "serve"] {
-            let (said, good) = run_with(&[command], &sound.replace(from, to));
-            assert!(!good && said.contains(named), "{command} with {to}: {said}");
+            let (output_text, success) =
+                run_with_operator_file(&[command], &valid.replace(from, to));
+            assert!(
+                !success && output_text.contains(expected_error),
+                "{command} with {to}: {output_text}"
+            );
         }
     }
 }
 
 #[test]
-fn the_example_of_an_operator_file_has_every_key() {
+fn the_example_operator_file_is_valid_and_has_every_key() {
     let text = include_str!("../deploy/operator.example.toml");
-    // Its certificate is nobody's: all up to there is sound.
-    let (said, good) = run_with(&["check"], text);
+    // The certificate does not exist: everything that is checked before it is valid.
+    let (output_text, success) = run_with_operator_file(&["check"], text);
     assert!(
-        !good && said.contains("xmpp.domain[0].certificate: "),
-        "{said}"
+        !success && output_text.contains("xmpp.domain[0].certificate: "),
+        "{output_text}"
     );
-    // What is commented out must be sound as well.
-    let all: String = text
+    // The keys that are commented out must be valid as well.
+    let uncommented: String = text
         .lines()
         .map(|l| {
             l.strip_prefix("# ")
@@ -231,8 +248,11 @@
                 + "\n"
         })
         .collect();
-    let (said, _) = run_with(&["check"], &all);
-    assert!(said.contains("xmpp.domain[0].certificate: "), "{said}");
+    let (output_text, _) = run_with_operator_file(&["check"], &uncommented);
+    assert!(
+        output_text.contains("xmpp.domain[0].certificate: "),
+        "{output_text}"
+    );
     for key in [
         "listen",
         "listen_tls",
@@ -268,14 +288,16 @@
         "cell",
     ] {
         assert!(
-            all.lines().any(|l| l.starts_with(&format!("{key} = "))),
-            "{key} is not there"
+            uncommented
+                .lines()
+                .any(|l| l.starts_with(&format!("{key} = "))),
+            "{key} is missing"
         );
     }
 }
 
 #[test]
-fn the_log_is_json_where_that_is_asked_for() {
+fn log_format_json_writes_json_lines() {
     let path = file(&config("127.0.0.1:9".parse().unwrap(), &[]));
     let mut child = program("serve", &path)
         .args(["--log-format", "json", "--log", "info"])
