--- a/src/cli/fleet/membership.rs
+++ b/src/cli/fleet/membership.rs
@@ -19,10 +19,10 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "add")]
 pub struct AddVoter {
-    /// its number, higher than any that was ever used
+    /// the voter's number, higher than any that was ever used
     #[argh(positional)]
     number: u64,
-    /// where the other relays reach it
+    /// the address at which the other relays reach the voter
     #[argh(option)]
     address: SocketAddr,
 }
@@ -31,7 +31,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "remove")]
 pub struct RemoveVoter {
-    /// its number
+    /// the voter's number
     #[argh(positional)]
     number: u64,
 }
@@ -46,7 +46,7 @@
     /// the number of the voter to add
     #[argh(option)]
     by: u64,
-    /// where the other relays reach it
+    /// the address at which the other relays reach the voter
     #[argh(option)]
     address: SocketAddr,
 }
