--- a/src/cli/policy/propose.rs
+++ b/src/cli/policy/propose.rs
@@ -35,8 +35,8 @@
     /// propose only if this epoch is in force
     #[argh(option, default = "0")]
     base: u64,
-    /// the proposal's name, 32 hexadecimal digits, to send an earlier proposal again (default: a new
-    /// name)
+    /// the proposal's name, 32 hexadecimal digits, to send an earlier proposal again (default: a
+    /// new name)
     #[argh(option)]
     id: Option<String>,
 }
