--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -116,7 +116,8 @@
         .get("started_ms")
         .and_then(|v| v.cast_f64())
         .unwrap_or(0.0);
-    let started: Micros = crate::wire::micros(started).ok_or("started_ms: is not a time")?;
+    let started: Micros =
+        crate::wire::micros_from_millis(started).ok_or("started_ms: is not a time")?;
     let listed = ListedEndpoint {
         id: endpoint_id(&name),
         zone: zone as u16,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -256,10 +256,10 @@
         let Some(settings_value) = top.get("settings") else {
             return error("settings", "is missing");
         };
-        let settings = match wire::settings_of(settings_value) {
+        let settings = match wire::settings_from_value(settings_value) {
             Ok(settings) => settings,
-            Err(e) if e.key == "profile_data" => return error("settings", e.what),
-            Err(e) => return error(&format!("settings.{}", e.key), e.what),
+            Err(e) if e.key == "profile_data" => return error("settings", e.problem),
+            Err(e) => return error(&format!("settings.{}", e.key), e.problem),
         };
         let class_names = texts(settings_value, "settings.grades", Some("name"))?;
         for (i, name) in class_names.iter().enumerate() {
--- a/src/protocol/line/messages.rs
+++ b/src/protocol/line/messages.rs
@@ -106,7 +106,7 @@
                 let ms = parse_decimal(value)
                     .filter(|ms| *ms <= MAX_DEADLINE_MS)
                     .ok_or("bad-wait")?;
-                request.time_left = crate::wire::micros(ms)
+                request.time_left = crate::wire::micros_from_millis(ms)
                     .ok_or("bad-wait")?
                     .min(MAX_REQUEST_DEADLINE);
                 open.deadline_range = Some(position + 2..position + field.len());
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -120,6 +120,10 @@
     pending.send("PING");
     assert_eq!(pending.line(), "PONG");
     let new = Relay::start_shared(&config, &held, &shared);
+    // The log line that `start_shared` waits for precedes the first turn of the serving thread.
+    until("the new process to accept clients", || {
+        (new.admin_request("GET", "/control/ready").0 == 200).then_some(())
+    });
     assert_eq!(new.admin_request("GET", "/control/ready").0, 200);
     old.signal("TERM");
     until("the old process", || {
--- a/tests/threads.rs
+++ b/tests/threads.rs
@@ -128,7 +128,7 @@
     // The new process starts only now, so that all clients were accepted by the old one.
     let new = Relay::start_shared(&config, &listener, &shared);
     old.signal("TERM");
-    old.wait_for_log("moving the standing connections");
+    old.wait_for_log("migrating the established connections");
     for (n, peer) in &mut attempts {
         peer.send(&format!("UP {n}"));
         assert_eq!(clients[*n].line(), format!("UP {n}"));
