--- a/src/protocol/line/mod.rs
+++ b/src/protocol/line/mod.rs
@@ -203,8 +203,8 @@
 }
 
 impl Forwarder for LineForwarder {
-    fn on_client_data(&mut self, fresh: &[u8]) -> Result<Forwardable, ProtocolViolation> {
-        match complete_lines_len(fresh) {
+    fn on_client_data(&mut self, data: &[u8]) -> Result<Forwardable, ProtocolViolation> {
+        match complete_lines_len(data) {
             Ok(bytes) => Ok(Forwardable {
                 bytes,
                 expects_response: bytes > 0,
@@ -221,11 +221,11 @@
 
     fn on_backend_data(
         &mut self,
-        fresh: &[u8],
+        data: &[u8],
         settings: &FrontSettings,
         events: &mut Vec<BackendEvent>,
     ) -> Result<usize, ProtocolViolation> {
-        let Ok(len) = complete_lines_len(fresh) else {
+        let Ok(len) = complete_lines_len(data) else {
             let description = "the backend's line is longer than allowed";
             return Err(ProtocolViolation {
                 description,
@@ -234,7 +234,7 @@
             });
         };
         let mut has_response = false;
-        for line in fresh[..len].split_inclusive(|&b| b == b'\n') {
+        for line in data[..len].split_inclusive(|&b| b == b'\n') {
             let message = parse_backend_line(trim_line_end(line), &settings.names);
             // A load sample is no response: a backend whose connections hang may still send them.
             has_response |= !matches!(message, BackendLine::Load(_));
@@ -261,9 +261,9 @@
         MOVE.to_vec()
     }
 
-    fn is_backend_lost(&self, unanswered: Micros, unheard: Micros) -> bool {
+    fn is_backend_lost(&self, unanswered: Micros, since_response: Micros) -> bool {
         unanswered > RESPONSE_TIMEOUT
-            || (unanswered > SILENCE_MIN_UNANSWERED && unheard > SILENCE_TIMEOUT)
+            || (unanswered > SILENCE_MIN_UNANSWERED && since_response > SILENCE_TIMEOUT)
     }
 
     fn reports_responses(&self) -> bool {
@@ -317,11 +317,11 @@
             (ms(3_000), ms(40_000), false),
             (ms(4_100), ms(40_000), true),
         ];
-        for (unanswered, unheard, lost) in cases {
+        for (unanswered, since_response, lost) in cases {
             assert_eq!(
-                LineForwarder.is_backend_lost(unanswered, unheard),
+                LineForwarder.is_backend_lost(unanswered, since_response),
                 lost,
-                "{unanswered} {unheard}"
+                "{unanswered} {since_response}"
             );
         }
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -234,12 +234,12 @@
 /// calls allowed to be forwarded: the rest of the last call, and the bytes received since.
 pub trait Forwarder: Send {
     /// How many bytes from the client may be forwarded to the backend.
-    fn on_client_data(&mut self, fresh: &[u8]) -> Result<Forwardable, ProtocolViolation>;
+    fn on_client_data(&mut self, data: &[u8]) -> Result<Forwardable, ProtocolViolation>;
 
     /// How many bytes from the backend may be forwarded to the client, and the events in them.
     fn on_backend_data(
         &mut self,
-        fresh: &[u8],
+        data: &[u8],
         settings: &FrontSettings,
         events: &mut Vec<BackendEvent>,
     ) -> Result<usize, ProtocolViolation>;
@@ -266,9 +266,9 @@
         true
     }
 
-    /// Whether the backend counts as lost: a request for a response has been unanswered for
-    /// `unanswered`, and the backend has sent no response at all for `unheard`.
-    fn is_backend_lost(&self, unanswered: Micros, unheard: Micros) -> bool;
+    /// Whether the backend counts as lost, given the time since the oldest data that expects a
+    /// response and has none (`unanswered`), and the time since the backend's last response.
+    fn is_backend_lost(&self, unanswered: Micros, since_response: Micros) -> bool;
 
     /// Whether [`BackendEvent::Response`] reports responses. If not, any byte from the backend
     /// counts as one.
--- a/src/protocol/xmpp/client_negotiation.rs
+++ b/src/protocol/xmpp/client_negotiation.rs
@@ -268,7 +268,8 @@
         }
     }
 
-    /// Answers with a SASL failure. The client may try again, up to [`MAX_SASL_FAILURES`] times.
+    /// Answers with a SASL failure. The client may try again, until failure number
+    /// [`MAX_SASL_FAILURES`] closes the stream.
     fn reject_sasl(&mut self, condition: &str, now: Micros) -> ReaderAction {
         self.sasl_failures += 1;
         let message = format!("<failure xmlns='{NS_SASL}'><{condition}/></failure>");
@@ -520,11 +521,7 @@
 
     /// What a negotiation sends for these inputs, each in chunks of `step` bytes; `!` for the TLS
     /// handshake, `+` for the request of a session, and the reason in brackets for a close.
-    fn talk(
-        direct: bool,
-        inputs: &[&str],
-        step: usize,
-    ) -> (String, Option<Box<dyn ClientRequest>>) {
+    fn run(direct: bool, inputs: &[&str], step: usize) -> (String, Option<Box<dyn ClientRequest>>) {
         let (mut negotiation, front_settings) = (
             ClientNegotiation::new(settings(), [1, 2, 3], direct, 0),
             rules(),
@@ -570,7 +567,7 @@
         let (clear, secure) = (header_with(""), header_with(" from='Ali@a.example'"));
         let auth = auth("SCRAM-SHA-256", "n,,n=someone,r=nonce");
         let inputs = [clear.as_str(), STARTTLS, &secure, &auth];
-        let (whole, _) = talk(false, &inputs, 4096);
+        let (whole, _) = run(false, &inputs, 4096);
         assert!(
             whole.contains("<required/>") && whole.contains("<proceed ") && whole.ends_with("+"),
             "{whole}"
@@ -581,14 +578,14 @@
         );
         assert!(!after.contains("PLUS") && after.contains("to='ali@a.example'"));
         for step in 1..clear.len() {
-            let (output, request) = talk(false, &inputs, step);
+            let (output, request) = run(false, &inputs, step);
             assert_eq!(output, whole, "chunks of {step} bytes");
             // The home is that of the JID in the header.
             let home = Jid::parse("ali@a.example").unwrap();
             let expected = settings().request(&home, &rules().classes);
             assert_eq!(Some(request.unwrap().request().clone()), expected);
         }
-        assert_eq!(talk(true, &inputs[2..], 64).0, after);
+        assert_eq!(run(true, &inputs[2..], 64).0, after);
     }
 
     #[test]
@@ -598,7 +595,7 @@
             ("PLAIN", "\0ali\0secret"),
             ("SCRAM-SHA-1", "y,a=zia,n=ali,r=x"),
         ] {
-            let (_, request) = talk(true, &[&client_header, &auth(mechanism, payload)], 4096);
+            let (_, request) = run(true, &[&client_header, &auth(mechanism, payload)], 4096);
             let home = Jid::parse("ali@a.example").unwrap();
             assert_eq!(
                 Some(request.unwrap().request().clone()),
@@ -610,7 +607,7 @@
             "<response xmlns='{NS_SASL}'>{}</response>",
             BASE64_STANDARD.encode("\0ali\0x")
         );
-        let (output, request) = talk(true, &[&client_header, &auth("PLAIN", ""), &alone], 4096);
+        let (output, request) = run(true, &[&client_header, &auth("PLAIN", ""), &alone], 4096);
         assert!(
             output.contains("<challenge ") && request.is_some(),
             "{output}"
@@ -659,7 +656,7 @@
             (true, &[&clear, &wrong, &wrong, &wrong], "[sasl-failure]"),
         ];
         for (direct, inputs, ending) in cases {
-            let (output, request) = talk(*direct, inputs, 4096);
+            let (output, request) = run(*direct, inputs, 4096);
             assert!(
                 output.ends_with(ending) && request.is_none(),
                 "{inputs:?}: {output}"
@@ -670,7 +667,7 @@
                 "{output}"
             );
         }
-        assert!(!talk(false, &[&clear, &behind], 4096).0.contains("proceed"));
+        assert!(!run(false, &[&clear, &behind], 4096).0.contains("proceed"));
     }
 
     #[test]
@@ -700,7 +697,7 @@
 
     #[test]
     fn a_rejection_says_when_to_retry() {
-        let (_, request) = talk(true, &[&header_with(""), &auth("PLAIN", "\0ali\0x")], 4096);
+        let (_, request) = run(true, &[&header_with(""), &auth("PLAIN", "\0ali\0x")], 4096);
         let request = request.unwrap();
         let message = |answer| String::from_utf8(request.encode_answer(answer)).unwrap();
         let refused = message(FinalAnswer::Rejected(400_000));
--- a/src/protocol/xmpp/frame.rs
+++ b/src/protocol/xmpp/frame.rs
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Whether no unit is incomplete.
+    /// Whether all bytes read so far belong to complete units.
     pub fn at_unit_boundary(&self) -> bool {
         self.unit_bytes == 0
     }
@@ -314,20 +314,21 @@
             }
             let before = rest.len();
             let event = self.parser.parse(&mut rest, false);
-            let used = before - rest.len();
-            let at = bytes.len() - before;
-            let empty = self.ends_empty_tag(&bytes[at..at + used]);
+            let consumed = before - rest.len();
+            let start = bytes.len() - before;
+            let empty_tag = self.ends_empty_tag(&bytes[start..start + consumed]);
             (self.unit_bytes, self.parser_ahead) =
-                (self.unit_bytes + used, self.parser_ahead + used);
+                (self.unit_bytes + consumed, self.parser_ahead + consumed);
             if self.depth == 0 {
-                self.header_bytes.extend_from_slice(&bytes[at..at + used]);
+                self.header_bytes
+                    .extend_from_slice(&bytes[start..start + consumed]);
             }
-            let most = if self.depth == 0 {
+            let limit = if self.depth == 0 {
                 self.bounds.header
             } else {
                 self.bounds.stanza
             };
-            if self.unit_bytes > most {
+            if self.unit_bytes > limit {
                 return Err(Condition::PolicyViolation);
             }
             let unit = match event {
@@ -344,7 +345,7 @@
                     };
                     // After `<a/>` the parser still has to report the end of the element.
                     self.after_tag = match &event {
-                        Event::StartElement(..) => !empty,
+                        Event::StartElement(..) => !empty_tag,
                         Event::EndElement(_) => true,
                         _ => false,
                     };
@@ -352,7 +353,9 @@
                 }
                 Ok(None) => return Err(Condition::NotWellFormed),
                 Err(EndOrError::NeedMoreData) if rest.is_empty() => return Ok((bytes.len(), None)),
-                Err(EndOrError::NeedMoreData) if used == 0 => return Err(Condition::NotWellFormed),
+                Err(EndOrError::NeedMoreData) if consumed == 0 => {
+                    return Err(Condition::NotWellFormed)
+                }
                 Err(EndOrError::NeedMoreData) => continue,
                 Err(EndOrError::Error(e)) => return Err(condition_for(&e)),
             };
--- a/src/protocol/xmpp/server_negotiation.rs
+++ b/src/protocol/xmpp/server_negotiation.rs
@@ -239,7 +239,7 @@
     }
 
     /// The actions of an attempt whose server sends these inputs, each in chunks of `step` bytes.
-    fn talk(security: Security, inputs: &[&str], step: usize) -> Vec<AttemptAction> {
+    fn run(security: Security, inputs: &[&str], step: usize) -> Vec<AttemptAction> {
         let (mut attempt, mut inbox, mut steps) =
             (attempt(security), Buffer::default(), Vec::new());
         let mut advance = |inbox: &mut Buffer| loop {
@@ -285,7 +285,7 @@
         let head = stream_header(&[("id", "7")]);
         let challenge = sasl("challenge|eA==</challenge>");
         for step in 1..head.len() {
-            let steps = talk(Security::Plain, &[&head, OFFER, " ", &challenge], step);
+            let steps = run(Security::Plain, &[&head, OFFER, " ", &challenge], step);
             let [AttemptAction::Send(header), AttemptAction::SendRequest(auth), AttemptAction::Established] =
                 &steps[..]
             else {
@@ -298,7 +298,7 @@
             );
             assert_eq!(auth, b"<auth>x</auth>");
         }
-        let steps = talk(
+        let steps = run(
             Security::StartTls,
             &[&head, TLS, PROCEED, &head, OFFER, &challenge],
             4096,
@@ -309,7 +309,7 @@
             panic!("{steps:?}")
         };
         assert!(to == "a.example" && !String::from_utf8(clear.clone()).unwrap().contains("from="));
-        let steps = talk(Security::Direct, &[&head, OFFER, &challenge], 4096);
+        let steps = run(Security::Direct, &[&head, OFFER, &challenge], 4096);
         assert!(
             matches!(
                 &steps[..],
@@ -371,13 +371,13 @@
         for (inputs, expected) in cases {
             let inputs: Vec<&str> = inputs.iter().map(String::as_str).collect();
             assert_eq!(
-                talk(Security::Plain, &inputs, 5).pop(),
+                run(Security::Plain, &inputs, 5).pop(),
                 Some(expected),
                 "{inputs:?}"
             );
         }
         let behind = format!("{PROCEED}<message/>");
-        let steps = talk(
+        let steps = run(
             Security::StartTls,
             &[&stream_header(&[]), TLS, &behind],
             4096,
--- a/src/protocol/xmpp/stanza_forwarder.rs
+++ b/src/protocol/xmpp/stanza_forwarder.rs
@@ -199,7 +199,7 @@
 }
 
 impl Forwarder for StanzaForwarder {
-    fn on_client_data(&mut self, fresh: &[u8]) -> Result<Forwardable, ProtocolViolation> {
+    fn on_client_data(&mut self, data: &[u8]) -> Result<Forwardable, ProtocolViolation> {
         let mut allowed = Forwardable::default();
         // After the stream to the server is closed, input is not forwarded: a client with stream
         // management learns that these stanzas have not arrived.
@@ -207,7 +207,7 @@
             return Ok(allowed);
         }
         loop {
-            let unread = &fresh[allowed.bytes + self.client_framed..];
+            let unread = &data[allowed.bytes + self.client_framed..];
             let (n, unit) = match self.client_framer.feed(unread) {
                 Ok(read) => read,
                 Err(_) if allowed.bytes > 0 => return Ok(allowed),
@@ -242,7 +242,7 @@
 
     fn on_backend_data(
         &mut self,
-        fresh: &[u8],
+        data: &[u8],
         _settings: &FrontSettings,
         events: &mut Vec<BackendEvent>,
     ) -> Result<usize, ProtocolViolation> {
@@ -250,18 +250,18 @@
         if self
             .sasl_reply
             .as_ref()
-            .is_some_and(|(len, _)| *len > fresh.len())
+            .is_some_and(|(len, _)| *len > data.len())
         {
             return Ok(0);
         }
         if let Some((len, reply)) = self.sasl_reply.take() {
-            self.on_server_unit(Unit::Element(reply), &fresh[..len], events)?;
+            self.on_server_unit(Unit::Element(reply), &data[..len], events)?;
             allowed = len;
         }
         while self.state != State::Closed {
             let (n, unit) = match self
                 .server_framer
-                .feed(&fresh[allowed + self.server_framed..])
+                .feed(&data[allowed + self.server_framed..])
             {
                 Ok(read) => read,
                 Err(_) if allowed > 0 => return Ok(allowed),
@@ -274,11 +274,8 @@
             };
             self.server_framed += n;
             let Some(unit) = unit else { break };
-            self.withheld |= !self.on_server_unit(
-                unit,
-                &fresh[allowed..allowed + self.server_framed],
-                events,
-            )?;
+            self.withheld |=
+                !self.on_server_unit(unit, &data[allowed..allowed + self.server_framed], events)?;
             if !self.withheld {
                 allowed += std::mem::take(&mut self.server_framed);
             }
@@ -322,7 +319,7 @@
         false
     }
 
-    fn is_backend_lost(&self, unanswered: Micros, _unheard: Micros) -> bool {
+    fn is_backend_lost(&self, unanswered: Micros, _since_response: Micros) -> bool {
         unanswered > self.settings.response_timeout
     }
 
@@ -591,12 +588,12 @@
         assert_eq!(n, whole.len());
         assert_eq!(events, [BackendEvent::Finished]);
         // The message uses the tag of the stream that the client receives, which is the server's.
-        let words = String::from_utf8(forwarder.closing_message(CloseReason::Migrated)).unwrap();
+        let message = String::from_utf8(forwarder.closing_message(CloseReason::Migrated)).unwrap();
         assert!(
-            words.starts_with("<s:error xmlns:s=") && words.ends_with("</s:error></s:stream>"),
-            "{words}"
+            message.starts_with("<s:error xmlns:s=") && message.ends_with("</s:error></s:stream>"),
+            "{message}"
         );
-        assert!(words.contains("<system-shutdown "));
+        assert!(message.contains("<system-shutdown "));
     }
 
     #[test]
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Small peers for the tests of the built relay: backends, clients and discovery, one socket each.
+//! Simple peers for the tests of the built relay: backends, clients and discovery, one socket each.
 
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -10,20 +10,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest wait for anything: far more than it takes, so that a slow machine changes no verdict.
+/// The longest wait for anything: far more than it takes, so that a slow machine fails no test.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Polls until `look` returns a value; panics after [`TIMEOUT`].
 pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + TIMEOUT;
     loop {
         if let Some(found) = look() {
             return found;
         }
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
+/// A connection of the relay with a client, a backend or discovery, on the test's side.
 pub struct Peer {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -55,21 +57,21 @@
             .to_string()
     }
 
-    /// Reads a line that may be no text, its end included.
+    /// Reads a line that may be no UTF-8, line end included.
     pub fn bytes(&mut self) -> Vec<u8> {
         let mut line = Vec::new();
         self.reader.read_until(b'\n', &mut line).unwrap();
         line
     }
 
-    /// What it says up to its end, which must come without a reset.
+    /// Reads up to the end of the stream, which must come without a reset.
     pub fn rest(&mut self) -> String {
         let mut rest = String::new();
         self.reader.read_to_string(&mut rest).unwrap();
         rest
     }
 
-    /// Reads one line, answers it and ends the connection.
+    /// Reads one line, answers it and closes the connection for sending.
     pub fn answer(mut self, line: &str) {
         self.line();
         self.send(line);
@@ -80,7 +82,7 @@
         self.stream.shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Whether the other side ends the connection, with nothing more said.
+    /// Waits for the end of the connection; whether the relay sent nothing more before it.
     pub fn ended(&mut self) -> bool {
         let mut rest = Vec::new();
         match self.reader.read_to_end(&mut rest) {
@@ -89,23 +91,25 @@
         }
     }
 
-    /// Breaks the connection off by a reset.
+    /// Closes the connection with a reset.
     pub fn close_with_reset(&mut self) {
         SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
             .unwrap();
-        // Its last holder closes it: that is the reset.
-        let spare = TcpStream::from(OwnedFd::from(std::fs::File::open("/dev/null").unwrap()));
-        self.reader = BufReader::new(spare.try_clone().unwrap());
-        self.stream = spare;
+        // The socket is reset once its last handle is closed, so both are replaced.
+        let placeholder = TcpStream::from(OwnedFd::from(std::fs::File::open("/dev/null").unwrap()));
+        self.reader = BufReader::new(placeholder.try_clone().unwrap());
+        self.stream = placeholder;
     }
 
+    /// Waits for the next event of the connection; whether it is a reset.
     pub fn was_reset(&mut self) -> bool {
         self.reader
             .read(&mut [0])
             .is_err_and(|e| e.kind() == ErrorKind::ConnectionReset)
     }
 
+    /// Closes the connection with a reset and drops this peer.
     pub fn reset(self) {
         SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
@@ -113,6 +117,7 @@
     }
 }
 
+/// A backend, which accepts connections when a test asks for one.
 pub struct Backend {
     name: String,
     addr: SocketAddr,
@@ -131,14 +136,14 @@
         until("a connection to a backend", || self.try_accept())
     }
 
-    /// Whether nobody has come since the last one that was taken in.
+    /// Whether no connection is waiting to be accepted.
     pub fn has_no_new_connection(&self) -> bool {
         self.try_accept().is_none()
     }
 }
 
-/// A port at which connections are refused. It is held without listening: one that is only let go of is
-/// soon taken by another test, which the relay would then talk to.
+/// A port at which connections are refused. The socket is bound without listening: a port that is
+/// free could soon be taken by another test, to which the relay would then connect.
 pub struct RefusingPort(Socket);
 
 impl RefusingPort {
@@ -154,7 +159,7 @@
         self.0.local_addr().unwrap().as_socket().unwrap()
     }
 
-    /// From now on somebody answers there.
+    /// Starts to listen, as discovery.
     pub fn listen(self) -> Discovery {
         self.0.listen(64).unwrap();
         self.0.set_nonblocking(true).unwrap();
@@ -162,10 +167,11 @@
     }
 }
 
-/// A backend whose queue is full: a dial waits until there is room in it, and comes up about a second later.
+/// A backend whose accept queue is full: a dial waits until there is room, and is established about
+/// a second later.
 pub struct FullBacklog {
     listener: TcpListener,
-    crowd: Vec<TcpStream>,
+    waiting: Vec<TcpStream>,
 }
 
 impl FullBacklog {
@@ -177,21 +183,21 @@
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let addr = listener.local_addr().unwrap();
-        let mut crowd = Vec::new();
-        // Full once one does not come up.
-        while let Ok(one) = TcpStream::connect_timeout(&addr, Duration::from_millis(300)) {
-            crowd.push(one);
+        let mut waiting = Vec::new();
+        // The queue is full once a connection is not established.
+        while let Ok(connection) = TcpStream::connect_timeout(&addr, Duration::from_millis(300)) {
+            waiting.push(connection);
         }
-        FullBacklog { listener, crowd }
+        FullBacklog { listener, waiting }
     }
 
     pub fn addr(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Makes room; the connection whose dial has waited, once it is up.
+    /// Makes room in the queue and accepts the connection whose dial has waited.
     pub fn accept(&mut self) -> Peer {
-        for _ in self.crowd.drain(..) {
+        for _ in self.waiting.drain(..) {
             self.listener.accept().unwrap();
         }
         Peer::new(self.listener.accept().unwrap().0)
@@ -204,15 +210,16 @@
     listener
 }
 
+/// The backends of a test and its discovery.
 pub struct Fleet {
     backends: Vec<Backend>,
     pub discovery: Discovery,
 }
 
-/// The head of the answer to a watch.
+/// The head of discovery's response to a watch.
 pub const WATCH_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Discovery at one address.
+/// A discovery server.
 pub struct Discovery(TcpListener);
 
 impl Discovery {
@@ -224,7 +231,7 @@
         self.0.local_addr().unwrap()
     }
 
-    /// Takes in the relay's next call, which gets no answer yet; its request.
+    /// Accepts the relay's next call and reads its request line; the test sends the response.
     pub fn accept_call(&self) -> (Peer, String) {
         let mut peer = until("a call", || {
             self.0.accept().ok().map(|(stream, _)| Peer::new(stream))
@@ -234,7 +241,7 @@
         (peer, line)
     }
 
-    /// Takes in the relay's watch, which must begin with this request.
+    /// Accepts the relay's watch, whose request line must begin with `request`.
     pub fn accept_watch(&self, request: &str) -> Watch {
         let (mut peer, line) = self.accept_call();
         assert!(line.starts_with(request), "{line}");
@@ -260,7 +267,7 @@
         }
     }
 
-    /// The relay that is started next will reach this backend at another address.
+    /// Lists this backend at another address in the configurations written from now on.
     pub fn set_backend_addr(&mut self, name: &str, addr: SocketAddr) {
         self.backends
             .iter_mut()
@@ -272,6 +279,7 @@
         self.backends.iter().find(|b| b.name == name).unwrap()
     }
 
+    /// Accepts the next connection at any backend; the backend's name and the connection.
     pub fn accept_any(&self) -> (String, Peer) {
         until("a connection to any backend", || {
             self.backends
@@ -280,6 +288,7 @@
         })
     }
 
+    /// The entry of this backend in an endpoint list.
     pub fn entry(&self, name: &str, state: &str) -> String {
         let addr = self.backend(name).addr;
         format!(
@@ -288,13 +297,13 @@
         )
     }
 
-    /// Starts the relay, which knows all backends.
+    /// Starts a relay whose configuration lists all backends.
     pub fn relay(&self) -> Relay {
         let names: Vec<&str> = self.backends.iter().map(|b| b.name.as_str()).collect();
         self.relay_that_knows(&names)
     }
 
-    /// The configuration of a relay that knows all backends, with discovery at this address.
+    /// A configuration that lists all backends, with discovery at this address.
     pub fn config(&self, discovery: SocketAddr) -> String {
         let entries: Vec<String> = self
             .backends
@@ -304,6 +313,7 @@
         config(discovery, &entries)
     }
 
+    /// Starts a relay whose configuration lists these backends.
     pub fn relay_that_knows(&self, names: &[&str]) -> Relay {
         let entries: Vec<String> = names
             .iter()
@@ -312,12 +322,12 @@
         Relay::start(&config(self.discovery.addr(), &entries), None)
     }
 
-    /// Takes in the relay's watch.
+    /// Accepts the relay's watch.
     pub fn accept_watch(&self) -> Watch {
         self.discovery.accept_watch("GET /v1/endpoints?watch=1")
     }
 
-    /// A client and the backend that serves it.
+    /// Establishes a connection; the client's and the backend's side of it.
     pub fn pair(&self, relay: &Relay, id: &str) -> (Peer, Peer) {
         let mut client = relay.client();
         client.send(&format!("OPEN {id} 7f c=chat,d=60000"));
@@ -329,16 +339,19 @@
     }
 }
 
+/// A watch of the relay, on the side of discovery.
 pub struct Watch {
     pub peer: Peer,
 }
 
 impl Watch {
+    /// Sends a line as one HTTP chunk.
     pub fn send_line(&mut self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
         self.peer.stream.write_all(chunk.as_bytes()).unwrap();
     }
 
+    /// Sends an endpoint list: all endpoints (`full`), or an update.
     pub fn send_list(&mut self, version: u64, full: bool, entries: &[String]) {
         let list = entries.join(",");
         self.send_line(&format!(
@@ -347,7 +360,8 @@
     }
 }
 
-/// A configuration with the settings of the other tests, and times that no slow machine reaches.
+/// A configuration with the settings of the other tests, and timeouts that a slow machine does not
+/// reach.
 pub fn config(discovery: SocketAddr, known: &[String]) -> String {
     let settings = include_str!("../data/settings.json")
         .replace("\"pass\"", "\"proxy\"")
@@ -363,7 +377,7 @@
     )
 }
 
-/// A file of its own for each call.
+/// Writes a file with a new name for each call.
 pub fn file(text: &str) -> PathBuf {
     static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -373,7 +387,7 @@
     path
 }
 
-/// The program with that configuration and nothing else told.
+/// The program with this configuration and without other environment variables of the relay.
 pub fn program(command: &str, config: &PathBuf) -> Command {
     let mut program = Command::new(env!("CARGO_BIN_EXE_jaspermoor"));
     for key in
@@ -385,11 +399,11 @@
     program
 }
 
-/// Reads an answer of the second address up to its end; the status, and what it says.
-pub fn read_answer(mut caller: TcpStream) -> (u16, String) {
+/// Reads a response of the admin address up to the end of the stream; the status and the body.
+pub fn read_answer(mut connection: TcpStream) -> (u16, String) {
     let mut text = String::new();
-    caller.set_read_timeout(Some(TIMEOUT)).unwrap();
-    caller.read_to_string(&mut text).unwrap();
+    connection.set_read_timeout(Some(TIMEOUT)).unwrap();
+    connection.read_to_string(&mut text).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
     (
         head.split(' ').nth(1).unwrap().parse().unwrap(),
@@ -397,6 +411,7 @@
     )
 }
 
+/// A running relay process, killed when dropped.
 pub struct Relay {
     child: Child,
     config: PathBuf,
@@ -405,7 +420,7 @@
 }
 
 impl Relay {
-    /// Starts it with this configuration and, if given, this value of `BALANCER_DISCOVERY`.
+    /// Starts a relay with this configuration and, if given, this value of `BALANCER_DISCOVERY`.
     pub fn start(config: &str, discovery: Option<SocketAddr>) -> Relay {
         let path = file(config);
         let mut command = program("serve", &path);
@@ -415,13 +430,13 @@
         Relay::spawn(command, path)
     }
 
-    /// Starts it with so many descriptors and no more.
-    pub fn start_with_descriptors(config: &str, most: usize) -> Relay {
+    /// Starts a relay with this limit on file descriptors.
+    pub fn start_with_descriptors(config: &str, limit: usize) -> Relay {
         let path = file(config);
         let relay = program("serve", &path);
         let mut command = Command::new("sh");
         command
-            .args(["-c", &format!("ulimit -n {most}; exec \"$0\" serve")])
+            .args(["-c", &format!("ulimit -n {limit}; exec \"$0\" serve")])
             .arg(relay.get_program());
         for (key, value) in relay.get_envs() {
             match value {
@@ -432,19 +447,19 @@
         Relay::spawn(command, path)
     }
 
-    /// How many descriptors it holds.
+    /// The number of its open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .unwrap()
             .count()
     }
 
-    /// Starts it with a second address, as one of the processes that share a listening socket and a
-    /// directory for files.
+    /// Starts a relay with an admin address, as one of the processes that share a listening socket
+    /// and a directory for files.
     pub fn start_shared(config: &str, listener: &TcpListener, shared: &Path) -> Relay {
         let path = file(config);
         let relay = program("serve", &path);
-        // The shell puts the socket where the platform does.
+        // The shell moves the socket to the descriptor at which the platform passes it.
         let mut command = Command::new("sh");
         command
             .args(["-c", "exec 5<&0 0</dev/null; exec \"$0\" serve"])
@@ -468,14 +483,14 @@
     fn spawn(mut command: Command, path: PathBuf) -> Relay {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let log = Arc::new(Mutex::new(Vec::new()));
-        let (lines, said) = (
+        let (lines, logged) = (
             BufReader::new(child.stderr.take().unwrap()).lines(),
             log.clone(),
         );
         thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .for_each(|l| said.lock().unwrap().push(l))
+                .for_each(|l| logged.lock().unwrap().push(l))
         });
         let addr = until("the relay's start", || {
             let log = log.lock().unwrap();
@@ -492,22 +507,22 @@
         }
     }
 
-    /// Replaces the configuration as a whole and signals a reload.
+    /// Replaces the configuration file atomically and signals a reload.
     pub fn reload(&self, config: &str) {
         std::fs::rename(file(config), &self.config).unwrap();
         self.signal("HUP");
     }
 
-    /// Calls the second address; the status, and what it says.
+    /// Sends a request to the admin address; the status and the body of the response.
     pub fn admin_request(&self, method: &str, path: &str) -> (u16, String) {
-        let mut caller = self.admin_connection();
-        caller
+        let mut connection = self.admin_connection();
+        connection
             .write_all(format!("{method} {path} HTTP/1.1\r\nHost: relay\r\n\r\n").as_bytes())
             .unwrap();
-        read_answer(caller)
+        read_answer(connection)
     }
 
-    /// A connection to the second address.
+    /// A connection to the admin address.
     pub fn admin_connection(&self) -> TcpStream {
         let log = self.log.lock().unwrap();
         let addr = log.iter().find_map(|l| {
@@ -517,7 +532,7 @@
         TcpStream::connect(addr.unwrap()).unwrap()
     }
 
-    /// One figure, by its name and label; a line that is missing is none.
+    /// The value of a metric, by its name and label; `None` if there is no such line.
     pub fn metric(&self, name: &str) -> Option<u64> {
         let (status, text) = self.admin_request("GET", "/control/counters");
         assert_eq!(status, 200);
@@ -527,21 +542,22 @@
         line.map(|n| n.parse().unwrap())
     }
 
-    /// Waits until a figure has this value.
+    /// Waits until a metric has this value.
     pub fn wait_for_metric(&self, name: &str, value: u64) {
         until(name, || (self.metric(name) == Some(value)).then_some(()));
     }
 
+    /// Connects a client to the relay.
     pub fn client(&self) -> Peer {
         Peer::new(TcpStream::connect(self.addr).unwrap())
     }
 
-    /// Waits until a dial to this address is under way: the machine has sent its first packet.
+    /// Waits until a dial to this address has begun: the kernel has sent the first packet.
     pub fn wait_for_dial(&self, to: SocketAddr) {
         let SocketAddr::V4(to) = to else {
             panic!("{to}")
         };
-        // As the kernel writes it: the address as it lies in memory, and the state SYN_SENT.
+        // In the kernel's format: the address in memory order, and the state SYN_SENT (02).
         let remote = format!(
             "{:08X}:{:04X} 02",
             u32::from_ne_bytes(to.ip().octets()),
@@ -591,12 +607,13 @@
         }
     }
 
-    /// Whether each of its threads is stopped: on a busy machine a signal is on its way for a while after `kill` returns.
+    /// Whether all its threads are stopped: on a busy machine a signal takes effect a while after
+    /// `kill` returns.
     fn is_stopped(&self) -> bool {
         let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
         let stopped = |thread: std::io::Result<std::fs::DirEntry>| {
             let stat = std::fs::read_to_string(thread.unwrap().path().join("stat")).unwrap();
-            // The state stands behind the name in brackets, which may hold anything.
+            // The state follows the name in parentheses, which may contain anything.
             stat.rsplit_once(") ")
                 .is_some_and(|(_, rest)| rest.starts_with('T'))
         };
--- a/tests/xmpp.rs
+++ b/tests/xmpp.rs
@@ -1,4 +1,5 @@
-//! The built relay between XMPP clients and servers, one test for each way in which it could go wrong.
+//! End-to-end tests of the XMPP front: the built relay between XMPP clients and servers, one test
+//! for each failure.
 
 use indicatif::ProgressBar;
 use jaspermoor::protocol::xmpp::frame::{Unit, NS_SASL, NS_TLS};
@@ -17,7 +18,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The classes' deadline in the operator file of these tests.
+/// The deadline of the classes in the operator file of these tests.
 const DEADLINE: Duration = Duration::from_millis(5000);
 
 fn dir(name: &str) -> PathBuf {
@@ -37,7 +38,7 @@
     .unwrap()
 }
 
-/// An installation whose operator file has these lines more.
+/// An installation with `more` appended to its operator file.
 fn start(name: &str, servers: usize, more: &str) -> Xmpp {
     let more = more.to_string();
     start_with(name, servers, |setup| {
@@ -60,15 +61,15 @@
     seen.answers.iter().map(|(answer, _)| answer).collect()
 }
 
-/// Which server has the session.
-fn holder(site: &Xmpp) -> usize {
+/// The index of the server that has a session.
+fn serving(site: &Xmpp) -> usize {
     until("a session at a server", || {
         site.servers.iter().position(|s| s.sessions() > 0)
     })
 }
 
-/// A TCP stream to the relay's door in clear, its header said and answered.
-fn clear(site: &Xmpp) -> Stream {
+/// A connection to the relay's STARTTLS port, after the exchange of stream headers.
+fn connect_clear(site: &Xmpp) -> Stream {
     let socket = TcpStream::connect(site.relay.xmpp()).unwrap();
     socket
         .set_read_timeout(Some(jaspermoor_lab::PATIENCE))
@@ -79,9 +80,9 @@
     stream
 }
 
-/// The aim: sessions before three servers, one of which is drained under load.
+/// 300 sessions at three servers, one of which is drained under load.
 #[test]
-fn three_hundred_sessions_live_through_a_drain_with_one_answer_each_and_no_stanza_lost() {
+fn three_hundred_sessions_survive_a_drain_with_one_answer_each_and_no_stanza_lost() {
     let site = start("drain", 3, "");
     let script = |n: usize| {
         let user = format!("u{n}");
@@ -113,7 +114,8 @@
     until("all sessions to end", || {
         (site.relay.figure("xmpp_sessions") == Some(0)).then_some(())
     });
-    // A client that has had its last answer may leave just as it is moved: the relay counts it, the client does not.
+    // A client that is done may disconnect just as its session migrates: the relay counts that, the
+    // client does not.
     let counted = site.relay.figure("xmpp_moved_total").unwrap();
     assert!(
         (u64::from(moved)..=300).contains(&counted),
@@ -121,13 +123,14 @@
     );
 }
 
-/// A stanza of 200 KiB is half out when its server drains: it is finished before the session is moved.
+/// A stanza of 200 KiB is half sent when its server drains: it is completed before the session
+/// migrates.
 #[test]
-fn a_stanza_that_is_half_out_at_a_drain_is_finished() {
+fn a_stanza_that_is_half_sent_at_a_drain_is_completed() {
     let site = start("half", 2, "\n[xmpp.times]\nfinish_ms = 20000\n");
     site.servers.iter().for_each(|s| s.fault(Fault::Stall(700)));
     let mut stream = site.login("ali").open().unwrap();
-    let at = holder(&site);
+    let at = serving(&site);
     let body = "x".repeat(200 * 1024);
     stream
         .send(&format!(
@@ -142,7 +145,7 @@
     site.drain(at);
     let (unit, bytes) = stream.unit().unwrap();
     assert!(matches!(unit, Unit::Element(e) if e.name == "message") && bytes.len() > 200 * 1024);
-    // What the server knows to have received, then the reason, then the end.
+    // The server's count of received stanzas, then the stream error, then the closing tag.
     let Unit::Element(a) = stream.unit().unwrap().0 else {
         panic!()
     };
@@ -158,15 +161,16 @@
     assert_eq!(site.relay.figure("xmpp_cut_stanzas_total"), Some(0));
 }
 
-/// A server that does not finish is not waited for without end, and no half of its stanza reaches the client.
+/// The wait for a server to finish is limited, and no part of an incomplete stanza reaches the
+/// client.
 #[test]
-fn a_stanza_that_is_not_finished_in_time_is_dropped_whole_and_counted() {
+fn a_stanza_that_is_not_completed_in_time_is_dropped_whole_and_counted() {
     let site = start("cut", 2, "\n[xmpp.times]\nfinish_ms = 100\n");
     site.servers
         .iter()
         .for_each(|s| s.fault(Fault::Stall(15_000)));
     let mut stream = site.login("ali").open().unwrap();
-    let at = holder(&site);
+    let at = serving(&site);
     let body = "x".repeat(200 * 1024);
     stream
         .send(&format!(
@@ -194,9 +198,10 @@
     });
 }
 
-/// A server that dies in a stanza: its client gets whole stanzas, a reason and an end.
+/// A server that dies in the middle of a stanza: its client gets only whole stanzas, a stream error
+/// and a closing tag.
 #[test]
-fn a_server_that_dies_in_a_stanza_leaves_its_client_no_half() {
+fn a_server_that_dies_in_a_stanza_sends_its_client_no_part_of_it() {
     let site = start("dies", 2, "");
     site.servers.iter().for_each(|s| s.fault(Fault::Cut));
     let mut stream = site.login("ali").open().unwrap();
@@ -224,11 +229,12 @@
     site.relay.wait_for("reason=backend-ended front=xmpp");
 }
 
-/// What is sent in clear behind `<starttls/>` is never read as protected (CVE-2011-0411 and its kind).
+/// Clear text sent after `<starttls/>` must not be read as protected by TLS (CVE-2011-0411 and
+/// similar).
 #[test]
-fn clear_text_behind_starttls_is_refused() {
+fn clear_text_after_starttls_is_refused() {
     let site = start("behind", 1, "");
-    let mut stream = clear(&site);
+    let mut stream = connect_clear(&site);
     element(&mut stream).unwrap_or_else(|e| panic!("{e:?}"));
     let injected = format!(
         "<starttls xmlns='{NS_TLS}'/>{}",
@@ -246,8 +252,8 @@
     site.relay.wait_for("reason=policy-violation front=xmpp");
 }
 
-/// Bytes that come with the last flight of the handshake, and a header with `<auth/>` behind it in one record,
-/// are the new stream's.
+/// Data that arrives with the last flight of the TLS handshake belongs to the new stream; so does a
+/// header with `<auth/>` in the same record.
 #[test]
 fn a_stream_restarts_with_bytes_in_the_same_flight_and_record() {
     let site = start("restart", 1, "");
@@ -257,40 +263,40 @@
         .unwrap();
     let name = DOMAIN.to_string().try_into().unwrap();
     let mut tls = rustls::ClientConnection::new(site.tls.clone(), name).unwrap();
-    // Before the handshake: it goes out right behind the client's last flight.
+    // Written before the handshake, so that it is sent right after the client's last flight.
     tls.writer()
         .write_all(header(DOMAIN, None).as_bytes())
         .unwrap();
     let auth = format!("<auth xmlns='{NS_SASL}' mechanism='PLAIN'>AGFsaQBhbGk=</auth>");
     tls.writer().write_all(auth.as_bytes()).unwrap();
     let mut stream = rustls::StreamOwned::new(tls, socket);
-    let mut said = String::new();
-    let mut piece = [0; 4096];
-    let mut hear_to = |stream: &mut rustls::StreamOwned<_, TcpStream>, end: &str| {
-        while !said.contains(end) {
-            let n = stream.read(&mut piece).unwrap();
-            assert!(n > 0, "{said}");
-            said.push_str(std::str::from_utf8(&piece[..n]).unwrap());
+    let mut received = String::new();
+    let mut buffer = [0; 4096];
+    let mut read_to = |stream: &mut rustls::StreamOwned<_, TcpStream>, end: &str| {
+        while !received.contains(end) {
+            let n = stream.read(&mut buffer).unwrap();
+            assert!(n > 0, "{received}");
+            received.push_str(std::str::from_utf8(&buffer[..n]).unwrap());
         }
     };
-    hear_to(&mut stream, "<success");
-    // The next header and a stanza in one record.
+    read_to(&mut stream, "<success");
+    // The next stream header and a stanza in one record.
     let iq = "<iq type='get' id='p1'><ping xmlns='urn:xmpp:ping'/></iq>";
     stream
         .write_all(format!("{}{iq}", header(DOMAIN, None)).as_bytes())
         .unwrap();
-    hear_to(&mut stream, "id='p1'");
+    read_to(&mut stream, "id='p1'");
 }
 
-/// A handshake that stalls at any flight costs its client its time and nobody else's.
+/// A TLS handshake that stalls at any flight times out, and other clients are not delayed.
 #[test]
-fn a_handshake_that_stalls_is_ended_and_holds_up_nobody() {
+fn a_handshake_that_stalls_times_out_and_delays_no_other_client() {
     let site = start("stalls", 1, "\n[xmpp.times]\nstep_ms = 400\n");
     let mut stalled = Vec::new();
     for flight in 0..4 {
-        let mut stream = clear(&site);
+        let mut stream = connect_clear(&site);
         if flight == 0 {
-            // Nothing behind the header.
+            // Nothing after the stream header.
             stalled.push((stream, "negotiation-late"));
             continue;
         }
@@ -304,7 +310,7 @@
         let mut hello = Vec::new();
         tls.write_tls(&mut hello).unwrap();
         match flight {
-            // Nothing of the first flight, half of it, all of it and nothing of the second.
+            // Nothing of the first flight; half of it; all of it, and nothing of the second.
             1 => {}
             2 => stream.send_bytes(&hello[..hello.len() / 2]).unwrap(),
             _ => stream.send_bytes(&hello).unwrap(),
@@ -325,13 +331,13 @@
     assert_eq!(site.relay.figure("xmpp_tls_failures_total"), Some(3));
     for (stream, _) in &mut stalled {
         let mut rest = Vec::new();
-        // Ended, whatever was still said.
+        // Closed, whatever was sent before.
         let _ = stream.socket().read_to_end(&mut rest);
     }
 }
 
 #[test]
-fn two_servers_refuse_and_the_third_takes_the_session() {
+fn a_session_refused_by_two_servers_is_accepted_by_the_third() {
     let site = start("refuse", 3, "");
     site.servers[0].fault(Fault::Refuse);
     site.servers[1].fault(Fault::Later);
@@ -343,15 +349,16 @@
         );
     }
     assert_eq!(site.servers[2].book(|b| b.let_in.len()), 12);
-    // Nobody was let in twice, and those that refuse were asked before.
+    // Each user was accepted once, and the servers that refuse were tried.
     assert!(
         site.servers[0].book(|b| b.opened.len()) + site.servers[1].book(|b| b.opened.len()) > 0
     );
 }
 
-/// The session has its answer, the success; what comes behind is the end of a session, not a second answer.
+/// `<success/>` is the final answer. If the server closes right after it, the client gets the end
+/// of a session, not a second answer.
 #[test]
-fn a_server_that_ends_behind_the_success_leaves_one_answer_and_a_reason() {
+fn a_server_that_closes_after_success_leaves_one_answer_and_a_stream_error() {
     let site = start("behind-success", 1, "");
     site.servers[0].fault(Fault::EndAfterSuccess);
     let login = site.login("ali");
@@ -360,7 +367,7 @@
         .authenticate(&mut stream)
         .unwrap_or_else(|e| panic!("{e:?}"));
     let _ = stream.send(&header(DOMAIN, None));
-    // The relay's own header: none of the server's has come.
+    // The relay's own header: the server has not sent one.
     assert!(matches!(stream.unit().unwrap().0, Unit::Header(_)));
     let Unit::Element(e) = stream.unit().unwrap().0 else {
         panic!()
@@ -381,7 +388,7 @@
 }
 
 #[test]
-fn a_server_that_breaks_off_or_falls_silent_in_sasl_leads_to_one_answer_in_time() {
+fn a_server_that_closes_or_stalls_during_sasl_leads_to_one_answer_in_time() {
     let site = start("sasl", 1, "");
     for (fault, conditions) in [
         (
@@ -401,7 +408,7 @@
         site.servers[0].fault(fault);
         let login = site.login("ali");
         let mut stream = login.connect().unwrap_or_else(|e| panic!("{e:?}"));
-        let asked = Instant::now();
+        let sent = Instant::now();
         let Err(Broke::Answered(Answer::Error(condition, _))) = login.authenticate(&mut stream)
         else {
             panic!("no answer for {fault:?}")
@@ -410,17 +417,13 @@
             conditions.contains(&condition.as_str()),
             "{fault:?}: {condition}"
         );
-        assert!(
-            asked.elapsed() < DEADLINE,
-            "{fault:?}: {:?}",
-            asked.elapsed()
-        );
+        assert!(sent.elapsed() < DEADLINE, "{fault:?}: {:?}", sent.elapsed());
         assert!(matches!(stream.unit().unwrap().0, Unit::End), "{fault:?}");
     }
 }
 
 #[test]
-fn a_refusal_says_when_to_come_again() {
+fn a_rejection_says_when_to_retry() {
     let site = start("retry", 1, "");
     site.servers[0].fault(Fault::Refuse);
     let login = site.login("ali");
@@ -437,7 +440,7 @@
 }
 
 #[test]
-fn the_servers_own_failure_is_the_answer_and_each_mechanism_goes_through() {
+fn each_mechanism_is_forwarded_and_a_failure_of_the_server_is_the_answer() {
     let site = start("mechanisms", 2, "");
     for mechanism in ["SCRAM-SHA-256", "SCRAM-SHA-1", "PLAIN"] {
         for direct in [false, true] {
@@ -472,9 +475,9 @@
     assert_eq!(site.relay.figure("xmpp_sasl_failures_total"), Some(6));
 }
 
-/// Wherever a client goes away, nothing of it is left.
+/// A client may disconnect at any step; its request, its session and its descriptors are released.
 #[test]
-fn a_client_that_leaves_at_any_step_leaves_nothing_behind() {
+fn a_client_that_disconnects_at_any_step_leaves_nothing_behind() {
     let site = start("leaves", 2, "");
     let login = site.login("ali");
     let fds = || {
@@ -486,8 +489,8 @@
     let before = fds();
     for _ in 0..3 {
         drop(TcpStream::connect(site.relay.xmpp()).unwrap());
-        drop(clear(&site));
-        let mut stream = clear(&site);
+        drop(connect_clear(&site));
+        let mut stream = connect_clear(&site);
         stream
             .send(&format!("<starttls xmlns='{NS_TLS}'/>"))
             .unwrap();
@@ -518,7 +521,7 @@
         let mut stream = login.open().unwrap_or_else(|e| panic!("{e:?}"));
         stream.close();
     }
-    until("all to be gone", || {
+    until("all requests to end", || {
         (site.relay.figure("in_progress") == Some(0)).then_some(())
     });
     until("the servers' sessions to end", || {
@@ -527,13 +530,13 @@
     until("the descriptors", || (fds() <= before + 2).then_some(()));
 }
 
-/// Bad input is answered with its condition, soon, and costs no memory.
+/// Invalid input is answered with its stream error condition at once, and costs no memory.
 #[test]
-fn bad_input_is_refused_with_its_condition() {
+fn invalid_input_is_refused_with_its_condition() {
     let site = start("bad", 1, "");
     let memory = site.relay.memory_kib();
     let long = format!("<a b='{}", "x".repeat(64 * 1024));
-    let laughs =
+    let entity_bomb =
         "<!DOCTYPE lolz [<!ENTITY lol 'lol'><!ENTITY lol2 '&lol;&lol;'>]><lolz>&lol2;</lolz>";
     let stanza = format!("<message><body>{}", "y".repeat(300 * 1024));
     let deep = "<a>".repeat(10_000);
@@ -550,7 +553,7 @@
         ("<message></body>", "not-well-formed"),
     ] {
         let mut stream = site.login("ali").open().unwrap_or_else(|e| panic!("{e:?}"));
-        // It may have been refused and ended before all is written.
+        // The relay may refuse it and close before all is written.
         let _ = stream.send(text);
         let Unit::Element(e) = stream.unit().unwrap().0 else {
             panic!()
@@ -565,7 +568,7 @@
     }
     let good = header(DOMAIN, None);
     for (text, condition) in [
-        (laughs.to_string(), "restricted-xml"),
+        (entity_bomb.to_string(), "restricted-xml"),
         (
             good.replace("etherx.jabber.org", "example.org"),
             "invalid-namespace",
@@ -601,25 +604,26 @@
             "{text}"
         );
     }
-    // 60 MB at full speed, in an attribute, of which a few KiB are ever held.
+    // 60 MB in an attribute at full speed, of which only a few KiB may be buffered at a time.
     let mut socket = TcpStream::connect(site.relay.xmpp()).unwrap();
-    let (begun, _) = good.split_once(" to=").unwrap();
-    let _ = socket.write_all(format!("{begun} x='").as_bytes());
-    let piece = [b'x'; 64 * 1024];
+    let (start, _) = good.split_once(" to=").unwrap();
+    let _ = socket.write_all(format!("{start} x='").as_bytes());
+    let chunk = [b'x'; 64 * 1024];
     let sent = (0..960)
-        .take_while(|_| socket.write_all(&piece).is_ok())
+        .take_while(|_| socket.write_all(&chunk).is_ok())
         .count();
     assert!(
         site.relay.memory_kib() < memory + 16 * 1024,
-        "{sent} pieces: {} KiB",
+        "{sent} chunks: {} KiB",
         site.relay.memory_kib()
     );
     site.login("ali").open().unwrap_or_else(|e| panic!("{e:?}"));
 }
 
-/// A bad key or certificate at a reload changes nothing, under load and for good.
+/// A reload with an invalid key or certificate is refused with its reason; sessions under load are
+/// not affected.
 #[test]
-fn a_reload_with_a_bad_pair_keeps_the_old_one_and_says_why() {
+fn a_reload_with_an_invalid_pair_keeps_the_old_one_and_says_why() {
     let site = start("reload", 2, "");
     let scripts = (0..20)
         .map(|n| (format!("u{n}"), script(&site, &format!("u{n}"), 60, 50)))
@@ -636,7 +640,8 @@
         .authority
         .leaf("elsewhere", "else.example.org", Valid::Long)
         .unwrap();
-    // This pair's file was written anew: the running relay still has the one from its start.
+    // The file of this pair was overwritten; the running relay still has the one it loaded at its
+    // start.
     let wrong = jaspermoor_lab::certs::Pair {
         certificate: other.certificate.clone(),
         key: old.key.clone(),
@@ -659,13 +664,13 @@
                 .open()
                 .unwrap_or_else(|e| panic!("{why}: {e:?}"));
         }
-        // Names a class that the platform's file does not have.
+        // A class that the platform's settings do not have.
         site.relay
             .reload_operator(&operator(DOMAIN, &other).replace("\"chat\"", "\"none\""))
             .unwrap();
         site.relay
             .wait_for("xmpp.class[0].class: 'none' is none of");
-        // And one that is sound is taken.
+        // A valid file is loaded.
         site.relay
             .reload_operator(&operator(DOMAIN, &other))
             .unwrap();
@@ -682,9 +687,10 @@
     assert!(seen.iter().all(|(_, s)| s.moved == 0));
 }
 
-/// TLS streams cannot change process: they are moved between stanzas, and the new process takes them.
+/// A TLS stream cannot be handed over to another process: its session migrates between two stanzas
+/// and reconnects to the new process.
 #[test]
-fn an_upgrade_moves_standing_sessions_and_loses_no_stanza() {
+fn an_upgrade_migrates_established_sessions_and_loses_no_stanza() {
     let held = Arc::new(TcpListener::bind("127.0.0.1:0").unwrap());
     held.set_nonblocking(true).unwrap();
     let mut first = None;
@@ -692,7 +698,7 @@
         setup.held = Some(held.clone());
         first = Some(setup.clone());
     });
-    // The second process listens where the first one does.
+    // The second process listens at the address of the first one.
     let mut second = first.unwrap();
     let addr = site.relay.xmpp().to_string();
     let text = second.operator.take().unwrap();
@@ -716,7 +722,7 @@
         new = Some(Relay::start(&second).unwrap());
         site.relay.signal("TERM").unwrap();
         old = Some(Instant::now());
-        until("the old process to let go", || {
+        until("the old process to stop", || {
             let seen = site.relay.lines();
             seen.iter().any(|l| l.contains("stopped")).then_some(())
         });
@@ -725,13 +731,16 @@
     assert!(old.unwrap().elapsed() < Duration::from_secs(40));
     let verdicts = site.judge(&seen, DEADLINE, None);
     assert!(verdicts.all(), "{verdicts}");
-    assert!(seen.iter().all(|(_, s)| s.moved == 1), "each is moved once");
+    assert!(
+        seen.iter().all(|(_, s)| s.moved == 1),
+        "each session migrates once"
+    );
     assert!(new.unwrap().figure("xmpp_sessions").is_some());
 }
 
-/// Staff take a server out: what binds lines binds sessions.
+/// A manual ejection of a server applies to XMPP sessions as to connections of the line protocol.
 #[test]
-fn a_ban_by_hand_binds_sessions_too() {
+fn a_manual_ejection_applies_to_sessions() {
     let site = start("ban", 2, "");
     let (status, _) = site
         .relay
@@ -746,9 +755,10 @@
     assert_eq!(site.servers[0].book(|b| b.opened.len()), 0);
 }
 
-/// Servers that want TLS get it, and a server whose certificate is another's gets nothing.
+/// With `security = "starttls"` the relay uses TLS with servers, and sends nothing more to a server
+/// whose certificate is for another name.
 #[test]
-fn servers_are_spoken_to_under_tls_where_the_operator_says_so() {
+fn connections_to_servers_use_tls_if_the_operator_sets_it() {
     let dir = dir("server-tls");
     let authority = Authority::new(&dir.join("servers")).unwrap();
     for (domain, good) in [(DOMAIN, true), ("else.example.org", false)] {
@@ -781,7 +791,8 @@
     }
 }
 
-/// The name in SNI chooses the certificate, else the domain of the stream; a name that is not served gets the first.
+/// The certificate is chosen by the SNI name, or else by the stream's domain; a name that is not
+/// served gets the first certificate.
 #[test]
 fn each_domain_has_its_certificate() {
     let site = start_with("names", 1, |setup| {
@@ -816,9 +827,10 @@
     }
 }
 
-/// Many long stanzas that never end: their senders are ended before memory is, and others are served.
+/// Many long stanzas that never end: their connections are closed before the memory is used up, and
+/// other clients are served.
 #[test]
-fn stanzas_that_never_end_take_a_share_of_the_memory_and_no_more() {
+fn incomplete_stanzas_take_a_limited_share_of_the_memory() {
     let site = start_with("memory", 1, |setup| {
         setup
             .replace
--- a/tests/xmpp_input.rs
+++ b/tests/xmpp_input.rs
@@ -1,6 +1,7 @@
-//! The machines of the XMPP front under inputs that nobody wrote: cut anywhere, and damaged at random.
+//! Fuzz tests of the XMPP state machines: inputs split at any position, and inputs with random
+//! mutations.
 //!
-//! `JASPERMOOR_MUTATIONS` sets how many damaged inputs are tried; the default is for every day.
+//! `JASPERMOOR_MUTATIONS` sets the number of mutated inputs; the default is that of the daily runs.
 
 use jaspermoor::config::{Classes, Names};
 use jaspermoor::protocol::buffer::Buffer;
@@ -28,7 +29,7 @@
     "<message id='1'><body>é &amp; &#x20AC; <![CDATA[<a>]]></body></message> \n<iq type='get' \
     id='2'><query xmlns='jabber:iq:roster'/></iq><r xmlns='urn:xmpp:sm:3'/><a xmlns='urn:xmpp:sm:3' h='1'/>";
 
-fn terms(security: Security) -> Arc<XmppSettings> {
+fn settings(security: Security) -> Arc<XmppSettings> {
     let rule = ClassRule {
         domain: None,
         local: None,
@@ -44,7 +45,7 @@
     })
 }
 
-fn rules() -> Arc<FrontSettings> {
+fn front_settings() -> Arc<FrontSettings> {
     let classes = Classes::new([("view".to_string(), 3_000_000)]);
     Arc::new(FrontSettings {
         classes,
@@ -52,7 +53,7 @@
     })
 }
 
-/// Where the units end that a framer finds, white space left out, and its error.
+/// The ends of the units that a framer finds, without white space, and its error.
 fn ends(text: &[u8], step: usize, keep: bool) -> (Vec<usize>, Option<String>) {
     let (mut framer, mut found, mut at) = (Framer::new(Bounds::default(), keep), Vec::new(), 0);
     while at < text.len() {
@@ -67,7 +68,8 @@
     (found, None)
 }
 
-/// All that a framer finds in pieces of these lengths, white space left out: ends and units, and the error.
+/// The units that a framer finds in an input split at these positions, without white space, each
+/// with its end; and the error.
 fn units(text: &[u8], cuts: &[usize]) -> (Vec<(usize, Unit)>, Option<String>) {
     let (mut framer, mut found, mut at) = (Framer::new(Bounds::default(), true), Vec::new(), 0);
     let mut cuts = cuts.to_vec();
@@ -118,7 +120,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
-    /// Any split of any stream gives the same units, which end at the same bytes.
+    /// Every split of a stream gives the same units, which end at the same bytes.
     #[test]
     fn splits_change_nothing(
         stanzas in proptest::collection::vec(element(), 0..6),
@@ -132,9 +134,9 @@
         prop_assert_eq!(units(text.as_bytes(), &cuts), whole);
     }
 
-    /// Also of one that is damaged: the same units up to the same error.
+    /// Every split of a mutated stream gives the same units up to the same error.
     #[test]
-    fn splits_change_nothing_in_what_is_damaged(
+    fn splits_change_nothing_in_a_mutated_stream(
         at in any::<proptest::sample::Index>(),
         byte in any::<u8>(),
         cuts in proptest::collection::vec(any::<proptest::sample::Index>(), 0..12),
@@ -147,9 +149,9 @@
     }
 }
 
-/// Damages a text in up to four places.
-fn damage(rng: &mut Rand64, text: &mut Vec<u8>, from: &[u8]) {
-    const BITS: [&[u8]; 12] = [
+/// Mutates a text in up to four places.
+fn mutate(rng: &mut Rand64, text: &mut Vec<u8>, from: &[u8]) {
+    const FRAGMENTS: [&[u8]; 12] = [
         b"<",
         b">",
         b"</",
@@ -175,7 +177,7 @@
             2 => drop(
                 text.splice(
                     at..at,
-                    BITS[rng.rand_range(0..BITS.len() as u64) as usize]
+                    FRAGMENTS[rng.rand_range(0..FRAGMENTS.len() as u64) as usize]
                         .iter()
                         .copied(),
                 ),
@@ -195,37 +197,43 @@
     }
 }
 
-/// Runs a client's machine on this; it must come to an end with words that are a stream, or wait.
-fn greet(terms: &Arc<XmppSettings>, rules: &Arc<FrontSettings>, text: &[u8], step: usize) {
-    let (mut greeting, mut inbox) = (
-        ClientNegotiation::new(terms.clone(), [1, 2, 3], false, 0),
+/// Runs the negotiation with a client on this input: it must wait for more, request a session, or
+/// close with a message that is a complete stream.
+fn negotiate(
+    settings: &Arc<XmppSettings>,
+    front_settings: &Arc<FrontSettings>,
+    text: &[u8],
+    step: usize,
+) {
+    let (mut negotiation, mut inbox) = (
+        ClientNegotiation::new(settings.clone(), [1, 2, 3], false, 0),
         Buffer::default(),
     );
-    for mut piece in text.chunks(step) {
-        while !piece.is_empty() {
-            inbox.fill(&mut piece).unwrap();
+    for mut chunk in text.chunks(step) {
+        while !chunk.is_empty() {
+            inbox.fill(&mut chunk).unwrap();
         }
         loop {
-            match greeting.next_action(&mut inbox, 0, rules) {
+            match negotiation.next_action(&mut inbox, 0, front_settings) {
                 ReaderAction::Read => break,
-                ReaderAction::Send(words) => assert!(!words.is_empty()),
+                ReaderAction::Send(message) => assert!(!message.is_empty()),
                 ReaderAction::StartTls(_) => {
                     assert!(
                         inbox.unread().is_empty(),
-                        "clear text is left for the protected stream"
+                        "clear text is left in the buffer for the TLS stream"
                     );
-                    greeting.tls_established(0);
+                    negotiation.tls_established(0);
                 }
-                ReaderAction::Request(order) => {
-                    assert!(inbox.unread().is_empty() && order.request().client_key != 0);
+                ReaderAction::Request(request) => {
+                    assert!(inbox.unread().is_empty() && request.request().client_key != 0);
                     return;
                 }
-                ReaderAction::Close(words, reason) => {
-                    let words = String::from_utf8(words).unwrap();
+                ReaderAction::Close(message, reason) => {
+                    let message = String::from_utf8(message).unwrap();
                     assert!(
                         !reason.is_empty()
-                            && (words.is_empty() || words.ends_with("</stream:stream>")),
-                        "{words}"
+                            && (message.is_empty() || message.ends_with("</stream:stream>")),
+                        "{message}"
                     );
                     return;
                 }
@@ -234,17 +242,18 @@
     }
 }
 
-/// Runs an attempt on what a server says, and the passage behind it, and checks that nothing but whole units pass.
-fn relay(
-    terms: &Arc<XmppSettings>,
-    rules: &Arc<FrontSettings>,
+/// Runs an attempt on the server's input and then the forwarder on both inputs, and checks that
+/// only whole units are forwarded.
+fn forward(
+    settings: &Arc<XmppSettings>,
+    front_settings: &Arc<FrontSettings>,
     server: &[u8],
     client: &[u8],
     step: usize,
 ) {
     let from = Jid::parse("ali@a.example").unwrap();
     let mut attempt = Box::new(ServerNegotiation::new(
-        terms.clone(),
+        settings.clone(),
         "a.example",
         &from,
         b"<auth/>".to_vec(),
@@ -260,52 +269,54 @@
             }
         }
     }
-    let mut passage: Box<dyn Forwarder> = attempt.into_forwarder();
-    let (down, mut news) = (inbox.unread().to_vec(), Vec::new());
-    let (mut down_passed, mut up_passed, mut at) = (0, 0, 0);
+    let mut forwarder: Box<dyn Forwarder> = attempt.into_forwarder();
+    let (down, mut events) = (inbox.unread().to_vec(), Vec::new());
+    let (mut down_forwarded, mut up_forwarded, mut at) = (0, 0, 0);
     let mut ended = [false, false];
     while at < down.len().max(client.len()) {
         at += step;
         let (a, b) = (at.min(down.len()), at.min(client.len()));
         if !ended[0] {
-            match passage.on_backend_data(&down[down_passed..a], rules, &mut news) {
-                Ok(n) => down_passed += n,
-                Err(fault) => ended[0] = !fault.closing_message.is_empty(),
+            match forwarder.on_backend_data(&down[down_forwarded..a], front_settings, &mut events) {
+                Ok(n) => down_forwarded += n,
+                Err(violation) => ended[0] = !violation.closing_message.is_empty(),
             }
-            assert!(down_passed <= a);
+            assert!(down_forwarded <= a);
         }
         if !ended[1] {
-            match passage.on_client_data(&client[up_passed..b]) {
-                Ok(passed) => up_passed += passed.bytes,
-                Err(fault) => ended[1] = !fault.closing_message.is_empty(),
+            match forwarder.on_client_data(&client[up_forwarded..b]) {
+                Ok(allowed) => up_forwarded += allowed.bytes,
+                Err(violation) => ended[1] = !violation.closing_message.is_empty(),
             }
-            assert!(up_passed <= b);
+            assert!(up_forwarded <= b);
         }
     }
-    // What has passed behind the success is a stream of whole units.
+    // After `<success/>`, the bytes forwarded are a stream of whole units.
     let success = SUCCESS.as_bytes();
-    if down[..down_passed].starts_with(success) {
+    if down[..down_forwarded].starts_with(success) {
         let (mut framer, mut rest) = (
             Framer::new(Bounds::default(), false),
-            &down[success.len()..down_passed],
+            &down[success.len()..down_forwarded],
         );
         while !rest.is_empty() {
-            let (n, _) = framer.feed(rest).expect("what passed was read before");
+            let (n, _) = framer
+                .feed(rest)
+                .expect("the forwarder has accepted these bytes");
             rest = &rest[n..];
         }
-        assert!(framer.at_unit_boundary(), "half a unit has passed");
+        assert!(framer.at_unit_boundary(), "part of a unit was forwarded");
     }
 }
 
-/// A million of these once, some thousands every day.
+/// Was run once with a million inputs; the daily runs use some thousands.
 #[test]
-fn damaged_inputs_cause_no_panic_and_no_half_stanza() {
+fn mutated_inputs_cause_no_panic_and_no_partial_stanza() {
     let most: u64 = std::env::var("JASPERMOOR_MUTATIONS")
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(20_000);
-    let (rules, mut rng) = (rules(), Rand64::new(0x6a61_7370_6572));
-    let terms = [Security::Plain, Security::StartTls].map(terms);
+    let (front_settings, mut rng) = (front_settings(), Rand64::new(0x6a61_7370_6572));
+    let settings = [Security::Plain, Security::StartTls].map(settings);
     let client = format!("{HEADER}{STARTTLS}").into_bytes();
     let protected = format!("{HEADER}{AUTH}").into_bytes();
     let server =
@@ -313,27 +324,27 @@
     let stanzas = format!("{HEADER}{STANZAS}</stream:stream>").into_bytes();
     let all = [&client[..], &protected, &server].concat();
     for n in 0..most {
-        let terms = &terms[usize::from(n % 7 == 0)];
+        let settings = &settings[usize::from(n % 7 == 0)];
         let step = [1, 3, 17, 4096][rng.rand_range(0..4) as usize];
         let mut text = if n % 2 == 0 {
             client.clone()
         } else {
             [&client[..], &protected].concat()
         };
-        damage(&mut rng, &mut text, &all);
-        greet(terms, &rules, &text, step);
+        mutate(&mut rng, &mut text, &all);
+        negotiate(settings, &front_settings, &text, step);
         let (mut down, mut up) = (server.clone(), stanzas.clone());
         match n % 3 {
-            0 => damage(&mut rng, &mut down, &all),
-            1 => damage(&mut rng, &mut up, &all),
+            0 => mutate(&mut rng, &mut down, &all),
+            1 => mutate(&mut rng, &mut up, &all),
             _ => {
-                damage(&mut rng, &mut down, &all);
-                damage(&mut rng, &mut up, &all);
+                mutate(&mut rng, &mut down, &all);
+                mutate(&mut rng, &mut up, &all);
             }
         }
-        relay(terms, &rules, &down, &up, step);
-        // What passes the parser by is judged as the parser would, once it knows: a character that has not
-        // ended is an error only by what comes behind it.
+        forward(settings, &front_settings, &down, &up, step);
+        // Text that skips the parser is accepted and refused as by the parser. The suffix decides
+        // about an incomplete character, which is an error only by what follows it.
         up.extend_from_slice(b" <");
         assert_eq!(
             ends(&up, step, false),
