--- a/crates/lab/src/fleet/backend.rs
+++ b/crates/lab/src/fleet/backend.rs
@@ -3,7 +3,7 @@
 //! Its cores are shared by all it holds: connections, a cost for each group that it holds any of, and set-ups. Nearer to
 //! its capacity messages take longer, and beyond it work piles up.
 
-use super::scene::Scene;
+use super::scenario::Scene;
 use jaspermoor::decisions::api::{EndpointId, Micros};
 use std::collections::BTreeMap;
 
@@ -107,7 +107,7 @@
         }
         self.side += work;
         self.waiting += 1;
-        self.through = self.through.max(now) + super::scene::micros(takes);
+        self.through = self.through.max(now) + super::scenario::micros(takes);
         self.through
     }
 
@@ -156,7 +156,7 @@
         if !over {
             self.over_since = None;
         }
-        over && now >= since + super::scene::micros(rules.fall_s)
+        over && now >= since + super::scenario::micros(rules.fall_s)
     }
 
     /// The share of messages that are answered within that aim, in seconds.
--- a/crates/lab/src/fleet/experiment.rs
+++ b/crates/lab/src/fleet/experiment.rs
@@ -1,11 +1,11 @@
 //! Experiments as TOML: days, seeds, sizes and variants. Each combination is a cell that is played by itself, on as many
 //! threads as one likes; its figures depend on nothing but the cell.
 
-use super::books::FIGURES;
 use super::days::{BadDay, Day};
 use super::policy::Policy;
-use super::scene::Scene;
-use super::world::{Outcomes, Variant, World, STEP};
+use super::scenario::Scene;
+use super::simulation::{Outcomes, Variant, World, STEP};
+use super::stats::FIGURES;
 use jaspermoor::cells::CellMap;
 use jaspermoor::Parameters;
 use serde::Deserialize;
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -2,12 +2,12 @@
 //! on a virtual clock; days that go wrong, experiments over many seeds, results on disk, reports and calibration.
 
 pub mod backend;
-pub mod books;
 pub mod calibrate;
 pub mod days;
 pub mod experiment;
 pub mod policy;
 pub mod report;
 pub mod rules;
-pub mod scene;
-pub mod world;
+pub mod scenario;
+pub mod simulation;
+pub mod stats;
--- a/crates/lab/src/fleet/rules.rs
+++ b/crates/lab/src/fleet/rules.rs
@@ -2,7 +2,7 @@
 //! new to a backend that leaves, no cold backend pushed over.
 
 use super::days::Rules;
-use super::scene::micros;
+use super::scenario::micros;
 use jaspermoor::decisions::api::{EndpointState, Micros};
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/simulation.rs
@@ -5,10 +5,10 @@
 //! same on any machine and for any number of jobs. Every 100 ms the books are written and backends' work is settled.
 
 use super::backend::{Backend, Runs, Told};
-use super::books::{Books, Loss, Step};
 use super::policy::{Decider, Policy};
 use super::rules::{Break, Watchdog};
-use super::scene::{micros, speed, spread, Event as Trouble, Scene};
+use super::scenario::{micros, speed, spread, Event as Trouble, Scene};
+use super::stats::{Books, Loss, Step};
 use jaspermoor::cells::{CellMap, Placement};
 use jaspermoor::decisions::api::{
     Action, EndpointId, EndpointListKind, EndpointState, Event, ListedEndpoint, Micros, Outcome,
--- a/crates/lab/src/fleet_cli.rs
+++ b/crates/lab/src/fleet_cli.rs
@@ -1,14 +1,14 @@
 //! `jaspermoor-lab fleet`: plays, experiments, reports and calibration from the command line.
 
 use argh::FromArgs;
-use jaspermoor_lab::fleet::books::FIGURES;
 use jaspermoor_lab::fleet::calibrate;
 use jaspermoor_lab::fleet::days::Day;
 use jaspermoor_lab::fleet::experiment::{self, figure, Experiment};
 use jaspermoor_lab::fleet::policy::Policy;
 use jaspermoor_lab::fleet::report;
-use jaspermoor_lab::fleet::scene::Scene;
-use jaspermoor_lab::fleet::world::{Variant, World};
+use jaspermoor_lab::fleet::scenario::Scene;
+use jaspermoor_lab::fleet::simulation::{Variant, World};
+use jaspermoor_lab::fleet::stats::FIGURES;
 use std::collections::BTreeMap;
 use std::error::Error;
 use std::path::PathBuf;
@@ -222,10 +222,10 @@
     }
     println!("  second  load  warmth  attempts  refused  moves  pairs  wanting  list age  served");
     for (n, part) in out.books.steps.chunks(10).enumerate() {
-        let mean = |of: &dyn Fn(&jaspermoor_lab::fleet::books::Step) -> f64| {
+        let mean = |of: &dyn Fn(&jaspermoor_lab::fleet::stats::Step) -> f64| {
             part.iter().map(of).sum::<f64>() / part.len() as f64
         };
-        let sum = |of: &dyn Fn(&jaspermoor_lab::fleet::books::Step) -> u32| {
+        let sum = |of: &dyn Fn(&jaspermoor_lab::fleet::stats::Step) -> u32| {
             part.iter().map(of).sum::<u32>()
         };
         println!(
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -308,12 +308,12 @@
                 poison::run(&Experiment {
                     seed,
                     seeds,
-                    servers,
+                    backends: servers,
                     relays,
-                    cell,
-                    sites,
+                    backends_per_cell: cell,
+                    groups_per_backend: sites,
                     load,
-                    factor,
+                    load_factor: factor,
                     jobs
                 })
             );
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -7,4 +7,4 @@
 //! all that happened says so.
 
 pub mod poison;
-pub mod world;
+pub mod simulation;
--- a/crates/lab/src/sim/poison.rs
+++ b/crates/lab/src/sim/poison.rs
@@ -1,7 +1,7 @@
 //! The experiment for which cells are made: one site's connections turn heavy for a while. How far does it reach, and
 //! what does the confinement cost where nothing is wrong?
 
-use super::world::{Plan, Report, Served, World};
+use super::simulation::{Plan, Report, Served, World};
 use jaspermoor::cells::CellMap;
 use jaspermoor::decisions::api::SECOND;
 use std::fmt::Write;
@@ -17,17 +17,17 @@
     /// See `seed`.
     pub seeds: u64,
     /// Servers.
-    pub servers: usize,
+    pub backends: usize,
     /// Relays.
     pub relays: usize,
     /// Servers of a cell in the variant with cells.
-    pub cell: usize,
+    pub backends_per_cell: usize,
     /// Sites for each server.
-    pub sites: usize,
+    pub groups_per_backend: usize,
     /// Mean load.
     pub load: f64,
     /// How many times heavier.
-    pub factor: f64,
+    pub load_factor: f64,
     /// Threads.
     pub jobs: usize,
 }
@@ -35,13 +35,13 @@
 /// The variants, by the number of their cells.
 fn variants(e: &Experiment) -> Vec<(&'static str, usize)> {
     let most = jaspermoor::cells::MAX_CELLS;
-    let cells = (e.servers / e.cell.max(1)).clamp(1, most);
+    let cells = (e.backends / e.backends_per_cell.max(1)).clamp(1, most);
     vec![
         ("one fleet (RJ-CH alone)", 1),
         ("cells", cells),
         (
             "a shard for each two servers",
-            (e.servers / 2).clamp(1, most),
+            (e.backends / 2).clamp(1, most),
         ),
     ]
 }
@@ -109,12 +109,12 @@
             for poisoned in [false, true] {
                 // A site of middling size: large ones are seen coming.
                 let site = 3;
-                let poison = poisoned.then_some((site, e.factor, 40 * SECOND, 70 * SECOND));
+                let poison = poisoned.then_some((site, e.load_factor, 40 * SECOND, 70 * SECOND));
                 let plan = Plan {
                     seed: e.seed + n,
-                    servers: e.servers,
+                    servers: e.backends,
                     relays: e.relays,
-                    sites: e.servers * e.sites.max(1),
+                    sites: e.backends * e.groups_per_backend.max(1),
                     skew: 0.7,
                     load: e.load,
                     length: 100 * SECOND,
@@ -158,7 +158,7 @@
     let mut out = format!(
         "{} servers, {} relays, {} sites, load {}, one site {} times heavier for 30 s; medians of {} seeds, {events} \
          events\n\n{:30} {:>6} {:>8} {:>9} {:>7} {:>6} {:>7} {:>9}\n",
-        e.servers, e.relays, e.servers * e.sites, e.load, e.factor, e.seeds, "variant", "cells", "calm", "poisoned",
+        e.backends, e.relays, e.backends * e.groups_per_backend, e.load, e.load_factor, e.seeds, "variant", "cells", "calm", "poisoned",
         "harmed", "falls", "reach", "a site on"
     );
     for (n, (name, cells)) in variants.iter().enumerate() {
@@ -207,12 +207,12 @@
         run(&Experiment {
             seed,
             seeds: 2,
-            servers: 8,
+            backends: 8,
             relays: 2,
-            cell: 4,
-            sites: 3,
+            backends_per_cell: 4,
+            groups_per_backend: 3,
             load: 0.6,
-            factor: 12.0,
+            load_factor: 12.0,
             jobs,
         })
     }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! The fleet model in its hard cases, at sizes that take moments.
 
-use jaspermoor_lab::fleet::books::FIGURES;
 use jaspermoor_lab::fleet::days::Day;
 use jaspermoor_lab::fleet::experiment::{figure, Experiment, Row};
+use jaspermoor_lab::fleet::stats::FIGURES;
 use std::path::{Path, PathBuf};
 
 /// A file of its own beside the program's days, so that their site is found.
