--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -1,10 +1,11 @@
-//! The emulator: what the relay balances, as a model on a virtual clock, at sizes that no socket test holds. The
-//! decisions are not modelled: each relay of the model runs the relay's own [`jaspermoor::Balancer`], one for each
-//! cell of its own [`jaspermoor::cells::CellMap`].
+//! Cell emulator: backends and clients modelled on a virtual clock, at sizes that tests with
+//! sockets cannot reach. The decisions are not modelled: each emulated relay runs the production
+//! [`jaspermoor::Balancer`], one for each cell of its [`jaspermoor::cells::CellMap`].
 //!
-//! Events are handled in the order of their time and, at one time, of their making; random numbers come from one
-//! ChaCha stream a run. So one seed is one run, on any machine and with any number of threads, and the digest over
-//! all that happened says so.
+//! Events are handled in order of time and, at equal times, in the order in which they were
+//! scheduled. All random numbers of a run come from one ChaCha stream. Therefore a seed gives the
+//! same run on any machine and with any number of threads, which the digest over all events
+//! confirms.
 
 pub mod poison;
 pub mod simulation;
--- a/crates/lab/src/sim/poison.rs
+++ b/crates/lab/src/sim/poison.rs
@@ -1,7 +1,8 @@
-//! The experiment for which cells are made: one site's connections turn heavy for a while. How far does it reach, and
-//! what does the confinement cost where nothing is wrong?
+//! Experiment on the confinement by cells: the connections of one group (a "site" in the output)
+//! become heavier for a while. It measures how many other groups are harmed, and what the cells
+//! cost on a calm day.
 
-use super::simulation::{Plan, Report, Served, World};
+use super::simulation::{GroupService, Plan, Report, Simulation};
 use jaspermoor::cells::CellMap;
 use jaspermoor::decisions::api::SECOND;
 use std::fmt::Write;
@@ -9,90 +10,93 @@
 use std::sync::Mutex;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What is tried.
+/// Parameters of the experiment.
 #[derive(Clone, Debug)]
 pub struct Experiment {
-    /// The first seed, and how many.
+    /// The first seed, and the number of seeds.
     pub seed: u64,
     /// See `seed`.
     pub seeds: u64,
-    /// Servers.
+    /// Number of backends.
     pub backends: usize,
-    /// Relays.
+    /// Number of relays.
     pub relays: usize,
-    /// Servers of a cell in the variant with cells.
+    /// Backends per cell in the variant with cells.
     pub backends_per_cell: usize,
-    /// Sites for each server.
+    /// Groups per backend.
     pub groups_per_backend: usize,
-    /// Mean load.
+    /// Mean load divided by the total capacity.
     pub load: f64,
-    /// How many times heavier.
+    /// Factor by which the poisoned group's connections become heavier.
     pub load_factor: f64,
-    /// Threads.
+    /// Number of threads.
     pub jobs: usize,
 }
 
-/// The variants, by the number of their cells.
+/// The variants with their numbers of cells.
 fn variants(e: &Experiment) -> Vec<(&'static str, usize)> {
-    let most = jaspermoor::cells::MAX_CELLS;
-    let cells = (e.backends / e.backends_per_cell.max(1)).clamp(1, most);
+    let max_cells = jaspermoor::cells::MAX_CELLS;
+    let cells = (e.backends / e.backends_per_cell.max(1)).clamp(1, max_cells);
     vec![
         ("one fleet (RJ-CH alone)", 1),
         ("cells", cells),
         (
             "a shard for each two servers",
-            (e.backends / 2).clamp(1, most),
+            (e.backends / 2).clamp(1, max_cells),
         ),
     ]
 }
 
-/// Of a run.
-struct Figures {
-    /// The share of the seconds asked for that each site was served in; none where nothing was asked.
-    sites: Vec<Option<f64>>,
+/// Metrics of one run.
+struct RunMetrics {
+    /// By group: served share of the seconds asked for; `None` for the poisoned group and where
+    /// nothing was asked.
+    group_service: Vec<Option<f64>>,
     service: f64,
-    falls: f64,
+    crashes: f64,
     reach: f64,
-    spread: f64,
+    backends_per_group: f64,
 }
 
-fn figures(report: &Report, poisoned: usize) -> Figures {
+fn run_metrics(report: &Report, poisoned: usize) -> RunMetrics {
     let others = || {
         report
-            .sites
+            .groups
             .iter()
             .enumerate()
             .filter(|(n, s)| *n != poisoned && s.asked > 0.0)
             .map(|(_, s)| s)
     };
     let (asked, served) = others().fold((0.0, 0.0), |(a, b), s| (a + s.asked, b + s.served));
-    let spread =
-        others().map(|s| s.servers.len() as f64).sum::<f64>() / others().count().max(1) as f64;
-    let share =
-        |(n, s): (usize, &Served)| (n != poisoned && s.asked > 0.0).then(|| s.served / s.asked);
-    let sites = report.sites.iter().enumerate().map(share).collect();
-    Figures {
-        sites,
+    let backends_per_group =
+        others().map(|s| s.backends.len() as f64).sum::<f64>() / others().count().max(1) as f64;
+    let group_share = |(n, s): (usize, &GroupService)| {
+        (n != poisoned && s.asked > 0.0).then(|| s.served / s.asked)
+    };
+    let group_service = report.groups.iter().enumerate().map(group_share).collect();
+    RunMetrics {
+        group_service,
         service: served / asked,
-        falls: report.falls as f64,
+        crashes: report.crashes as f64,
         reach: report.reach,
-        spread,
+        backends_per_group,
     }
 }
 
-/// The share of the other sites that had less than 19 in 20 of what they have on the same day without the poison.
-fn harmed(calm: &Figures, poisoned: &Figures) -> f64 {
+/// Share of the other groups whose service was below 95% of that on the same day without the
+/// poisoned group.
+fn harmed_share(calm: &RunMetrics, poisoned: &RunMetrics) -> f64 {
     let pairs: Vec<(f64, f64)> = calm
-        .sites
+        .group_service
         .iter()
-        .zip(&poisoned.sites)
+        .zip(&poisoned.group_service)
         .filter_map(|(a, b)| Some(((*a)?, (*b)?)))
         .collect();
-    let less = pairs
+    let harmed_groups = pairs
         .iter()
         .filter(|(calm, poisoned)| *poisoned < 0.95 * calm)
         .count();
-    less as f64 / pairs.len().max(1) as f64
+    harmed_groups as f64 / pairs.len().max(1) as f64
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -100,29 +104,30 @@
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// Runs all variants on all seeds, calm and poisoned, and writes a table and one digest over all runs.
+/// Runs all variants on all seeds, calm and poisoned, and returns a table with a digest of all
+/// runs.
 pub fn run(e: &Experiment) -> String {
     let variants = variants(e);
     let mut runs = Vec::new();
     for n in 0..e.seeds {
         for (variant, (_, cells)) in variants.iter().enumerate() {
             for poisoned in [false, true] {
-                // A site of middling size: large ones are seen coming.
-                let site = 3;
-                let poison = poisoned.then_some((site, e.load_factor, 40 * SECOND, 70 * SECOND));
+                // A group of medium size; trouble with a large one is noticed beforehand.
+                let group = 3;
+                let poison = poisoned.then_some((group, e.load_factor, 40 * SECOND, 70 * SECOND));
                 let plan = Plan {
                     seed: e.seed + n,
-                    servers: e.backends,
+                    backends: e.backends,
                     relays: e.relays,
-                    sites: e.backends * e.groups_per_backend.max(1),
-                    skew: 0.7,
+                    groups: e.backends * e.groups_per_backend.max(1),
+                    size_exponent: 0.7,
                     load: e.load,
                     length: 100 * SECOND,
                     poison,
                     cells: CellMap::with_equal_cells(*cells),
                     list_delay: 3 * SECOND,
                 };
-                runs.push((variant, poisoned, site, plan));
+                runs.push((variant, poisoned, group, plan));
             }
         }
     }
@@ -130,16 +135,16 @@
     std::thread::scope(|scope| {
         for _ in 0..e.jobs.max(1) {
             scope.spawn(|| loop {
-                let at = next.fetch_add(1, Relaxed);
-                let Some((variant, poisoned, site, plan)) = runs.get(at) else {
+                let index = next.fetch_add(1, Relaxed);
+                let Some((variant, poisoned, group, plan)) = runs.get(index) else {
                     return;
                 };
-                let report = World::new(plan.clone()).run();
+                let report = Simulation::new(plan.clone()).run();
                 let row = (
-                    at,
+                    index,
                     *variant,
                     *poisoned,
-                    figures(&report, *site),
+                    run_metrics(&report, *group),
                     report.digest,
                     report.events,
                 );
@@ -148,7 +153,7 @@
         }
     });
     let mut results = results.into_inner().unwrap_or_else(|e| e.into_inner());
-    // In the order of the plan, whoever was faster.
+    // In the order of the runs, whichever finished first.
     results.sort_by_key(|row| row.0);
     let mut digest = Xxh3::new();
     results
@@ -168,25 +173,25 @@
                 .filter(move |r| r.1 == n && r.2 == poisoned)
                 .map(|r| &r.3)
         };
-        let of = |poisoned: bool, figure: fn(&Figures) -> f64| {
-            median(runs(poisoned).map(figure).collect())
+        let median_of = |poisoned: bool, metric: fn(&RunMetrics) -> f64| {
+            median(runs(poisoned).map(metric).collect())
         };
-        let harm = median(
+        let harmed_share = median(
             runs(false)
                 .zip(runs(true))
-                .map(|(calm, poisoned)| harmed(calm, poisoned))
+                .map(|(calm, poisoned)| harmed_share(calm, poisoned))
                 .collect(),
         );
-        // Writing to a text cannot fail.
+        // Writing to a String cannot fail.
         let _ = writeln!(
             out,
             "{name:30} {cells:6} {:8.3} {:9.3} {:6.1}% {:6.0} {:6.1}% {:9.1}",
-            of(false, |f| f.service),
-            of(true, |f| f.service),
-            100.0 * harm,
-            of(true, |f| f.falls),
-            100.0 * of(true, |f| f.reach),
-            of(false, |f| f.spread),
+            median_of(false, |f| f.service),
+            median_of(true, |f| f.service),
+            100.0 * harmed_share,
+            median_of(true, |f| f.crashes),
+            100.0 * median_of(true, |f| f.reach),
+            median_of(false, |f| f.backends_per_group),
         );
     }
     let _ = writeln!(
@@ -218,40 +223,43 @@
     }
 
     #[test]
-    fn one_seed_is_one_run_on_any_number_of_threads() {
+    fn results_depend_on_the_seed_and_not_on_the_number_of_threads() {
         let (one, four, other) = (small(1, 5), small(4, 5), small(4, 6));
         assert_eq!(one, four);
         assert_ne!(one.lines().last(), other.lines().last());
     }
 
     #[test]
-    fn a_poisoned_site_stays_in_its_cell() {
+    fn a_poisoned_group_stays_in_its_cell() {
         let plan = |cells| Plan {
             seed: 9,
-            servers: 12,
+            backends: 12,
             relays: 2,
-            sites: 60,
-            skew: 0.7,
+            groups: 60,
+            size_exponent: 0.7,
             load: 0.5,
             length: 60 * SECOND,
             poison: Some((3, 12.0, 25 * SECOND, 50 * SECOND)),
             cells: CellMap::with_equal_cells(cells),
             list_delay: SECOND,
         };
-        let (plain, cells) = (World::new(plan(1)).run(), World::new(plan(4)).run());
+        let (plain, cells) = (
+            Simulation::new(plan(1)).run(),
+            Simulation::new(plan(4)).run(),
+        );
         let map = CellMap::with_equal_cells(4);
         let home = map.home(4).0;
-        // Sites of other cells share no server with it.
-        let held = &cells.sites[3].servers;
-        for (n, site) in cells
-            .sites
+        // Groups of other cells must share no backend with it.
+        let held = &cells.groups[3].backends;
+        for (n, group) in cells
+            .groups
             .iter()
             .enumerate()
             .filter(|(n, _)| map.home(*n as u64 + 1).0 != home)
         {
             assert!(
-                site.servers.is_disjoint(held),
-                "site {n} met the poisoned one"
+                group.backends.is_disjoint(held),
+                "group {n} shared a backend with the poisoned one"
             );
         }
         assert!(
@@ -260,6 +268,6 @@
             cells.reach,
             plain.reach
         );
-        assert!(plain.events > 1_000 && cells.falls < 12);
+        assert!(plain.events > 1_000 && cells.crashes < 12);
     }
 }
--- a/crates/lab/src/sim/simulation.rs
+++ b/crates/lab/src/sim/simulation.rs
@@ -1,5 +1,5 @@
-//! The model: servers with speeds, warm-up, group costs and ends; a list that is seconds late; clients that come,
-//! stay, retry and come back; relays that share nothing.
+//! Model of backends with speeds, warm-up, group costs and crashes; an endpoint list that is
+//! seconds late; clients that connect, stay, retry and reconnect; and relays that share no state.
 
 use jaspermoor::cells::{CellMap, Placement};
 use jaspermoor::decisions::api::{
@@ -12,162 +12,166 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::Xxh3;
 
-/// The model's step of accounting.
+/// Interval of the statistics.
 const STEP: Micros = SECOND / 5;
-/// What a server pays for each group that it holds any of, in mean loads (the operators' figure).
+/// Cost to a backend of each group with a connection to it, in mean loads (the operators' value).
 const GROUP_COST: f64 = 3.0;
-/// A server that is sent so many times what it can do at that moment ...
-const OVERLOAD: f64 = 2.5;
-/// ... for so long falls over ...
-const FALL: Micros = 3 * SECOND;
-/// ... and is back, cold, after this.
-const DOWN: Micros = 12 * SECOND;
-/// A cold server begins with this share of its capacity, and is warm after this.
-const COLD: f64 = 0.13;
-const WARM_WITHIN: Micros = 23 * SECOND;
-/// Mean life of a connection.
-const LIFE: f64 = 40.0;
-
-/// What a run is like.
+/// A backend whose load exceeds its current capacity by this factor ...
+const OVERLOAD_FACTOR: f64 = 2.5;
+/// ... for this time crashes ...
+const OVERLOAD_WINDOW: Micros = 3 * SECOND;
+/// ... and restarts cold after this time.
+const DOWNTIME: Micros = 12 * SECOND;
+/// Share of its capacity with which a cold backend starts, and time until it has all of it.
+const INITIAL_WARMTH: f64 = 0.13;
+const WARM_UP_TIME: Micros = 23 * SECOND;
+/// Mean lifetime of a connection, in seconds.
+const MEAN_LIFE_S: f64 = 40.0;
+
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Seed of all its random numbers.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Servers, spread over three zones.
-    pub servers: usize,
-    /// Relays.
+    /// Number of backends; they are spread over three zones.
+    pub backends: usize,
+    /// Number of relays.
     pub relays: usize,
-    /// Sites, whose sizes fall off as 1 over their rank to the power of this.
-    pub sites: usize,
-    /// See `sites`.
-    pub skew: f64,
-    /// Mean load asked over what all servers can do.
+    /// Number of groups. The size of a group is proportional to rank^-`size_exponent`.
+    pub groups: usize,
+    /// See `groups`.
+    pub size_exponent: f64,
+    /// Mean load divided by the capacity of all backends.
     pub load: f64,
-    /// How long it lasts.
+    /// Length of the run.
     pub length: Micros,
-    /// A site whose connections become so many times heavier, from when to when.
+    /// The poisoned group: its number, the factor by which its connections become heavier, and the
+    /// start and end of that time.
     pub poison: Option<(usize, f64, Micros, Micros)>,
     /// The cells.
     pub cells: CellMap,
-    /// How late the list is.
+    /// Longest delay of the endpoint list.
     pub list_delay: Micros,
 }
 
-/// What is counted of a site.
+/// Statistics of a group.
 #[derive(Clone, Debug, Default)]
-pub struct Served {
-    /// Seconds that its clients asked for, and those in which they were served, while it mattered.
+pub struct GroupService {
+    /// Seconds of service that its clients asked for and got, without those of the start of the
+    /// run.
     pub asked: f64,
     /// See `asked`.
     pub served: f64,
-    /// Servers that ever held it.
-    pub servers: BTreeSet<usize>,
+    /// Backends that ever had a connection of the group.
+    pub backends: BTreeSet<usize>,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// By site.
-    pub sites: Vec<Served>,
-    /// Servers that fell over.
-    pub falls: usize,
-    /// Refusals.
-    pub refused: u64,
-    /// The share of servers that held the poisoned site.
+    /// Statistics by group.
+    pub groups: Vec<GroupService>,
+    /// Number of crashes of overloaded backends.
+    pub crashes: usize,
+    /// Number of rejected requests.
+    pub rejected: u64,
+    /// Share of the backends that ever had a connection of the poisoned group.
     pub reach: f64,
-    /// Events handled.
+    /// Number of events handled.
     pub events: u64,
-    /// Over all that happened.
+    /// Hash over all events.
     pub digest: u64,
 }
 
-struct Server {
+struct Backend {
     id: EndpointId,
     zone: u16,
-    /// Mean loads that it bears when warm.
+    /// Capacity when warm, in mean loads.
     capacity: f64,
-    /// When it last came up; none while it is down.
-    up: Option<Micros>,
-    started: Option<Micros>,
-    over_since: Option<Micros>,
-    holds: BTreeSet<usize>,
-    /// By site: how many, so that a group's cost is paid once.
+    /// When it last started; `None` while it is down.
+    up_since: Option<Micros>,
+    /// When it last started cold; `None` if it has been warm since before the run.
+    cold_start_at: Option<Micros>,
+    overloaded_since: Option<Micros>,
+    clients: BTreeSet<usize>,
+    /// Connections by group; a group's cost counts once.
     groups: BTreeMap<usize, usize>,
     load: f64,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
-    Away,
-    Asking,
-    Up(usize),
+    Disconnected,
+    Requesting,
+    Established(usize),
 }
 
 struct Client {
-    site: usize,
+    group: usize,
     load: f64,
     phase: Phase,
-    /// Its relay, the relay's part, and its request there.
-    at: (usize, usize, RequestId),
-    /// Which of its tries and connections this is: what belongs to an older one is void.
-    turn: u32,
-    tries: u32,
-    again: bool,
+    /// Relay, cell and id of its current request or connection.
+    request_at: (usize, usize, RequestId),
+    /// Number of its current try or connection; events of an earlier one are ignored.
+    try_number: u32,
+    failed_tries: u32,
+    returning: bool,
 }
 
 struct Relay {
-    parts: Vec<Balancer>,
-    usable: Vec<bool>,
+    balancers: Vec<Balancer>,
+    usable_cells: Vec<bool>,
+    /// Requests and connections by cell whose group has its home in another cell.
     borrowed: Vec<u32>,
     requests: BTreeMap<RequestId, usize>,
-    next: u32,
+    last_request_id: u32,
 }
 
-enum Ev {
-    Come(usize, u32),
-    Attempt {
+enum SimEvent {
+    ClientConnects(usize, u32),
+    AttemptArrives {
         relay: usize,
-        part: usize,
+        cell: usize,
         id: RequestId,
-        server: usize,
+        backend: usize,
     },
-    Answer {
+    AttemptAnswered {
         relay: usize,
-        part: usize,
+        cell: usize,
         id: RequestId,
-        server: usize,
+        backend: usize,
         up: bool,
     },
     Timer(usize, usize, u64),
-    Leave(usize, u32),
-    List(usize),
-    Probe {
+    ClientLeaves(usize, u32),
+    ListUpdate(usize),
+    ProbeArrives {
         relay: usize,
-        part: usize,
-        server: usize,
+        cell: usize,
+        backend: usize,
     },
-    Poison(bool),
-    Return(usize),
+    PoisonChanges(bool),
+    BackendRestarts(usize),
     Step,
 }
 
-/// A run.
-pub struct World {
+/// State of one run.
+pub struct Simulation {
     plan: Plan,
     rng: ChaCha8Rng,
     now: Micros,
-    queue: BTreeMap<(Micros, u64), Ev>,
-    made: u64,
-    servers: Vec<Server>,
-    by_id: BTreeMap<EndpointId, usize>,
+    queue: BTreeMap<(Micros, u64), SimEvent>,
+    last_event: u64,
+    backends: Vec<Backend>,
+    backend_by_id: BTreeMap<EndpointId, usize>,
     clients: Vec<Client>,
     relays: Vec<Relay>,
-    sites: Vec<Served>,
+    group_service: Vec<GroupService>,
     poisoned: bool,
-    falls: usize,
-    refused: u64,
+    crashes: usize,
+    rejected: u64,
     events: u64,
-    trace: Xxh3,
+    digest: Xxh3,
 }
 
 fn settings(relays: usize) -> Settings {
@@ -185,213 +189,214 @@
         max_retry_after: SECOND,
         report_columns: vec![ReportColumn::Load],
         drain_grace: SECOND / 4,
-        initial_capacity: COLD as f32,
-        warm_up_time: WARM_WITHIN,
-        overload_factor: OVERLOAD as f32,
-        overload_window: FALL,
+        initial_capacity: INITIAL_WARMTH as f32,
+        warm_up_time: WARM_UP_TIME,
+        overload_factor: OVERLOAD_FACTOR as f32,
+        overload_window: OVERLOAD_WINDOW,
         ..Settings::default()
     }
 }
 
-impl World {
-    /// Sets a run up.
-    pub fn new(plan: Plan) -> World {
+impl Simulation {
+    /// Prepares a run.
+    pub fn new(plan: Plan) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
-        let servers: Vec<Server> = (0..plan.servers)
-            .map(|n| Server {
+        let backends: Vec<Backend> = (0..plan.backends)
+            .map(|n| Backend {
                 id: EndpointId(rng.random()),
                 zone: (n % 3) as u16,
                 capacity: 4.0 * rng.random_range(0.9..1.6) * 17.0,
-                up: Some(0),
-                started: None,
-                over_since: None,
-                holds: BTreeSet::new(),
+                up_since: Some(0),
+                cold_start_at: None,
+                overloaded_since: None,
+                clients: BTreeSet::new(),
                 groups: BTreeMap::new(),
                 load: 0.0,
             })
             .collect();
-        let by_id = servers.iter().enumerate().map(|(n, s)| (s.id, n)).collect();
-        // As many clients as make the load, in sites of falling sizes.
-        let room: f64 = servers.iter().map(|s| s.capacity).sum::<f64>() * plan.load;
-        let weights: Vec<f64> = (0..plan.sites)
-            .map(|n| ((n + 1) as f64).powf(-plan.skew))
+        let backend_by_id = backends
+            .iter()
+            .enumerate()
+            .map(|(n, b)| (b.id, n))
             .collect();
-        let all: f64 = weights.iter().sum();
+        // As many clients as give the load, in groups of decreasing size.
+        let target_load: f64 = backends.iter().map(|b| b.capacity).sum::<f64>() * plan.load;
+        let weights: Vec<f64> = (0..plan.groups)
+            .map(|n| ((n + 1) as f64).powf(-plan.size_exponent))
+            .collect();
+        let total_weight: f64 = weights.iter().sum();
         let mut clients = Vec::new();
-        for (site, weight) in weights.iter().enumerate() {
-            // A site costs its group once at least.
-            let many = ((room * weight / all - GROUP_COST).round() as usize).max(1);
-            for _ in 0..many {
+        for (group, weight) in weights.iter().enumerate() {
+            // A group's cost is part of its load.
+            let client_count =
+                ((target_load * weight / total_weight - GROUP_COST).round() as usize).max(1);
+            for _ in 0..client_count {
                 let load = rng.random_range(0.5..1.5);
-                let at = (0, 0, RequestId(0));
+                let request_at = (0, 0, RequestId(0));
                 clients.push(Client {
-                    site,
+                    group,
                     load,
-                    phase: Phase::Away,
-                    at,
-                    turn: 0,
-                    tries: 0,
-                    again: false,
+                    phase: Phase::Disconnected,
+                    request_at,
+                    try_number: 0,
+                    failed_tries: 0,
+                    returning: false,
                 });
             }
         }
         let cells = plan.cells.cell_count();
         let relays = (0..plan.relays)
             .map(|_| Relay {
-                parts: (0..cells)
+                balancers: (0..cells)
                     .map(|_| Balancer::new(settings(plan.relays), rng.random()))
                     .collect(),
-                usable: vec![false; cells],
+                usable_cells: vec![false; cells],
                 borrowed: vec![0; cells],
                 requests: BTreeMap::new(),
-                next: 0,
+                last_request_id: 0,
             })
             .collect();
-        let sites = vec![Served::default(); plan.sites];
+        let group_service = vec![GroupService::default(); plan.groups];
         let queue = BTreeMap::new();
-        let mut world = World {
+        let mut simulation = Simulation {
             plan,
             rng,
             now: 0,
             queue,
-            made: 0,
-            servers,
-            by_id,
+            last_event: 0,
+            backends,
+            backend_by_id,
             clients,
             relays,
-            sites,
+            group_service,
             poisoned: false,
-            falls: 0,
-            refused: 0,
+            crashes: 0,
+            rejected: 0,
             events: 0,
-            trace: Xxh3::new(),
+            digest: Xxh3::new(),
         };
-        for relay in 0..world.relays.len() {
-            world.list(relay);
+        for relay in 0..simulation.relays.len() {
+            simulation.send_list(relay);
         }
-        for client in 0..world.clients.len() {
-            let at = world.rng.random_range(0..8 * SECOND);
-            world.later(at, Ev::Come(client, 0));
+        for client in 0..simulation.clients.len() {
+            let at = simulation.rng.random_range(0..8 * SECOND);
+            simulation.schedule_in(at, SimEvent::ClientConnects(client, 0));
         }
-        world.later(STEP, Ev::Step);
-        if let Some((_, _, from, to)) = world.plan.poison {
-            world.later(from, Ev::Poison(true));
-            world.later(to, Ev::Poison(false));
+        simulation.schedule_in(STEP, SimEvent::Step);
+        if let Some((_, _, from, to)) = simulation.plan.poison {
+            simulation.schedule_in(from, SimEvent::PoisonChanges(true));
+            simulation.schedule_in(to, SimEvent::PoisonChanges(false));
         }
-        world
+        simulation
     }
 
-    fn later(&mut self, after: Micros, ev: Ev) {
-        self.made += 1;
-        self.queue.insert((self.now + after, self.made), ev);
+    fn schedule_in(&mut self, after: Micros, event: SimEvent) {
+        self.last_event += 1;
+        self.queue
+            .insert((self.now + after, self.last_event), event);
     }
 
-    /// Runs it to its end.
+    /// Handles events until the end of the run.
     pub fn run(mut self) -> Report {
-        while let Some(((at, number), ev)) = self.queue.pop_first() {
+        while let Some(((at, sequence), event)) = self.queue.pop_first() {
             if at > self.plan.length {
                 break;
             }
             (self.now, self.events) = (at, self.events + 1);
-            self.trace.update(&at.to_le_bytes());
-            self.trace.update(&number.to_le_bytes());
-            self.handle(ev);
+            self.digest.update(&at.to_le_bytes());
+            self.digest.update(&sequence.to_le_bytes());
+            self.handle(event);
         }
-        let poisoned = self
+        let poisoned_backends = self
             .plan
             .poison
-            .map(|(site, ..)| self.sites[site].servers.len())
+            .map(|(group, ..)| self.group_service[group].backends.len())
             .unwrap_or(0);
         Report {
-            reach: poisoned as f64 / self.servers.len() as f64,
-            sites: self.sites,
-            falls: self.falls,
-            refused: self.refused,
+            reach: poisoned_backends as f64 / self.backends.len() as f64,
+            groups: self.group_service,
+            crashes: self.crashes,
+            rejected: self.rejected,
             events: self.events,
-            digest: self.trace.digest(),
+            digest: self.digest.digest(),
         }
     }
 
-    fn member(&self, server: usize) -> ListedEndpoint {
-        let s = &self.servers[server];
-        let state = if s.up.is_some() {
+    fn listed_endpoint(&self, backend: usize) -> ListedEndpoint {
+        let b = &self.backends[backend];
+        let state = if b.up_since.is_some() {
             EndpointState::Ready
         } else {
             EndpointState::Removed
         };
         ListedEndpoint {
-            id: s.id,
-            zone: s.zone,
+            id: b.id,
+            zone: b.zone,
             cell: 0,
             state,
             size: 1.0,
-            started_at: s.started,
+            started_at: b.cold_start_at,
         }
     }
 
-    /// A relay gets the list as it is.
-    fn list(&mut self, relay: usize) {
-        let all: Vec<ListedEndpoint> = (0..self.servers.len()).map(|n| self.member(n)).collect();
-        for part in 0..self.relays[relay].parts.len() {
-            let own = |m: &&ListedEndpoint| {
-                m.state == EndpointState::Ready && self.plan.cells.cell_of_endpoint(m.id) == part
+    /// Gives a relay the current endpoint list.
+    fn send_list(&mut self, relay: usize) {
+        let all: Vec<ListedEndpoint> = (0..self.backends.len())
+            .map(|n| self.listed_endpoint(n))
+            .collect();
+        for cell in 0..self.relays[relay].balancers.len() {
+            let in_cell = |e: &&ListedEndpoint| {
+                e.state == EndpointState::Ready && self.plan.cells.cell_of_endpoint(e.id) == cell
             };
-            let members: Vec<ListedEndpoint> = all.iter().filter(own).cloned().collect();
-            self.relays[relay].usable[part] = !members.is_empty();
-            self.tell(
+            let endpoints: Vec<ListedEndpoint> = all.iter().filter(in_cell).cloned().collect();
+            self.relays[relay].usable_cells[cell] = !endpoints.is_empty();
+            self.deliver(
                 relay,
-                part,
+                cell,
                 Event::EndpointList {
                     kind: EndpointListKind::Full,
-                    endpoints: members,
+                    endpoints,
                 },
             );
         }
     }
 
-    /// Tells a balancer, and does what it asks for.
-    fn tell(&mut self, relay: usize, part: usize, event: Event) {
+    /// Passes an event to a balancer and carries out the actions it returns.
+    fn deliver(&mut self, relay: usize, cell: usize, event: Event) {
         let mut actions = Vec::new();
-        // What it does not know any more is of a request that has ended.
-        let _ = self.relays[relay].parts[part].handle(self.now, event, &mut actions);
+        // Errors are ignored: they concern requests that have already ended.
+        let _ = self.relays[relay].balancers[cell].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Attempt {
-                    id,
-                    endpoint: server,
-                    ..
-                } => {
-                    let server = self.by_id[&server];
+                Action::Attempt { id, endpoint, .. } => {
+                    let backend = self.backend_by_id[&endpoint];
                     let delay = self.rng.random_range(300..900);
-                    self.later(
+                    self.schedule_in(
                         delay,
-                        Ev::Attempt {
+                        SimEvent::AttemptArrives {
                             relay,
-                            part,
+                            cell,
                             id,
-                            server,
+                            backend,
                         },
                     );
                 }
-                Action::Reject {
-                    id,
-                    retry_after: wait,
-                } => self.refuse(relay, part, id, wait),
-                Action::Fail(id) => self.refuse(relay, part, id, 0),
-                Action::Migrate(id) => self.move_away(relay, part, id),
+                Action::Reject { id, retry_after } => self.reject(relay, cell, id, retry_after),
+                Action::Fail(id) => self.reject(relay, cell, id, 0),
+                Action::Migrate(id) => self.migrate(relay, id),
                 Action::SetTimer { at, token } => {
                     let after = at.saturating_sub(self.now).max(1);
-                    self.later(after, Ev::Timer(relay, part, token));
+                    self.schedule_in(after, SimEvent::Timer(relay, cell, token));
                 }
-                Action::CheckHealth(server) => {
-                    let server = self.by_id[&server];
+                Action::CheckHealth(endpoint) => {
+                    let backend = self.backend_by_id[&endpoint];
                     let delay = self.rng.random_range(1_000..3_000);
-                    self.later(
+                    self.schedule_in(
                         delay,
-                        Ev::Probe {
+                        SimEvent::ProbeArrives {
                             relay,
-                            part,
-                            server,
+                            cell,
+                            backend,
                         },
                     );
                 }
@@ -400,75 +405,79 @@
         }
     }
 
-    /// The client of a request that has its final answer, or has ended.
-    fn dismiss(&mut self, relay: usize, part: usize, id: RequestId) -> Option<usize> {
+    /// Removes a request or connection that has ended and returns its client.
+    fn finish_request(&mut self, relay: usize, cell: usize, id: RequestId) -> Option<usize> {
         let client = self.relays[relay].requests.remove(&id)?;
-        let home = self.plan.cells.home(self.clients[client].site as u64 + 1).0;
-        self.relays[relay].borrowed[part] -= u32::from(home != part);
+        let home = self
+            .plan
+            .cells
+            .home(self.clients[client].group as u64 + 1)
+            .0;
+        self.relays[relay].borrowed[cell] -= u32::from(home != cell);
         Some(client)
     }
 
-    fn refuse(&mut self, relay: usize, part: usize, id: RequestId, wait: Micros) {
-        let Some(client) = self.dismiss(relay, part, id) else {
+    fn reject(&mut self, relay: usize, cell: usize, id: RequestId, wait: Micros) {
+        let Some(client) = self.finish_request(relay, cell, id) else {
             return;
         };
-        self.refused += 1;
-        self.come_again(client, wait);
+        self.rejected += 1;
+        self.reconnect_later(client, wait);
     }
 
-    /// A client tries twice more, then rests.
-    fn come_again(&mut self, client: usize, wait: Micros) {
-        let rest = self.rng.random_range(2 * SECOND..6 * SECOND);
+    /// Schedules a rejected client's next try; after three failures in a row it pauses for longer.
+    fn reconnect_later(&mut self, client: usize, wait: Micros) {
+        let pause = self.rng.random_range(2 * SECOND..6 * SECOND);
         let jitter = self.rng.random_range(50_000..400_000);
         let c = &mut self.clients[client];
-        (c.phase, c.turn, c.tries) = (Phase::Away, c.turn + 1, c.tries + 1);
-        let (turn, given_up) = (c.turn, c.tries > 2);
-        if given_up {
-            c.tries = 0;
+        (c.phase, c.try_number, c.failed_tries) =
+            (Phase::Disconnected, c.try_number + 1, c.failed_tries + 1);
+        let (try_number, pauses) = (c.try_number, c.failed_tries > 2);
+        if pauses {
+            c.failed_tries = 0;
         }
-        self.later(
-            if given_up { rest } else { wait + jitter },
-            Ev::Come(client, turn),
+        self.schedule_in(
+            if pauses { pause } else { wait + jitter },
+            SimEvent::ClientConnects(client, try_number),
         );
     }
 
-    fn move_away(&mut self, relay: usize, part: usize, id: RequestId) {
+    fn migrate(&mut self, relay: usize, id: RequestId) {
         let Some(client) = self.relays[relay].requests.get(&id).copied() else {
             return;
         };
-        self.end(client, Outcome::Cancelled);
+        self.end_connection(client, Outcome::Cancelled);
         let c = &mut self.clients[client];
-        c.again = true;
-        let turn = c.turn;
+        c.returning = true;
+        let try_number = c.try_number;
         let delay = self.rng.random_range(94_000..1_800_000);
-        let _ = part;
-        self.later(delay, Ev::Come(client, turn));
+        self.schedule_in(delay, SimEvent::ClientConnects(client, try_number));
     }
 
-    /// A standing connection ends.
-    fn end(&mut self, client: usize, outcome: Outcome) {
-        let Phase::Up(server) = self.clients[client].phase else {
+    /// Ends an established connection.
+    fn end_connection(&mut self, client: usize, outcome: Outcome) {
+        let Phase::Established(backend) = self.clients[client].phase else {
             return;
         };
-        let (relay, part, id) = self.clients[client].at;
+        let (relay, cell, id) = self.clients[client].request_at;
         let c = &mut self.clients[client];
-        (c.phase, c.turn, c.tries) = (Phase::Away, c.turn + 1, 0);
-        let (site, s) = (c.site, &mut self.servers[server]);
-        s.holds.remove(&client);
-        if let Some(n) = s.groups.get_mut(&site) {
+        (c.phase, c.try_number, c.failed_tries) = (Phase::Disconnected, c.try_number + 1, 0);
+        let (group, b) = (c.group, &mut self.backends[backend]);
+        b.clients.remove(&client);
+        if let Some(n) = b.groups.get_mut(&group) {
             *n -= 1;
             if *n == 0 {
-                s.groups.remove(&site);
+                b.groups.remove(&group);
             }
         }
-        self.dismiss(relay, part, id);
-        let server = self.servers[server].id;
-        self.tell(
+        self.finish_request(relay, cell, id);
+        let endpoint = self.backends[backend].id;
+        self.deliver(
             relay,
-            part,
+            cell,
             Event::AttemptEnded {
                 id,
-                endpoint: server,
+                endpoint,
                 outcome,
                 request_finished: true,
                 report: Vec::new(),
@@ -476,202 +485,219 @@
         );
     }
 
-    fn load_of(&self, client: usize) -> f64 {
+    fn connection_load(&self, client: usize) -> f64 {
         let c = &self.clients[client];
-        let heavy = self
+        let poison = self
             .plan
             .poison
-            .filter(|(site, ..)| self.poisoned && *site == c.site);
-        c.load * heavy.map_or(1.0, |(_, factor, ..)| factor)
+            .filter(|(group, ..)| self.poisoned && *group == c.group);
+        c.load * poison.map_or(1.0, |(_, factor, ..)| factor)
     }
 
-    fn warmth(&self, server: usize) -> f64 {
-        let s = &self.servers[server];
-        match (s.up, s.started) {
+    fn warmth(&self, backend: usize) -> f64 {
+        let b = &self.backends[backend];
+        match (b.up_since, b.cold_start_at) {
             (None, _) => 0.0,
             (Some(_), None) => 1.0,
             (Some(up), Some(_)) => {
-                let share = (self.now - up) as f64 / WARM_WITHIN as f64;
-                (COLD + (1.0 - COLD) * share).min(1.0)
+                let share = (self.now - up) as f64 / WARM_UP_TIME as f64;
+                (INITIAL_WARMTH + (1.0 - INITIAL_WARMTH) * share).min(1.0)
             }
         }
     }
 
-    /// Load asked over what it can do now.
-    fn ratio(&self, server: usize) -> f64 {
-        let s = &self.servers[server];
-        s.load / (s.capacity * self.warmth(server)).max(0.1)
+    /// Load of a backend divided by its current capacity.
+    fn utilization(&self, backend: usize) -> f64 {
+        let b = &self.backends[backend];
+        b.load / (b.capacity * self.warmth(backend)).max(0.1)
     }
 
-    fn handle(&mut self, ev: Ev) {
-        match ev {
-            Ev::Come(client, turn) => self.come(client, turn),
-            Ev::Attempt {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::ClientConnects(client, try_number) => {
+                self.client_connects(client, try_number)
+            }
+            SimEvent::AttemptArrives {
                 relay,
-                part,
+                cell,
                 id,
-                server,
+                backend,
             } => {
-                // A machine that is down refuses; one that is far over what it can do turns away.
-                let up = self.servers[server].up.is_some();
-                if up && self.ratio(server) > 3.0 {
-                    let (server, report) =
-                        (self.servers[server].id, vec![self.ratio(server) as f32]);
-                    return self.tell(
+                // A stopped backend refuses the connection; a heavily overloaded one rejects it.
+                let up = self.backends[backend].up_since.is_some();
+                if up && self.utilization(backend) > 3.0 {
+                    let (endpoint, report) = (
+                        self.backends[backend].id,
+                        vec![self.utilization(backend) as f32],
+                    );
+                    return self.deliver(
                         relay,
-                        part,
+                        cell,
                         Event::AttemptEnded {
                             id,
-                            endpoint: server,
+                            endpoint,
                             outcome: Outcome::Rejected,
                             request_finished: false,
                             report,
                         },
                     );
                 }
-                let slow = (self.ratio(server).max(1.0) * 4_000.0) as Micros;
-                self.later(
-                    slow,
-                    Ev::Answer {
+                let delay = (self.utilization(backend).max(1.0) * 4_000.0) as Micros;
+                self.schedule_in(
+                    delay,
+                    SimEvent::AttemptAnswered {
                         relay,
-                        part,
+                        cell,
                         id,
-                        server,
+                        backend,
                         up,
                     },
                 );
             }
-            Ev::Answer {
+            SimEvent::AttemptAnswered {
                 relay,
-                part,
+                cell,
                 id,
-                server,
+                backend,
                 up,
-            } => self.answer(relay, part, id, server, up),
-            Ev::Timer(relay, part, token) => self.tell(relay, part, Event::Timer(token)),
-            Ev::Leave(client, turn) => {
-                if self.clients[client].turn == turn {
-                    self.end(client, Outcome::Success);
-                    let rest = self.rng.random_range(50_000..SECOND);
-                    let turn = self.clients[client].turn;
-                    self.later(rest, Ev::Come(client, turn));
+            } => self.attempt_answered(relay, cell, id, backend, up),
+            SimEvent::Timer(relay, cell, token) => self.deliver(relay, cell, Event::Timer(token)),
+            SimEvent::ClientLeaves(client, try_number) => {
+                if self.clients[client].try_number == try_number {
+                    self.end_connection(client, Outcome::Success);
+                    let pause = self.rng.random_range(50_000..SECOND);
+                    let try_number = self.clients[client].try_number;
+                    self.schedule_in(pause, SimEvent::ClientConnects(client, try_number));
                 }
             }
-            Ev::List(relay) => self.list(relay),
-            Ev::Probe {
+            SimEvent::ListUpdate(relay) => self.send_list(relay),
+            SimEvent::ProbeArrives {
                 relay,
-                part,
-                server,
+                cell,
+                backend,
             } => {
-                let id = self.servers[server].id;
+                let endpoint = self.backends[backend].id;
                 let noise = self.rng.random_range(0.92..1.08);
-                let (outcome, report) = match self.servers[server].up {
-                    Some(_) => (Outcome::Success, vec![(self.ratio(server) * noise) as f32]),
+                let (outcome, report) = match self.backends[backend].up_since {
+                    Some(_) => (
+                        Outcome::Success,
+                        vec![(self.utilization(backend) * noise) as f32],
+                    ),
                     None => (Outcome::ConnectFailed, Vec::new()),
                 };
-                self.tell(
+                self.deliver(
                     relay,
-                    part,
+                    cell,
                     Event::HealthCheck {
-                        endpoint: id,
+                        endpoint,
                         outcome,
                         report,
                     },
                 );
             }
-            Ev::Poison(on) => {
+            SimEvent::PoisonChanges(on) => {
                 self.poisoned = on;
-                let site = self.plan.poison.map(|(site, ..)| site);
-                let standing: Vec<usize> = (0..self.clients.len())
+                let group = self.plan.poison.map(|(group, ..)| group);
+                let connected: Vec<usize> = (0..self.clients.len())
                     .filter(|c| {
-                        Some(self.clients[*c].site) == site
-                            && matches!(self.clients[*c].phase, Phase::Up(_))
+                        Some(self.clients[*c].group) == group
+                            && matches!(self.clients[*c].phase, Phase::Established(_))
                     })
                     .collect();
-                standing
+                connected
                     .into_iter()
-                    .for_each(|client| self.tell_load(client));
+                    .for_each(|client| self.send_load_sample(client));
             }
-            Ev::Return(server) => {
-                let s = &mut self.servers[server];
-                (s.up, s.started, s.over_since) = (Some(self.now), Some(self.now.max(1)), None);
-                self.tell_all();
+            SimEvent::BackendRestarts(backend) => {
+                let b = &mut self.backends[backend];
+                (b.up_since, b.cold_start_at, b.overloaded_since) =
+                    (Some(self.now), Some(self.now.max(1)), None);
+                self.announce_list_change();
             }
-            Ev::Step => self.step(),
+            SimEvent::Step => self.settle_step(),
         }
     }
 
-    /// All relays hear of a change, each after its own while.
-    fn tell_all(&mut self) {
+    /// Schedules the updated list for all relays, each after a delay of its own.
+    fn announce_list_change(&mut self) {
         for relay in 0..self.relays.len() {
             let delay =
                 self.plan.list_delay / 2 + self.rng.random_range(0..=self.plan.list_delay / 2);
-            self.later(delay, Ev::List(relay));
+            self.schedule_in(delay, SimEvent::ListUpdate(relay));
         }
     }
 
-    fn come(&mut self, client: usize, turn: u32) {
-        if self.clients[client].turn != turn || self.clients[client].phase != Phase::Away {
+    fn client_connects(&mut self, client: usize, try_number: u32) {
+        if self.clients[client].try_number != try_number
+            || self.clients[client].phase != Phase::Disconnected
+        {
             return;
         }
         let relay = self.rng.random_range(0..self.relays.len());
-        let site = self.clients[client].site as u64 + 1;
+        let group = self.clients[client].group as u64 + 1;
         let r = &mut self.relays[relay];
-        let (part, borrowed) = match self.plan.cells.place(site, &r.usable, &r.borrowed) {
+        let (cell, borrowed) = match self.plan.cells.place(group, &r.usable_cells, &r.borrowed) {
             Placement::Home(cell) => (cell, false),
             Placement::Borrowed(cell) => (cell, true),
             Placement::Rejected => {
-                self.refused += 1;
-                return self.come_again(client, SECOND);
+                self.rejected += 1;
+                return self.reconnect_later(client, SECOND);
             }
         };
-        r.borrowed[part] += u32::from(borrowed);
-        r.next += 1;
-        let id = RequestId(r.next);
+        r.borrowed[cell] += u32::from(borrowed);
+        r.last_request_id += 1;
+        let id = RequestId(r.last_request_id);
         r.requests.insert(id, client);
         let c = &mut self.clients[client];
-        (c.phase, c.at) = (Phase::Asking, (relay, part, id));
-        let again = std::mem::take(&mut c.again) || c.tries > 0;
+        (c.phase, c.request_at) = (Phase::Requesting, (relay, cell, id));
+        let returning = std::mem::take(&mut c.returning) || c.failed_tries > 0;
         let request = Request {
             id,
             class: 0,
             client_key: client as u64 + 1,
-            group: site,
+            group,
             time_left: 2 * SECOND,
-            returning: again,
+            returning,
             ..Request::default()
         };
-        self.tell(relay, part, Event::Request(request));
+        self.deliver(relay, cell, Event::Request(request));
     }
 
-    fn answer(&mut self, relay: usize, part: usize, id: RequestId, server: usize, up: bool) {
-        let to = self.servers[server].id;
+    fn attempt_answered(
+        &mut self,
+        relay: usize,
+        cell: usize,
+        id: RequestId,
+        backend: usize,
+        up: bool,
+    ) {
+        let endpoint = self.backends[backend].id;
         let Some(client) = self.relays[relay]
             .requests
             .get(&id)
             .copied()
-            .filter(|c| self.clients[*c].phase == Phase::Asking)
+            .filter(|c| self.clients[*c].phase == Phase::Requesting)
         else {
-            // Its client has its answer already: the attempt is called off.
-            return self.tell(
+            // The request already has its final answer, so the attempt is cancelled.
+            return self.deliver(
                 relay,
-                part,
+                cell,
                 Event::AttemptEnded {
                     id,
-                    endpoint: to,
+                    endpoint,
                     outcome: Outcome::Cancelled,
                     request_finished: true,
                     report: Vec::new(),
                 },
             );
         };
-        if !up || self.servers[server].up.is_none() {
-            return self.tell(
+        if !up || self.backends[backend].up_since.is_none() {
+            return self.deliver(
                 relay,
-                part,
+                cell,
                 Event::AttemptEnded {
                     id,
-                    endpoint: to,
+                    endpoint,
                     outcome: Outcome::ConnectFailed,
                     request_finished: false,
                     report: Vec::new(),
@@ -679,96 +705,97 @@
             );
         }
         let c = &mut self.clients[client];
-        (c.phase, c.tries) = (Phase::Up(server), 0);
-        let (site, turn) = (c.site, c.turn);
-        self.servers[server].holds.insert(client);
-        *self.servers[server].groups.entry(site).or_default() += 1;
-        self.sites[site].servers.insert(server);
-        let life = -self.rng.random::<f64>().max(1e-9).ln() * LIFE;
-        self.later(
-            (life * SECOND as f64) as Micros + 1,
-            Ev::Leave(client, turn),
+        (c.phase, c.failed_tries) = (Phase::Established(backend), 0);
+        let (group, try_number) = (c.group, c.try_number);
+        self.backends[backend].clients.insert(client);
+        *self.backends[backend].groups.entry(group).or_default() += 1;
+        self.group_service[group].backends.insert(backend);
+        let life_s = -self.rng.random::<f64>().max(1e-9).ln() * MEAN_LIFE_S;
+        self.schedule_in(
+            (life_s * SECOND as f64) as Micros + 1,
+            SimEvent::ClientLeaves(client, try_number),
         );
-        self.tell(
+        self.deliver(
             relay,
-            part,
+            cell,
             Event::Connected {
                 id,
-                endpoint: to,
+                endpoint,
                 elapsed: 4_000,
             },
         );
-        self.tell_load(client);
+        self.send_load_sample(client);
     }
 
-    fn tell_load(&mut self, client: usize) {
-        let Phase::Up(server) = self.clients[client].phase else {
+    fn send_load_sample(&mut self, client: usize) {
+        let Phase::Established(backend) = self.clients[client].phase else {
             return;
         };
-        let (relay, part, id) = self.clients[client].at;
-        // A mean load is a seventeenth of a core.
-        let load = (self.load_of(client) * SECOND as f64 / 17.0) as f32;
-        let server = self.servers[server].id;
-        self.tell(
-            relay,
-            part,
-            Event::LoadSample {
-                id,
-                endpoint: server,
-                load,
-            },
-        );
+        let (relay, cell, id) = self.clients[client].request_at;
+        // A core has the capacity of 17 mean loads.
+        let load = (self.connection_load(client) * SECOND as f64 / 17.0) as f32;
+        let endpoint = self.backends[backend].id;
+        self.deliver(relay, cell, Event::LoadSample { id, endpoint, load });
     }
 
-    /// Loads, service and falls, five times a second.
-    fn step(&mut self) {
+    /// Updates loads, service and crashes, five times a second.
+    fn settle_step(&mut self) {
         let seconds = STEP as f64 / SECOND as f64;
-        for server in 0..self.servers.len() {
-            let s = &self.servers[server];
-            let own: f64 = s.holds.iter().map(|client| self.load_of(*client)).sum();
-            self.servers[server].load = own + GROUP_COST * self.servers[server].groups.len() as f64;
+        for backend in 0..self.backends.len() {
+            let b = &self.backends[backend];
+            let load: f64 = b
+                .clients
+                .iter()
+                .map(|client| self.connection_load(*client))
+                .sum();
+            self.backends[backend].load =
+                load + GROUP_COST * self.backends[backend].groups.len() as f64;
         }
-        // The first seconds fill the fleet and are nobody's.
-        let counts = self.now > 15 * SECOND;
-        for client in 0..self.clients.len().min(if counts { usize::MAX } else { 0 }) {
-            let good = match self.clients[client].phase {
-                Phase::Up(server) => (1.0 / self.ratio(server)).min(1.0),
+        // The first 15 seconds, in which the clients connect, do not count.
+        let is_counted = self.now > 15 * SECOND;
+        for client in 0..self
+            .clients
+            .len()
+            .min(if is_counted { usize::MAX } else { 0 })
+        {
+            let share_served = match self.clients[client].phase {
+                Phase::Established(backend) => (1.0 / self.utilization(backend)).min(1.0),
                 _ => 0.0,
             };
-            let site = &mut self.sites[self.clients[client].site];
-            site.asked += seconds;
-            site.served += good * seconds;
+            let group = &mut self.group_service[self.clients[client].group];
+            group.asked += seconds;
+            group.served += share_served * seconds;
         }
-        for server in 0..self.servers.len() {
-            if self.servers[server].up.is_none() {
+        for backend in 0..self.backends.len() {
+            if self.backends[backend].up_since.is_none() {
                 continue;
             }
-            let over = self.ratio(server) > OVERLOAD;
-            let since = match (over, self.servers[server].over_since) {
+            let overloaded = self.utilization(backend) > OVERLOAD_FACTOR;
+            let since = match (overloaded, self.backends[backend].overloaded_since) {
                 (true, since) => Some(since.unwrap_or(self.now)),
                 (false, _) => None,
             };
-            self.servers[server].over_since = since;
-            if since.is_some_and(|since| self.now - since >= FALL) {
-                self.fall(server);
+            self.backends[backend].overloaded_since = since;
+            if since.is_some_and(|since| self.now - since >= OVERLOAD_WINDOW) {
+                self.crash(backend);
             }
         }
-        self.later(STEP, Ev::Step);
+        self.schedule_in(STEP, SimEvent::Step);
     }
 
-    fn fall(&mut self, server: usize) {
-        self.falls += 1;
-        self.servers[server].up = None;
-        let held: Vec<usize> = self.servers[server].holds.iter().copied().collect();
-        for client in held {
-            self.end(client, Outcome::Reset);
+    fn crash(&mut self, backend: usize) {
+        self.crashes += 1;
+        self.backends[backend].up_since = None;
+        let clients: Vec<usize> = self.backends[backend].clients.iter().copied().collect();
+        for client in clients {
+            self.end_connection(client, Outcome::Reset);
             let c = &mut self.clients[client];
-            c.again = true;
-            let turn = c.turn;
+            c.returning = true;
+            let try_number = c.try_number;
             let delay = self.rng.random_range(94_000..1_800_000);
-            self.later(delay, Ev::Come(client, turn));
+            self.schedule_in(delay, SimEvent::ClientConnects(client, try_number));
         }
-        self.tell_all();
-        self.later(DOWN, Ev::Return(server));
+        self.announce_list_change();
+        self.schedule_in(DOWNTIME, SimEvent::BackendRestarts(backend));
     }
 }
