--- a/crates/lab/src/fleet/backend.rs
+++ b/crates/lab/src/fleet/backend.rs
@@ -1,34 +1,36 @@
-//! A backend: what it can do, what is asked of it, and what its clients get. Time comes in with each call.
+//! Model of a backend: its capacity, its load and the service its clients get. The caller passes
+//! the time to each call.
 //!
-//! Its cores are shared by all it holds: connections, a cost for each group that it holds any of, and set-ups. Nearer to
-//! its capacity messages take longer, and beyond it work piles up.
+//! Its cores are shared by its connections, a cost for each group with a connection, and
+//! connection set-ups. Messages take longer as the load nears the capacity; above it a backlog
+//! builds up.
 
-use super::scenario::Scene;
+use super::scenario::{micros, Scenario};
 use jaspermoor::decisions::api::{EndpointId, Micros};
 use std::collections::BTreeMap;
 
-/// A backend never gets less of its cores than this for set-ups, however much else there is.
-const SET_UP_LEAST: f64 = 0.1;
+/// Minimum share of a backend's cores that is available for connection set-ups at any load.
+const MIN_SETUP_SHARE: f64 = 0.1;
 
-/// Whether it runs.
+/// State of a backend's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Runs {
-    /// It serves.
+pub enum BackendState {
+    /// It accepts connections.
     Up,
-    /// It finishes what it has.
+    /// It keeps its connections and accepts no new ones.
     Draining,
-    /// Its process is gone: new connections are refused.
+    /// Its process has ended: connections to it are refused.
     Down,
-    /// Its machine says nothing.
+    /// Its host does not respond.
     Silent,
 }
 
-/// What probes are told, made now and then.
+/// Load report that health checks return; it is refreshed periodically.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
-    /// Connections.
-    pub active: f64,
-    /// Load over capacity.
+pub struct LoadReport {
+    /// Number of connections.
+    pub connections: f64,
+    /// Load divided by capacity.
     pub load: f64,
 }
 
@@ -38,187 +40,206 @@
 pub struct Backend {
     pub id: EndpointId,
     pub zone: usize,
-    /// Cores times speed: seconds of the yardstick's core a second.
-    pub power: f64,
+    /// Cores times speed: core-seconds of the reference core per second.
+    pub compute_power: f64,
     pub cores: f64,
-    /// Its size as the list has it.
-    pub size: f64,
-    pub queue: f64,
-    pub cold_from: f64,
-    pub cold_for: Micros,
-    pub runs: Runs,
-    /// A process that is gone knows nothing of what came before: what belongs to an older one is void.
-    pub life: u32,
-    /// When it last came up cold; none for a long time back.
-    pub started: Option<Micros>,
-    /// Clients that it holds, in the order in which they came.
-    pub held: BTreeMap<u64, usize>,
+    /// Size in the endpoint list.
+    pub listed_size: f64,
+    pub queue_per_core: f64,
+    pub initial_warmth: f64,
+    pub warm_up_time: Micros,
+    pub state: BackendState,
+    /// Number of its process's start; events of an earlier incarnation are ignored.
+    pub incarnation: u32,
+    /// When it last started cold; `None` if it has been warm since before the run.
+    pub started_at: Option<Micros>,
+    /// Connected clients by their try number, that is, in the order of their tries.
+    pub clients: BTreeMap<u64, usize>,
+    /// Number of connections by group.
     pub groups: BTreeMap<usize, u32>,
-    /// Load of the connections, in mean loads of the first class.
+    /// Load of the connections, in mean loads.
     pub load: f64,
-    /// Work piled up, in seconds.
-    pub piled: f64,
-    /// Load over capacity as of the last step.
-    pub asked: f64,
-    pub slow: f64,
-    pub errors: f64,
-    /// When its queue of set-ups is through, and how many stand in it.
-    pub through: Micros,
-    pub waiting: u32,
-    /// Work of set-ups and probes since the last step, in seconds of a core.
-    pub side: f64,
-    over_since: Option<Micros>,
-    /// The report that probes see, and the one that will be seen.
-    pub told: Told,
-    pub next_told: (Micros, Told),
+    /// Backlog of work, in seconds.
+    pub backlog_s: f64,
+    /// Load divided by capacity, as of the last step.
+    pub utilization: f64,
+    pub speed_factor: f64,
+    pub error_rate: f64,
+    /// When its queue of set-ups will be empty.
+    pub queue_free_at: Micros,
+    pub queued_setups: u32,
+    /// Work of set-ups and probes since the last step, in core-seconds.
+    pub overhead_work_s: f64,
+    overloaded_since: Option<Micros>,
+    /// The report that health checks return, and the next one with the time it becomes visible.
+    pub report: LoadReport,
+    pub next_report: (Micros, LoadReport),
 }
 
 impl Backend {
-    /// How warm it is: the share of its capacity that it has.
+    /// Share of its full capacity that it has reached while warming up.
     pub fn warmth(&self, now: Micros) -> f64 {
-        let Some(started) = self.started else {
+        let Some(started) = self.started_at else {
             return 1.0;
         };
-        let age = now.saturating_sub(started) as f64 / self.cold_for.max(1) as f64;
-        (self.cold_from + (1.0 - self.cold_from) * age).min(1.0)
+        let age = now.saturating_sub(started) as f64 / self.warm_up_time.max(1) as f64;
+        (self.initial_warmth + (1.0 - self.initial_warmth) * age).min(1.0)
     }
 
-    /// Mean loads that it bears now.
-    pub fn capacity(&self, scene: &Scene, now: Micros) -> f64 {
-        self.power * scene.per_core * self.warmth(now) * self.slow
+    /// Current capacity, in mean loads.
+    pub fn capacity(&self, scenario: &Scenario, now: Micros) -> f64 {
+        self.compute_power * scenario.load_per_core * self.warmth(now) * self.speed_factor
     }
 
-    /// Whether it takes something new now; what it answers where not is `BUSY`.
-    pub fn room(&self, scene: &Scene) -> bool {
-        let most = self.power * scene.per_core * scene.cap;
-        let queue = self.cores * self.queue;
-        self.runs == Runs::Up && (self.held.len() as f64) < most && f64::from(self.waiting) < queue
+    /// Whether it accepts a new connection; otherwise it answers `BUSY`.
+    pub fn accepts_setup(&self, scenario: &Scenario) -> bool {
+        let max_clients =
+            self.compute_power * scenario.load_per_core * scenario.connection_cap_factor;
+        let queue_limit = self.cores * self.queue_per_core;
+        self.state == BackendState::Up
+            && (self.clients.len() as f64) < max_clients
+            && f64::from(self.queued_setups) < queue_limit
     }
 
-    /// Takes a set-up into its queue; when it will be through.
-    pub fn set_up(&mut self, scene: &Scene, work: f64, now: Micros) -> Micros {
-        let warm = self.warmth(now);
-        let free = (1.0 - self.asked).max(SET_UP_LEAST);
-        let mut takes = work / (self.power * warm * self.slow * free).max(1e-6);
-        if warm < 1.0 {
-            // No faster than fills it over its warm-up.
-            let each = self.cold_for as f64 / 1e6 / (self.power * scene.per_core);
-            takes = takes.max(each);
+    /// Queues a set-up of `work` core-seconds and returns when it will be done.
+    pub fn enqueue_setup(&mut self, scenario: &Scenario, work: f64, now: Micros) -> Micros {
+        let warmth = self.warmth(now);
+        let free = (1.0 - self.utilization).max(MIN_SETUP_SHARE);
+        let mut duration_s =
+            work / (self.compute_power * warmth * self.speed_factor * free).max(1e-6);
+        if warmth < 1.0 {
+            // A cold backend accepts connections no faster than it would fill up over its warm-up.
+            let fill_interval_s =
+                self.warm_up_time as f64 / 1e6 / (self.compute_power * scenario.load_per_core);
+            duration_s = duration_s.max(fill_interval_s);
         }
-        self.side += work;
-        self.waiting += 1;
-        self.through = self.through.max(now) + super::scenario::micros(takes);
-        self.through
+        self.overhead_work_s += work;
+        self.queued_setups += 1;
+        self.queue_free_at = self.queue_free_at.max(now) + micros(duration_s);
+        self.queue_free_at
     }
 
-    /// Holds a client.
-    pub fn take(&mut self, turn: u64, client: usize, group: usize, load: f64) {
-        self.held.insert(turn, client);
+    /// Adds an established connection.
+    pub fn add_client(&mut self, try_number: u64, client: usize, group: usize, load: f64) {
+        self.clients.insert(try_number, client);
         *self.groups.entry(group).or_default() += 1;
         self.load += load;
     }
 
-    /// Lets go of it.
-    pub fn lose(&mut self, turn: u64, group: usize, load: f64) {
-        if self.held.remove(&turn).is_none() {
+    /// Removes a connection.
+    pub fn remove_client(&mut self, try_number: u64, group: usize, load: f64) {
+        if self.clients.remove(&try_number).is_none() {
             return;
         }
-        if let Some(n) = self.groups.get_mut(&group) {
-            *n -= 1;
-            if *n == 0 {
+        if let Some(count) = self.groups.get_mut(&group) {
+            *count -= 1;
+            if *count == 0 {
                 self.groups.remove(&group);
             }
         }
-        // Sums of many small numbers drift; an empty one has none.
-        self.load = if self.held.is_empty() {
+        // Rounding errors accumulate in the sum, so it is reset when the backend is empty.
+        self.load = if self.clients.is_empty() {
             0.0
         } else {
             (self.load - load).max(0.0)
         };
     }
 
-    /// Lets a step pass; true if it has been sent so much that a cold one falls over.
-    pub fn step(&mut self, scene: &Scene, now: Micros, step: f64) -> bool {
-        let capacity = self.capacity(scene, now);
-        let side = std::mem::take(&mut self.side)
-            / (self.power * self.warmth(now) * self.slow).max(1e-6)
-            / step;
-        self.asked = if capacity > 0.0 {
-            (self.load + scene.group_cost * self.groups.len() as f64) / capacity + side.min(1.0)
+    /// Settles one step; returns true if the backend is cold and has been overloaded long enough
+    /// to crash.
+    pub fn step(&mut self, scenario: &Scenario, now: Micros, step_s: f64) -> bool {
+        let capacity = self.capacity(scenario, now);
+        let overhead = std::mem::take(&mut self.overhead_work_s)
+            / (self.compute_power * self.warmth(now) * self.speed_factor).max(1e-6)
+            / step_s;
+        self.utilization = if capacity > 0.0 {
+            (self.load + scenario.group_cost * self.groups.len() as f64) / capacity
+                + overhead.min(1.0)
         } else {
             0.0
         };
-        self.piled = (self.piled + (self.asked - 1.0) * step).clamp(0.0, scene.buffer * 2.0);
-        let rules = &scene.site.rules;
-        let over =
-            self.started.is_some() && self.warmth(now) < 1.0 && self.asked > rules.fall_multiple;
-        let since = *self.over_since.get_or_insert(now);
-        if !over {
-            self.over_since = None;
+        self.backlog_s = (self.backlog_s + (self.utilization - 1.0) * step_s)
+            .clamp(0.0, scenario.backlog_limit_s * 2.0);
+        let rules = &scenario.site.rules;
+        let overloaded = self.started_at.is_some()
+            && self.warmth(now) < 1.0
+            && self.utilization > rules.fall_multiple;
+        let since = *self.overloaded_since.get_or_insert(now);
+        if !overloaded {
+            self.overloaded_since = None;
         }
-        over && now >= since + super::scenario::micros(rules.fall_s)
+        overloaded && now >= since + micros(rules.fall_s)
     }
 
-    /// The share of messages that are answered within that aim, in seconds.
-    pub fn quality(&self, scene: &Scene, aim: f64) -> f64 {
-        let left = aim - self.piled;
-        if left <= 0.0 {
+    /// Share of messages that are answered within `objective_s` seconds.
+    pub fn share_answered_within(&self, scenario: &Scenario, objective_s: f64) -> f64 {
+        let left_s = objective_s - self.backlog_s;
+        if left_s <= 0.0 {
             return 0.0;
         }
-        let free = (1.0 - self.asked).max(0.02);
-        1.0 - (-left * free / scene.message).exp()
+        let free = (1.0 - self.utilization).max(0.02);
+        1.0 - (-left_s * free / scenario.idle_message_s).exp()
     }
 
-    /// How long a message takes, in seconds.
-    pub fn message(&self, scene: &Scene) -> f64 {
-        self.piled + scene.message / (1.0 - self.asked).max(0.02)
+    /// Mean time of a message, in seconds.
+    pub fn message_seconds(&self, scenario: &Scenario) -> f64 {
+        self.backlog_s + scenario.idle_message_s / (1.0 - self.utilization).max(0.02)
     }
 
-    /// Forgets all, as a process does that dies.
-    pub fn dies(&mut self, runs: Runs) {
-        self.runs = runs;
-        self.life += 1;
+    /// Ends the process; its connections, backlog and reports are lost.
+    pub fn stop(&mut self, state: BackendState) {
+        self.state = state;
+        self.incarnation += 1;
         self.groups.clear();
-        self.held.clear();
-        (self.load, self.piled, self.asked, self.side) = (0.0, 0.0, 0.0, 0.0);
-        (self.waiting, self.through, self.over_since) = (0, 0, None);
-        (self.told, self.next_told) = (Told::default(), (0, Told::default()));
+        self.clients.clear();
+        (
+            self.load,
+            self.backlog_s,
+            self.utilization,
+            self.overhead_work_s,
+        ) = (0.0, 0.0, 0.0, 0.0);
+        (
+            self.queued_setups,
+            self.queue_free_at,
+            self.overloaded_since,
+        ) = (0, 0, None);
+        (self.report, self.next_report) = (LoadReport::default(), (0, LoadReport::default()));
     }
 
-    /// Comes up cold.
-    pub fn starts(&mut self, now: Micros) {
-        self.runs = Runs::Up;
-        self.started = Some(now);
-        self.life += 1;
+    /// Starts a new process, which is cold.
+    pub fn start_cold(&mut self, now: Micros) {
+        self.state = BackendState::Up;
+        self.started_at = Some(now);
+        self.incarnation += 1;
     }
 
-    /// One that has not begun to serve; what it can do is the caller's to say.
+    /// Creates a backend with neutral values; the caller sets its capacity.
     pub fn new(id: EndpointId, zone: usize) -> Backend {
         Backend {
             id,
             zone,
-            power: 1.0,
+            compute_power: 1.0,
             cores: 1.0,
-            size: 1.0,
-            queue: 1.0,
-            cold_from: 1.0,
-            cold_for: 1,
-            runs: Runs::Up,
-            life: 0,
-            started: None,
-            held: BTreeMap::new(),
+            listed_size: 1.0,
+            queue_per_core: 1.0,
+            initial_warmth: 1.0,
+            warm_up_time: 1,
+            state: BackendState::Up,
+            incarnation: 0,
+            started_at: None,
+            clients: BTreeMap::new(),
             groups: BTreeMap::new(),
             load: 0.0,
-            piled: 0.0,
-            asked: 0.0,
-            slow: 1.0,
-            errors: 0.0,
-            through: 0,
-            waiting: 0,
-            side: 0.0,
-            over_since: None,
-            told: Told::default(),
-            next_told: (0, Told::default()),
+            backlog_s: 0.0,
+            utilization: 0.0,
+            speed_factor: 1.0,
+            error_rate: 0.0,
+            queue_free_at: 0,
+            queued_setups: 0,
+            overhead_work_s: 0.0,
+            overloaded_since: None,
+            report: LoadReport::default(),
+            next_report: (0, LoadReport::default()),
         }
     }
 }
--- a/crates/lab/src/fleet/calibrate.rs
+++ b/crates/lab/src/fleet/calibrate.rs
@@ -1,8 +1,8 @@
-//! The model held against recorded days: the plain JSON of the journal's entries, by kind of day, beside the figures that
-//! the model gives for days of that kind at the sizes recorded.
+//! Calibration: compares days recorded in the journal's JSON entries with days of the same kind
+//! and size played by the emulator.
 
 use super::days::Day;
-use super::experiment::{figure, Cell, Experiment, Named};
+use super::experiment::{metric_index, Cell, Experiment, NamedVariant};
 use super::policy::Policy;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -12,18 +12,19 @@
 /// A recorded day.
 #[derive(Clone, Debug)]
 pub struct Recorded {
-    /// Its kind, as the program's days are named.
+    /// Its kind: the name of a built-in day.
     pub kind: String,
-    /// The entry it is from.
+    /// Name of the journal entry.
     pub entry: String,
-    /// Relays and backends.
+    /// Numbers of relays and backends.
     pub size: (usize, usize),
-    /// Its figures by the model's names.
-    pub figures: BTreeMap<&'static str, f64>,
+    /// Its metrics, by the emulator's names.
+    pub metrics: BTreeMap<&'static str, f64>,
 }
 
-/// A figure: its name in the model, and where an entry has it (`signature` or the day itself). The bound is the factor
-/// within which the two should lie, or (below 1) the difference.
+/// Compared metrics: name in the emulator, key in a journal entry (in `signature` or in the day),
+/// and bound. A bound of 1 or more limits the ratio of the two values, a smaller one their
+/// difference.
 pub const COMPARED: [(&str, &str, f64); 7] = [
     ("G", "G", 0.12),
     ("whole", "served", 0.12),
@@ -34,7 +35,8 @@
     ("refused_share", "refused_share", 0.15),
 ];
 
-/// The recorded days of full fleets in a journal's folder, from entries whose name begins at `since` or later.
+/// Reads the recorded days of full fleets (at least 200 relays) from a journal's folder, from
+/// entries whose name sorts at or after `since`.
 pub fn read(folder: &Path, since: &str) -> std::io::Result<Vec<Recorded>> {
     let mut paths: Vec<_> = std::fs::read_dir(folder)?
         .filter_map(|e| Some(e.ok()?.path()))
@@ -49,7 +51,7 @@
         if name.as_str() < since {
             continue;
         }
-        // An entry of another form than is known here is none of ours.
+        // Entries of other formats are skipped.
         let Some(entry) = std::fs::read(&path)
             .ok()
             .and_then(|b| serde_json::from_slice::<Value>(&b).ok())
@@ -64,21 +66,21 @@
                 day["balancers"].as_u64().unwrap_or(0) as usize,
                 day["servers"].as_u64().unwrap_or(0) as usize,
             );
-            let mut figures = BTreeMap::new();
-            for (own, theirs, _) in COMPARED {
-                let value = day["signature"][theirs]
+            let mut metrics = BTreeMap::new();
+            for (name, recorded_name, _) in COMPARED {
+                let value = day["signature"][recorded_name]
                     .as_f64()
-                    .or_else(|| day[theirs].as_f64());
+                    .or_else(|| day[recorded_name].as_f64());
                 if let Some(value) = value {
-                    figures.insert(own, value);
+                    metrics.insert(name, value);
                 }
             }
-            if size.0 >= 200 && !figures.is_empty() {
+            if size.0 >= 200 && !metrics.is_empty() {
                 all.push(Recorded {
                     kind: kind.into(),
                     entry: name.clone(),
                     size,
-                    figures,
+                    metrics,
                 });
             }
         }
@@ -86,7 +88,7 @@
     Ok(all)
 }
 
-/// The ranks of values, ties shared.
+/// Returns the ranks of values; equal values share their mean rank.
 fn ranks(values: &[f64]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..values.len()).collect();
     order.sort_by(|&a, &b| values[a].total_cmp(&values[b]));
@@ -103,7 +105,7 @@
     ranks
 }
 
-/// Spearman's rank correlation; none where one side does not vary.
+/// Spearman's rank correlation; `None` if all values of one side are equal.
 pub fn rank_correlation(a: &[f64], b: &[f64]) -> Option<f64> {
     let (a, b) = (ranks(a), ranks(b));
     let mean = |v: &[f64]| v.iter().sum::<f64>() / v.len().max(1) as f64;
@@ -117,25 +119,25 @@
     (aa > 0.0 && bb > 0.0).then(|| ab / (aa * bb).sqrt())
 }
 
-/// What a comparison came to.
+/// Result of a comparison.
 pub struct Comparison {
     /// The table.
     pub text: String,
-    /// Figures compared, and those of them within their bounds.
+    /// Number of metrics compared, and of those within their bounds.
     pub compared: usize,
     /// See `compared`.
     pub within: usize,
-    /// The rank correlation of G over kinds.
+    /// Rank correlation of G over the kinds of day.
     pub correlation: Option<f64>,
 }
 
-/// Plays so many seeds of each recorded kind at the recorded sizes, and compares the means.
+/// Plays `seeds` seeds of each recorded kind at the recorded sizes and compares the mean metrics.
 pub fn compare(
     recorded: &[Recorded],
     seeds: u64,
     jobs: usize,
     policy: Policy,
-) -> Result<Comparison, super::days::BadDay> {
+) -> Result<Comparison, super::days::DayError> {
     let mut by_kind: BTreeMap<&str, Vec<&Recorded>> = BTreeMap::new();
     recorded
         .iter()
@@ -149,7 +151,7 @@
         days,
         seeds: (1..=seeds).collect(),
         sizes: vec![None],
-        variants: vec![Named {
+        variants: vec![NamedVariant {
             name: "now".into(),
             policy,
             load_watch: false,
@@ -173,7 +175,7 @@
         true
     });
     let (mut text, mut compared, mut within) = (String::new(), 0, 0);
-    let mut g: Vec<(f64, f64)> = Vec::new();
+    let mut scores: Vec<(f64, f64)> = Vec::new();
     let _ = writeln!(
         text,
         "{:6} {:18} {:>9} {:>9} {:>7}  days recorded / seeds played",
@@ -181,35 +183,38 @@
     );
     for (kind, days) in &by_kind {
         let played: Vec<_> = rows.iter().filter(|row| row.cell.day == *kind).collect();
-        for (own, _, bound) in COMPARED {
-            let theirs: Vec<f64> = days
+        for (name, _, bound) in COMPARED {
+            let recorded_values: Vec<f64> = days
                 .iter()
-                .filter_map(|d| d.figures.get(own).copied())
+                .filter_map(|d| d.metrics.get(name).copied())
                 .collect();
-            let Some(at) = figure(own).filter(|_| !theirs.is_empty() && !played.is_empty()) else {
+            let Some(index) =
+                metric_index(name).filter(|_| !recorded_values.is_empty() && !played.is_empty())
+            else {
                 continue;
             };
-            let recorded = theirs.iter().sum::<f64>() / theirs.len() as f64;
-            let model = played.iter().map(|row| row.figures[at]).sum::<f64>() / played.len() as f64;
+            let recorded = recorded_values.iter().sum::<f64>() / recorded_values.len() as f64;
+            let model =
+                played.iter().map(|row| row.metrics[index]).sum::<f64>() / played.len() as f64;
             let ratio = model / recorded.max(1e-9);
-            let fits = match bound >= 1.0 {
+            let is_within = match bound >= 1.0 {
                 true => (1.0 / bound..=bound).contains(&ratio),
                 false => (model - recorded).abs() <= bound,
             };
-            (compared, within) = (compared + 1, within + usize::from(fits));
-            if own == "G" {
-                g.push((recorded, model));
+            (compared, within) = (compared + 1, within + usize::from(is_within));
+            if name == "G" {
+                scores.push((recorded, model));
             }
             let _ = writeln!(
                 text,
-                "{kind:6} {own:18} {recorded:9.3} {model:9.3} {ratio:7.2}{} {} / {}",
-                if fits { "  " } else { " *" },
-                theirs.len(),
+                "{kind:6} {name:18} {recorded:9.3} {model:9.3} {ratio:7.2}{} {} / {}",
+                if is_within { "  " } else { " *" },
+                recorded_values.len(),
                 played.len()
             );
         }
     }
-    let (a, b): (Vec<f64>, Vec<f64>) = g.into_iter().unzip();
+    let (a, b): (Vec<f64>, Vec<f64>) = scores.into_iter().unzip();
     let correlation = rank_correlation(&a, &b);
     let _ = writeln!(
         text,
--- a/crates/lab/src/fleet/days.rs
+++ b/crates/lab/src/fleet/days.rs
@@ -1,7 +1,7 @@
-//! Days as TOML: what a site is like, and what goes wrong on a day. Each figure is a number or a range, and each seed
-//! draws its own deployment from them.
+//! Days as TOML: the parameters of a site and the troubles of a day. Each value is a number or a
+//! range, and each seed draws its own deployment from them.
 //!
-//! Guards against: a key that nobody reads (all are refused but the known ones), and a range that is upside down.
+//! Unknown keys and ranges with the larger value first are errors.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -10,12 +10,12 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// A figure, or a range that each seed draws from.
+/// A number, or a range from which each seed draws a value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range(pub f64, pub f64);
 
 impl Range {
-    /// A draw.
+    /// Draws a value. A range without width takes nothing from the random stream.
     pub fn draw(self, rng: &mut ChaCha8Rng) -> f64 {
         if self.0 < self.1 {
             rng.random_range(self.0..=self.1)
@@ -27,8 +27,8 @@
 
 impl<'de> Deserialize<'de> for Range {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Range, D::Error> {
-        struct Figure;
-        impl<'de> Visitor<'de> for Figure {
+        struct NumberOrRange;
+        impl<'de> Visitor<'de> for NumberOrRange {
             type Value = Range;
 
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -46,22 +46,22 @@
             fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Range, A::Error> {
                 let mut next = || seq.next_element::<f64>();
                 let (Some(least), Some(most), None) = (next()?, next()?, next()?) else {
-                    return Err(A::Error::custom("a range has two figures: [least, most]"));
+                    return Err(A::Error::custom("a range has two numbers: [least, most]"));
                 };
                 check(Range(least, most))
             }
         }
         fn check<E: serde::de::Error>(r: Range) -> Result<Range, E> {
-            let sound = r.0.is_finite() && r.1.is_finite() && 0.0 <= r.0 && r.0 <= r.1;
-            if sound {
+            let valid = r.0.is_finite() && r.1.is_finite() && 0.0 <= r.0 && r.0 <= r.1;
+            if valid {
                 return Ok(r);
             }
             Err(E::custom(format!(
-                "[{}, {}] is no range: least first, none negative",
+                "[{}, {}] is no range: both numbers must be finite and not negative, the smaller one first",
                 r.0, r.1
             )))
         }
-        from.deserialize_any(Figure)
+        from.deserialize_any(NumberOrRange)
     }
 }
 
@@ -75,53 +75,53 @@
     };
 }
 
-table!(/// Sizes.
+table!(/// Sizes of the fleet.
     Scale { relays: Range, backends: Range, zones: Range, relay_skew: Range, zone_skew: Range, });
-table!(/// What is asked.
+table!(/// Demand.
     Load { asked: Range, swing: Range, groups_per_backend: Range, group_zipf: Range, packed: Range, });
-table!(/// Times on the way, one way.
+table!(/// One-way network delays.
     Net { same_ms: Range, cross_ms: Range, client_ms: Range, jitter: Range, });
-table!(/// The layer before the relays.
+table!(/// The load balancer in front of the relays.
     Front { notice_s: Range, });
-table!(/// What clients do.
+table!(/// Behavior of clients.
     Clients { life_s: Range, honour: Range, backoff_ms: Range, rejoin_ms: Range, });
-table!(/// The list of backends.
+table!(/// Discovery and its endpoint list.
 Discovery {
     notice_s: Range, silent_notice_s: Range, add_s: Range, spread_ms: Range, calls_per_s: Range, timeout_s: Range,
 });
-table!(/// Load reports.
+table!(/// Load reports and health checks.
     Report { period_s: Range, delay_s: Range, noise: Range, probe_work_ms: Range, probe_timeout_ms: Range, });
-table!(/// Connections at backends.
+table!(/// Costs and limits of connections at backends.
 ConnSpec {
     per_core: Range, cap: Range, group_cost: Range, handshake_rtts: Range, handshake_ms: Range,
     dial_timeout_ms: Range, message_ms: Range, buffer_s: Range,
 });
-table!(/// The figures of the rules.
+table!(/// Limits of the rules.
 Rules {
     drain_grace_ms: f64, fall_multiple: f64, fall_s: f64, start_share: f64, warm_within_s: f64, ask_within_s: f64,
     answer_slack_ms: f64, max_attempts: u32, max_retry_after_ms: f64,
 });
-table!(/// Weights of the service.
+table!(/// Weights of the components of the service score.
     Goal { whole: f64, worst: f64, class: f64, window_s: f64, });
-table!(/// What is taken off.
+table!(/// Prices that are deducted from the score.
     Prices { cross_zone: f64, waste: f64, probe: f64, late_fail: f64, moves: f64, });
-table!(/// A kind of machine.
+table!(/// A machine kind.
 Kind {
     name: String, share: Range, cores: Range, speed: Range, speed_cv: Range, queue_per_core: Range,
     cold_from: Range, cold_s: Range,
 });
-table!(/// A class of requests.
+table!(/// A request class.
 ClassSpec {
     name: String, share: Range, work_ms: Range, aim_ms: f64, deadline_ms: f64, worth: f64, load: Range, life: Range,
     load_sigma: Range, swing_sigma: Range, change_s: Range, message_aim_ms: f64,
 });
-table!(/// What a site is like.
+table!(/// Parameters of a site.
 Site {
     scale: Scale, load: Load, net: Net, front: Front, clients: Clients, discovery: Discovery, report: Report,
     conn: ConnSpec, rules: Rules, goal: Goal, prices: Prices, kind: Vec<Kind>, class: Vec<ClassSpec>,
 });
 
-/// Something that goes wrong. All begin `at_s` seconds into the day.
+/// A disturbance. Each begins `at_s` seconds into the day.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(
     deny_unknown_fields,
@@ -130,56 +130,56 @@
 )]
 #[allow(missing_docs)]
 pub enum Trouble {
-    /// More clients come.
+    /// New clients arrive at `factor` times the normal rate.
     Burst {
         at_s: Range,
         length_s: Range,
         factor: Range,
     },
-    /// This share of all traffic comes to one zone.
+    /// This share of the new clients goes to one zone.
     Shift {
         at_s: Range,
         length_s: Range,
         share: Range,
     },
-    /// This share of the clients drops and comes again within the length.
+    /// This share of the clients disconnects and reconnects at random times within the length.
     Reconnect {
         at_s: Range,
         length_s: Range,
         share: Range,
     },
-    /// The clients of one group come so many times as often.
+    /// One group gets additional new clients, in proportion to `factor`.
     HotCaller {
         at_s: Range,
         length_s: Range,
         factor: Range,
     },
-    /// Backends are replaced one after the other: each drains for `leave_s` while a new one starts cold.
+    /// Backends are replaced in turn: each drains for `leave_s` while a new one starts cold.
     Replace {
         at_s: Range,
         within_s: Range,
         share: Range,
         leave_s: Range,
     },
-    /// Relays are restarted in turn, this share at a time, told beforehand.
+    /// Relays are drained and restarted in turn, this share at a time.
     RollRelays {
         at_s: Range,
         every_s: Range,
         share: Range,
     },
-    /// Relays are killed at once.
+    /// Relays are killed at the same time without notice and start again after `back_s`.
     KillRelays {
         at_s: Range,
         share: Range,
         back_s: Range,
     },
-    /// Discovery answers only so much of what it could.
+    /// Discovery answers calls at `factor` times its normal rate.
     BusyDiscovery {
         at_s: Range,
         length_s: Range,
         factor: Range,
     },
-    /// Backends do only `slow` of what they could, and answer so many requests with an error.
+    /// Backends run at `slow` times their speed and answer a share of the requests with an error.
     Sick {
         at_s: Range,
         length_s: Range,
@@ -187,29 +187,30 @@
         slow: Range,
         errors: Range,
     },
-    /// All backends of a zone are gone and come back cold; with `silent` odds they say nothing meanwhile.
+    /// All backends of a zone stop and later restart cold. With probability `silent` their hosts
+    /// do not respond meanwhile; otherwise connections are refused.
     LoseZone {
         at_s: Range,
         length_s: Range,
         silent: Range,
     },
-    /// A zone and the others cannot reach each other.
+    /// A zone is partitioned from the others.
     CutZone { at_s: Range, length_s: Range },
-    /// No news of the list.
+    /// Discovery holds back all changes of the endpoint list.
     LateLists { at_s: Range, length_s: Range },
-    /// Backends' answers get lost.
+    /// This share of the backends' answers is lost.
     LoseAnswers {
         at_s: Range,
         length_s: Range,
         share: Range,
     },
-    /// Backends die and come back cold after the length.
+    /// Backends crash and restart cold after the length.
     Crash {
         at_s: Range,
         length_s: Range,
         share: Range,
     },
-    /// This share of the connections of one class becomes heavier.
+    /// The load of this share of the connections of the first class is multiplied by `factor`.
     Heavy {
         at_s: Range,
         length_s: Range,
@@ -218,7 +219,7 @@
     },
 }
 
-/// The file of a day.
+/// The TOML file of a day.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct File {
@@ -229,79 +230,79 @@
     trouble: Vec<Trouble>,
 }
 
-/// A day: its site, and what goes wrong.
+/// A day: a site and the troubles during the day.
 #[derive(Clone, Debug)]
 pub struct Day {
-    /// Its name: the file's, without the ending.
+    /// Its name: that of the file without the extension.
     pub name: String,
-    /// What it is for.
+    /// Its purpose.
     pub about: String,
-    /// How long it is.
+    /// Its length in seconds.
     pub length_s: Range,
-    /// Its site.
+    /// Its site parameters.
     pub site: Site,
-    /// What goes wrong.
+    /// Its troubles.
     pub troubles: Vec<Trouble>,
 }
 
-/// A day that cannot be used: which file, and what is wrong with it.
+/// An invalid day: the file and the error.
 #[derive(Debug)]
-pub struct BadDay(String);
+pub struct DayError(String);
 
-impl fmt::Display for BadDay {
+impl fmt::Display for DayError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for BadDay {}
+impl std::error::Error for DayError {}
 
-fn read<T: for<'de> Deserialize<'de>>(path: &Path) -> Result<T, BadDay> {
+fn read<T: for<'de> Deserialize<'de>>(path: &Path) -> Result<T, DayError> {
     let text =
-        std::fs::read_to_string(path).map_err(|e| BadDay(format!("{}: {e}", path.display())))?;
-    // The library's message has the line, the key and an arrow to it.
-    toml::from_str(&text).map_err(|e| BadDay(format!("{}: {e}", path.display())))
+        std::fs::read_to_string(path).map_err(|e| DayError(format!("{}: {e}", path.display())))?;
+    // The parser's message has the line and the key.
+    toml::from_str(&text).map_err(|e| DayError(format!("{}: {e}", path.display())))
 }
 
-/// The days that come with the program.
+/// Names of the built-in days.
 pub const NAMES: [&str; 6] = ["calm", "roll", "herd", "zone", "split", "join"];
 
 impl Day {
-    /// Where the days of the program are.
+    /// Directory of the built-in days.
     pub fn folder() -> PathBuf {
         PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("days")
     }
 
-    /// A day of the program by its name, or one of a file.
-    pub fn load(name: &str) -> Result<Day, BadDay> {
+    /// Loads a built-in day by name, or a day from a `.toml` file.
+    pub fn load(name: &str) -> Result<Day, DayError> {
         let path = match name.ends_with(".toml") {
             true => PathBuf::from(name),
             false if NAMES.contains(&name) => Day::folder().join(format!("{name}.toml")),
             false => {
                 let known = NAMES.join(", ");
-                return Err(BadDay(format!(
-                    "'{name}' is no day: {known}, or the path of a .toml file"
+                return Err(DayError(format!(
+                    "'{name}' is not a day: use {known}, or the path of a .toml file"
                 )));
             }
         };
         let file: File = read(&path)?;
-        let beside = path.parent().unwrap_or(Path::new(".")).join(&file.site);
-        let site: Site = read(&beside)?;
-        for (what, none) in [
+        let site_path = path.parent().unwrap_or(Path::new(".")).join(&file.site);
+        let site: Site = read(&site_path)?;
+        for (what, empty) in [
             ("kind", site.kind.is_empty()),
             ("class", site.class.is_empty()),
         ] {
-            if none {
-                return Err(BadDay(format!(
+            if empty {
+                return Err(DayError(format!(
                     "{}: {what}: at least one is needed",
-                    beside.display()
+                    site_path.display()
                 )));
             }
         }
         if site.scale.relays.0 < 1.0 || site.scale.zones.0 < 1.0 {
-            return Err(BadDay(format!(
-                "{}: scale: a fleet has a relay and a zone at least",
-                beside.display()
+            return Err(DayError(format!(
+                "{}: scale: a fleet needs at least one relay and one zone",
+                site_path.display()
             )));
         }
         let name = path
@@ -316,8 +317,8 @@
         })
     }
 
-    /// The same day with a fleet of that size.
-    pub fn sized(mut self, relays: Option<usize>, backends: Option<usize>) -> Day {
+    /// Sets the size of the fleet; `None` leaves a size to the seed.
+    pub fn with_size(mut self, relays: Option<usize>, backends: Option<usize>) -> Day {
         if let Some(n) = relays {
             self.site.scale.relays = Range(n as f64, n as f64);
         }
--- a/crates/lab/src/fleet/experiment.rs
+++ b/crates/lab/src/fleet/experiment.rs
@@ -1,11 +1,11 @@
-//! Experiments as TOML: days, seeds, sizes and variants. Each combination is a cell that is played by itself, on as many
-//! threads as one likes; its figures depend on nothing but the cell.
+//! Experiments as TOML: days, seeds, sizes and variants. Each combination is a cell. Cells are
+//! played independently on any number of threads, and a cell's metrics depend on the cell alone.
 
-use super::days::{BadDay, Day};
+use super::days::{Day, DayError};
 use super::policy::Policy;
-use super::scenario::Scene;
-use super::simulation::{Outcomes, Variant, World, STEP};
-use super::stats::FIGURES;
+use super::scenario::Scenario;
+use super::simulation::{Outcomes, Simulation, Variant, STEP};
+use super::stats::METRIC_NAMES;
 use jaspermoor::cells::CellMap;
 use jaspermoor::Parameters;
 use serde::Deserialize;
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Mutex;
 
-/// Seeds: so many from 1 on, or a list.
+/// Seeds: a count (seeds 1 to n) or a list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum Seeds {
@@ -30,17 +30,17 @@
     backends: usize,
 }
 
-/// A variant as the file has it.
+/// A variant as written in the file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Choice {
+struct VariantSpec {
     name: String,
-    /// `own` (the relay's decisions) or `chance`.
+    /// `own` (the relay's balancer) or `chance` (random placement).
     policy: Option<String>,
-    /// Whether one relay a zone probes for all.
+    /// Whether one relay per zone probes for all relays.
     #[serde(default)]
     load_watch: bool,
-    /// Parameters by name.
+    /// Balancer parameters by name.
     #[serde(default)]
     set: BTreeMap<String, f64>,
 }
@@ -54,42 +54,42 @@
     #[serde(default)]
     size: Vec<Size>,
     #[serde(default)]
-    variant: Vec<Choice>,
-    /// Parameters with their values: a variant for each combination.
+    variant: Vec<VariantSpec>,
+    /// Parameters with lists of values; each combination becomes a variant.
     #[serde(default)]
     grid: BTreeMap<String, Vec<f64>>,
 }
 
-/// What is wrong with an experiment, with its file and, where the library tells it, the line.
+/// An invalid experiment file: its path and the error, with the line if the TOML parser gives it.
 #[derive(Debug)]
-pub struct BadExperiment(String);
+pub struct ExperimentError(String);
 
-impl fmt::Display for BadExperiment {
+impl fmt::Display for ExperimentError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for BadExperiment {}
+impl std::error::Error for ExperimentError {}
 
-impl From<BadDay> for BadExperiment {
-    fn from(e: BadDay) -> Self {
-        BadExperiment(e.to_string())
+impl From<DayError> for ExperimentError {
+    fn from(e: DayError) -> Self {
+        ExperimentError(e.to_string())
     }
 }
 
 /// A variant with its name.
 #[derive(Clone, Debug)]
-pub struct Named {
-    /// The name, by which results are told apart.
+pub struct NamedVariant {
+    /// Unique name in the results.
     pub name: String,
-    /// Its decisions.
+    /// Its balancing policy.
     pub policy: Policy,
-    /// Whether one relay a zone probes for all.
+    /// Whether one relay per zone probes for all relays.
     pub load_watch: bool,
 }
 
-/// One combination.
+/// One combination of day, variant, seed and size.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cell {
     /// The day's name.
@@ -98,27 +98,27 @@
     pub variant: String,
     /// The seed.
     pub seed: u64,
-    /// The size; none as the day draws it.
+    /// Numbers of relays and backends; `None` if the day draws them.
     pub size: Option<(usize, usize)>,
 }
 
-/// A cell that was played.
+/// Results of a cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// Which.
+    /// The cell.
     pub cell: Cell,
-    /// Its figures, as [`FIGURES`] names them.
-    pub figures: Vec<f64>,
-    /// Relays and backends.
+    /// Its metrics, in the order of [`METRIC_NAMES`].
+    pub metrics: Vec<f64>,
+    /// Numbers of relays and backends.
     pub size: (usize, usize),
-    /// Over all that happened.
+    /// Hash over all events of the run.
     pub digest: u64,
-    /// Events handled, and seconds that it took.
+    /// Number of events handled, and duration of the run in seconds.
     pub events: u64,
     /// See `events`.
     pub seconds: f64,
-    /// The first broken rule.
-    pub broken: String,
+    /// The first rule violation; empty if there was none.
+    pub first_violation: String,
 }
 
 /// An experiment.
@@ -130,98 +130,103 @@
     pub days: Vec<Day>,
     /// The seeds.
     pub seeds: Vec<u64>,
-    /// The sizes; none as the days draw them.
+    /// Numbers of relays and backends; `None` if the day draws them.
     pub sizes: Vec<Option<(usize, usize)>>,
-    /// The variants, the first of which others are held against.
-    pub variants: Vec<Named>,
+    /// The variants; the first one is the default baseline of the report.
+    pub variants: Vec<NamedVariant>,
 }
 
-/// Parameters set by name.
+/// Builds balancer parameters from values by name; the others keep their defaults.
 pub fn parameters(set: &BTreeMap<String, f64>) -> Result<Parameters, String> {
     let mut parameters = Parameters::default();
     for (name, value) in set {
         if parameters.get(name).is_none() {
             return Err(format!(
-                "'{name}' is no parameter; there are {}",
+                "'{name}' is not a parameter; the parameters are {}",
                 Parameters::NAMES.join(", ")
             ));
         }
         if parameters.set(name, *value).is_err() {
-            return Err(format!("{name} cannot be {value}"));
+            return Err(format!("{name}: {value} is not a valid value"));
         }
     }
     Ok(parameters)
 }
 
 impl Experiment {
-    /// Reads a file.
-    pub fn load(path: &Path) -> Result<Experiment, BadExperiment> {
-        let at = |what: String| BadExperiment(format!("{}: {what}", path.display()));
-        let text = std::fs::read_to_string(path).map_err(|e| at(e.to_string()))?;
-        let file: File = toml::from_str(&text).map_err(|e| at(e.to_string()))?;
-        let beside = path.parent().unwrap_or(Path::new("."));
-        let named = |name: &String| match name.ends_with(".toml") && Path::new(name).is_relative() {
-            true => Day::load(&beside.join(name).to_string_lossy()),
-            false => Day::load(name),
-        };
-        let days = file.days.iter().map(named).collect::<Result<Vec<_>, _>>()?;
+    /// Reads and checks an experiment's file.
+    pub fn load(path: &Path) -> Result<Experiment, ExperimentError> {
+        let file_error = |what: String| ExperimentError(format!("{}: {what}", path.display()));
+        let text = std::fs::read_to_string(path).map_err(|e| file_error(e.to_string()))?;
+        let file: File = toml::from_str(&text).map_err(|e| file_error(e.to_string()))?;
+        let folder = path.parent().unwrap_or(Path::new("."));
+        let load_day =
+            |name: &String| match name.ends_with(".toml") && Path::new(name).is_relative() {
+                true => Day::load(&folder.join(name).to_string_lossy()),
+                false => Day::load(name),
+            };
+        let days = file
+            .days
+            .iter()
+            .map(load_day)
+            .collect::<Result<Vec<_>, _>>()?;
         let seeds = match file.seeds {
             Seeds::Many(n) => (1..=n).collect(),
             Seeds::These(list) => list,
         };
-        let mut choices = file.variant;
+        let mut specs = file.variant;
         for (name, values) in &file.grid {
-            let base = if choices.is_empty() {
-                vec![Choice {
+            let bases = if specs.is_empty() {
+                vec![VariantSpec {
                     name: "now".into(),
-                    ..Choice::default()
+                    ..VariantSpec::default()
                 }]
             } else {
-                choices
+                specs
             };
-            choices = base
+            specs = bases
                 .into_iter()
-                .flat_map(|choice| {
+                .flat_map(|spec| {
                     values.iter().map(move |value| {
-                        let mut more = choice.clone();
-                        more.set.insert(name.clone(), *value);
-                        more.name = format!("{} {name}={value}", more.name);
-                        more
+                        let mut extended = spec.clone();
+                        extended.set.insert(name.clone(), *value);
+                        extended.name = format!("{} {name}={value}", extended.name);
+                        extended
                     })
                 })
                 .collect();
         }
-        if choices.is_empty() {
-            choices.push(Choice {
+        if specs.is_empty() {
+            specs.push(VariantSpec {
                 name: "now".into(),
-                ..Choice::default()
+                ..VariantSpec::default()
             });
         }
-        let mut variants: Vec<Named> = Vec::new();
-        for choice in &choices {
-            let wrong = |what: String| at(format!("variant '{}': {what}", choice.name));
-            if variants.iter().any(|v| v.name == choice.name) {
-                return Err(wrong("there are two of this name".into()));
+        let mut variants: Vec<NamedVariant> = Vec::new();
+        for spec in &specs {
+            let error = |what: String| file_error(format!("variant '{}': {what}", spec.name));
+            if variants.iter().any(|v| v.name == spec.name) {
+                return Err(error("there are two of this name".into()));
             }
-            let policy = match choice.policy.as_deref() {
+            let policy = match spec.policy.as_deref() {
                 None | Some("own") => {
-                    Policy::Own(Box::new(parameters(&choice.set).map_err(wrong)?))
+                    Policy::Relay(Box::new(parameters(&spec.set).map_err(error)?))
                 }
-                Some("chance") if choice.set.is_empty() => Policy::Chance,
-                Some("chance") => return Err(wrong("chance has no parameters".into())),
+                Some("chance") if spec.set.is_empty() => Policy::Random,
+                Some("chance") => return Err(error("chance has no parameters".into())),
                 Some(other) => {
-                    return Err(wrong(format!("policy '{other}' is neither own nor chance")))
+                    return Err(error(format!("policy '{other}' is neither own nor chance")))
                 }
             };
-            variants.push(Named {
-                name: choice.name.clone(),
+            variants.push(NamedVariant {
+                name: spec.name.clone(),
                 policy,
-                load_watch: choice.load_watch,
+                load_watch: spec.load_watch,
             });
         }
-        for (what, none) in [("days", days.is_empty()), ("seeds", seeds.is_empty())] {
-            if none {
-                return Err(at(format!("{what}: at least one is needed")));
+        for (what, empty) in [("days", days.is_empty()), ("seeds", seeds.is_empty())] {
+            if empty {
+                return Err(file_error(format!("{what}: at least one is needed")));
             }
         }
         let sizes = match file.size.is_empty() {
@@ -241,7 +246,7 @@
         })
     }
 
-    /// All cells, in an order that does not depend on that of the variants' definition.
+    /// Lists all cells in an order that is independent of the order of the variants in the file.
     pub fn cells(&self) -> Vec<Cell> {
         let mut cells = Vec::new();
         for day in &self.days {
@@ -263,20 +268,21 @@
         cells
     }
 
-    /// Plays a cell.
+    /// Plays a cell; `None` if its day or variant is not part of the experiment.
     pub fn play(&self, cell: &Cell) -> Option<Row> {
         let day = self.days.iter().find(|day| day.name == cell.day)?;
         let variant = self.variants.iter().find(|v| v.name == cell.variant)?;
         let day = day
             .clone()
-            .sized(cell.size.map(|s| s.0), cell.size.map(|s| s.1));
-        Some(play(&day, variant, cell.seed, cell.clone()))
+            .with_size(cell.size.map(|s| s.0), cell.size.map(|s| s.1));
+        Some(play_day(&day, variant, cell.seed, cell.clone()))
     }
 
-    /// Plays these cells on so many threads; each row is given to `done` as it comes, one at a time. Cells that were
-    /// begun are finished where `done` says that it has had enough.
-    pub fn run(&self, cells: &[Cell], jobs: usize, done: impl FnMut(Row) -> bool + Send) {
-        let (next, done) = (AtomicUsize::new(0), Mutex::new((done, true)));
+    /// Plays cells on `jobs` threads and passes each row to `on_row`, one at a time and in order
+    /// of completion. After `on_row` has returned false, no more rows are passed to it; cells in
+    /// progress are still finished.
+    pub fn run(&self, cells: &[Cell], jobs: usize, on_row: impl FnMut(Row) -> bool + Send) {
+        let (next, on_row) = (AtomicUsize::new(0), Mutex::new((on_row, true)));
         std::thread::scope(|scope| {
             for _ in 0..jobs.max(1) {
                 scope.spawn(|| loop {
@@ -284,50 +290,55 @@
                         return;
                     };
                     let Some(row) = self.play(cell) else { continue };
-                    let mut done = done.lock().unwrap_or_else(|e| e.into_inner());
-                    if !done.1 {
+                    let mut on_row = on_row.lock().unwrap_or_else(|e| e.into_inner());
+                    if !on_row.1 {
                         return;
                     }
-                    done.1 = (done.0)(row);
+                    on_row.1 = (on_row.0)(row);
                 });
             }
         });
     }
 }
 
-fn play(day: &Day, variant: &Named, seed: u64, cell: Cell) -> Row {
-    let begun = std::time::Instant::now();
-    let scene = Scene::draw(day, seed);
-    let (relays, backends, groups) = (scene.relays, scene.backends, scene.groups);
+fn play_day(day: &Day, variant: &NamedVariant, seed: u64, cell: Cell) -> Row {
+    let start = std::time::Instant::now();
+    let scenario = Scenario::draw(day, seed);
+    let (relays, backends, groups) = (scenario.relays, scenario.backends, scenario.groups);
     let load_watch = variant.load_watch;
     let variant = Variant {
         policy: variant.policy.clone(),
         cells: CellMap::default(),
         load_watch,
     };
-    let mut out = World::new(scene, variant, None).run();
-    let figures = figures(&mut out, day, relays, groups);
-    let broken = out.breaks.first().map_or(String::new(), |b| b.to_string());
+    let mut out = Simulation::new(scenario, variant, None).run();
+    let metrics = metrics(&mut out, day, relays, groups);
+    let first_violation = out
+        .violations
+        .first()
+        .map_or(String::new(), |v| v.to_string());
     Row {
         cell,
-        figures,
+        metrics,
         size: (relays, backends),
         digest: out.digest,
         events: out.events,
-        seconds: begun.elapsed().as_secs_f64(),
-        broken,
+        seconds: start.elapsed().as_secs_f64(),
+        first_violation,
     }
 }
 
-/// The figures of a run.
-pub fn figures(out: &mut Outcomes, day: &Day, relays: usize, groups: usize) -> Vec<f64> {
-    let broken = out.breaks.len();
-    let figures = out.books.figures(&day.site, STEP, relays, groups, broken);
-    debug_assert_eq!(figures.len(), FIGURES.len());
-    figures
+/// Computes the metrics of a run.
+pub fn metrics(out: &mut Outcomes, day: &Day, relays: usize, groups: usize) -> Vec<f64> {
+    let violations = out.violations.len();
+    let metrics = out
+        .stats
+        .metrics(&day.site, STEP, relays, groups, violations);
+    debug_assert_eq!(metrics.len(), METRIC_NAMES.len());
+    metrics
 }
 
-/// A figure's place.
-pub fn figure(name: &str) -> Option<usize> {
-    FIGURES.iter().position(|f| *f == name)
+/// Returns the position of a metric in [`METRIC_NAMES`].
+pub fn metric_index(name: &str) -> Option<usize> {
+    METRIC_NAMES.iter().position(|f| *f == name)
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! The fleet in a laboratory: hundreds of relays with their own decisions, backends, clients, discovery and the network
-//! on a virtual clock; days that go wrong, experiments over many seeds, results on disk, reports and calibration.
+//! Fleet emulator: hundreds of relays that run the production balancer, backends, clients,
+//! discovery and the network on a virtual clock. It plays days with failures, runs experiments
+//! over many seeds, prints reports and is calibrated against recorded days.
 
 pub mod backend;
 pub mod calibrate;
--- a/crates/lab/src/fleet/policy.rs
+++ b/crates/lab/src/fleet/policy.rs
@@ -1,5 +1,5 @@
-//! Who decides in a relay of the model: the relay's own `Balancer`, the very code that serves, or chance, which is what
-//! a day's scores are held against.
+//! Balancing policy of the simulated relays: the production `Balancer`, or random placement as the
+//! baseline for a day's scores.
 
 use jaspermoor::decisions::api::{
     Action, EndpointId, EndpointListKind, EndpointState, Event, Micros, Outcome, RequestId,
@@ -11,78 +11,76 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which decisions a variant has.
+/// Balancing policy of a variant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Policy {
-    /// The relay's, with these parameters.
-    Own(Box<Parameters>),
-    /// Any ready backend; another one after a failure, three times at most.
-    Chance,
+    /// The relay's `Balancer` with these parameters (`own` in an experiment's file).
+    Relay(Box<Parameters>),
+    /// A random ready backend for each attempt, with at most three attempts (`chance` in the
+    /// file).
+    Random,
 }
 
-/// The decisions of one relay.
+/// Balancer of one simulated relay.
 pub enum Decider {
-    /// See [`Policy::Own`].
-    Own(Box<Balancer>),
-    /// See [`Policy::Chance`].
-    Chance(Box<Chance>),
+    /// See [`Policy::Relay`].
+    Relay(Box<Balancer>),
+    /// See [`Policy::Random`].
+    Random(Box<RandomBalancer>),
 }
 
 impl Decider {
-    /// The decisions of a relay that has just started.
+    /// Creates the balancer of a relay that has just started.
     pub fn new(policy: &Policy, settings: Settings, seed: u64) -> Decider {
         match policy {
-            Policy::Own(tuning) => Decider::Own(Box::new(
-                Balancer::new(settings, seed).with_parameters(**tuning),
+            Policy::Relay(parameters) => Decider::Relay(Box::new(
+                Balancer::new(settings, seed).with_parameters(**parameters),
             )),
-            Policy::Chance => Decider::Chance(Box::new(Chance {
+            Policy::Random => Decider::Random(Box::new(RandomBalancer {
                 settings,
                 rng: ChaCha8Rng::seed_from_u64(seed),
                 ready: BTreeSet::new(),
                 pending: BTreeMap::new(),
-                asked: false,
+                watch_started: false,
             })),
         }
     }
 
-    /// Takes an event and adds what is to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match self {
-            // What it does not know any more is of a request that has ended.
-            Decider::Own(balancer) => drop(balancer.handle(now, event, out)),
-            Decider::Chance(chance) => chance.handle(now, event, out),
+            // Errors are ignored: they concern requests that have already ended.
+            Decider::Relay(balancer) => drop(balancer.handle(now, event, out)),
+            Decider::Random(random) => random.handle(now, event, out),
         }
     }
 }
 
-/// Places anywhere.
-pub struct Chance {
+/// Balancer that picks ready backends at random.
+pub struct RandomBalancer {
     settings: Settings,
     rng: ChaCha8Rng,
     ready: BTreeSet<EndpointId>,
-    /// Requests that are owed an answer: until when, and how many attempts they had.
+    /// Pending requests with their deadlines and numbers of attempts.
     pending: BTreeMap<RequestId, (Micros, u32)>,
-    asked: bool,
+    watch_started: bool,
 }
 
-impl Chance {
+impl RandomBalancer {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::EndpointList {
-                kind,
-                endpoints: members,
-            } => {
+            Event::EndpointList { kind, endpoints } => {
                 if matches!(kind, EndpointListKind::Full | EndpointListKind::Cached) {
                     self.ready.clear();
                 }
-                for m in members {
-                    match m.state {
-                        EndpointState::Ready => self.ready.insert(m.id),
-                        _ => self.ready.remove(&m.id),
+                for endpoint in endpoints {
+                    match endpoint.state {
+                        EndpointState::Ready => self.ready.insert(endpoint.id),
+                        _ => self.ready.remove(&endpoint.id),
                     };
                 }
                 if kind == EndpointListKind::WatchFailed
-                    || !std::mem::replace(&mut self.asked, true)
+                    || !std::mem::replace(&mut self.watch_started, true)
                 {
                     out.push(Action::SetTimer {
                         at: now + 500_000,
@@ -98,14 +96,14 @@
                 }
             }
             Event::Request(request) => {
-                let by = now + request.time_left;
-                self.pending.insert(request.id, (by, 0));
-                let last = by.saturating_sub(self.settings.tick);
+                let deadline = now + request.time_left;
+                self.pending.insert(request.id, (deadline, 0));
+                let reject_at = deadline.saturating_sub(self.settings.tick);
                 out.push(Action::SetTimer {
-                    at: last.max(now + 1),
+                    at: reject_at.max(now + 1),
                     token: 1 << 32 | u64::from(request.id.0),
                 });
-                self.send(request.id, out);
+                self.start_attempt(request.id, out);
             }
             Event::Connected { id, .. } | Event::ClientDisconnected(id) => {
                 self.pending.remove(&id);
@@ -113,31 +111,31 @@
             Event::AttemptEnded {
                 id,
                 outcome,
-                request_finished: last,
+                request_finished,
                 ..
-            } if !last => match outcome {
+            } if !request_finished => match outcome {
                 Outcome::Reset => {
                     self.pending.remove(&id);
                     out.push(Action::Fail(id));
                 }
-                _ => self.send(id, out),
+                _ => self.start_attempt(id, out),
             },
             _ => {}
         }
     }
 
-    fn send(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some((until, tries)) = self.pending.get_mut(&id) else {
+    fn start_attempt(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some((deadline, attempts)) = self.pending.get_mut(&id) else {
             return;
         };
         let ready: Vec<EndpointId> = self.ready.iter().copied().collect();
         match ready.choose(&mut self.rng) {
-            Some(&server) if *tries < 3 => {
-                *tries += 1;
+            Some(&endpoint) if *attempts < 3 => {
+                *attempts += 1;
                 out.push(Action::Attempt {
                     id,
-                    endpoint: server,
-                    give_up_at: *until,
+                    endpoint,
+                    give_up_at: *deadline,
                 });
             }
             _ => {
--- a/crates/lab/src/fleet/report.rs
+++ b/crates/lab/src/fleet/report.rs
@@ -1,25 +1,25 @@
-//! What an experiment says: paired differences between variants on the same seeds, with an interval, and the worst
-//! seeds with the command that replays them.
+//! Report of an experiment: paired differences between variants on the same seeds with confidence
+//! intervals, and the worst runs with the commands that replay them.
 
-use super::experiment::{figure, Cell, Row};
+use super::experiment::{metric_index, Cell, Row};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Draws of the bootstrap: enough for the second digit of a 95% interval.
-const DRAWS: usize = 2_000;
+/// Bootstrap resamples: enough for two digits of a 95% interval.
+const RESAMPLES: usize = 2_000;
 
-/// The mean of these differences, and the interval in which it lies with 95%, by resampling.
+/// Returns the mean and the bounds of its 95% bootstrap confidence interval.
 pub fn interval(differences: &[f64]) -> (f64, f64, f64) {
     let n = differences.len();
     if n == 0 {
         return (0.0, 0.0, 0.0);
     }
     let mean = differences.iter().sum::<f64>() / n as f64;
-    // One seed for all: the same rows give the same report.
+    // The fixed seed makes reports of the same rows equal.
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut means: Vec<f64> = (0..DRAWS)
+    let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
             (0..n)
                 .map(|_| differences[rng.random_range(0..n)])
@@ -28,7 +28,11 @@
         })
         .collect();
     means.sort_by(f64::total_cmp);
-    (mean, means[DRAWS / 40], means[DRAWS - 1 - DRAWS / 40])
+    (
+        mean,
+        means[RESAMPLES / 40],
+        means[RESAMPLES - 1 - RESAMPLES / 40],
+    )
 }
 
 fn quantile(mut values: Vec<f64>, q: f64) -> f64 {
@@ -40,12 +44,12 @@
         .unwrap_or(0.0)
 }
 
-/// A variant's rows of one day, by seed and size.
+/// Rows of one variant and day, by seed and size.
 type Played<'a> = BTreeMap<(u64, Option<(usize, usize)>), &'a Row>;
 
-/// The report in words; each variant is held against `base`, seed by seed.
+/// Formats the report; each variant is compared with `base` on the same seeds and sizes.
 pub fn text(rows: &[Row], base: &str) -> String {
-    let mut by: BTreeMap<(&str, &str), Played> = BTreeMap::new();
+    let mut by_variant: BTreeMap<(&str, &str), Played> = BTreeMap::new();
     for row in rows {
         let Cell {
             day,
@@ -53,11 +57,12 @@
             seed,
             size,
         } = &row.cell;
-        by.entry((day, variant))
+        by_variant
+            .entry((day, variant))
             .or_default()
             .insert((*seed, *size), row);
     }
-    let value = |row: &Row, name: &str| figure(name).map_or(0.0, |at| row.figures[at]);
+    let value = |row: &Row, name: &str| metric_index(name).map_or(0.0, |index| row.metrics[index]);
     let mut out = String::new();
     let _ = writeln!(
         out,
@@ -75,27 +80,30 @@
         "jam",
         "zone"
     );
-    for ((day, variant), played) in &by {
-        let of = |name: &str| {
+    for ((day, variant), played) in &by_variant {
+        let values = |name: &str| {
             played
                 .values()
                 .map(|row| value(row, name))
                 .collect::<Vec<_>>()
         };
-        let mean = |name: &str| of(name).iter().sum::<f64>() / played.len().max(1) as f64;
-        let against = by.get(&(*day, base));
+        let mean = |name: &str| values(name).iter().sum::<f64>() / played.len().max(1) as f64;
+        let base_rows = by_variant.get(&(*day, base));
         let differences: Vec<f64> = played
             .iter()
-            .filter_map(|(key, row)| Some(value(row, "G") - value(against?.get(key)?, "G")))
+            .filter_map(|(key, row)| Some(value(row, "G") - value(base_rows?.get(key)?, "G")))
             .collect();
-        let (differs, least, most) = interval(&differences);
-        let broken = played.values().filter(|row| !row.broken.is_empty()).count();
+        let (mean_difference, least, most) = interval(&differences);
+        let broken = played
+            .values()
+            .filter(|row| !row.first_violation.is_empty())
+            .count();
         let _ = writeln!(
             out,
-            "{day:6} {variant:28} {:6} {:7.3} {:6.3}  {differs:+7.3} {:>17}  {:5.1} {:5.2} {:6.3} {:6.3} {:6.2}  {broken}",
+            "{day:6} {variant:28} {:6} {:7.3} {:6.3}  {mean_difference:+7.3} {:>17}  {:5.1} {:5.2} {:6.3} {:6.3} {:6.2}  {broken}",
             played.len(),
-            quantile(of("G"), 0.5),
-            quantile(of("G"), 0.1),
+            quantile(values("G"), 0.5),
+            quantile(values("G"), 0.1),
             format!("[{least:+.3}, {most:+.3}]"),
             mean("pairs_per_group"),
             mean("moves_per_try"),
@@ -108,10 +116,10 @@
     worst.sort_by(|a, b| value(a, "G").total_cmp(&value(b, "G")));
     let _ = writeln!(out, "the worst:");
     for row in worst.iter().take(3) {
-        let broken = if row.broken.is_empty() {
+        let broken = if row.first_violation.is_empty() {
             String::new()
         } else {
-            format!(" ({})", row.broken)
+            format!(" ({})", row.first_violation)
         };
         let (day, seed, variant) = (&row.cell.day, row.cell.seed, &row.cell.variant);
         let _ = writeln!(
--- a/crates/lab/src/fleet/rules.rs
+++ b/crates/lab/src/fleet/rules.rs
@@ -1,5 +1,6 @@
-//! The four rules, checked on books of its own with every event: one answer in time, never two attempts out, nothing
-//! new to a backend that leaves, no cold backend pushed over.
+//! Checks four rules during a run, independently of the relays' own state: each request gets one
+//! answer by its deadline, it never has two attempts at once, a draining backend gets no new
+//! attempts after the grace time, and no cold backend is overloaded until it crashes.
 
 use super::days::Rules;
 use super::scenario::micros;
@@ -7,132 +8,142 @@
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
 
-/// Breaks that are kept; the others are only counted.
-const KEPT: usize = 20;
+/// Violations that are kept in full; later ones are only counted.
+const MAX_KEPT_VIOLATIONS: usize = 20;
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Break {
-    /// Which.
+pub struct Violation {
+    /// Name of the rule.
     pub rule: &'static str,
-    /// When.
+    /// Time of the violation.
     pub at: Micros,
-    /// What was seen.
-    pub what: String,
+    /// Description of the event.
+    pub description: String,
 }
 
-impl fmt::Display for Break {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
             "{} at {:.3} s: {}",
             self.rule,
             self.at as f64 / 1e6,
-            self.what
+            self.description
         )
     }
 }
 
-/// Watches.
-pub struct Watchdog {
-    grace: Micros,
-    /// Answers owed, by when.
-    owed: BTreeSet<(Micros, usize, u32, u32)>,
-    by_request: HashMap<(usize, u32), Micros>,
-    /// When a relay was told that a backend takes nothing new.
-    told: HashMap<(usize, usize), Micros>,
-    /// What was broken, the first ones.
-    pub breaks: Vec<Break>,
-    /// All of them.
-    pub count: usize,
+/// Checker of the rules.
+pub struct RuleChecker {
+    drain_grace: Micros,
+    /// Pending answers as (deadline, relay, relay's incarnation, request).
+    answers_owed: BTreeSet<(Micros, usize, u32, u32)>,
+    deadline_by_request: HashMap<(usize, u32), Micros>,
+    /// By relay and backend: when the relay learned that the backend accepts nothing new.
+    drained_at: HashMap<(usize, usize), Micros>,
+    /// The first violations.
+    pub violations: Vec<Violation>,
+    /// Number of all violations.
+    pub total: usize,
 }
 
-impl Watchdog {
-    /// With these figures.
-    pub fn new(rules: &Rules) -> Watchdog {
-        Watchdog {
-            grace: micros(rules.drain_grace_ms / 1_000.0),
-            owed: BTreeSet::new(),
-            by_request: HashMap::new(),
-            told: HashMap::new(),
-            breaks: Vec::new(),
-            count: 0,
+impl RuleChecker {
+    /// Creates a checker with the day's limits.
+    pub fn new(rules: &Rules) -> RuleChecker {
+        RuleChecker {
+            drain_grace: micros(rules.drain_grace_ms / 1_000.0),
+            answers_owed: BTreeSet::new(),
+            deadline_by_request: HashMap::new(),
+            drained_at: HashMap::new(),
+            violations: Vec::new(),
+            total: 0,
         }
     }
 
-    fn broken(&mut self, rule: &'static str, at: Micros, what: String) {
-        self.count += 1;
-        if self.breaks.len() < KEPT {
-            self.breaks.push(Break { rule, at, what });
+    fn record(&mut self, rule: &'static str, at: Micros, description: String) {
+        self.total += 1;
+        if self.violations.len() < MAX_KEPT_VIOLATIONS {
+            self.violations.push(Violation {
+                rule,
+                at,
+                description,
+            });
         }
     }
 
-    /// A relay owes an answer by then.
-    pub fn owes(&mut self, relay: usize, life: u32, id: u32, by: Micros) {
-        self.owed.insert((by, relay, life, id));
-        self.by_request.insert((relay, id), by);
+    /// Records that a relay must answer a request by `deadline`.
+    pub fn expect_answer(&mut self, relay: usize, incarnation: u32, id: u32, deadline: Micros) {
+        self.answers_owed.insert((deadline, relay, incarnation, id));
+        self.deadline_by_request.insert((relay, id), deadline);
     }
 
-    /// It has given it, or its client is gone.
-    pub fn answered(&mut self, relay: usize, life: u32, id: u32) {
-        if let Some(by) = self.by_request.remove(&(relay, id)) {
-            self.owed.remove(&(by, relay, life, id));
+    /// Records that a request was answered or its client has disconnected.
+    pub fn answer_given(&mut self, relay: usize, incarnation: u32, id: u32) {
+        if let Some(deadline) = self.deadline_by_request.remove(&(relay, id)) {
+            self.answers_owed
+                .remove(&(deadline, relay, incarnation, id));
         }
     }
 
-    /// A relay's second answer.
-    pub fn twice(&mut self, now: Micros, relay: usize, id: u32) {
-        self.broken(
+    /// Records that a relay answered a request a second time.
+    pub fn second_answer(&mut self, now: Micros, relay: usize, id: u32) {
+        self.record(
             "answer",
             now,
             format!("relay n{relay} answered request {id} twice"),
         );
     }
 
-    /// What a killed relay owed is its client's own affair.
-    pub fn died(&mut self, relay: usize) {
-        let gone: Vec<_> = self.owed.iter().filter(|o| o.1 == relay).copied().collect();
-        for owed in gone {
-            self.owed.remove(&owed);
-            self.by_request.remove(&(relay, owed.3));
+    /// Forgets the pending answers of a relay whose process has ended.
+    pub fn relay_died(&mut self, relay: usize) {
+        let pending: Vec<_> = self
+            .answers_owed
+            .iter()
+            .filter(|o| o.1 == relay)
+            .copied()
+            .collect();
+        for answer in pending {
+            self.answers_owed.remove(&answer);
+            self.deadline_by_request.remove(&(relay, answer.3));
         }
-        self.told.retain(|(r, _), _| *r != relay);
+        self.drained_at.retain(|(r, _), _| *r != relay);
     }
 
-    /// A relay has this list now.
-    pub fn listed(&mut self, now: Micros, relay: usize, list: &[Option<EndpointState>]) {
+    /// Records the endpoint list that a relay has received.
+    pub fn list_received(&mut self, now: Micros, relay: usize, list: &[Option<EndpointState>]) {
         for (backend, state) in list.iter().enumerate() {
             if *state == Some(EndpointState::Ready) {
-                self.told.remove(&(relay, backend));
+                self.drained_at.remove(&(relay, backend));
             } else {
-                self.told.entry((relay, backend)).or_insert(now);
+                self.drained_at.entry((relay, backend)).or_insert(now);
             }
         }
     }
 
-    /// An attempt goes out.
-    pub fn sent(
+    /// Checks an attempt when it starts.
+    pub fn attempt_started(
         &mut self,
         now: Micros,
         relay: usize,
         id: u32,
-        two: bool,
+        another_out: bool,
         state: Option<EndpointState>,
         backend: usize,
     ) {
-        if two {
-            self.broken(
+        if another_out {
+            self.record(
                 "one-attempt",
                 now,
                 format!("relay n{relay} has two attempts of request {id} out"),
             );
         }
-        let late = self
-            .told
+        let after_grace = self
+            .drained_at
             .get(&(relay, backend))
-            .is_some_and(|&told| now > told + self.grace);
-        if late && state != Some(EndpointState::Ready) {
-            self.broken(
+            .is_some_and(|&since| now > since + self.drain_grace);
+        if after_grace && state != Some(EndpointState::Ready) {
+            self.record(
                 "drain",
                 now,
                 format!("relay n{relay} sent request {id} to backend {backend} ({state:?})"),
@@ -140,19 +151,22 @@
         }
     }
 
-    /// A cold backend fell over.
-    pub fn fell(&mut self, now: Micros, backend: usize) {
-        self.broken("cold", now, format!("backend {backend} was pushed over"));
+    /// Records that a cold backend crashed under overload.
+    pub fn cold_backend_crashed(&mut self, now: Micros, backend: usize) {
+        self.record("cold", now, format!("backend {backend} was pushed over"));
     }
 
-    /// Looks for answers that are overdue.
-    pub fn due(&mut self, now: Micros) {
-        while let Some(&(by, relay, life, id)) = self.owed.first().filter(|o| o.0 < now) {
-            self.owed.remove(&(by, relay, life, id));
-            self.by_request.remove(&(relay, id));
-            self.broken(
+    /// Records answers that are overdue.
+    pub fn check_deadlines(&mut self, now: Micros) {
+        while let Some(&(deadline, relay, incarnation, id)) =
+            self.answers_owed.first().filter(|o| o.0 < now)
+        {
+            self.answers_owed
+                .remove(&(deadline, relay, incarnation, id));
+            self.deadline_by_request.remove(&(relay, id));
+            self.record(
                 "answer",
-                by,
+                deadline,
                 format!("relay n{relay} owed request {id} an answer by then"),
             );
         }
--- a/crates/lab/src/fleet/scenario.rs
+++ b/crates/lab/src/fleet/scenario.rs
@@ -1,4 +1,5 @@
-//! What a seed draws from a day: a deployment with its figures fixed, and the troubles at their times.
+//! The scenario that a seed draws from a day: a deployment with all values fixed, and the start
+//! times of the day's troubles.
 
 use super::days::{Day, Kind, Range, Trouble};
 use jaspermoor::decisions::api::{
@@ -8,66 +9,66 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal, Normal};
 
-/// Seconds as microseconds.
+/// Converts seconds to microseconds; negative values become 0.
 pub fn micros(seconds: f64) -> Micros {
     (seconds * SECOND as f64).round().max(0.0) as Micros
 }
 
-/// A lognormal with mean 1.
+/// Draws from a lognormal distribution with mean 1.
 pub fn spread(sigma: f64, rng: &mut ChaCha8Rng) -> f64 {
     LogNormal::new(-sigma * sigma / 2.0, sigma).map_or(1.0, |d| d.sample(rng))
 }
 
-/// A kind of machine as drawn.
+/// A machine kind with its values drawn.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// Share of the fleet.
     pub share: f64,
-    /// Cores, and their speed against the yardstick.
+    /// Number of cores, and their speed relative to the reference core.
     pub cores: f64,
     /// See `cores`.
     pub speed: f64,
-    /// How much machines of the kind differ.
+    /// Coefficient of variation of the speed within the kind.
     pub speed_cv: f64,
-    /// New connections that may wait for each core.
-    pub queue: f64,
-    /// Share of the capacity at the start, and seconds until all of it.
-    pub cold_from: f64,
-    /// See `cold_from`.
-    pub cold_s: f64,
+    /// Connection set-ups that may wait per core.
+    pub queue_per_core: f64,
+    /// Share of the capacity available at the start, and seconds until all of it is.
+    pub initial_warmth: f64,
+    /// See `initial_warmth`.
+    pub warm_up_s: f64,
 }
 
-/// A class as drawn.
+/// A request class with its values drawn.
 #[derive(Clone, Debug)]
-pub struct Sort {
+pub struct DrawnClass {
     /// Share of the clients.
     pub share: f64,
-    /// Work of a set-up, in seconds of a core.
-    pub work: f64,
-    /// See the day's file.
-    pub aim: Micros,
-    /// See `aim`.
+    /// Work of a set-up, in core-seconds.
+    pub setup_work_s: f64,
+    /// Latency objective of a set-up, and deadline of a request.
+    pub setup_objective: Micros,
+    /// See `setup_objective`.
     pub deadline: Micros,
-    /// Worth of a second.
+    /// Worth of a second of service.
     pub worth: f64,
-    /// Mean load, in mean loads of the first class.
-    pub load: f64,
-    /// Life against the mean.
-    pub life: f64,
-    /// Spread of loads, and of their changes.
+    /// Mean load of a connection, relative to the first class.
+    pub mean_load: f64,
+    /// Mean lifetime of a client relative to `Scenario::mean_life_s`.
+    pub life_factor: f64,
+    /// Sigma of the loads, and of their changes.
     pub load_sigma: f64,
     /// See `load_sigma`.
     pub swing_sigma: f64,
-    /// Seconds between changes.
-    pub change_s: f64,
-    /// Aim of a message.
-    pub message_aim: f64,
+    /// Seconds between load changes.
+    pub load_change_s: f64,
+    /// Latency objective of a message, in seconds.
+    pub message_objective_s: f64,
 }
 
-/// A trouble with its figures drawn; times in microseconds from the start.
+/// A trouble with its values drawn; times are in microseconds from the start of the day.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
-pub enum Event {
+pub enum DrawnTrouble {
     Burst {
         until: Micros,
         factor: f64,
@@ -87,7 +88,7 @@
     Replace {
         within: Micros,
         share: f64,
-        leave: Micros,
+        drain_time: Micros,
     },
     RollRelays {
         every: Micros,
@@ -95,7 +96,7 @@
     },
     KillRelays {
         share: f64,
-        back: (Micros, Micros),
+        downtime: (Micros, Micros),
     },
     BusyDiscovery {
         until: Micros,
@@ -104,8 +105,8 @@
     Sick {
         until: Micros,
         share: f64,
-        slow: f64,
-        errors: f64,
+        speed_factor: f64,
+        error_rate: f64,
     },
     LoseZone {
         until: Micros,
@@ -132,168 +133,171 @@
     },
 }
 
-/// A deployment and its day.
+/// A deployment and the troubles of its day, with all values drawn.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
-pub struct Scene {
+pub struct Scenario {
     pub seed: u64,
     pub length: Micros,
     pub relays: usize,
     pub backends: usize,
     pub zones: usize,
-    /// The zones' shares of clients.
+    /// Share of the clients by zone.
     pub zone_share: Vec<f64>,
-    /// Each relay's share within its zone.
+    /// Relative share of its zone's clients by relay.
     pub relay_weight: Vec<f64>,
-    pub asked: f64,
-    pub swing: f64,
+    pub utilization: f64,
+    pub arrival_swing: f64,
     pub groups: usize,
     pub group_zipf: f64,
-    pub packed: f64,
-    pub same: f64,
-    pub cross: f64,
-    pub client: f64,
+    pub packing_share: f64,
+    pub same_zone_delay_s: f64,
+    pub cross_zone_delay_s: f64,
+    pub client_delay_s: f64,
     pub jitter: f64,
-    pub notice: Micros,
-    pub life_s: f64,
-    pub honour: f64,
+    pub front_detection_time: Micros,
+    pub mean_life_s: f64,
+    pub retry_after_compliance: f64,
     pub backoff: Micros,
-    pub rejoin: (Micros, Micros),
-    pub list_notice: Micros,
-    pub list_silent: Micros,
-    pub list_add: Micros,
+    pub rejoin_range: (Micros, Micros),
+    pub removal_delay: Micros,
+    pub silent_removal_delay: Micros,
+    pub list_add_delay: Micros,
     pub list_spread: Micros,
-    pub calls_per_s: f64,
-    pub call_timeout: Micros,
+    pub list_calls_per_s: f64,
+    pub list_call_timeout: Micros,
     pub report_period: Micros,
     pub report_delay: Micros,
     pub report_noise: f64,
-    pub probe_work: f64,
+    pub probe_work_s: f64,
     pub probe_timeout: Micros,
-    pub per_core: f64,
-    pub cap: f64,
+    pub load_per_core: f64,
+    pub connection_cap_factor: f64,
     pub group_cost: f64,
-    pub rtts: f64,
-    pub handshake: f64,
+    pub handshake_rtts: f64,
+    pub handshake_work_s: f64,
     pub dial_timeout: Micros,
-    pub message: f64,
-    pub buffer: f64,
+    pub idle_message_s: f64,
+    pub backlog_limit_s: f64,
     pub machines: Vec<Machine>,
-    pub sorts: Vec<Sort>,
-    pub troubles: Vec<(Micros, Event)>,
+    pub classes: Vec<DrawnClass>,
+    pub troubles: Vec<(Micros, DrawnTrouble)>,
     pub site: super::days::Site,
 }
 
-impl Scene {
-    /// What this seed draws.
-    pub fn draw(day: &Day, seed: u64) -> Scene {
-        let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let r = &mut rng;
+impl Scenario {
+    /// Draws the scenario of a day for a seed.
+    pub fn draw(day: &Day, seed: u64) -> Scenario {
+        let rng = &mut ChaCha8Rng::seed_from_u64(seed);
         let site = &day.site;
-        let whole = |range: Range, r: &mut ChaCha8Rng| range.draw(r).round() as usize;
-        let relays = whole(site.scale.relays, r).max(1);
-        let backends = whole(site.scale.backends, r);
-        let zones = whole(site.scale.zones, r).clamp(1, relays);
-        let skew = site.scale.zone_skew.draw(r);
+        let count = |range: Range, rng: &mut ChaCha8Rng| range.draw(rng).round() as usize;
+        let relays = count(site.scale.relays, rng).max(1);
+        let backends = count(site.scale.backends, rng);
+        let zones = count(site.scale.zones, rng).clamp(1, relays);
+        let skew = site.scale.zone_skew.draw(rng);
         let mut zone_share: Vec<f64> = (0..zones)
-            .map(|_| 1.0 + skew * r.random_range(-1.0..1.0))
+            .map(|_| 1.0 + skew * rng.random_range(-1.0..1.0))
             .collect();
-        let all: f64 = zone_share.iter().sum();
-        zone_share.iter_mut().for_each(|share| *share /= all);
-        let sigma = site.scale.relay_skew.draw(r);
-        let relay_weight = (0..relays).map(|_| spread(sigma, r)).collect();
-        let seconds = |range: Range, r: &mut ChaCha8Rng| micros(range.draw(r));
-        let millis = |range: Range, r: &mut ChaCha8Rng| range.draw(r) / 1_000.0;
-        let machines = site.kind.iter().map(|kind| machine(kind, r)).collect();
-        let sorts = site
+        let total: f64 = zone_share.iter().sum();
+        zone_share.iter_mut().for_each(|share| *share /= total);
+        let sigma = site.scale.relay_skew.draw(rng);
+        let relay_weight = (0..relays).map(|_| spread(sigma, rng)).collect();
+        let seconds = |range: Range, rng: &mut ChaCha8Rng| micros(range.draw(rng));
+        let millis = |range: Range, rng: &mut ChaCha8Rng| range.draw(rng) / 1_000.0;
+        let machines = site
+            .kind
+            .iter()
+            .map(|kind| draw_machine(kind, rng))
+            .collect();
+        let classes = site
             .class
             .iter()
-            .map(|c| Sort {
-                share: c.share.draw(r),
-                work: millis(c.work_ms, r),
-                aim: micros(c.aim_ms / 1_000.0),
+            .map(|c| DrawnClass {
+                share: c.share.draw(rng),
+                setup_work_s: millis(c.work_ms, rng),
+                setup_objective: micros(c.aim_ms / 1_000.0),
                 deadline: micros(c.deadline_ms / 1_000.0),
                 worth: c.worth,
-                load: c.load.draw(r),
-                life: c.life.draw(r),
-                load_sigma: c.load_sigma.draw(r),
-                swing_sigma: c.swing_sigma.draw(r),
-                change_s: c.change_s.draw(r),
-                message_aim: c.message_aim_ms / 1_000.0,
+                mean_load: c.load.draw(rng),
+                life_factor: c.life.draw(rng),
+                load_sigma: c.load_sigma.draw(rng),
+                swing_sigma: c.swing_sigma.draw(rng),
+                load_change_s: c.change_s.draw(rng),
+                message_objective_s: c.message_aim_ms / 1_000.0,
             })
             .collect();
         let mut troubles: Vec<_> = day
             .troubles
             .iter()
-            .map(|trouble| event(trouble, r))
+            .map(|trouble| draw_trouble(trouble, rng))
             .collect();
         troubles.sort_by_key(|(at, _)| *at);
-        Scene {
+        Scenario {
             seed,
-            length: seconds(day.length_s, r),
+            length: seconds(day.length_s, rng),
             relays,
             backends,
             zones,
             zone_share,
             relay_weight,
-            asked: site.load.asked.draw(r),
-            swing: site.load.swing.draw(r),
-            groups: ((site.load.groups_per_backend.draw(r) * backends as f64).round() as usize)
+            utilization: site.load.asked.draw(rng),
+            arrival_swing: site.load.swing.draw(rng),
+            groups: ((site.load.groups_per_backend.draw(rng) * backends as f64).round() as usize)
                 .max(1),
-            group_zipf: site.load.group_zipf.draw(r),
-            packed: site.load.packed.draw(r),
-            same: millis(site.net.same_ms, r),
-            cross: millis(site.net.cross_ms, r),
-            client: millis(site.net.client_ms, r),
-            jitter: site.net.jitter.draw(r),
-            notice: seconds(site.front.notice_s, r),
-            life_s: site.clients.life_s.draw(r),
-            honour: site.clients.honour.draw(r),
-            backoff: micros(millis(site.clients.backoff_ms, r)),
-            rejoin: (
+            group_zipf: site.load.group_zipf.draw(rng),
+            packing_share: site.load.packed.draw(rng),
+            same_zone_delay_s: millis(site.net.same_ms, rng),
+            cross_zone_delay_s: millis(site.net.cross_ms, rng),
+            client_delay_s: millis(site.net.client_ms, rng),
+            jitter: site.net.jitter.draw(rng),
+            front_detection_time: seconds(site.front.notice_s, rng),
+            mean_life_s: site.clients.life_s.draw(rng),
+            retry_after_compliance: site.clients.honour.draw(rng),
+            backoff: micros(millis(site.clients.backoff_ms, rng)),
+            rejoin_range: (
                 micros(site.clients.rejoin_ms.0 / 1_000.0),
                 micros(site.clients.rejoin_ms.1 / 1_000.0),
             ),
-            list_notice: seconds(site.discovery.notice_s, r),
-            list_silent: seconds(site.discovery.silent_notice_s, r),
-            list_add: seconds(site.discovery.add_s, r),
-            list_spread: micros(millis(site.discovery.spread_ms, r)),
-            calls_per_s: site.discovery.calls_per_s.draw(r),
-            call_timeout: seconds(site.discovery.timeout_s, r),
-            report_period: seconds(site.report.period_s, r),
-            report_delay: seconds(site.report.delay_s, r),
-            report_noise: site.report.noise.draw(r),
-            probe_work: millis(site.report.probe_work_ms, r),
-            probe_timeout: micros(millis(site.report.probe_timeout_ms, r)),
-            per_core: site.conn.per_core.draw(r),
-            cap: site.conn.cap.draw(r),
-            group_cost: site.conn.group_cost.draw(r),
-            rtts: site.conn.handshake_rtts.draw(r),
-            handshake: millis(site.conn.handshake_ms, r),
-            dial_timeout: micros(millis(site.conn.dial_timeout_ms, r)),
-            message: millis(site.conn.message_ms, r),
-            buffer: site.conn.buffer_s.draw(r),
+            removal_delay: seconds(site.discovery.notice_s, rng),
+            silent_removal_delay: seconds(site.discovery.silent_notice_s, rng),
+            list_add_delay: seconds(site.discovery.add_s, rng),
+            list_spread: micros(millis(site.discovery.spread_ms, rng)),
+            list_calls_per_s: site.discovery.calls_per_s.draw(rng),
+            list_call_timeout: seconds(site.discovery.timeout_s, rng),
+            report_period: seconds(site.report.period_s, rng),
+            report_delay: seconds(site.report.delay_s, rng),
+            report_noise: site.report.noise.draw(rng),
+            probe_work_s: millis(site.report.probe_work_ms, rng),
+            probe_timeout: micros(millis(site.report.probe_timeout_ms, rng)),
+            load_per_core: site.conn.per_core.draw(rng),
+            connection_cap_factor: site.conn.cap.draw(rng),
+            group_cost: site.conn.group_cost.draw(rng),
+            handshake_rtts: site.conn.handshake_rtts.draw(rng),
+            handshake_work_s: millis(site.conn.handshake_ms, rng),
+            dial_timeout: micros(millis(site.conn.dial_timeout_ms, rng)),
+            idle_message_s: millis(site.conn.message_ms, rng),
+            backlog_limit_s: site.conn.buffer_s.draw(rng),
             machines,
-            sorts,
+            classes,
             troubles,
             site: site.clone(),
         }
     }
 
-    /// The settings of a relay of that zone.
+    /// The settings of a relay in `zone`.
     pub fn settings(&self, zone: usize) -> Settings {
         let rules = &self.site.rules;
-        let class = |s: &Sort| Class {
-            setup_objective: s.aim,
+        let class = |s: &DrawnClass| Class {
+            setup_objective: s.setup_objective,
             deadline: s.deadline,
             idempotency: Idempotency::Idempotent,
-            message_objective: micros(s.message_aim),
+            message_objective: micros(s.message_objective_s),
         };
         Settings {
             balancer_count: self.relays as u32,
             zone: zone as u16,
             tick: 4_000,
-            classes: self.sorts.iter().map(class).collect(),
+            classes: self.classes.iter().map(class).collect(),
             polls_endpoint_list: true,
             weights: EndpointWeights::Nominal,
             may_cancel: true,
@@ -318,29 +322,29 @@
     }
 }
 
-fn machine(kind: &Kind, r: &mut ChaCha8Rng) -> Machine {
+fn draw_machine(kind: &Kind, rng: &mut ChaCha8Rng) -> Machine {
     Machine {
-        share: kind.share.draw(r),
-        cores: kind.cores.draw(r),
-        speed: kind.speed.draw(r),
-        speed_cv: kind.speed_cv.draw(r),
-        queue: kind.queue_per_core.draw(r),
-        cold_from: kind.cold_from.draw(r),
-        cold_s: kind.cold_s.draw(r),
+        share: kind.share.draw(rng),
+        cores: kind.cores.draw(rng),
+        speed: kind.speed.draw(rng),
+        speed_cv: kind.speed_cv.draw(rng),
+        queue_per_core: kind.queue_per_core.draw(rng),
+        initial_warmth: kind.cold_from.draw(rng),
+        warm_up_s: kind.cold_s.draw(rng),
     }
 }
 
-/// The speed of one machine of a kind.
-pub fn speed(machine: &Machine, r: &mut ChaCha8Rng) -> f64 {
-    let around = Normal::new(1.0, machine.speed_cv).map_or(1.0, |d| d.sample(r));
-    machine.speed * around.clamp(0.5, 1.6)
+/// Draws the speed of one machine of a kind.
+pub fn draw_speed(machine: &Machine, rng: &mut ChaCha8Rng) -> f64 {
+    let factor = Normal::new(1.0, machine.speed_cv).map_or(1.0, |d| d.sample(rng));
+    machine.speed * factor.clamp(0.5, 1.6)
 }
 
-fn event(trouble: &Trouble, r: &mut ChaCha8Rng) -> (Micros, Event) {
-    let s = |range: &Range, r: &mut ChaCha8Rng| micros(range.draw(r));
-    let begin = |at: &Range, length: &Range, r: &mut ChaCha8Rng| {
-        let at = s(at, r);
-        (at, at + s(length, r))
+fn draw_trouble(trouble: &Trouble, rng: &mut ChaCha8Rng) -> (Micros, DrawnTrouble) {
+    let micros_of = |range: &Range, rng: &mut ChaCha8Rng| micros(range.draw(rng));
+    let interval = |at: &Range, length: &Range, rng: &mut ChaCha8Rng| {
+        let at = micros_of(at, rng);
+        (at, at + micros_of(length, rng))
     };
     match trouble {
         Trouble::Burst {
@@ -348,12 +352,12 @@
             length_s,
             factor,
         } => {
-            let (at, until) = begin(at_s, length_s, r);
+            let (at, until) = interval(at_s, length_s, rng);
             (
                 at,
-                Event::Burst {
+                DrawnTrouble::Burst {
                     until,
-                    factor: factor.draw(r),
+                    factor: factor.draw(rng),
                 },
             )
         }
@@ -362,12 +366,12 @@
             length_s,
             share,
         } => {
-            let (at, until) = begin(at_s, length_s, r);
+            let (at, until) = interval(at_s, length_s, rng);
             (
                 at,
-                Event::Shift {
+                DrawnTrouble::Shift {
                     until,
-                    share: share.draw(r),
+                    share: share.draw(rng),
                 },
             )
         }
@@ -376,10 +380,10 @@
             length_s,
             share,
         } => (
-            s(at_s, r),
-            Event::Reconnect {
-                within: s(length_s, r),
-                share: share.draw(r),
+            micros_of(at_s, rng),
+            DrawnTrouble::Reconnect {
+                within: micros_of(length_s, rng),
+                share: share.draw(rng),
             },
         ),
         Trouble::HotCaller {
@@ -387,12 +391,12 @@
             length_s,
             factor,
         } => {
-            let (at, until) = begin(at_s, length_s, r);
+            let (at, until) = interval(at_s, length_s, rng);
             (
                 at,
-                Event::HotCaller {
+                DrawnTrouble::HotCaller {
                     until,
-                    factor: factor.draw(r),
+                    factor: factor.draw(rng),
                 },
             )
         }
@@ -402,13 +406,13 @@
             share,
             leave_s,
         } => {
-            let (within, leave) = (s(within_s, r), s(leave_s, r));
+            let (within, drain_time) = (micros_of(within_s, rng), micros_of(leave_s, rng));
             (
-                s(at_s, r),
-                Event::Replace {
+                micros_of(at_s, rng),
+                DrawnTrouble::Replace {
                     within,
-                    share: share.draw(r),
-                    leave,
+                    share: share.draw(rng),
+                    drain_time,
                 },
             )
         }
@@ -417,10 +421,10 @@
             every_s,
             share,
         } => (
-            s(at_s, r),
-            Event::RollRelays {
-                every: s(every_s, r),
-                share: share.draw(r),
+            micros_of(at_s, rng),
+            DrawnTrouble::RollRelays {
+                every: micros_of(every_s, rng),
+                share: share.draw(rng),
             },
         ),
         Trouble::KillRelays {
@@ -428,12 +432,12 @@
             share,
             back_s,
         } => {
-            let back = (micros(back_s.0), micros(back_s.1));
+            let downtime = (micros(back_s.0), micros(back_s.1));
             (
-                s(at_s, r),
-                Event::KillRelays {
-                    share: share.draw(r),
-                    back,
+                micros_of(at_s, rng),
+                DrawnTrouble::KillRelays {
+                    share: share.draw(rng),
+                    downtime,
                 },
             )
         }
@@ -442,12 +446,12 @@
             length_s,
             factor,
         } => {
-            let (at, until) = begin(at_s, length_s, r);
+            let (at, until) = interval(at_s, length_s, rng);
             (
                 at,
-                Event::BusyDiscovery {
+                DrawnTrouble::BusyDiscovery {
                     until,
-                    factor: factor.draw(r),
+                    factor: factor.draw(rng),
                 },
             )
         }
@@ -458,14 +462,14 @@
             slow,
             errors,
         } => {
-            let (at, until) = begin(at_s, length_s, r);
+            let (at, until) = interval(at_s, length_s, rng);
             (
                 at,
-                Event::Sick {
+                DrawnTrouble::Sick {
                     until,
-                    share: share.draw(r),
-                    slow: slow.draw(r),
-                    errors: errors.draw(r),
+                    share: share.draw(rng),
+                    speed_factor: slow.draw(rng),
+                    error_rate: errors.draw(rng),
                 },
             )
         }
@@ -474,35 +478,35 @@
             length_s,
             silent,
         } => {
-            let (at, until) = begin(at_s, length_s, r);
-            let odds = silent.draw(r).min(1.0);
+            let (at, until) = interval(at_s, length_s, rng);
+            let probability = silent.draw(rng).min(1.0);
             (
                 at,
-                Event::LoseZone {
+                DrawnTrouble::LoseZone {
                     until,
-                    silent: r.random_bool(odds),
+                    silent: rng.random_bool(probability),
                 },
             )
         }
         Trouble::CutZone { at_s, length_s } => {
-            let (at, until) = begin(at_s, length_s, r);
-            (at, Event::CutZone { until })
+            let (at, until) = interval(at_s, length_s, rng);
+            (at, DrawnTrouble::CutZone { until })
         }
         Trouble::LateLists { at_s, length_s } => {
-            let (at, until) = begin(at_s, length_s, r);
-            (at, Event::LateLists { until })
+            let (at, until) = interval(at_s, length_s, rng);
+            (at, DrawnTrouble::LateLists { until })
         }
         Trouble::LoseAnswers {
             at_s,
             length_s,
             share,
         } => {
-            let (at, until) = begin(at_s, length_s, r);
+            let (at, until) = interval(at_s, length_s, rng);
             (
                 at,
-                Event::LoseAnswers {
+                DrawnTrouble::LoseAnswers {
                     until,
-                    share: share.draw(r),
+                    share: share.draw(rng),
                 },
             )
         }
@@ -511,12 +515,12 @@
             length_s,
             share,
         } => {
-            let (at, until) = begin(at_s, length_s, r);
+            let (at, until) = interval(at_s, length_s, rng);
             (
                 at,
-                Event::Crash {
+                DrawnTrouble::Crash {
                     until,
-                    share: share.draw(r),
+                    share: share.draw(rng),
                 },
             )
         }
@@ -526,13 +530,13 @@
             share,
             factor,
         } => {
-            let (at, until) = begin(at_s, length_s, r);
+            let (at, until) = interval(at_s, length_s, rng);
             (
                 at,
-                Event::Heavy {
+                DrawnTrouble::Heavy {
                     until,
-                    share: share.draw(r),
-                    factor: factor.draw(r),
+                    share: share.draw(rng),
+                    factor: factor.draw(rng),
                 },
             )
         }
--- a/crates/lab/src/fleet/stats.rs
+++ b/crates/lab/src/fleet/stats.rs
@@ -1,31 +1,31 @@
-//! The books of a day in the operators' terms: worth served, prices, and figures that show why. Nothing here decides
-//! anything or changes the world.
+//! Statistics of a day in the operators' terms: worth served, prices, and metrics that explain
+//! them. They only observe the simulation and have no effect on it.
 
 use super::days::Site;
 use jaspermoor::decisions::api::Micros;
 
-/// Why a second that a client wanted was not served.
+/// Cause of a second of service that a client asked for and did not get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// It waited for its first connection.
+    /// It was waiting for its first connection.
     New,
-    /// It had been moved by its relay, and waited.
+    /// It was waiting after its relay had migrated it.
     Moved,
-    /// It had been sent away by a draining backend, or had dropped, and waited.
+    /// It was waiting after a draining backend had closed its connection, or it had disconnected.
     Left,
-    /// Its connection had broken, or its relay had died, and it waited.
+    /// It was waiting after its connection had broken or its relay had ended.
     Broken,
-    /// It had been refused or had failed, and waited.
+    /// It was waiting after its request had been rejected or had failed.
     Refused,
-    /// It was up at a backend with too much to do.
+    /// It was connected to an overloaded backend.
     Jam,
-    /// The same at a cold one.
+    /// It was connected to a cold backend.
     Cold,
-    /// It was up and cut off from its backend.
+    /// It was connected, but its relay could not reach the backend.
     Cut,
 }
 
-/// All causes, in the order of their figures.
+/// All causes with the suffixes of their metrics, in the order of `METRIC_NAMES`.
 pub const LOSSES: [(Loss, &str); 8] = [
     (Loss::New, "new"),
     (Loss::Moved, "moved"),
@@ -37,45 +37,46 @@
     (Loss::Cut, "cut"),
 ];
 
-/// What happened in a step, all clients together.
+/// Totals of one step over all clients.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Step {
     /// Worth-seconds asked and served.
     pub asked: f64,
     /// See `asked`.
     pub served: f64,
-    /// Attempts, refusals and moves begun in it.
+    /// Attempts, rejections and migrations started in it.
     pub attempts: u32,
     /// See `attempts`.
     pub refused: u32,
     /// See `attempts`.
     pub moves: u32,
-    /// Mean load of the backends in use over what they can do, and of their warmth.
+    /// Mean utilization and mean warmth of the backends in use.
     pub load: f64,
     /// See `load`.
     pub warmth: f64,
-    /// Mean age of what relays know of the list, in seconds.
+    /// Mean age of the relays' endpoint lists, in seconds.
     pub list_age: f64,
-    /// Pairs of a group and a backend that holds any of it.
+    /// Pairs of a group and a backend with at least one of its connections.
     pub pairs: u32,
-    /// Clients that want a connection.
-    pub wanting: u32,
+    /// Clients that have or want a connection.
+    pub wanting_clients: u32,
 }
 
 /// Counters of a day.
 #[derive(Clone, Debug, Default)]
 #[allow(missing_docs)]
-pub struct Books {
+pub struct Stats {
     pub steps: Vec<Step>,
     /// By class: worth-seconds asked and served.
     pub classes: Vec<(f64, f64)>,
     pub losses: [f64; 8],
-    /// Worth-seconds up, and those of them across zones.
-    pub up: f64,
-    pub across: f64,
-    /// Clients that came: standing at the start, and new ones.
+    /// Worth-seconds of established connections, in total and across zones.
+    pub established: f64,
+    pub cross_zone: f64,
+    /// All clients, and those of them that were connected at the start.
     pub requests: u64,
     pub standing: u64,
+    /// Requests sent by clients, first ones and repeated ones.
     pub tries: u64,
     pub attempts: u64,
     pub placed: u64,
@@ -86,24 +87,25 @@
     pub probes: u64,
     pub refused: u64,
     pub failed: u64,
-    pub high: (u64, u64),
-    pub low: (u64, u64),
-    pub calls: u64,
-    pub calls_failed: u64,
-    pub calls_peak: u64,
-    /// Work of all set-ups, and of those that were for nothing, in seconds of a core.
-    pub work: f64,
-    pub waste: f64,
+    /// Rejected requests and tries of classes with a worth above 1, and of the others.
+    pub high_worth: (u64, u64),
+    pub low_worth: (u64, u64),
+    pub list_calls: u64,
+    pub list_calls_failed: u64,
+    pub list_calls_peak: u64,
+    /// Work of all set-ups, and of those whose attempt had ended before, in core-seconds.
+    pub setup_work: f64,
+    pub wasted_work: f64,
     pub late: u64,
     pub late_failed: u64,
     pub falls: u64,
     pub dropped: u64,
-    /// Times from the first line to `UP`, in microseconds.
-    pub set_up: Vec<u32>,
+    /// Times from the request line to `UP`, in microseconds.
+    pub setup_times_us: Vec<u32>,
 }
 
-/// The names of a day's figures, in the order of [`Books::figures`].
-pub const FIGURES: [&str; 36] = [
+/// Names of a day's metrics, in the order of [`Stats::metrics`].
+pub const METRIC_NAMES: [&str; 36] = [
     "G",
     "service",
     "whole",
@@ -142,30 +144,30 @@
     "broken_rules",
 ];
 
-impl Books {
-    /// Notes a loss.
-    pub fn lose(&mut self, why: Loss, worth: f64) {
-        if let Some(at) = LOSSES.iter().position(|(loss, _)| *loss == why) {
-            self.losses[at] += worth;
+impl Stats {
+    /// Adds worth-seconds that were lost to a cause.
+    pub fn add_loss(&mut self, loss: Loss, worth: f64) {
+        if let Some(index) = LOSSES.iter().position(|(cause, _)| *cause == loss) {
+            self.losses[index] += worth;
         }
     }
 
-    /// The day's figures, as [`FIGURES`] names them.
-    pub fn figures(
+    /// Computes the day's metrics, in the order of [`METRIC_NAMES`].
+    pub fn metrics(
         &mut self,
         site: &Site,
         step: Micros,
         relays: usize,
         groups: usize,
-        broken: usize,
+        violations: usize,
     ) -> Vec<f64> {
-        let over = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
+        let ratio = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
         let asked: f64 = self.steps.iter().map(|s| s.asked).sum();
         let served: f64 = self.steps.iter().map(|s| s.served).sum();
-        let whole = over(served, asked);
+        let whole = ratio(served, asked);
         let window = ((site.goal.window_s * 1e6) as usize / step.max(1) as usize)
             .clamp(1, self.steps.len().max(1));
-        let part = |steps: &[Step]| {
+        let service_share = |steps: &[Step]| {
             let (a, s) = steps
                 .iter()
                 .fold((0.0, 0.0), |(a, s), step| (a + step.asked, s + step.served));
@@ -175,7 +177,11 @@
                 1.0
             }
         };
-        let worst = self.steps.windows(window).map(part).fold(1.0, f64::min);
+        let worst = self
+            .steps
+            .windows(window)
+            .map(service_share)
+            .fold(1.0, f64::min);
         let class = self
             .classes
             .iter()
@@ -184,58 +190,58 @@
         let goal = &site.goal;
         let service = goal.whole * whole + goal.worst * worst + goal.class * class;
         let (requests, prices) = (self.requests.max(1) as f64, &site.prices);
-        let price = [
-            prices.cross_zone * over(self.across, self.up),
+        let deductions = [
+            prices.cross_zone * ratio(self.cross_zone, self.established),
             prices.moves * self.moves as f64 / requests,
             prices.probe * self.probes as f64 / requests,
-            prices.waste * over(self.waste, self.work),
-            prices.late_fail * over(self.late_failed as f64, self.failed as f64),
+            prices.waste * ratio(self.wasted_work, self.setup_work),
+            prices.late_fail * ratio(self.late_failed as f64, self.failed as f64),
         ];
-        let pairs = self
+        let max_pairs = self
             .steps
             .iter()
             .map(|s| f64::from(s.pairs))
             .fold(0.0, f64::max);
-        let first = self.steps.first().map_or(0.0, |s| f64::from(s.pairs));
-        self.set_up.sort_unstable();
-        let at = |q: f64| {
-            let n = self.set_up.len();
-            self.set_up
+        let pairs_at_start = self.steps.first().map_or(0.0, |s| f64::from(s.pairs));
+        self.setup_times_us.sort_unstable();
+        let setup_ms = |q: f64| {
+            let n = self.setup_times_us.len();
+            self.setup_times_us
                 .get(((n as f64 * q) as usize).min(n.saturating_sub(1)))
                 .map_or(0.0, |&us| f64::from(us) / 1e3)
         };
-        let share = |(part, all): (u64, u64)| over(part as f64, all as f64);
-        // A try is each time that a client comes, for the first time or again; one that stands at the start has come.
+        let share = |(part, all): (u64, u64)| ratio(part as f64, all as f64);
+        // A connection that exists at the start counts as one try.
         let tries = (self.tries + self.standing).max(1) as f64;
-        let mut out = vec![
-            service - price.iter().sum::<f64>(),
+        let mut metrics = vec![
+            service - deductions.iter().sum::<f64>(),
             service,
             whole,
             worst,
             class,
         ];
-        out.extend(price);
-        out.extend(self.losses.map(|loss| over(loss, asked)));
-        out.extend([
-            over(self.same_zone as f64, self.placed as f64),
+        metrics.extend(deductions);
+        metrics.extend(self.losses.map(|loss| ratio(loss, asked)));
+        metrics.extend([
+            ratio(self.same_zone as f64, self.placed as f64),
             self.attempts as f64 / requests,
             self.moves as f64 / tries,
             self.probes as f64 / tries,
             self.refused as f64 / tries,
-            share(self.high),
-            share(self.low),
+            share(self.high_worth),
+            share(self.low_worth),
             self.failed as f64 / tries,
-            over(self.with_group as f64, self.placed as f64),
-            pairs / groups.max(1) as f64,
-            first / groups.max(1) as f64,
-            over(self.calls_failed as f64, self.calls as f64),
-            self.calls_peak as f64 / relays as f64,
+            ratio(self.with_group as f64, self.placed as f64),
+            max_pairs / groups.max(1) as f64,
+            pairs_at_start / groups.max(1) as f64,
+            ratio(self.list_calls_failed as f64, self.list_calls as f64),
+            self.list_calls_peak as f64 / relays as f64,
             self.falls as f64,
             self.dropped as f64,
-            at(0.5),
-            at(0.99),
-            broken as f64,
+            setup_ms(0.5),
+            setup_ms(0.99),
+            violations as f64,
         ]);
-        out
+        metrics
     }
 }
--- a/crates/lab/src/fleet_cli.rs
+++ b/crates/lab/src/fleet_cli.rs
@@ -1,21 +1,21 @@
-//! `jaspermoor-lab fleet`: plays, experiments, reports and calibration from the command line.
+//! `jaspermoor-lab fleet`: commands that play days, run experiments and calibrate the emulator.
 
 use argh::FromArgs;
 use jaspermoor_lab::fleet::calibrate;
 use jaspermoor_lab::fleet::days::Day;
-use jaspermoor_lab::fleet::experiment::{self, figure, Experiment};
+use jaspermoor_lab::fleet::experiment::{self, metric_index, Experiment};
 use jaspermoor_lab::fleet::policy::Policy;
 use jaspermoor_lab::fleet::report;
-use jaspermoor_lab::fleet::scenario::Scene;
-use jaspermoor_lab::fleet::simulation::{Variant, World};
-use jaspermoor_lab::fleet::stats::FIGURES;
+use jaspermoor_lab::fleet::scenario::Scenario;
+use jaspermoor_lab::fleet::simulation::{Simulation, Variant};
+use jaspermoor_lab::fleet::stats::METRIC_NAMES;
 use std::collections::BTreeMap;
 use std::error::Error;
 use std::path::PathBuf;
 
 type Failure = Box<dyn Error>;
 
-/// Plays the whole fleet on a virtual clock, with the relay's own decisions.
+/// Plays a whole fleet on a virtual clock, with the relay's own decisions.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "fleet")]
 pub struct Fleet {
@@ -31,25 +31,25 @@
     Run(Run),
 }
 
-/// Plays an experiment and prints each variant beside the first one.
+/// Plays an experiment and prints a comparison of each variant with the first one.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 struct Run {
     /// the experiment's file
     #[argh(positional)]
     file: PathBuf,
-    /// seeds, in place of the file's
+    /// number of seeds, in place of the file's
     #[argh(option)]
     seeds: Option<u64>,
-    /// the variant that others are held against (default: the first)
+    /// the variant with which the others are compared (default: the first)
     #[argh(option)]
     base: Option<String>,
-    /// threads (default: as many as the machine has); no figure depends on it
+    /// threads (default: the number of processors); no result depends on it
     #[argh(option, default = "processors()")]
     jobs: usize,
 }
 
-/// Holds the model against the days that a journal's entries record.
+/// Compares the emulator with the days recorded in a journal's entries.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "calibrate")]
 struct Calibrate {
@@ -62,10 +62,10 @@
     /// seeds of each kind (default 8)
     #[argh(option, default = "8")]
     seeds: u64,
-    /// threads (default: as many as the machine has); no figure depends on it
+    /// threads (default: the number of processors); no result depends on it
     #[argh(option, default = "processors()")]
     jobs: usize,
-    /// a parameter of the decisions as NAME=VALUE, as often as wanted
+    /// a parameter of the decisions as NAME=VALUE; may be repeated
     #[argh(option)]
     set: Vec<String>,
 }
@@ -90,13 +90,13 @@
     /// backends, in place of what the day draws
     #[argh(option)]
     backends: Option<usize>,
-    /// a parameter of the decisions as NAME=VALUE, as often as wanted
+    /// a parameter of the decisions as NAME=VALUE; may be repeated
     #[argh(option)]
     set: Vec<String>,
-    /// place by chance
+    /// place connections at random
     #[argh(switch)]
     chance: bool,
-    /// one relay a zone probes for all (the job load/ZONE)
+    /// one relay per zone probes for all relays (the job load/ZONE)
     #[argh(switch)]
     load_watch: bool,
     /// print JSON
@@ -109,28 +109,28 @@
     for text in set {
         let (name, value) = text
             .split_once('=')
-            .ok_or(format!("--set {text}: is not NAME=VALUE"))?;
+            .ok_or(format!("--set {text}: expected NAME=VALUE"))?;
         let value: f64 = value
             .parse()
-            .map_err(|_| format!("--set {text}: '{value}' is no number"))?;
+            .map_err(|_| format!("--set {text}: '{value}' is not a number"))?;
         named.insert(name.to_string(), value);
     }
     if chance {
-        return Ok(Policy::Chance);
+        return Ok(Policy::Random);
     }
-    Ok(Policy::Own(Box::new(experiment::parameters(&named)?)))
+    Ok(Policy::Relay(Box::new(experiment::parameters(&named)?)))
 }
 
-/// Runs it; false where a rule was broken.
+/// Runs a command; returns false if a rule was broken.
 pub fn run(fleet: Fleet) -> Result<bool, Failure> {
     match fleet.command {
         Command::Play(p) => play(&p),
-        Command::Calibrate(c) => calibrated(&c),
-        Command::Run(r) => experiment_run(&r),
+        Command::Calibrate(c) => run_calibration(&c),
+        Command::Run(r) => run_experiment(&r),
     }
 }
 
-fn experiment_run(r: &Run) -> Result<bool, Failure> {
+fn run_experiment(r: &Run) -> Result<bool, Failure> {
     let mut experiment = Experiment::load(&r.file)?;
     if let Some(seeds) = r.seeds {
         experiment.seeds = (1..=seeds).collect();
@@ -143,24 +143,24 @@
         return Err(format!("--base {base}: the experiment has no variant of this name").into());
     }
     let cells = experiment.cells();
-    let bar = indicatif::ProgressBar::new(cells.len() as u64);
+    let progress = indicatif::ProgressBar::new(cells.len() as u64);
     let mut rows = Vec::new();
     experiment.run(&cells, r.jobs, |row| {
         rows.push(row);
-        bar.inc(1);
+        progress.inc(1);
         true
     });
-    bar.finish_and_clear();
+    progress.finish_and_clear();
     rows.sort_by(|a, b| a.cell.cmp(&b.cell));
     let digest = rows
         .iter()
-        .fold(0u64, |all, row| all.rotate_left(5) ^ row.digest);
+        .fold(0u64, |digest, row| digest.rotate_left(5) ^ row.digest);
     print!("{}", report::text(&rows, &base));
     println!("{} cells; digest {digest:016x}", rows.len());
-    Ok(rows.iter().all(|row| row.broken.is_empty()))
+    Ok(rows.iter().all(|row| row.first_violation.is_empty()))
 }
 
-fn calibrated(c: &Calibrate) -> Result<bool, Failure> {
+fn run_calibration(c: &Calibrate) -> Result<bool, Failure> {
     let recorded = calibrate::read(&c.journal, &c.since)?;
     if recorded.is_empty() {
         return Err(format!(
@@ -178,42 +178,51 @@
 }
 
 fn play(p: &Play) -> Result<bool, Failure> {
-    let day = Day::load(&p.day)?.sized(p.relays, p.backends);
+    let day = Day::load(&p.day)?.with_size(p.relays, p.backends);
     let variant = Variant {
         policy: policy(&p.set, p.chance)?,
         cells: Default::default(),
         load_watch: p.load_watch,
     };
-    let scene = Scene::draw(&day, p.seed);
-    let (relays, backends, groups) = (scene.relays, scene.backends, scene.groups);
-    let begun = std::time::Instant::now();
-    let mut out = World::new(scene, variant, None).run();
-    let seconds = begun.elapsed().as_secs_f64();
-    let figures = experiment::figures(&mut out, &day, relays, groups);
+    let scenario = Scenario::draw(&day, p.seed);
+    let (relays, backends, groups) = (scenario.relays, scenario.backends, scenario.groups);
+    let start = std::time::Instant::now();
+    let mut out = Simulation::new(scenario, variant, None).run();
+    let seconds = start.elapsed().as_secs_f64();
+    let metrics = experiment::metrics(&mut out, &day, relays, groups);
     if p.json {
-        let named: BTreeMap<&str, f64> = FIGURES
+        let named: BTreeMap<&str, f64> = METRIC_NAMES
             .iter()
             .copied()
-            .zip(figures.iter().copied())
+            .zip(metrics.iter().copied())
             .collect();
         let steps: Vec<_> = out
-            .books
+            .stats
             .steps
             .iter()
             .map(|s| [s.load, f64::from(s.attempts), f64::from(s.refused)])
             .collect();
         let digest = format!("{:016x}", out.digest);
-        let breaks: Vec<String> = out.breaks.iter().map(|b| b.to_string()).collect();
-        let all = serde_json::json!({ "day": day.name, "seed": p.seed, "relays": relays, "backends": backends,
-            "figures": named, "steps": steps, "breaks": breaks, "digest": digest, "events": out.events });
-        println!("{}", serde_json::to_string_pretty(&all)?);
-        return Ok(out.breaks.is_empty());
+        let violations: Vec<String> = out
+            .violations
+            .iter()
+            .map(|violation| violation.to_string())
+            .collect();
+        let output = serde_json::json!({ "day": day.name, "seed": p.seed, "relays": relays, "backends": backends,
+            "figures": named, "steps": steps, "breaks": violations, "digest": digest, "events": out.events });
+        println!("{}", serde_json::to_string_pretty(&output)?);
+        return Ok(out.violations.is_empty());
     }
     println!(
         "{} seed {}: {relays} relays, {backends} backends, {groups} groups ({})",
         day.name, p.seed, day.about
     );
-    for line in FIGURES.iter().zip(&figures).collect::<Vec<_>>().chunks(4) {
+    for line in METRIC_NAMES
+        .iter()
+        .zip(&metrics)
+        .collect::<Vec<_>>()
+        .chunks(4)
+    {
         let cells: Vec<String> = line
             .iter()
             .map(|(name, x)| format!("{name:22} {x:8.3}"))
@@ -221,12 +230,12 @@
         println!("  {}", cells.join("  "));
     }
     println!("  second  load  warmth  attempts  refused  moves  pairs  wanting  list age  served");
-    for (n, part) in out.books.steps.chunks(10).enumerate() {
+    for (n, steps) in out.stats.steps.chunks(10).enumerate() {
         let mean = |of: &dyn Fn(&jaspermoor_lab::fleet::stats::Step) -> f64| {
-            part.iter().map(of).sum::<f64>() / part.len() as f64
+            steps.iter().map(of).sum::<f64>() / steps.len() as f64
         };
         let sum = |of: &dyn Fn(&jaspermoor_lab::fleet::stats::Step) -> u32| {
-            part.iter().map(of).sum::<u32>()
+            steps.iter().map(of).sum::<u32>()
         };
         println!(
             "  {n:6}  {:4.2}  {:6.2}  {:8}  {:7}  {:5}  {:5.0}  {:7.0}  {:8.1}  {:6.3}",
@@ -236,17 +245,19 @@
             sum(&|s| s.refused),
             sum(&|s| s.moves),
             mean(&|s| f64::from(s.pairs)),
-            mean(&|s| f64::from(s.wanting)),
+            mean(&|s| f64::from(s.wanting_clients)),
             mean(&|s| s.list_age),
             mean(&|s| s.served) / mean(&|s| s.asked).max(1e-9)
         );
     }
-    out.breaks.iter().for_each(|b| println!("  broken: {b}"));
+    out.violations
+        .iter()
+        .for_each(|violation| println!("  broken: {violation}"));
     println!(
         "{} events in {seconds:.2} s; G {:.3}; digest {:016x}",
         out.events,
-        figures[figure("G").unwrap_or(0)],
+        metrics[metric_index("G").unwrap_or(0)],
         out.digest
     );
-    Ok(out.breaks.is_empty())
+    Ok(out.violations.is_empty())
 }
