--- a/crates/lab/tests/fleet_traffic.rs
+++ b/crates/lab/tests/fleet_traffic.rs
@@ -1,22 +1,25 @@
-//! What a fleet of 550 relays sends and receives, and how old its updates are: the budgets of `docs/design/broadcast.md`.
+//! Traffic of a fleet of 550 relays and age of its updates, checked against the budgets of
+//! `docs/design/broadcast.md`.
 
 use jaspermoor_control::InjectedBug;
 use jaspermoor_lab::faults::figures::ProcessTraffic;
 use jaspermoor_lab::faults::virtual_fleet::{run, Play};
 
-/// Bytes a second that a relay may send and receive together, over any ten seconds.
-const RELAY_BUDGET: f64 = 4_000.0;
-/// The second from which traffic counts: before it the fleet comes together.
-const WARM_UP: usize = 8;
-/// The 99th percentile of the ages of what relays knew before updates were changes, with 50 relays: the worst of 12 plays
-/// of 70 s, in milliseconds. One backend in a hundred answers neither of two probes, so it is 1.1 s and not less.
-const AGE_BEFORE: u64 = 1_150;
-/// A policy is in force everywhere within so long, in microseconds.
-const POLICY: u64 = 4_000_000;
+/// Limit of the bytes per second that a relay sends and receives in total, over any ten seconds.
+const RELAY_BYTES_PER_S: f64 = 4_000.0;
+/// The second from which traffic counts; before it the fleet is still forming.
+const WARM_UP_S: usize = 8;
+/// Limit of the 99th percentile of the load reports' age, in milliseconds: the worst of 12 plays
+/// of 70 s with 50 relays, from the time when each update carried the whole table. One backend in
+/// a hundred answers neither of two probes, so it is 1.1 s and not less.
+const MAX_REPORT_AGE_MS: u64 = 1_150;
+/// Time within which a policy must be in force on all relays, in microseconds.
+const POLICY_IN_FORCE_WITHIN: u64 = 4_000_000;
 
-fn worst(of: &[ProcessTraffic]) -> f64 {
-    of.iter()
-        .map(|of| of.worst_window(WARM_UP))
+fn worst_traffic(processes: &[ProcessTraffic]) -> f64 {
+    processes
+        .iter()
+        .map(|process| process.worst_window(WARM_UP_S))
         .fold(0.0, f64::max)
 }
 
@@ -34,22 +37,25 @@
         rest: 10_000_000,
         ..Play::default()
     };
-    let seen = run(play);
-    assert!(seen.broken.is_empty(), "{}", seen.broken[0]);
-    let (_, relays) = seen.traffic.of.split_at(voters);
+    let result = run(play);
+    assert!(result.broken.is_empty(), "{}", result.broken[0]);
+    let (_, relays) = result.traffic.of.split_at(voters);
     assert!(
-        worst(relays) <= RELAY_BUDGET,
-        "a relay had {} bytes a second",
-        worst(relays)
+        worst_traffic(relays) <= RELAY_BYTES_PER_S,
+        "a relay sent and received {} bytes a second",
+        worst_traffic(relays)
     );
     assert!(
-        seen.took.iter().all(|took| *took <= POLICY),
+        result
+            .took
+            .iter()
+            .all(|took| *took <= POLICY_IN_FORCE_WITHIN),
         "{:?}",
-        seen.took
+        result.took
     );
 }
 
-/// In a long play: in a short one the last hundredth rests on a few dozen probes.
+/// Needs a long play: in a short one the 99th percentile depends on a few dozen probes.
 #[test]
 fn loads_are_no_older_than_they_were_when_each_update_was_whole() {
     let play = Play {
@@ -61,18 +67,19 @@
         faults: false,
         ..Play::default()
     };
-    let seen = run(play);
-    assert!(seen.broken.is_empty(), "{}", seen.broken[0]);
-    let age = seen.ages.percentile(99);
+    let result = run(play);
+    assert!(result.broken.is_empty(), "{}", result.broken[0]);
+    let age = result.ages.percentile(99);
     assert!(
-        age <= AGE_BEFORE,
-        "loads were {age} ms old at the 99th percentile"
+        age <= MAX_REPORT_AGE_MS,
+        "load reports were {age} ms old at the 99th percentile"
     );
 }
 
-/// Builds that know deliveries and builds that do not, in one fleet, whoever votes and whoever owns.
+/// Builds with and without the `Delivery` message work in one fleet, whichever of them vote or own
+/// jobs.
 #[test]
-fn builds_of_two_ages_spread_updates_and_moves_in_one_fleet() {
+fn builds_with_and_without_deliveries_spread_updates_and_moves_in_one_fleet() {
     for (seed, older) in [(1, 2), (2, 2), (3, 3), (4, 3)] {
         let play = Play {
             seed,
@@ -81,32 +88,37 @@
             observers: 4,
             ..Play::default()
         };
-        let seen = run(play);
-        assert!(seen.broken.is_empty(), "seed {seed}: {}", seen.broken[0]);
+        let result = run(play);
         assert!(
-            seen.words > 1_000,
-            "seed {seed}: {} loads were told",
-            seen.words
+            result.broken.is_empty(),
+            "seed {seed}: {}",
+            result.broken[0]
         );
         assert!(
-            seen.moves > 100,
-            "seed {seed}: {} moves were made",
-            seen.moves
+            result.words > 1_000,
+            "seed {seed}: {} load reports were accepted",
+            result.words
+        );
+        assert!(
+            result.moves > 100,
+            "seed {seed}: {} migrations were made",
+            result.moves
         );
     }
 }
 
 #[test]
-fn changes_that_are_lost_and_versions_that_go_back_are_found() {
+fn lost_changes_and_decreasing_versions_are_detected() {
     for bug in [InjectedBug::ApplyWithGap, InjectedBug::ApplyOlderVersion] {
         let found = (1..=40).find(|&seed| {
-            let seen = run(Play {
+            let result = run(Play {
                 seed,
                 bug: Some(bug),
                 ..Play::default()
             });
             let rules = ["tables are their owners'", "versions only grow"];
-            seen.broken
+            result
+                .broken
                 .iter()
                 .any(|broken| rules.contains(&broken.rule))
         });
