--- a/crates/lab/src/fleet/simulation.rs
+++ b/crates/lab/src/fleet/simulation.rs
@@ -1982,8 +1982,8 @@
                     connections: b.clients.len() as f64,
                     load: b.utilization,
                 };
-                // A report becomes visible after a delay, and the next one is made half a period
-                // later.
+                // This report becomes visible after the report delay and half a period, and the
+                // next one is made then.
                 let wait = self.scenario.report_delay.max(1) + self.scenario.report_period / 2;
                 b.next_report = (now + wait, report);
             }
