--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -212,7 +212,7 @@
         (
             "[xmpp]",
             "[fleet]\nid = 'f'\ndirectory = 'd'\nkeys = 'none'\nvoters = []\n[xmpp]",
-            ":5: fleet.voters: one to seven",
+            ":5: fleet.voters: needs one to seven voters",
         ),
     ];
     for (from, to, expected_error) in cases {
