--- a/crates/control/src/broadcast/subscriber/requests.rs
+++ b/crates/control/src/broadcast/subscriber/requests.rs
@@ -7,14 +7,15 @@
 use crate::wire::message::{Message, Report, Subscribe};
 use crate::Micros;
 
-/// The next voter is followed if the followed one has not responded for this time, which is that of
-/// three requests.
+/// If the followed voter has not responded for this time, in which three requests were sent, the
+/// subscriber follows the next voter.
 const VOTER_TIMEOUT: Micros = 3 * POLL_INTERVAL;
 
 impl Subscriber {
     /// Returns the requests to send now, by voter. `owns_jobs` says whether this relay owns a job
-    /// with updates. If so, it also requests the time from the clocks of the other voters, until
-    /// their receipts contain it. `reports` returns this relay's current reports to job owners.
+    /// that publishes updates. If so, it also asks the other voters for the time of their clocks,
+    /// until their receipts contain it. `reports` returns the current reports of this relay for the
+    /// owners of jobs.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -56,8 +57,8 @@
         messages
     }
 
-    /// Follows the next voter if the followed one is silent. The first one depends on this relay's
-    /// name.
+    /// Follows the next voter if the followed one is silent. The initial `voter_index` is derived
+    /// from this relay's name, so that relays spread over the voters.
     fn select_voter(&mut self, now: Micros) {
         if now < self.last_contact + VOTER_TIMEOUT {
             return;
--- a/crates/control/src/injected_bugs.rs
+++ b/crates/control/src/injected_bugs.rs
@@ -1,5 +1,5 @@
-//! Bugs that tests inject to prove that the checkers find them. A build without the feature
-//! `injected-bugs` cannot inject any.
+//! Bugs that tests inject to prove that the rule checkers of the fault tests find them. A build
+//! without the feature `injected-bugs` cannot inject any.
 
 /// A bug that tests can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,11 +19,12 @@
     SkipPredecessorWait,
     /// A leader grants leases before a majority has confirmed that it still leads.
     GrantUnconfirmed,
-    /// A leader grants leases on the old policy after the proposal is sealed.
+    /// A leader grants leases on the old policy after a proposal is sealed, that is, after no such
+    /// lease may be granted any more.
     GrantAfterSeal,
     /// A voter sends messages without storing its log first, and loses those entries in a crash.
     SendBeforePersist,
-    /// Voters accept a voter whose disk was replaced as the original member.
+    /// Voters treat a voter with a replaced disk as the member that it was before.
     TrustReplacedDisk,
     /// An owner continues to act on its jobs after its lease has expired.
     ActAfterLease,
@@ -42,7 +43,8 @@
 }
 
 impl InjectedBug {
-    /// All bugs with their names in settings and on the command line.
+    /// All bugs with their names in settings and on the command line. These names are older than
+    /// the variants and must not change.
     pub const ALL: [(&'static str, InjectedBug); 17] = [
         ("ignore-lease", InjectedBug::IgnoreLease),
         ("lease-from-grant", InjectedBug::LeaseFromGrant),
--- a/crates/control/src/jobs/fence.rs
+++ b/crates/control/src/jobs/fence.rs
@@ -1,13 +1,13 @@
 //! Fencing: rejects commands that a former owner of a job sent.
 //!
 //! Input: the fencing tokens of commands, the latest token of the fleet when this receiver started,
-//! and the tokens of single jobs as the leader answers them. Output: a [`FenceDecision`] for each
+//! and the leader's answers about the token of a single job. Output: a [`FenceDecision`] for each
 //! command.
 //!
 //! Guards against: a command that was delayed in a socket or in a paused process while its job was
 //! assigned to another relay, and a receiver that restarted without stored state. Such a receiver
-//! accepts nothing until it knows the fleet's latest token, and requests the token of each job that
-//! was assigned before it started.
+//! accepts no command for a job until it knows either the fleet's latest token or, from the leader,
+//! the token of that job.
 
 use crate::jobs::assignment::FencingToken;
 use crate::{InjectedBug, InjectedBugs};
@@ -21,7 +21,7 @@
 pub enum FenceDecision {
     /// Execute it.
     Accept,
-    /// Reject it and answer with the job's current token, which is this one, so that the sender
+    /// Reject it and answer with this token, the highest known one of the job, so that the sender
     /// stops.
     Stale(FencingToken),
     /// Ask the leader for the job's token, pass the answer to [`Fence::learn_token`], and check the
@@ -41,7 +41,8 @@
 }
 
 impl Fence {
-    /// Creates a fence with an injected bug, for tests of the checkers.
+    /// Creates a fence with an injected bug, to test that the rule checkers of the fault tests find
+    /// it.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected(injected: InjectedBugs) -> Fence {
         Fence {
@@ -73,7 +74,8 @@
             }
             (Some(highest), _) if token < *highest => FenceDecision::Stale(*highest),
             (Some(_), _) => self.accept(name, token),
-            // The token was issued after this receiver started, so no earlier owner can have it.
+            // The token was issued after this receiver started, so it is newer than that of any
+            // owner before.
             (None, Some(floor)) if token > floor => self.accept(name, token),
             (None, _) => FenceDecision::Unknown,
         }
--- a/crates/control/src/jobs/zones/capacity.rs
+++ b/crates/control/src/jobs/zones/capacity.rs
@@ -3,15 +3,16 @@
 use super::ZoneCapacity;
 use std::collections::BTreeMap;
 
-/// Maximum utilization of the other zones after an ejection. The rest absorbs uneven load, like the
-/// load cap of the decisions.
+/// Maximum utilization of the other zones after an ejection. The rest absorbs load
+/// that is spread unevenly over the endpoints.
 const MAX_UTILIZATION_AFTER_EJECTION: f64 = 0.9;
-/// Utilization of the other zones above which the return of a zone does not advance.
+/// Utilization of the other zones above which a returning zone does not get a larger share. A zone
+/// returns in steps.
 const PEAK_UTILIZATION: f64 = 0.85;
 
 /// Share of a zone's traffic, in percent, for which the other zones have no capacity; 0 if the
-/// zone's load is not known. `shares` are the current traffic shares of the zones in percent; only
-/// this share of a zone's capacity is counted.
+/// zone's load is not known. `shares` are the percentages of their usual traffic that the zones get
+/// now; of each zone's capacity only this percentage is counted.
 pub(super) fn required_share(
     zone: &str,
     capacities: &BTreeMap<String, ZoneCapacity>,
--- a/crates/control/src/jobs/zones/evidence.rs
+++ b/crates/control/src/jobs/zones/evidence.rs
@@ -8,10 +8,10 @@
 
 /// Minimum number of attempts of a relay in a zone for its observation to count.
 const MIN_ATTEMPTS: u32 = 4;
-/// Share of failed attempts from which a relay's observation counts a zone as bad.
+/// A relay observes a zone as bad if at least this share of its attempts failed.
 const BAD_FAILURE_RATE: f64 = 0.5;
-/// Minimum number of zones whose relays must observe a zone as bad. If relays of fewer zones
-/// observe it at all, all of those zones must.
+/// Minimum number of zones whose relays must observe a zone as bad. If fewer zones
+/// have relays with enough attempts, all of those zones must.
 const MIN_OBSERVER_ZONES: usize = 2;
 
 /// Combined observations of a zone.
@@ -27,8 +27,8 @@
 impl Evidence {
     /// Combines these observations of a zone.
     pub(super) fn for_zone(zone: &str, observations: &[&ZoneObservations]) -> Evidence {
-        let mut observers = BTreeSet::new();
-        let mut bad_observers = BTreeSet::new();
+        let mut observing_zones = BTreeSet::new();
+        let mut zones_observing_bad = BTreeSet::new();
         let mut relay_count = 0;
         let mut bad_relay_count = 0;
         let mut attempts = 0;
@@ -38,22 +38,23 @@
                 continue;
             };
             relay_count += 1;
-            observers.insert(relay.observer_zone.as_str());
+            observing_zones.insert(relay.observer_zone.as_str());
             if observation.is_bad() {
                 bad_relay_count += 1;
-                bad_observers.insert(relay.observer_zone.as_str());
+                zones_observing_bad.insert(relay.observer_zone.as_str());
             }
             attempts += u64::from(observation.attempts);
             failed += u64::from(observation.failed);
         }
         // If relays of only one zone observe it, relays of other zones cannot confirm it.
-        let has_enough_zones = bad_observers.len() >= observers.len().min(MIN_OBSERVER_ZONES);
+        let has_enough_zones =
+            zones_observing_bad.len() >= observing_zones.len().min(MIN_OBSERVER_ZONES);
         Evidence {
             is_bad: bad_relay_count * 2 > relay_count && has_enough_zones,
             failure_rate: (attempts > 0).then(|| failed as f64 / attempts as f64),
             description: format!(
                 "{bad_relay_count} of {relay_count} relays, in {} zones, observe failures",
-                bad_observers.len()
+                zones_observing_bad.len()
             ),
         }
     }
@@ -67,9 +68,9 @@
             .find(|observation| observation.zone == zone && observation.attempts >= MIN_ATTEMPTS)
     }
 
-    /// Whether this relay observes at least two of these zones, and most of those that it observes
-    /// as bad.
-    fn finds_most_bad(&self, zones: &[&str]) -> bool {
+    /// Whether this relay has enough attempts in at least two of these zones, and more than half of
+    /// those zones are bad for it.
+    fn observes_majority_as_bad(&self, zones: &[&str]) -> bool {
         let observed: Vec<&ZoneObservation> = zones
             .iter()
             .filter_map(|zone| self.for_zone(zone))
@@ -97,7 +98,7 @@
     let plausible: Vec<&ZoneObservations> = all
         .iter()
         .copied()
-        .filter(|relay| !relay.finds_most_bad(zones))
+        .filter(|relay| !relay.observes_majority_as_bad(zones))
         .collect();
     let implausible_count = all.len() - plausible.len();
     if implausible_count * 2 > all.len() {
--- a/crates/control/src/log/voter/job_leases.rs
+++ b/crates/control/src/log/voter/job_leases.rs
@@ -59,7 +59,7 @@
     jobs.by_name.get(name).map_or(0, |job| job.checkpoint_step)
 }
 
-/// Revokes the jobs that the relay relinquishes and that are not revoked yet.
+/// The change that revokes the jobs which the relay relinquishes and which are not revoked yet.
 fn relinquished_jobs(jobs: &Jobs, request: &RenewRequest) -> Option<JobChange> {
     let is_owned = |(name, token, _): &&(String, FencingToken, String)| {
         jobs.by_name
@@ -75,8 +75,9 @@
     (!relinquished.is_empty()).then_some(JobChange::Revoke(relinquished))
 }
 
-/// Creates the jobs that the relay expects and that do not exist yet. Invalid names are left out,
-/// since they would be proposed again with each renewal.
+/// The change that creates the jobs which the relay expects and which do not exist yet; none if the
+/// log has no room for them. Invalid names are left out: the log would reject them, so they would
+/// be proposed again with each renewal.
 fn jobs_to_open(jobs: &Jobs, request: &RenewRequest) -> Option<JobChange> {
     let new: Vec<String> = request
         .capabilities
@@ -89,7 +90,8 @@
     (!new.is_empty() && has_room).then_some(JobChange::Open(new))
 }
 
-/// Stores the checkpoints of the relay whose steps directly follow those in the log.
+/// The changes that store the relay's checkpoints. Only a checkpoint whose step directly follows
+/// the one in the log is stored.
 fn new_checkpoints<'a>(
     jobs: &'a Jobs,
     request: &'a RenewRequest,
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -227,25 +227,26 @@
             config.name,
             admin.addr()?
         ));
-        // Own thread: operators get an answer within a second under any client load, and manual
-        // ejections are stored in files.
+        // Own thread: operators get an answer within a second under any client load, and the files
+        // of manual ejections are read and written without delaying clients.
         spawn("admin", SMALL_STACK_BYTES, move || admin.run())?;
     }
     if let Some(fleet) = fleet {
         let metrics = shared_state.metrics.clone();
-        // Own thread: syncing the ledger waits for the disk, and clients must not wait for it.
+        // Own thread: the ledger, which stores the fleet's state, is synced to disk, and clients
+        // must not wait for that.
         let signals_handle = signals.handle();
         spawn("fleet", FLEET_STACK_BYTES, move || {
-            // Ends the process with this thread: without lease renewals the relay would reject all
-            // clients.
+            // The process ends when this thread ends: without lease renewals the relay would reject
+            // all clients.
             let _close_signals = CloseSignalsOnDrop(signals_handle);
             fleet.run(metrics);
         })?;
     }
     let (event_loop_handle, signals_handle) = (event_loop.handle(), signals.handle());
     spawn("serve", EVENT_LOOP_STACK_BYTES, move || {
-        // Ends the process with this thread, however it ends: the listeners would go on accepting
-        // clients that nothing serves.
+        // The process ends when this thread ends, by a panic too: otherwise the listeners would go
+        // on accepting clients that nothing serves.
         let _close_signals = CloseSignalsOnDrop(signals_handle);
         event_loop.run();
     })?;
--- a/src/decision_service/requests.rs
+++ b/src/decision_service/requests.rs
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 
 impl DecisionService {
-    /// Submits a request and gives it its id; its decisions arrive in the returned mailbox.
-    /// `registered` gets the id before the first decision, so that the request can be withdrawn
-    /// while it waits. It is called with the lock held.
+    /// Submits a request and gives it its id; its decisions arrive in the returned
+    /// `PendingDecision`. `registered` gets the id before the first decision, so that the request
+    /// can be withdrawn while it waits. It is called with the lock held.
     pub fn submit(
         &self,
         request: Request,
@@ -64,8 +64,8 @@
         let balancer = state.balancer_of_endpoint(endpoint);
         let entry = InFlight::established(&request, balancer, endpoint, handle);
         let id = state.register(entry);
-        // The other process may have been migrating the connections of its group; this one
-        // continues.
+        // The previous process may have been migrating the connections of this group; this process
+        // continues the migration.
         let displaced = state.home_balancer(request.group) != balancer;
         if displaced && !state.cells.map.is_single() {
             state.migrations.push(id);
@@ -99,7 +99,8 @@
         true
     }
 
-    /// Reports the outcome of an attempt that did not connect. The next decision follows.
+    /// Reports the outcome of an attempt that did not connect. If the request has no final answer
+    /// yet, its next decision follows.
     pub fn attempt_failed(&self, id: RequestId, outcome: Outcome, report: Vec<f32>) {
         let state = self.lock();
         let Some(entry) = state.in_flight.get(id) else {
@@ -154,8 +155,8 @@
         self.lock().in_flight.unanswered(id).is_some()
     }
 
-    /// Sets an earlier deadline for a request, because this process stops. A later one than before
-    /// is ignored.
+    /// Sets an earlier deadline for a request, because this process stops. A deadline
+    /// later than the current one is ignored.
     pub fn shorten_deadline(&self, id: RequestId, deadline: Micros) {
         let state = self.lock();
         let Some(entry) = state.in_flight.unanswered(id) else {
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -1,4 +1,4 @@
-//! One side of a connection: its socket, with or without TLS.
+//! The relay's socket to one peer, a client or a backend, with or without TLS.
 
 use crate::protocol::buffer::Buffer;
 use crate::sys::timed_out;
@@ -7,8 +7,8 @@
 use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
 
-/// One side of a connection. The connection owns it; the socket is shared with the session, through
-/// which other threads may end it.
+/// A socket to one peer, with its TLS state. The socket itself is shared with the session, so that
+/// other threads can shut it down.
 pub struct Link {
     /// The socket.
     pub socket: Arc<TcpStream>,
@@ -16,7 +16,7 @@
 }
 
 impl Link {
-    /// A side without TLS.
+    /// A link without TLS.
     pub fn plain(socket: Arc<TcpStream>) -> Link {
         Link { socket, tls: None }
     }
@@ -88,8 +88,9 @@
         }
     }
 
-    /// Writes as many bytes as the socket accepts. Returns their number, and whether the socket
-    /// accepts no more for now.
+    /// Writes as many bytes as the socket, or with TLS its output buffer, accepts. Returns their
+    /// number, and whether the socket accepts no more for now. With no bytes it only sends what the
+    /// TLS output buffer holds.
     pub fn write_available(&mut self, bytes: &[u8]) -> io::Result<(usize, bool)> {
         let mut written = 0;
         if let Some(tls) = &mut self.tls {
@@ -130,8 +131,8 @@
     }
 }
 
-/// Reads TLS records once. A violation of TLS is reported to the other side with an alert, and is
-/// an error.
+/// Reads the socket once and processes the TLS records received. A violation of TLS is reported to
+/// the peer with an alert, and is an error.
 fn read_tls_records(tls: &mut Connection, mut socket: &TcpStream) -> io::Result<()> {
     loop {
         match tls.read_tls(&mut socket as &mut dyn Read) {
