--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -41,7 +41,7 @@
     /// Received bytes that are for the client.
     pub inbox: Buffer,
     /// The protocol's state machine of the established connection.
-    pub passage: Box<dyn Forwarder>,
+    pub forwarder: Box<dyn Forwarder>,
 }
 
 /// The request that an attempt belongs to, and the state that it needs.
@@ -52,7 +52,7 @@
     /// The client's session.
     pub session: &'a Session,
     /// The client's request.
-    pub order: &'a dyn ClientRequest,
+    pub client_request: &'a dyn ClientRequest,
     /// The id of the request for the decisions.
     pub id: RequestId,
 }
@@ -84,7 +84,7 @@
     backend: Option<BackendAddress>,
     state: AttemptState,
     link: Option<Link>,
-    exchange: Option<Box<dyn AttemptProtocol>>,
+    protocol: Option<Box<dyn AttemptProtocol>>,
     inbox: Buffer,
     /// Bytes that are still to be sent.
     unsent: Vec<u8>,
@@ -101,7 +101,7 @@
 impl Attempt {
     /// An attempt that was not dialled yet.
     pub fn new(
-        order: &dyn ClientRequest,
+        client_request: &dyn ClientRequest,
         endpoint_id: EndpointId,
         deadline: Micros,
         number: u16,
@@ -115,7 +115,7 @@
             backend: None,
             state: AttemptState::AwaitingAddress,
             link: None,
-            exchange: Some(order.start_attempt()),
+            protocol: Some(client_request.start_attempt()),
             inbox: Buffer::default(),
             unsent: Vec::new(),
             blocked: false,
@@ -238,7 +238,7 @@
         context: AttemptContext<'_>,
         now: Micros,
     ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
-        let adopted = context.order.adopted_backend().is_some();
+        let adopted = context.client_request.adopted_backend().is_some();
         let Some(endpoint) = context.shared.directory.backend_address(self.endpoint_id) else {
             // The endpoint list that a relay starts with may be stale, so an adopted connection
             // waits for the next one. A backend that was just chosen and is not listed has left.
@@ -257,7 +257,7 @@
             return failed(Outcome::NotAttempted);
         }
         let mut addr = endpoint.addr;
-        if let Some(port) = context.shared.backend_port(context.order.front()) {
+        if let Some(port) = context.shared.backend_port(context.client_request.front()) {
             addr.set_port(port);
         }
         self.backend = Some(endpoint);
@@ -302,8 +302,12 @@
         &mut self,
         context: AttemptContext<'_>,
     ) -> Option<Result<EstablishedBackend, AttemptFailure>> {
-        let AttemptContext { shared, order, .. } = context;
-        let adopted = order.adopted_backend().is_some();
+        let AttemptContext {
+            shared,
+            client_request,
+            ..
+        } = context;
+        let adopted = client_request.adopted_backend().is_some();
         loop {
             let now = shared.decisions.now();
             if now >= self.deadline {
@@ -342,7 +346,7 @@
                 }
             }
             let action = self
-                .exchange
+                .protocol
                 .as_mut()?
                 .next_action(&mut self.inbox, self.deadline - now);
             // While the dial or a negotiation was in progress, the backend may have left or the
@@ -382,12 +386,12 @@
                     continue;
                 }
                 AttemptAction::Established => {
-                    let (link, passage) =
-                        (self.link.take()?, self.exchange.take()?.into_forwarder());
+                    let (link, forwarder) =
+                        (self.link.take()?, self.protocol.take()?.into_forwarder());
                     return Some(Ok(EstablishedBackend {
                         link,
                         inbox: std::mem::take(&mut self.inbox),
-                        passage,
+                        forwarder,
                     }));
                 }
                 AttemptAction::Failed(Outcome::Error | Outcome::Reset, _) if !self.request_sent => {
@@ -445,7 +449,7 @@
     struct Setup {
         shared: Arc<SharedState>,
         session: Arc<Session>,
-        order: Box<dyn ClientRequest>,
+        client_request: Box<dyn ClientRequest>,
         _client: TcpStream,
     }
 
@@ -497,7 +501,7 @@
             .register(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
         let mut inbox = Buffer::from_bytes(format!("OPEN 1 7f c=one,d=60000{at}\r\n").into_bytes());
         let rules = shared.settings().rules.clone();
-        let ReaderAction::Request(order) =
+        let ReaderAction::Request(client_request) =
             LineRequestReader::new(0).next_action(&mut inbox, 0, &rules)
         else {
             panic!()
@@ -507,7 +511,7 @@
         Setup {
             shared,
             session,
-            order,
+            client_request,
             _client: listener.accept().unwrap().0,
         }
     }
@@ -517,14 +521,14 @@
             AttemptContext {
                 shared: &self.shared,
                 session: &self.session,
-                order: &*self.order,
+                client_request: &*self.client_request,
                 id,
             }
         }
 
         fn attempt(&self, left: Micros) -> Attempt {
             let now = self.shared.decisions.now();
-            Attempt::new(&*self.order, ENDPOINT, now + left, 0, now)
+            Attempt::new(&*self.client_request, ENDPOINT, now + left, 0, now)
         }
 
         /// Drives an attempt to its end as the event loop does.
@@ -570,10 +574,11 @@
         ] {
             let (listener, addr) = listener();
             let s = setup(addr, state, "", 10_000.0);
-            let pick =
-                s.shared
-                    .decisions
-                    .submit(s.order.request().clone(), s.session.clone(), |_| {});
+            let pick = s.shared.decisions.submit(
+                s.client_request.request().clone(),
+                s.session.clone(),
+                |_| {},
+            );
             if answered {
                 s.shared.decisions.client_disconnected(pick.id);
             }
@@ -596,7 +601,7 @@
         let (_listener, addr) = listener();
         let s = setup(addr, EndpointState::Ready, ",at=s-1", 10_000.0);
         let id = s.shared.decisions.adopt_connection(
-            s.order.request().clone(),
+            s.client_request.request().clone(),
             ENDPOINT,
             s.session.clone(),
         );
@@ -612,7 +617,7 @@
         let (_listener, addr) = listener();
         let s = setup(addr, EndpointState::Removed, ",at=s-1", 10_000.0);
         let id = s.shared.decisions.adopt_connection(
-            s.order.request().clone(),
+            s.client_request.request().clone(),
             ENDPOINT,
             s.session.clone(),
         );
@@ -651,10 +656,11 @@
             .unwrap();
         let refusing = bound.local_addr().unwrap().as_socket().unwrap();
         let s = setup(refusing, EndpointState::Ready, "", 10_000.0);
-        let pick = s
-            .shared
-            .decisions
-            .submit(s.order.request().clone(), s.session.clone(), |_| {});
+        let pick = s.shared.decisions.submit(
+            s.client_request.request().clone(),
+            s.session.clone(),
+            |_| {},
+        );
         assert!(matches!(
             s.drive(pick.id, s.attempt(MINUTE)),
             Err((Outcome::ConnectFailed, _))
@@ -665,10 +671,11 @@
         socket2::SockRef::from(&full).listen(0).unwrap();
         let _waiting: Vec<TcpStream> = (0..3).map(|_| dial(addr).unwrap()).collect();
         let s = setup(addr, EndpointState::Ready, "", 20.0);
-        let pick = s
-            .shared
-            .decisions
-            .submit(s.order.request().clone(), s.session.clone(), |_| {});
+        let pick = s.shared.decisions.submit(
+            s.client_request.request().clone(),
+            s.session.clone(),
+            |_| {},
+        );
         assert!(matches!(
             s.drive(pick.id, s.attempt(MINUTE)),
             Err((Outcome::ConnectFailed, _))
@@ -680,10 +687,11 @@
         for ready_now in [false, true] {
             let (listener, addr) = listener();
             let s = setup(addr, EndpointState::Ready, "", 1.0);
-            let pick =
-                s.shared
-                    .decisions
-                    .submit(s.order.request().clone(), s.session.clone(), |_| {});
+            let pick = s.shared.decisions.submit(
+                s.client_request.request().clone(),
+                s.session.clone(),
+                |_| {},
+            );
             let mut attempt = s.attempt(MINUTE);
             assert!(attempt.advance(s.context(pick.id), false).is_none());
             let (mut backend, _) = listener.accept().unwrap();
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -31,7 +31,7 @@
     /// The connection's id for the decisions.
     pub id: RequestId,
     pub endpoint_id: EndpointId,
-    pub passage: Box<dyn Forwarder>,
+    pub forwarder: Box<dyn Forwarder>,
 }
 
 /// The end of an established connection: its outcome, the backend's last load report, and the
@@ -84,7 +84,7 @@
 
 /// The state of a connection in [`Phase::Pending`].
 pub(super) struct PendingRequest {
-    pub order: Box<dyn ClientRequest>,
+    pub client_request: Box<dyn ClientRequest>,
     pub id: RequestId,
     /// The stream of decisions; none where the connection was established before this process
     /// started.
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -688,7 +688,7 @@
             link: Link::plain(backend),
             id,
             endpoint_id,
-            passage: Box::new(LineForwarder),
+            forwarder: Box::new(LineForwarder),
         };
         conn.take_over(record, session, backend, handover);
         self.add_connection(conn);
--- a/src/net/forward.rs
+++ b/src/net/forward.rs
@@ -37,7 +37,7 @@
         let is_uncounted = self
             .backend
             .as_ref()
-            .is_none_or(|b| b.passage.supports_takeover());
+            .is_none_or(|b| b.forwarder.supports_takeover());
         let now = if is_uncounted {
             0
         } else {
@@ -45,12 +45,12 @@
         };
         let before = std::mem::replace(&mut self.counted_memory, now);
         if !self.shared.long_unit_memory.replace(before, now) && self.phase == Phase::Established {
-            let words = self
+            let message = self
                 .backend
                 .as_ref()
-                .map(|b| b.passage.closing_message(CloseReason::OutOfMemory));
+                .map(|b| b.forwarder.closing_message(CloseReason::OutOfMemory));
             self.close_with(
-                words.unwrap_or_default(),
+                message.unwrap_or_default(),
                 ConnectionEnd::new(Outcome::Cancelled, "no-memory"),
             );
             self.update_memory_budget();
@@ -73,7 +73,7 @@
         if !self
             .backend
             .as_ref()
-            .is_some_and(|b| b.passage.supports_takeover())
+            .is_some_and(|b| b.forwarder.supports_takeover())
         {
             return Ok(());
         }
@@ -219,13 +219,13 @@
         match backend.link.read_into(&mut self.to_client) {
             Ok(0) => self.backend_ended(),
             Ok(_) => {
-                if !backend.passage.reports_responses() {
+                if !backend.forwarder.reports_responses() {
                     self.record_backend_activity();
                 }
                 self.flush_to_client();
             }
             Err(e) if timed_out(&e) => {}
-            Err(_) if !backend.passage.mirrors_end() => self.backend_ended(),
+            Err(_) if !backend.forwarder.mirrors_end() => self.backend_ended(),
             Err(_) => {
                 // A reset is passed on to the client as a reset.
                 let end = self
@@ -240,7 +240,7 @@
     /// Handles a backend that has closed its side.
     fn backend_ended(&mut self) {
         let Some(backend) = &self.backend else { return };
-        let mirrors = backend.passage.mirrors_end();
+        let mirrors = backend.forwarder.mirrors_end();
         let unannounced = match self.client_ended_at {
             Some(_) => ConnectionEnd::new(Outcome::Cancelled, "client-left"),
             None => ConnectionEnd::new(Outcome::Reset, "backend-ended"),
@@ -249,8 +249,8 @@
             Some(announced) if !self.finishing => self.end_backend(announced, true),
             _ if self.finishing || self.is_migrating() => self.migrate_now(),
             None if !mirrors && self.client_ended_at.is_none() => {
-                let words = backend.passage.closing_message(CloseReason::BackendLost);
-                self.close_with(words, unannounced);
+                let message = backend.forwarder.closing_message(CloseReason::BackendLost);
+                self.close_with(message, unannounced);
             }
             announced => self.end_backend(announced.unwrap_or(unannounced), true),
         }
@@ -265,7 +265,7 @@
         loop {
             let mut fresh = 0;
             match backend
-                .passage
+                .forwarder
                 .on_client_data(&self.to_backend.unread()[self.to_backend_ready..])
             {
                 Ok(passed) => {
@@ -345,7 +345,7 @@
             let (id, endpoint_id) = (backend.id, backend.endpoint_id);
             let (mut fresh, mut events) = (0, Vec::new());
             let unread = &self.to_client.unread()[self.to_client_ready..];
-            match backend.passage.on_backend_data(
+            match backend.forwarder.on_backend_data(
                 unread,
                 &self.shared.settings().rules,
                 &mut events,
@@ -385,8 +385,8 @@
                         });
                     }
                     BackendEvent::Answered(served) => self.count_final_answer(served),
-                    BackendEvent::CloseAfterForwarding(words, outcome, reason) => {
-                        self.end_after_flush = Some((words, ConnectionEnd::new(outcome, reason)))
+                    BackendEvent::CloseAfterForwarding(message, outcome, reason) => {
+                        self.end_after_flush = Some((message, ConnectionEnd::new(outcome, reason)))
                     }
                     BackendEvent::Finished => finished = true,
                 }
@@ -409,8 +409,8 @@
             if finished {
                 return self.migrate_now();
             }
-            if let Some((words, end)) = self.end_after_flush.take() {
-                return self.close_with(words, end);
+            if let Some((message, end)) = self.end_after_flush.take() {
+                return self.close_with(message, end);
             }
             if self.to_client_blocked_since.is_some() || fresh == 0 {
                 return;
@@ -437,14 +437,14 @@
     fn migrate_now(&mut self) {
         let Some(backend) = &self.backend else { return };
         let metrics = &self.shared.metrics.xmpp;
-        if backend.passage.has_partial_unit() {
+        if backend.forwarder.has_partial_unit() {
             metrics.truncated_stanzas.fetch_add(1, Relaxed);
         }
-        if !backend.passage.supports_takeover() {
+        if !backend.forwarder.supports_takeover() {
             metrics.migrated.fetch_add(1, Relaxed);
         }
         self.close_with(
-            backend.passage.closing_message(CloseReason::Migrated),
+            backend.forwarder.closing_message(CloseReason::Migrated),
             ConnectionEnd::new(Outcome::Cancelled, "moved"),
         );
     }
@@ -463,7 +463,7 @@
             }
             return;
         }
-        match backend.passage.prepare_migration() {
+        match backend.forwarder.prepare_migration() {
             MigrationReadiness::Now => self.migrate_now(),
             MigrationReadiness::Later(timeout) => {
                 _ = self.finish_deadline.get_or_insert(now + timeout);
@@ -479,9 +479,9 @@
         }
     }
 
-    /// Ends both sides after the client was sent the bytes that may be forwarded, and these words.
-    fn close_with(&mut self, words: Vec<u8>, end: ConnectionEnd) {
-        self.last_bytes = words;
+    /// Ends both sides after the client was sent the bytes that may be forwarded, and this message.
+    fn close_with(&mut self, message: Vec<u8>, end: ConnectionEnd) {
+        self.last_bytes = message;
         self.end_backend(end, false);
     }
 
@@ -493,7 +493,7 @@
             && self
                 .backend
                 .as_ref()
-                .is_some_and(|b| b.passage.mirrors_end());
+                .is_some_and(|b| b.forwarder.mirrors_end());
         let length = if partial_unit {
             self.to_client.unread().len()
         } else {
@@ -533,14 +533,17 @@
     /// socket.
     fn report_end(&mut self, end: ConnectionEnd) {
         if let Some(BackendSide {
-            link, id, passage, ..
+            link,
+            id,
+            forwarder,
+            ..
         }) = self.backend.take()
         {
             self.session
                 .iter()
                 .for_each(|session| session.detach_backend());
             drop(link);
-            if !passage.supports_takeover() {
+            if !forwarder.supports_takeover() {
                 self.shared.metrics.xmpp.sessions.fetch_sub(1, Relaxed);
             }
             self.shared
@@ -571,7 +574,7 @@
         let (Some(unanswered_since), Some(backend)) = (self.unanswered_since, &self.backend) else {
             return false;
         };
-        backend.passage.is_backend_lost(
+        backend.forwarder.is_backend_lost(
             now.saturating_sub(unanswered_since),
             now.saturating_sub(self.last_heard),
         )
@@ -589,11 +592,11 @@
         if let Some(backend) = self
             .backend
             .as_mut()
-            .filter(|b| !b.passage.supports_takeover())
+            .filter(|b| !b.forwarder.supports_takeover())
         {
             self.to_backend.shrink_if_empty();
             self.to_client.shrink_if_empty();
-            backend.passage.release_idle_memory();
+            backend.forwarder.release_idle_memory();
         }
         let past = |since: Micros, limit: Micros| now > since + limit;
         let stuck = self
@@ -615,12 +618,12 @@
             // A machine that vanished sends nothing and leaves its connections open. Only
             // unanswered lines show it.
             Phase::Established if self.backend_is_silent(now) => {
-                let words = self
+                let message = self
                     .backend
                     .as_ref()
-                    .map(|b| b.passage.closing_message(CloseReason::BackendLost));
+                    .map(|b| b.forwarder.closing_message(CloseReason::BackendLost));
                 self.close_with(
-                    words.unwrap_or_default(),
+                    message.unwrap_or_default(),
                     ConnectionEnd::new(Outcome::Reset, "backend-silent"),
                 );
             }
@@ -635,12 +638,12 @@
                 } else {
                     Outcome::Cancelled
                 };
-                let words = self
+                let message = self
                     .backend
                     .as_ref()
-                    .map(|b| b.passage.closing_message(CloseReason::AnswerTimeout));
+                    .map(|b| b.forwarder.closing_message(CloseReason::AnswerTimeout));
                 self.close_with(
-                    words.unwrap_or_default(),
+                    message.unwrap_or_default(),
                     ConnectionEnd::new(late, "answer-late"),
                 );
             }
--- a/src/net/handshake.rs
+++ b/src/net/handshake.rs
@@ -229,8 +229,8 @@
                     }
                     continue;
                 }
-                ReaderAction::Request(order) => {
-                    self.admit(&h.waiting, order);
+                ReaderAction::Request(client_request) => {
+                    self.admit(&h.waiting, client_request);
                     return false;
                 }
                 ReaderAction::Close(last_bytes, reason) => {
--- a/src/net/placement.rs
+++ b/src/net/placement.rs
@@ -25,25 +25,28 @@
 
 impl Connection {
     /// Admits a client's request, or rejects it.
-    pub fn admit(&mut self, waiting: &WaitingConnection, order: Box<dyn ClientRequest>) {
+    pub fn admit(&mut self, waiting: &WaitingConnection, client_request: Box<dyn ClientRequest>) {
         let shared = self.shared.clone();
         if let Some(record) = &mut self.record {
-            record.id = order.connection_id().to_string();
+            record.id = client_request.connection_id().to_string();
             record.class = shared
                 .settings()
                 .rules
                 .classes
-                .name(order.request().class)
+                .name(client_request.request().class)
                 .to_string();
             record.tally = Some(shared.metrics.begin_request(&record.class));
         }
-        let (answer, reason) = match waiting.admit_request(order.connection_id()) {
+        let (answer, reason) = match waiting.admit_request(client_request.connection_id()) {
             Ok(slot) => {
-                let keys = (order.request().client_key, order.request().group);
-                let finishes = order.backend_finishes_first();
+                let keys = (
+                    client_request.request().client_key,
+                    client_request.request().group,
+                );
+                let finishes = client_request.backend_finishes_first();
                 self.session = Some(Session::new(&shared.wake_queue, keys, slot, finishes, None));
                 self.phase = Phase::Pending;
-                return self.submit(order);
+                return self.submit(client_request);
             }
             // Nothing was sent to a backend, so the client may safely retry.
             Err(AdmissionError::NoCapacity) => (
@@ -52,12 +55,12 @@
             ),
             Err(AdmissionError::IdInUse) => (FinalAnswer::IdInUse, "id-in-use"),
         };
-        self.answer_and_close(Some(answer), order.encode_answer(answer), reason);
+        self.answer_and_close(Some(answer), client_request.encode_answer(answer), reason);
     }
 
     /// Submits a request to the decisions. A connection that was established before this process
     /// started goes to its earlier backend instead.
-    fn submit(&mut self, order: Box<dyn ClientRequest>) {
+    fn submit(&mut self, client_request: Box<dyn ClientRequest>) {
         let Some(session) = self.session.clone() else {
             return;
         };
@@ -65,16 +68,18 @@
         // While this process stops, the client must have its answer before the process ends.
         let shutdown_deadline = shared.answer_deadline.load(Relaxed);
         let request = &Request {
-            time_left: order
+            time_left: client_request
                 .request()
                 .time_left
                 .min(shutdown_deadline.saturating_sub(now)),
-            ..order.request().clone()
+            ..client_request.request().clone()
         };
         let handle: Arc<dyn RequestHandle> = session.clone();
         let id = session.connection_id();
         tracing::debug!(%id, group = request.group, key = request.client_key, again = request.returning, "request");
-        let (id, decision, attempt, endpoint_id, answer_deadline) = match order.adopted_backend() {
+        let (id, decision, attempt, endpoint_id, answer_deadline) = match client_request
+            .adopted_backend()
+        {
             Some(at) => {
                 let endpoint_id = endpoint_id(at);
                 let id = shared
@@ -87,7 +92,13 @@
                 (
                     id,
                     None,
-                    Some(Attempt::new(&*order, endpoint_id, deadline, 0, now)),
+                    Some(Attempt::new(
+                        &*client_request,
+                        endpoint_id,
+                        deadline,
+                        0,
+                        now,
+                    )),
                     endpoint_id,
                     deadline,
                 )
@@ -109,7 +120,7 @@
         };
         let failure_cause = FailureCause::BackendFailed;
         self.pending = Some(Box::new(PendingRequest {
-            order,
+            client_request,
             id,
             decision,
             attempt,
@@ -155,7 +166,7 @@
                 let context = AttemptContext {
                     shared: &self.shared,
                     session: &session,
-                    order: &*p.order,
+                    client_request: &*p.client_request,
                     id: p.id,
                 };
                 let Some(result) = attempt.advance(context, std::mem::take(&mut ready)) else {
@@ -188,7 +199,7 @@
                             .map_or(String::new(), |e| e.name);
                     }
                     p.attempt = Some(Attempt::new(
-                        &*p.order,
+                        &*p.client_request,
                         endpoint_id,
                         deadline,
                         number,
@@ -208,8 +219,9 @@
                 Some(Decision::Withdrawn) => (None, "client-gave-up"),
             };
             self.shared.decisions.remove(p.id);
-            let words = answer.map_or(Vec::new(), |answer| p.order.encode_answer(answer));
-            self.answer_and_close(answer, words, reason);
+            let message =
+                answer.map_or(Vec::new(), |answer| p.client_request.encode_answer(answer));
+            self.answer_and_close(answer, message, reason);
         }
     }
 
@@ -252,7 +264,7 @@
                 let answer = FinalAnswer::Failed(FailureCause::BackendFailed);
                 return self.answer_and_close(
                     Some(answer),
-                    p.order.encode_answer(answer),
+                    p.client_request.encode_answer(answer),
                     "not-adopted",
                 );
             }
@@ -265,7 +277,7 @@
     fn answer_and_close(
         &mut self,
         answer: Option<FinalAnswer>,
-        words: Vec<u8>,
+        message: Vec<u8>,
         reason: &'static str,
     ) {
         if let Some(record) = self.record.take() {
@@ -274,7 +286,7 @@
                 .for_each(|answer| count_answer(&record, *answer));
             record.log_end(reason);
         }
-        self.last_bytes = words;
+        self.last_bytes = message;
         self.close();
     }
 
@@ -283,9 +295,9 @@
         let EstablishedBackend {
             link,
             inbox,
-            passage,
+            forwarder,
         } = established;
-        if passage.established_is_final_answer() {
+        if forwarder.established_is_final_answer() {
             self.record
                 .iter()
                 .filter_map(|record| record.tally.as_ref())
@@ -293,19 +305,19 @@
         } else {
             self.answer_deadline = Some(p.answer_deadline);
         }
-        if !passage.supports_takeover() {
+        if !forwarder.supports_takeover() {
             self.shared.metrics.xmpp.sessions.fetch_add(1, Relaxed);
             self.to_backend.enable_large_reads();
         }
         self.to_client = inbox;
-        if !passage.supports_takeover() {
+        if !forwarder.supports_takeover() {
             self.to_client.enable_large_reads();
         }
         self.backend = Some(BackendSide {
             link,
             id: p.id,
             endpoint_id: p.endpoint_id,
-            passage,
+            forwarder,
         });
         (self.phase, self.last_heard) = (Phase::Established, self.now());
         self.flush_to_client();
