--- a/crates/lab/src/faults/harness.rs
+++ b/crates/lab/src/faults/harness.rs
@@ -99,6 +99,8 @@
     word: String,
     epoch: Option<u64>,
     took: Duration,
+    /// When the outcome was known, in microseconds since the play began.
+    known_at: Moment,
 }
 
 /// What a client that stays has seen.
@@ -698,6 +700,7 @@
         command
             .args(["--who", "the laboratory"])
             .stdin(Stdio::null());
+        let play_begin = self.begin;
         Ok(thread::spawn(move || {
             let begin = Instant::now();
             let said = command
@@ -717,6 +720,7 @@
                 word: part("outcome").into(),
                 epoch,
                 took: begin.elapsed(),
+                known_at: play_begin.elapsed().as_micros() as Moment,
             }
         }))
     }
@@ -1348,7 +1352,7 @@
                     asked: change.asked,
                 };
                 self.history.push(Line {
-                    at: change.asked + told.took.as_micros() as Moment,
+                    at: told.known_at,
                     fact,
                 });
             }
